--- a/lab/src/members/measure.rs
+++ b/lab/src/members/measure.rs
@@ -2,7 +2,7 @@
 
 use super::world::{seconds, Weather, World};
 use crate::stats;
-use starlinghill::fleet::{Micros, Notice, Standing};
+use starlinghill::cluster::{Micros, Notice, Standing};
 use std::time::Instant;
 
 /// The figures of one size.
--- a/lab/src/members/world.rs
+++ b/lab/src/members/world.rs
@@ -2,7 +2,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use starlinghill::fleet::{About, Effect, Event, Fleet, Micros, Notice, Settings, Shares, WAKE};
+use starlinghill::cluster::{About, Effect, Event, Fleet, Micros, Notice, Settings, Shares, WAKE};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
--- a/lab/tests/branch.rs
+++ b/lab/tests/branch.rs
@@ -5,8 +5,8 @@
 use proptest::test_runner::RngSeed;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use starlinghill::fleet::branch::{Clerk, Dot, End, Fate, Message, State, Status, Telling, Terms};
-use starlinghill::fleet::Micros;
+use starlinghill::cluster::write_queue::{Clerk, Dot, End, Fate, Message, State, Status, Telling, Terms};
+use starlinghill::cluster::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: u64 = 1000;
--- a/lab/tests/disk/main.rs
+++ b/lab/tests/disk/main.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::RngExt;
-use starlinghill::fleet::branch::{Dot, Status};
-use starlinghill::fleet::{Fleet, Notice};
+use starlinghill::cluster::write_queue::{Dot, Status};
+use starlinghill::cluster::{Fleet, Notice};
 use world::{Node, Play, MS};
 
 fn cut_with_writes(seed: u64, with_disks: bool) -> Play {
--- a/lab/tests/disk/world.rs
+++ b/lab/tests/disk/world.rs
@@ -3,8 +3,8 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use starlinghill::fleet::branch::{self, Dot, End, Fate, State, Status};
-use starlinghill::fleet::{
+use starlinghill::cluster::write_queue::{self, Dot, End, Fate, State, Status};
+use starlinghill::cluster::{
     ledger, About, Effect, Errand, Event, Fleet, Machine, Micros, Notice, Put, Settings, LEDGER,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -142,7 +142,7 @@
             seats: (0..seats).map(name).collect(),
             ledger: Some(ledger::Terms { holders: 3, lease: Micros(600 * MS), life: Micros(5_000 * MS) }),
             rules: None,
-            branch: Some(branch::Terms {
+            branch: Some(write_queue::Terms {
                 seats: (0..seats as u16).skip(node % self.branches).step_by(self.branches).collect(),
                 most: 5000,
                 most_of_one: 500,
--- a/lab/tests/ledger_plans.rs
+++ b/lab/tests/ledger_plans.rs
@@ -5,8 +5,8 @@
 use proptest::strategy::ValueTree;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use starlinghill::fleet::ledger::{Change, ClaimId, Desk, Finding, Message, Orphan, Out, RecordId, Terms};
-use starlinghill::fleet::Micros;
+use starlinghill::cluster::ledger::{Change, ClaimId, Desk, Finding, Message, Orphan, Out, RecordId, Terms};
+use starlinghill::cluster::Micros;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
--- a/lab/tests/members.rs
+++ b/lab/tests/members.rs
@@ -1,7 +1,7 @@
 //! Membership under virtual time: properties over random faults, and the hard cases by themselves.
 
 use proptest::prelude::*;
-use starlinghill::fleet::{Agreement, Micros, Notice, Standing};
+use starlinghill::cluster::{Agreement, Micros, Notice, Standing};
 use starlinghill_lab::members::world::{seconds, Weather, World};
 use std::collections::BTreeMap;
 
--- a/lab/tests/rollout.rs
+++ b/lab/tests/rollout.rs
@@ -5,8 +5,8 @@
 use proptest::test_runner::RngSeed;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use starlinghill::fleet::rollout::{Arm, End, Ended, Message, Order, Start, Steward, Telling, Why, TICK};
-use starlinghill::fleet::Micros;
+use starlinghill::cluster::rollout::{Arm, End, Ended, Message, Order, Start, Steward, Telling, Why, TICK};
+use starlinghill::cluster::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: u64 = 1000;
--- a/src/bin/starlinghill-simhost.rs
+++ b/src/bin/starlinghill-simhost.rs
@@ -1,7 +1,7 @@
 //! The decisions on the simulator's wire: batches on standard input, replies on standard output.
 #![forbid(unsafe_code)]
 
-use starlinghill::wire::Host;
+use starlinghill::simulator::wire::Host;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
--- a/src/fleet/frame.rs
+++ b/src/cluster/datagram.rs
@@ -2,9 +2,9 @@
 //!
 //! Nothing here is secret: the checksum tells accidents from messages, not friends from foes.
 
-use super::census::Table;
-use super::ledger::Message;
-use super::{branch, rollout};
+use crate::cluster::ledger::Message;
+use crate::cluster::quota_lease::view_gossip::Table;
+use crate::cluster::{rollout, write_queue};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -81,7 +81,7 @@
         /// The sender's seat.
         seat: u16,
         /// What it says.
-        message: branch::Message,
+        message: write_queue::Message,
     },
 }
 
--- a/src/fleet/words.rs
+++ b/src/cluster/event.rs
@@ -1,9 +1,9 @@
 //! What goes into a gateway's fleet part and what comes out: events, effects, and what people should hear of.
 
-use super::frame::Stranger;
-use super::ledger::{ClaimId, Finding, Orphan};
-use super::rollout::{Key, Told};
-use super::{Errand, InForce, Put, Shares, Standing};
+use crate::cluster::datagram::Stranger;
+use crate::cluster::ledger::{ClaimId, Finding, Orphan};
+use crate::cluster::rollout::{Key, Told};
+use crate::cluster::{Errand, InForce, Put, Shares, Standing};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/src/fleet/ledger/claim.rs
+++ b/src/cluster/ledger/client.rs
@@ -1,7 +1,9 @@
 //! A claimant's work at one record: asks for it, and writes it while it is the owner.
 
-use super::super::Micros;
-use super::{waited_out, Ballot, Message, Record, RecordId, Seen, Sent, Terms, MOST_OWNERS, PROMISE, ROUND};
+use crate::cluster::ledger::{
+    waited_out, Ballot, Message, Record, RecordId, Seen, Sent, Terms, MOST_OWNERS, PROMISE, ROUND,
+};
+use crate::cluster::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Messages to holders, by seat.
@@ -150,7 +152,8 @@
 
     /// The request is to be left with the holders, so that it can be finished whoever dies.
     pub fn bring(&mut self, request: Vec<u8>) {
-        self.request = Some(request).filter(|request| request.len() <= super::LONGEST_REQUEST);
+        self.request =
+            Some(request).filter(|request| request.len() <= crate::cluster::ledger::LONGEST_REQUEST);
     }
 
     /// Those asked first are slow: asks the others as well.
--- a/src/fleet/ledger/message.rs
+++ b/src/cluster/ledger/message.rs
@@ -1,7 +1,7 @@
 //! What claimants and holders say to each other.
 
-use super::super::Micros;
-use super::{Ballot, Record, RecordId};
+use crate::cluster::ledger::{Ballot, Record, RecordId};
+use crate::cluster::Micros;
 use serde::{Deserialize, Serialize};
 
 /// A record as a holder has it.
--- a/src/fleet/ledger/mod.rs
+++ b/src/cluster/ledger/mod.rs
@@ -4,22 +4,22 @@
 //! CASPaxos does, Rystsov 2018), with a lease for its owner. No I/O, no clock, no global randomness.
 //! `docs/decisions/0004-ledger.md` says why it is so, what is promised, and what is not.
 
-mod claim;
-mod desk;
-mod draw;
-mod holder;
+mod client;
 mod message;
+mod node;
+mod placement;
 mod record;
+mod replica;
 
-pub use claim::{Change, Claim, Finding, Sends};
-pub use desk::{ClaimId, Desk, Orphan, Out, Tallies};
-pub use draw::{holders, holders_among};
-pub use holder::{Entry, Holder, Refusals};
+pub use client::{Change, Claim, Finding, Sends};
 pub use message::{Message, Seen};
+pub use node::{ClaimId, Desk, Orphan, Out, Tallies};
+pub use placement::{holders, holders_among};
 pub use record::{Ballot, Record, RecordId, Sent};
+pub use replica::{Entry, Holder, Refusals};
 
-use super::Micros;
-use crate::api::SettingsError;
+use crate::cluster::Micros;
+use crate::decision::api::SettingsError;
 
 /// A claimant counts a promise only if it came within this, and a holder drops a first write that was under way
 /// for longer. Ages of records are passed on with no more error than this.
--- a/src/fleet/ledger/desk.rs
+++ b/src/cluster/ledger/node.rs
@@ -1,9 +1,9 @@
 //! All that a gateway does at the ledger: its claims, and the records that it holds for others.
 
-use super::super::Micros;
-use super::{
+use crate::cluster::ledger::{
     holders, holders_among, Ballot, Change, Claim, Finding, Holder, Message, RecordId, Sends, Terms,
 };
+use crate::cluster::Micros;
 use std::collections::BTreeMap;
 
 /// A claim of this process.
--- a/src/fleet/ledger/draw.rs
+++ b/src/cluster/ledger/placement.rs
@@ -1,6 +1,6 @@
 //! Which seats hold a record: drawn by rendezvous over all seats, never over those who are visible.
 
-use super::RecordId;
+use crate::cluster::ledger::RecordId;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The `count` seats out of so many that hold a record, the same at every gateway with this list of seats.
--- a/src/fleet/ledger/record.rs
+++ b/src/cluster/ledger/record.rs
@@ -1,6 +1,6 @@
 //! What a record says, and by which ballot it was written.
 
-use super::super::Micros;
+use crate::cluster::Micros;
 use serde::{Deserialize, Serialize};
 
 /// A record's name: a customer's, by what tells its requests apart.
@@ -56,10 +56,10 @@
     }
     /// Nobody else may go on with it, so long after it was written last at a holder.
     pub fn is_taken(&self, since: Micros) -> bool {
-        self.answer.is_some() || self.owned && since < super::waited_out(self.lease())
+        self.answer.is_some() || self.owned && since < crate::cluster::ledger::waited_out(self.lease())
     }
     /// Whether its size is one that a holder keeps.
     pub fn is_sound(&self) -> bool {
-        postcard::to_allocvec(self).is_ok_and(|bytes| bytes.len() <= super::LONGEST_RECORD)
+        postcard::to_allocvec(self).is_ok_and(|bytes| bytes.len() <= crate::cluster::ledger::LONGEST_RECORD)
     }
 }
--- a/src/fleet/ledger/holder.rs
+++ b/src/cluster/ledger/replica.rs
@@ -1,7 +1,9 @@
 //! A holder: what it promised, what was written here, and when it forgets.
 
-use super::super::Micros;
-use super::{waited_out, Ballot, Message, Record, RecordId, Seen, Terms, LONGEST_REQUEST, PROMISE, ROUND};
+use crate::cluster::ledger::{
+    waited_out, Ballot, Message, Record, RecordId, Seen, Terms, LONGEST_REQUEST, PROMISE, ROUND,
+};
+use crate::cluster::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/fleet/books.rs
+++ b/src/cluster/ledger_node.rs
@@ -1,11 +1,11 @@
 //! The fleet's ledger: claims of this gateway go out to the seats that hold a record, and what they say comes in.
 
-use super::frame::{self, Head, Stranger};
-use super::identity::{Identity, LEDGER};
-use super::keeping::Word;
-use super::ledger::{Change, ClaimId, Desk, Message, Out, RecordId};
-use super::swim::Swim;
-use super::{Effect, Fleet, Micros};
+use crate::cluster::datagram::{self, Head, Stranger};
+use crate::cluster::ledger::{Change, ClaimId, Desk, Message, Out, RecordId};
+use crate::cluster::membership::identity::{Identity, LEDGER};
+use crate::cluster::membership::swim::Swim;
+use crate::cluster::storage::persistence::Word;
+use crate::cluster::{Effect, Fleet, Micros};
 use std::net::SocketAddr;
 
 /// How often the ledger is to be called.
@@ -140,7 +140,7 @@
         let known = self.swim.records().get(name.as_str()).map(|r| r.identity.clone());
         let to = known.unwrap_or_else(|| Identity::unknown(name));
         let address: Option<SocketAddr> = self.addresses(&to).next();
-        let frame = frame::write(self.tag, head, &[]);
+        let frame = datagram::write(self.tag, head, &[]);
         self.traffic.unaddressed += u64::from(address.is_none());
         if let (Some(address), Some(frame)) = (address, frame) {
             self.send_frame(address, frame, out);
--- a/src/fleet/identity.rs
+++ b/src/cluster/membership/identity.rs
@@ -1,6 +1,6 @@
 //! Who a member of the fleet is: its name, and which of the lives under that name.
 
-use super::Micros;
+use crate::cluster::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/fleet/health.rs
+++ b/src/cluster/membership/local_health.rs
@@ -1,7 +1,7 @@
 //! How well this gateway itself runs: time that it slept through does not count, and while it runs badly it is
 //! slow to accuse others (local health awareness, as in Lifeguard, Dadgar et al., DSN 2018).
 
-use super::Micros;
+use crate::cluster::Micros;
 
 /// The core is called at least this often.
 pub const WAKE: Micros = Micros(200_000);
--- a/src/fleet/meeting.rs
+++ b/src/cluster/membership/rejoin.rs
@@ -1,9 +1,9 @@
 //! Who is where under which name: absent gateways are called, addresses followed, and two lives under one name told apart.
 
-use super::*;
+use crate::cluster::*;
 
 impl Fleet {
-    pub(super) fn meet_rival(&mut self, sends: &mut Vec<Outgoing>, out: &mut Vec<Effect>) {
+    pub(in crate::cluster) fn meet_rival(&mut self, sends: &mut Vec<Outgoing>, out: &mut Vec<Effect>) {
         if let Some((incarnation, live)) = self.swim.rival() {
             if self.yielded.is_none() && !self.left && incarnation > self.own().incarnation {
                 let _ = self.meet(incarnation, live, sends, out);
@@ -13,7 +13,7 @@
 
     /// Others know a later life under this name. One that is dead, or that this process came after with a
     /// clock set back, is outlived; to one that lives an established process yields.
-    pub(super) fn meet(
+    pub(in crate::cluster) fn meet(
         &mut self,
         incarnation: u64,
         live: bool,
@@ -36,7 +36,7 @@
     }
 
     /// Tells what changed since it was told last.
-    pub(super) fn tell(&mut self, out: &mut Vec<Effect>) {
+    pub(in crate::cluster) fn tell(&mut self, out: &mut Vec<Effect>) {
         for (name, record) in self.swim.records() {
             if self.told.get(name) != Some(&record.standing) {
                 self.told.insert(name.clone(), record.standing);
@@ -51,7 +51,7 @@
 
     /// Where a member's datagrams come from is where it is, if its own word or the map says so too: anybody
     /// can send a datagram again from elsewhere.
-    pub(super) fn hear_at(&mut self, sender: &Identity, from: SocketAddr) {
+    pub(in crate::cluster) fn hear_at(&mut self, sender: &Identity, from: SocketAddr) {
         let mapped = self.settings.peers.get(&*sender.name) == Some(&from);
         if mapped || sender.about.advertise == Some(from) {
             self.heard_at.insert(sender.name.clone(), from);
@@ -60,7 +60,7 @@
 
     /// Where to send what is for a member: where it was heard, else where the map has it, else where it says.
     /// One that is not known to be there is tried at both.
-    pub(super) fn addresses(&self, to: &Identity) -> impl Iterator<Item = SocketAddr> {
+    pub(in crate::cluster) fn addresses(&self, to: &Identity) -> impl Iterator<Item = SocketAddr> {
         // An older life that still sends is answered where it says that it is.
         let older = |r: &&Record| to.incarnation > 0 && to.incarnation < r.identity.incarnation;
         let record = self.swim.records().get(&to.name).filter(|r| !older(r));
@@ -76,7 +76,7 @@
 
     /// A life that is not the latest of its name sends. Once may be a datagram that was under way for long; when
     /// it goes on, two processes live.
-    pub(super) fn watch_rivals(&mut self, out: &mut Vec<Effect>) {
+    pub(in crate::cluster) fn watch_rivals(&mut self, out: &mut Vec<Effect>) {
         let Some((older, newer)) = self.swim.older() else { return };
         let now = self.now;
         if self.rivals.len() >= MOST_MEMBERS {
@@ -99,7 +99,7 @@
     }
 
     /// Calls configured gateways that are not present: to join, and to find again those that nobody here knows.
-    pub(super) fn call_absent(&mut self, sends: &mut Vec<Outgoing>) {
+    pub(in crate::cluster) fn call_absent(&mut self, sends: &mut Vec<Outgoing>) {
         let records = self.swim.records();
         let absent = |name: &&String| {
             **name != self.settings.name
--- a/src/fleet/ring.rs
+++ b/src/cluster/membership/ring_probe.rs
@@ -5,9 +5,9 @@
 //! 1 - 1/e a period); in a ring each member is knocked at once a period by somebody. A knock is straight only:
 //! what it says is a suspicion, which the suspect and everybody who reaches it can refute.
 
-use super::identity::Identity;
-use super::swim::{Record, Standing};
-use super::Micros;
+use crate::cluster::membership::identity::Identity;
+use crate::cluster::membership::swim::{Record, Standing};
+use crate::cluster::Micros;
 use std::collections::BTreeMap;
 use std::ops::Bound;
 use std::rc::Rc;
--- a/src/fleet/swim.rs
+++ b/src/cluster/membership/swim.rs
@@ -1,9 +1,9 @@
 //! Who is present: SWIM (Das, Gupta, Motivala, DSN 2002) by the crate `foca`, with what it leaves open: the clock
 //! of a process that may be paused, the members' names bounded, rivals under one name, leaving by word.
 
-use super::health::Health;
-use super::identity::Identity;
-use super::Micros;
+use crate::cluster::membership::identity::Identity;
+use crate::cluster::membership::local_health::Health;
+use crate::cluster::Micros;
 use foca::{AccumulatingRuntime, Codec, Foca, Header, Member, Message, NoCustomBroadcast};
 use foca::{OwnedNotification as News, PostcardCodec, State, Timer};
 use rand::rngs::SmallRng;
--- a/src/fleet/mod.rs
+++ b/src/cluster/mod.rs
@@ -3,55 +3,47 @@
 //! No I/O, no clock, no global randomness: events in, effects out, time and seeds passed in. `net::peers` holds
 //! the socket. `docs/decisions/0001-membership.md` says why it is so.
 
-mod books;
-pub mod branch;
-mod census;
-mod custody;
-mod durable;
-mod filing;
-mod frame;
-mod health;
-mod identity;
-mod keeping;
+mod datagram;
+mod event;
 pub mod ledger;
-mod lending;
-mod meeting;
+mod ledger_node;
+mod membership;
+mod quota_lease;
 mod report;
-mod ring;
-mod rolling;
 pub mod rollout;
+mod rollout_node;
 mod settings;
-mod swim;
-mod view;
-mod words;
+mod storage;
+pub mod write_queue;
+mod write_queue_node;
 
-pub use crate::api::{Micros, SettingsError};
-pub use books::BEAT;
-pub use census::VALID;
-pub use custody::{Shares, WAIT};
-pub use durable::{Machine, Put};
-pub use filing::{Branch, Errand};
-pub use frame::{Stranger, LONGEST};
-pub use health::WAKE;
-pub use identity::{is_name, About, Identity, LEDGER, LONGEST_NAME, ROLLOUT};
-pub use lending::{Agreement, ViewReport};
+pub use crate::decision::api::{Micros, SettingsError};
+pub use datagram::{Stranger, LONGEST};
+pub use event::{Effect, Event, Notice, Traffic};
+pub use ledger_node::BEAT;
+pub use membership::identity::{is_name, About, Identity, LEDGER, LONGEST_NAME, ROLLOUT};
+pub use membership::local_health::WAKE;
+pub use membership::swim::{Record, Standing, MOST_MEMBERS};
+pub use quota_lease::seat_lease::{Shares, WAIT};
+pub use quota_lease::view::MOST_SEATS;
+pub use quota_lease::view_gossip::VALID;
+pub use quota_lease::{Agreement, ViewReport};
 pub use report::{MemberReport, Report};
-pub use rolling::{InForce, Taken};
+pub use rollout_node::{InForce, Taken};
 pub use settings::Settings;
-pub use swim::{Record, Standing, MOST_MEMBERS};
-pub use view::MOST_SEATS;
-pub use words::{Effect, Event, Notice, Traffic};
+pub use storage::durability_gate::{Machine, Put};
+pub use write_queue_node::{Branch, Errand};
 
-use durable::Durable;
-use frame::Head;
-use keeping::Keeping;
+use datagram::Head;
 use ledger::Desk;
-use lending::Lending;
-use ring::{Ring, Turn};
+use membership::ring_probe::{Ring, Turn};
+use membership::swim::{Outgoing, Swim};
+use quota_lease::Lending;
 use rollout::Steward;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use swim::{Outgoing, Swim};
+use storage::durability_gate::Durable;
+use storage::persistence::Keeping;
 
 /// How long after it came to know others a gateway stands as the one of its name.
 const ESTABLISHED: Micros = Micros(10_000_000);
@@ -118,7 +110,7 @@
         settings.check()?;
         let mut rng = fastrand::Rng::with_seed(seed);
         let own = Identity::born(&settings.name, settings.about.clone(), unix, rng.u64(..));
-        let swim = Swim::new(own, rng.u64(..), settings.period, LONGEST - frame::OVERHEAD);
+        let swim = Swim::new(own, rng.u64(..), settings.period, LONGEST - datagram::OVERHEAD);
         // Guards against hundreds of gateways that start together and knock in step.
         let call_at = Some(now + Micros(rng.u64(0..FIRST_CALL.0)));
         let lending = Lending::new(&settings.seats, &settings.name, now, rng.u64(..));
@@ -131,7 +123,7 @@
             Steward::new(own as u16, seats, settings.about.zone.clone(), base, rng.u64(..), now)
         });
         let branch = lending.as_ref().zip(settings.branch.clone()).map(|(lending, terms)| {
-            Branch::new(branch::Clerk::new(lending.seat().0 as u16, terms, rng.u64(..), now), now)
+            Branch::new(write_queue::Clerk::new(lending.seat().0 as u16, terms, rng.u64(..), now), now)
         });
         let keeping = settings.disk.map(|machine| Keeping::new(Durable::new(machine, now)));
         let (mut desk, mut branch) = (desk, branch);
@@ -140,7 +132,7 @@
             branch.iter_mut().for_each(Branch::await_disk);
         }
         Ok(Fleet {
-            tag: frame::tag(&settings.fleet),
+            tag: datagram::tag(&settings.fleet),
             settings,
             swim,
             rng,
@@ -245,7 +237,7 @@
             Turn::Quiet => {}
             Turn::Knock(to, token) => {
                 let addresses: Vec<SocketAddr> = self.addresses(&to).collect();
-                if let Some(frame) = frame::write(self.tag, &Head::Knock { token }, &[]) {
+                if let Some(frame) = datagram::write(self.tag, &Head::Knock { token }, &[]) {
                     addresses.into_iter().for_each(|at| self.send_frame(at, frame.clone(), out));
                 }
             }
@@ -264,7 +256,7 @@
         let present: Vec<&Identity> = present.map(|r| &r.identity).collect();
         let Some((token, to)) = token.zip(self.rng.choice(present)) else { return };
         if let (Some(to), Some(frame)) =
-            (self.addresses(to).next(), frame::write(self.tag, &Head::Ask { list, token }, &[]))
+            (self.addresses(to).next(), datagram::write(self.tag, &Head::Ask { list, token }, &[]))
         {
             self.send_frame(to, frame, out);
         }
@@ -282,7 +274,7 @@
         let Some(lending) = self.lending.as_mut() else { return Ok(()) };
         let Some(table) = lending.answer(list, now) else { return Ok(()) };
         let head = Head::Words { list: lending.list(), token, table };
-        if let Some(frame) = frame::write(self.tag, &head, &[]) {
+        if let Some(frame) = datagram::write(self.tag, &head, &[]) {
             self.send_frame(to, frame, out);
         }
         Ok(())
@@ -295,7 +287,7 @@
     }
 
     fn datagram(&mut self, from: SocketAddr, bytes: &[u8], sends: &mut Vec<Outgoing>, out: &mut Vec<Effect>) {
-        let taken = frame::read(self.tag, bytes).and_then(|(head, rest)| {
+        let taken = datagram::read(self.tag, bytes).and_then(|(head, rest)| {
             // One that leaves has work to hand over, and records of others.
             if self.yielded.is_some()
                 || self.left && !matches!(head, Head::Ledger { .. } | Head::Branch { .. })
@@ -308,7 +300,7 @@
                 Head::Branch { list, seat, message } => return self.filing_hear(list, seat, message, out),
                 Head::Swim { on_record, live, doubt } => (on_record, live, doubt),
                 Head::Knock { token } => {
-                    if let Some(frame) = frame::write(self.tag, &Head::Here { token }, &[]) {
+                    if let Some(frame) = datagram::write(self.tag, &Head::Here { token }, &[]) {
                         self.send_frame(from, frame, out);
                     }
                     return Ok(());
@@ -349,7 +341,8 @@
     fn send(&mut self, sends: Vec<Outgoing>, out: &mut Vec<Effect>) {
         for Outgoing { to, message, doubt } in sends {
             let (on_record, live) = self.swim.on_record(&to.name);
-            let Some(frame) = frame::write(self.tag, &Head::Swim { on_record, live, doubt }, &message) else {
+            let Some(frame) = datagram::write(self.tag, &Head::Swim { on_record, live, doubt }, &message)
+            else {
                 continue;
             };
             let addresses: Vec<SocketAddr> = self.addresses(&to).collect();
--- a/src/fleet/lending.rs
+++ b/src/cluster/quota_lease/mod.rs
@@ -1,12 +1,15 @@
 //! The seats of the fleet: asks members for their words, answers them, and says what follows: the agreement on
 //! the view, and the shares.
 
-use super::census::{Census, Table};
-use super::custody::{Custody, Occupant, Shares};
-use super::view::{life, MOST_SEATS};
-use super::{Micros, Record, Standing};
+pub(in crate::cluster) mod seat_lease;
+pub(in crate::cluster) mod view;
+pub(in crate::cluster) mod view_gossip;
+use crate::cluster::{Micros, Record, Standing};
+use seat_lease::{Custody, Occupant, Shares};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
+use view::{life, MOST_SEATS};
+use view_gossip::{Census, Table};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Between two questions to members drawn at random: twenty in the time that a word counts.
--- a/src/fleet/custody.rs
+++ b/src/cluster/quota_lease/seat_lease.rs
@@ -6,9 +6,9 @@
 //! one of the two waits longer than that before it says the other. Any two halves have a member in common, so
 //! both can't hold at one time, whatever is cut, paused, delayed, doubled, lost or forgotten.
 
-use super::census::{Census, VALID};
-use super::view::{life, Say, View};
-use super::Micros;
+use crate::cluster::quota_lease::view::{life, Say, View};
+use crate::cluster::quota_lease::view_gossip::{Census, VALID};
+use crate::cluster::Micros;
 
 /// Between two opposite words on a seat, and from a start to the first word: longer than any word counts, with
 /// room for clocks that run at slightly different rates.
--- a/src/fleet/census.rs
+++ b/src/cluster/quota_lease/view_gossip.rs
@@ -4,8 +4,8 @@
 //! what it holds is at most as old as it says plus the time since the question. A word read off a socket after a
 //! pause is as old as it is.
 
-use super::view::{Say, View};
-use super::Micros;
+use crate::cluster::quota_lease::view::{Say, View};
+use crate::cluster::Micros;
 use serde::{Deserialize, Serialize};
 
 /// A word counts for so long after it was said.
--- a/src/fleet/report.rs
+++ b/src/cluster/report.rs
@@ -1,7 +1,7 @@
 //! What operators read of the fleet.
 
-use super::ledger::Tallies;
-use super::{Fleet, Standing, Stranger, ViewReport};
+use crate::cluster::ledger::Tallies;
+use crate::cluster::{Fleet, Standing, Stranger, ViewReport};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
--- a/src/fleet/rollout/order.rs
+++ b/src/cluster/rollout/command.rs
@@ -1,6 +1,6 @@
 //! What is in force of a rollout: a value that any two gateways merge to the same, whatever came first.
 
-use super::{Rules, Terms};
+use crate::cluster::rollout::{Rules, Terms};
 use serde::{Deserialize, Serialize};
 
 /// Which rollout: of two the one with the greater key is in force. A rollout that more than half of the seats were
@@ -110,7 +110,7 @@
     pub fn share(&self) -> u16 {
         match self.end {
             None => self.terms.share(self.stage),
-            Some(End::Done) => super::ALL,
+            Some(End::Done) => crate::cluster::rollout::ALL,
             Some(_) => 0,
         }
     }
--- a/src/fleet/rollout/steward.rs
+++ b/src/cluster/rollout/controller.rs
@@ -1,12 +1,12 @@
 //! One gateway's part in a rollout: it passes on what is in force, sends its counts to those who collect them, halts
 //! where it collects and sees cause, and, while it owns the rollout's record, leads from stage to stage.
 
-use super::super::ledger::ClaimId;
-use super::super::Micros;
-use super::verdict::in_force;
-use super::{
+use crate::cluster::ledger::ClaimId;
+use crate::cluster::rollout::sequential_test::in_force;
+use crate::cluster::rollout::{
     halts, passes, Arm, End, Ended, Key, Message, Open, Order, Row, Rows, Rules, Start, Tally, Why, TICK,
 };
+use crate::cluster::Micros;
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -284,7 +284,7 @@
 
     fn woke_late(&mut self, now: Micros) {
         if now - self.last_tick > TICK + TICK {
-            self.prompt_from = now + super::FRESH;
+            self.prompt_from = now + crate::cluster::rollout::FRESH;
         }
     }
 
@@ -317,9 +317,11 @@
         let mut to: Vec<u16> = collectors.iter().copied().chain(leader).chain([self.own]).collect();
         to.sort_unstable();
         to.dedup();
-        let cells: Vec<(u16, super::Cell)> =
+        let cells: Vec<(u16, crate::cluster::rollout::Cell)> =
             self.tally.cells(now).map(|(class, cell)| (class, cell.clone())).collect();
-        let parts = cells.chunks(super::rows::MOST_CELLS).chain(cells.is_empty().then_some(&cells[..]));
+        let parts = cells
+            .chunks(crate::cluster::rollout::count_rows::MOST_CELLS)
+            .chain(cells.is_empty().then_some(&cells[..]));
         for part in parts {
             self.seq += 1;
             let row = Row {
@@ -413,8 +415,9 @@
     pub fn report(&self, now: Micros) -> Option<Report> {
         let order = self.order.as_ref()?;
         let fresh = self.rows.fresh(now);
-        let follows =
-            |heard: &&&super::rows::Heard| heard.stage == order.stage && heard.ended == order.end.is_some();
+        let follows = |heard: &&&crate::cluster::rollout::count_rows::Heard| {
+            heard.stage == order.stage && heard.ended == order.end.is_some()
+        };
         let mut ends = [[0; 4]; 2];
         for (_, _, heard) in self.rows.lives() {
             for (_, cell) in heard.cells.values() {
--- a/src/fleet/rollout/rows.rs
+++ b/src/cluster/rollout/count_rows.rs
@@ -1,8 +1,8 @@
 //! What was heard of all gateways' counts: by each life of a gateway its newest, so that loss, doubles, order and
 //! late news change nothing.
 
-use super::super::Micros;
-use super::{Cell, Key};
+use crate::cluster::rollout::{Cell, Key};
+use crate::cluster::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -59,9 +59,10 @@
 impl Rows {
     /// Takes a gateway's word. `prompt`: it was surely not under way for long.
     pub fn hear(&mut self, now: Micros, seat: u16, row: Row, prompt: bool) {
-        let sound =
-            row.cells.iter().all(|(class, cell)| *class < super::tally::MOST_CLASSES && cell.is_sound());
-        if !sound || row.cells.len() > MOST_CELLS || row.zone.len() > super::super::LONGEST_NAME {
+        let sound = row.cells.iter().all(|(class, cell)| {
+            *class < crate::cluster::rollout::outcome_counts::MOST_CLASSES && cell.is_sound()
+        });
+        if !sound || row.cells.len() > MOST_CELLS || row.zone.len() > crate::cluster::LONGEST_NAME {
             self.refused += 1;
             return;
         }
--- a/src/fleet/rollout/mod.rs
+++ b/src/cluster/rollout/mod.rs
@@ -2,27 +2,27 @@
 //!
 //! No I/O, no clock, no global randomness. `docs/decisions/0007-rules-rollout.md` says why it is so.
 
-mod order;
+mod command;
+mod controller;
+mod count_rows;
+mod outcome_counts;
 mod plan;
-mod rows;
-mod steward;
-mod tally;
-mod verdict;
+mod sequential_test;
 
-pub use order::{End, Key, Order, Why};
+pub use command::{End, Key, Order, Why};
+pub use controller::{Report, Steward, Telling, Told};
+pub use count_rows::{Row, Rows, FRESH};
+pub use outcome_counts::{Arm, Cell, Ended, Tally, TILTS};
 pub use plan::{Rule, Rules, Start, Terms, ALL};
-pub use rows::{Row, Rows, FRESH};
-pub use steward::{Report, Steward, Telling, Told};
-pub use tally::{Arm, Cell, Ended, Tally, TILTS};
-pub use verdict::{halts, passes, Open};
+pub use sequential_test::{halts, passes, Open};
 
-use super::ledger::RecordId;
+use crate::cluster::ledger::RecordId;
 use serde::{Deserialize, Serialize};
 
 /// The record whose owner leads a rollout. No customer has this number.
 pub const RECORD: RecordId = RecordId { customer: u64::MAX, key: 1 };
 /// How often a gateway's part in a rollout is to be called.
-pub const TICK: super::Micros = super::Micros(500_000);
+pub const TICK: crate::cluster::Micros = crate::cluster::Micros(500_000);
 
 /// What gateways say to each other of a rollout.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
--- a/src/fleet/rollout/tally.rs
+++ b/src/cluster/rollout/outcome_counts.rs
@@ -7,7 +7,7 @@
 //! the part `a` of sound rollouts (Ville 1939), however often it is looked at. Whatever befalls both arms alike - a
 //! lost zone, a silent counter, a busy hour - is in the slice's own number of bad ends and tells nothing.
 
-use super::super::Micros;
+use crate::cluster::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/src/fleet/rollout/verdict.rs
+++ b/src/cluster/rollout/sequential_test.rs
@@ -1,7 +1,7 @@
 //! Whether what was counted halts a rollout, and whether it lets a stage pass.
 
-use super::super::Micros;
-use super::{Cell, Rows, Terms, Why};
+use crate::cluster::rollout::{Cell, Rows, Terms, Why};
+use crate::cluster::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A gateway's counts have no say where more than half of both arms end badly there, once it saw so many of each.
--- a/src/fleet/rolling.rs
+++ b/src/cluster/rollout_node.rs
@@ -1,13 +1,13 @@
 //! The fleet's rollout: its messages go out to the seats present, and its record is claimed at the ledger.
 
-use super::books::own_seat;
-use super::frame::{Head, Stranger};
-use super::identity::ROLLOUT;
-use super::ledger::{Change, ClaimId, Finding};
-use super::rollout::{
+use crate::cluster::datagram::{Head, Stranger};
+use crate::cluster::ledger::{Change, ClaimId, Finding};
+use crate::cluster::ledger_node::own_seat;
+use crate::cluster::membership::identity::ROLLOUT;
+use crate::cluster::rollout::{
     Arm, Ended, Key, Message, Order, Report, Rules, Start, Steward, Telling, Told, RECORD, TICK,
 };
-use super::{Effect, Fleet, Micros};
+use crate::cluster::{Effect, Fleet, Micros};
 
 /// What is in force, for whoever routes.
 #[derive(Debug, Clone, PartialEq)]
--- a/src/fleet/settings.rs
+++ b/src/cluster/settings.rs
@@ -1,9 +1,9 @@
 //! What a gateway is told of its fleet, and whether that makes sense.
 
-use super::identity::{is_name, About};
-use super::ledger::Terms;
-use super::rollout::Rules;
-use super::{branch, Machine, Micros, SettingsError, MOST_MEMBERS, MOST_SEATS};
+use crate::cluster::ledger::Terms;
+use crate::cluster::membership::identity::{is_name, About};
+use crate::cluster::rollout::Rules;
+use crate::cluster::{write_queue, Machine, Micros, SettingsError, MOST_MEMBERS, MOST_SEATS};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -29,7 +29,7 @@
     /// Rules of routing may be rolled out, and these are in force before; none: it takes no part in rollouts.
     pub rules: Option<Rules>,
     /// This gateway is of a branch that accepts writes while it is cut off.
-    pub branch: Option<branch::Terms>,
+    pub branch: Option<write_queue::Terms>,
     /// It has a disk, and this is its machine; none: it forgets all at its end.
     pub disk: Option<Machine>,
 }
--- a/src/fleet/durable.rs
+++ b/src/cluster/storage/durability_gate.rs
@@ -3,7 +3,7 @@
 //! Parts change what they hold at once, in memory; every word, answer or send that follows waits here, in its order, until
 //! all changes before it are on the disk. So whatever a process has said, the next one under its name remembers.
 
-use super::Micros;
+use crate::cluster::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
--- a/src/fleet/keeping.rs
+++ b/src/cluster/storage/persistence.rs
@@ -1,10 +1,10 @@
 //! What the fleet's parts put on the gateway's disk, and what they remember from it at the start.
 
-use super::branch::{Entry as Held, Telling};
-use super::durable::{Durable, Head, Put, MOST_HELD};
-use super::ledger::{Entry as Kept, Out, RecordId};
-use super::rollout::Order;
-use super::{Effect, Fleet, Micros, Notice};
+use crate::cluster::ledger::{Entry as Kept, Out, RecordId};
+use crate::cluster::rollout::Order;
+use crate::cluster::storage::durability_gate::{Durable, Head, Put, MOST_HELD};
+use crate::cluster::write_queue::{Entry as Held, Telling};
+use crate::cluster::{Effect, Fleet, Micros, Notice};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -21,13 +21,13 @@
 
 /// What goes out once the disk holds what it rests on.
 #[derive(Debug)]
-pub(super) enum Word {
+pub(in crate::cluster) enum Word {
     Branch(Telling),
     Ledger(Out),
 }
 
 /// A gateway's disk, and what is on it that is not asked of the parts again.
-pub(super) struct Keeping {
+pub(in crate::cluster) struct Keeping {
     way: Durable<Word>,
     branch_voted: bool,
     ledger_voted: bool,
@@ -42,10 +42,10 @@
 }
 
 impl Keeping {
-    pub(super) fn new(way: Durable<Word>) -> Keeping {
+    pub(in crate::cluster) fn new(way: Durable<Word>) -> Keeping {
         Keeping { way, branch_voted: false, ledger_voted: false, order: None }
     }
-    pub(super) fn way(&self) -> &Durable<Word> {
+    pub(in crate::cluster) fn way(&self) -> &Durable<Word> {
         &self.way
     }
 }
@@ -70,12 +70,12 @@
 
 impl Fleet {
     /// Whether the disk is being opened and read: until then nothing that it may hold is answered or changed.
-    pub(super) fn awaits_disk(&self) -> bool {
+    pub(in crate::cluster) fn awaits_disk(&self) -> bool {
         self.keeping.as_ref().is_some_and(|keeping| keeping.way.is_awaited())
     }
 
     /// What was to go out, as far as it may.
-    pub(super) fn release(&mut self, words: Vec<Word>, out: &mut Vec<Effect>) {
+    pub(in crate::cluster) fn release(&mut self, words: Vec<Word>, out: &mut Vec<Effect>) {
         self.journal(out);
         let (mut free, mut choked) = (Vec::new(), false);
         match self.keeping.as_mut() {
@@ -99,13 +99,13 @@
     }
 
     /// The disk holds all up to this batch.
-    pub(super) fn disk_holds(&mut self, batch: u64, out: &mut Vec<Effect>) {
+    pub(in crate::cluster) fn disk_holds(&mut self, batch: u64, out: &mut Vec<Effect>) {
         let free = self.keeping.as_mut().map(|keeping| keeping.way.holds(batch)).unwrap_or_default();
         free.into_iter().for_each(|word| self.let_out(word, out));
     }
 
     /// The disk takes nothing any more: the gateway gives up its votes, and serves on.
-    pub(super) fn disk_failed(&mut self, out: &mut Vec<Effect>) {
+    pub(in crate::cluster) fn disk_failed(&mut self, out: &mut Vec<Effect>) {
         if !self.keeping.as_mut().is_some_and(|keeping| keeping.way.fail()) {
             return;
         }
@@ -154,8 +154,8 @@
     /// The disk was opened and held this: what the parts said in an earlier life they remember. What is of other seats,
     /// or can't be read, is dropped from it; records are, too, where the machine was started since, as their times say
     /// nothing then.
-    pub(super) fn remember(&mut self, on_disk: Vec<Put>, out: &mut Vec<Effect>) {
-        let Some((list, seat)) = super::books::own_seat(self) else { return };
+    pub(in crate::cluster) fn remember(&mut self, on_disk: Vec<Put>, out: &mut Vec<Effect>) {
+        let Some((list, seat)) = crate::cluster::ledger_node::own_seat(self) else { return };
         let now = self.now;
         let Some(keeping) = self.keeping.as_mut().filter(|keeping| keeping.way.is_awaited()) else { return };
         keeping.way.opened();
--- a/src/fleet/tests.rs
+++ b/src/cluster/tests.rs
@@ -1,6 +1,6 @@
 //! The whole part against bytes that nobody sends.
 
-use super::*;
+use crate::cluster::*;
 use std::time::Duration;
 
 fn member(name: &str, seed: u64) -> Fleet {
@@ -46,7 +46,7 @@
                         body[at] = if rng.bool() { rng.u8(..) } else { 0xff };
                     }
                     body.truncate(rng.usize(11..=body.len()));
-                    frame::seal(&mut body);
+                    datagram::seal(&mut body);
                     bent.handle(now, Event::Datagram(from[0], &body), &mut Vec::new());
                 }
                 fleets[to].handle(now, Event::Datagram(from[1 - to], &bytes), &mut out);
--- a/src/fleet/branch/mod.rs
+++ b/src/cluster/write_queue/mod.rs
@@ -3,21 +3,21 @@
 //! All gateways of the branch hold all of its writes; more than half of them decide. No I/O, no clock, no global
 //! randomness. `docs/decisions/0006-branch-queue.md` says why it is so, which order is promised, and which is not.
 
-mod clerk;
-mod line;
 mod replay;
-mod shelf;
+mod replica;
+mod uplink;
 mod write;
+mod write_log;
 
-pub use clerk::{Clerk, Status, Tallies, Telling};
-pub use line::Line;
 pub use replay::Fate;
-pub use shelf::{Entry, Shelf};
+pub use replica::{Clerk, Status, Tallies, Telling};
+pub use uplink::Line;
 pub use write::{Dot, End, State, Write, LONGEST};
+pub use write_log::{Entry, Shelf};
 
-use super::ledger::RecordId;
-use super::Micros;
-use crate::api::SettingsError;
+use crate::cluster::ledger::RecordId;
+use crate::cluster::Micros;
+use crate::decision::api::SettingsError;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/src/fleet/branch/replay.rs
+++ b/src/cluster/write_queue/replay.rs
@@ -1,7 +1,7 @@
 //! What goes out next after the heal: in the order of cause and effect, at a bounded pace, each on record before it goes.
 
-use super::super::Micros;
-use super::{Dot, End, Shelf, State, Terms};
+use crate::cluster::write_queue::{Dot, End, Shelf, State, Terms};
+use crate::cluster::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A write that was refused is tried again after this, doubled each time.
@@ -153,7 +153,7 @@
         &self,
         now: Micros,
         shelf: &Shelf,
-        entry: &super::Entry,
+        entry: &crate::cluster::write_queue::Entry,
         terms: &Terms,
         void: &impl Fn(Dot) -> bool,
     ) -> Option<Step> {
--- a/src/fleet/branch/clerk.rs
+++ b/src/cluster/write_queue/replica.rs
@@ -1,14 +1,13 @@
 //! One gateway's part in its branch: it accepts writes with the others' votes, holds theirs, keeps up with them, and,
 //! while it owns the branch's record, sends them on.
 
-mod accepting;
-mod catching_up;
-mod telling;
-
-use super::super::Micros;
-use super::replay::{Replay, Step};
-use super::write::{LONGEST, MOST_AFTER};
-use super::{Dot, End, Entry, Fate, Line, Message, Shelf, State, Terms, Write};
+mod accept;
+mod catch_up;
+mod notify;
+use crate::cluster::write_queue::replay::{Replay, Step};
+use crate::cluster::write_queue::write::{LONGEST, MOST_AFTER};
+use crate::cluster::write_queue::{Dot, End, Entry, Fate, Line, Message, Shelf, State, Terms, Write};
+use crate::cluster::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A write that has not the votes by then is refused, as without a branch.
@@ -280,7 +279,9 @@
         let dot = write.dot;
         let known = self.shelf.get(dot).is_some();
         // What all forget after a while must not go round for ever.
-        let stale = !known && state.is_over() && age >= super::shelf::REMEMBERED + self.terms.longest;
+        let stale = !known
+            && state.is_over()
+            && age >= crate::cluster::write_queue::write_log::REMEMBERED + self.terms.longest;
         if stale {
             self.has_come(seat, dot);
             return self.walk_on(now, seat, out);
--- a/src/fleet/branch/clerk/accepting.rs
+++ b/src/cluster/write_queue/replica/accept.rs
@@ -1,6 +1,6 @@
 //! Writes that wait for their votes: asked for, held by more than half, then accepted, or given up.
 
-use super::*;
+use crate::cluster::write_queue::replica::*;
 
 impl Clerk {
     /// A write is to be accepted; whether it is, is told later under this name. None: it can't be.
--- a/src/fleet/branch/clerk/catching_up.rs
+++ b/src/cluster/write_queue/replica/catch_up.rs
@@ -1,6 +1,6 @@
 //! What the others hold: asked for page by page, again and again; a gateway that starts has no vote before it has it all.
 
-use super::*;
+use crate::cluster::write_queue::replica::*;
 
 impl Clerk {
     /// What another was asked for is here, as far as it is to be had.
--- a/src/fleet/branch/clerk/telling.rs
+++ b/src/cluster/write_queue/replica/notify.rs
@@ -1,6 +1,6 @@
 //! What became of writes, told until more than half have it; and, for the branch's owner, what goes out next.
 
-use super::*;
+use crate::cluster::write_queue::replica::*;
 
 impl Clerk {
     pub(super) fn hold_of(&self, now: Micros, dot: Dot) -> Option<Message> {
--- a/src/fleet/branch/line.rs
+++ b/src/cluster/write_queue/uplink.rs
@@ -1,7 +1,7 @@
 //! Whether the branch is cut off: by own attempts, and by what more than half of its gateways say.
 
-use super::super::Micros;
-use super::Terms;
+use crate::cluster::write_queue::Terms;
+use crate::cluster::Micros;
 use std::collections::BTreeMap;
 
 /// Another's word counts for so long.
--- a/src/fleet/branch/shelf.rs
+++ b/src/cluster/write_queue/write_log.rs
@@ -1,7 +1,7 @@
 //! What a gateway of a branch holds: all writes that it heard of, with what became of them, within bounds.
 
-use super::super::Micros;
-use super::{Dot, End, State, Terms, Write};
+use crate::cluster::write_queue::{Dot, End, State, Terms, Write};
+use crate::cluster::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/fleet/filing.rs
+++ b/src/cluster/write_queue_node.rs
@@ -1,12 +1,12 @@
 //! The fleet's branch: its messages go out to the branch's seats, and its record is claimed at the ledger.
 
-use super::books::own_seat;
-use super::branch::{record, Clerk, Dot, End, Entry, Fate, Message, Status, Telling, Write};
-use super::durable::BUSY;
-use super::frame::{Head, Stranger};
-use super::keeping::Word;
-use super::ledger::{Change, ClaimId, Finding};
-use super::{Effect, Fleet, Micros};
+use crate::cluster::datagram::{Head, Stranger};
+use crate::cluster::ledger::{Change, ClaimId, Finding};
+use crate::cluster::ledger_node::own_seat;
+use crate::cluster::storage::durability_gate::BUSY;
+use crate::cluster::storage::persistence::Word;
+use crate::cluster::write_queue::{record, Clerk, Dot, End, Entry, Fate, Message, Status, Telling, Write};
+use crate::cluster::{Effect, Fleet, Micros};
 
 /// Who does not own the branch's record asks for it again after this.
 const CLAIM_AGAIN: Micros = Micros(1_000_000);
--- a/src/rules.rs
+++ b/src/decision/gateway.rs
@@ -4,15 +4,15 @@
 //! attempts, routing.
 
 mod attempts;
-mod choice;
 mod quota;
 mod routing;
+mod selection;
 
 pub(crate) use quota::Breaker;
 pub use routing::has_new;
 
-use crate::api::*;
-use crate::state::*;
+use crate::decision::api::*;
+use crate::decision::state::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/src/rules/attempts.rs
+++ b/src/decision/gateway/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts: sent, held back, given up early, answered, and repeated as far as the class allows.
 
-use super::*;
+use crate::decision::gateway::*;
 
 impl Gateway {
     /// Sends the next attempt, or holds the request until a server is free.
--- a/src/rules/quota.rs
+++ b/src/decision/gateway/quota.rs
@@ -1,6 +1,6 @@
 //! Quotas: the shared count behind its breaker, and the local bucket while that is silent.
 
-use super::*;
+use crate::decision::gateway::*;
 
 /// A breaker over one way to the counter.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
--- a/src/rules/routing.rs
+++ b/src/decision/gateway/routing.rs
@@ -1,9 +1,9 @@
 //! Rules of routing: who has the new ones, and what they weigh. They choose among what the guards allow, and
 //! allow nothing themselves.
 
-use super::Gateway;
-use crate::api::*;
-use crate::state::{mix, Request, Server};
+use crate::decision::api::*;
+use crate::decision::gateway::Gateway;
+use crate::decision::state::{mix, Request, Server};
 use std::rc::Rc;
 
 /// Whether a customer has the new rules: the same at every gateway, and no customer always among the first.
--- a/src/rules/choice.rs
+++ b/src/decision/gateway/selection.rs
@@ -1,6 +1,6 @@
 //! Choice of a server: who may be chosen, how well it is, and what a cold one bears.
 
-use super::*;
+use crate::decision::gateway::*;
 
 impl Gateway {
     // ---- choice of a server ----
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,10 +2,8 @@
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod api;
-pub mod fleet;
-pub mod net;
-pub mod rules;
-mod settings;
-mod state;
-pub mod wire;
+pub mod cluster;
+pub mod decision;
+pub mod proxy;
+pub mod simulator;
+mod site_settings;
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,7 +2,7 @@
 //! ends at SIGTERM.
 #![forbid(unsafe_code)]
 
-use starlinghill::net::{self, config::Config};
+use starlinghill::proxy::{self, control_plane::config::Config};
 use std::error::Error;
 use std::process::ExitCode;
 use tokio::signal::unix::{signal, SignalKind};
@@ -38,7 +38,7 @@
                 std::future::pending::<()>().await;
             }
         });
-        Ok(net::run(config, services, stopping).await?)
+        Ok(proxy::run(config, services, stopping).await?)
     })
 }
 
--- a/src/net/figures.rs
+++ b/src/proxy/admin/metrics.rs
@@ -1,8 +1,8 @@
 //! What operators read of a gateway: plain counters, each raised where its event happens. Reading them looks
 //! at no request.
 
-use super::discovery::FailureKind;
-use crate::api::{ClassId, Outcome, RefusalReason};
+use crate::decision::api::{ClassId, Outcome, RefusalReason};
+use crate::proxy::control_plane::discovery::FailureKind;
 use std::cell::Cell;
 use std::fmt::Write;
 use std::marker::PhantomData;
--- a/src/net/ops.rs
+++ b/src/proxy/admin/mod.rs
@@ -2,12 +2,12 @@
 //! the gateway. It has connections of its own, so that neither clients nor callers that say nothing can keep
 //! an operator waiting.
 
-use super::accepting::Accepting;
-use super::drain::Duty;
-use super::driver::{Control, Orders};
-use super::figures::Figures;
-use super::peers::Peers;
-use super::rollout::{self, Names, Said};
+pub mod metrics;
+pub mod rollout_calls;
+use crate::proxy::cluster_transport::Peers;
+use crate::proxy::downstream::accept::Accepting;
+use crate::proxy::lifecycle::drain::Duty;
+use crate::proxy::runtime::{Control, Orders};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -16,6 +16,8 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
+use metrics::Figures;
+use rollout_calls::{Names, Said};
 use std::collections::VecDeque;
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -155,13 +157,13 @@
             None => plain(StatusCode::NOT_FOUND, "no rollout yet\n"),
         },
         "" if posting => {
-            let said = rollout::start(peers, &desk.names, body).await;
+            let said = rollout_calls::start(peers, &desk.names, body).await;
             info!(status = said.0.as_u16(), said = said.1.trim_end(), "an operator's rollout");
             say(said)
         }
         "pause" | "resume" | "abort" if posting => {
             info!(order, "an operator's order on the rollout");
-            say(rollout::answer(peers.order_rollout(order)))
+            say(rollout_calls::answer(peers.order_rollout(order)))
         }
         "" => not_allowed("GET, HEAD, POST"),
         "pause" | "resume" | "abort" => not_allowed("POST"),
--- a/src/net/rollout.rs
+++ b/src/proxy/admin/rollout_calls.rs
@@ -1,8 +1,8 @@
 //! The operators' calls for rollouts of rules: `/rollout`, and what they answer.
 
-use super::peers::Peers;
-use crate::fleet::rollout::{Rules, Start};
-use crate::fleet::Taken;
+use crate::cluster::rollout::{Rules, Start};
+use crate::cluster::Taken;
+use crate::proxy::cluster_transport::Peers;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
--- a/src/net/finish.rs
+++ b/src/proxy/cluster_transport/abandoned_requests.rs
@@ -1,16 +1,16 @@
 //! Requests whose gateway is gone and whose clients did not come again: finished here, as far as their class allows, so
 //! that they ran and their answer is there for whoever asks later.
 
-use super::asked::Asked;
-use super::driver::Answer;
-use super::forward::{Forward, Payload};
-use super::kept;
-use super::peers::Peers;
-use super::recorded::{earlier, record_of};
-use super::server::Front;
-use super::taking::carried;
-use crate::api::Arrival;
-use crate::fleet::ledger::{Finding, Orphan, RecordId};
+use crate::cluster::ledger::{Finding, Orphan, RecordId};
+use crate::decision::api::Arrival;
+use crate::proxy::cluster_transport::ledger_request::{earlier, record_of};
+use crate::proxy::cluster_transport::serialized_request;
+use crate::proxy::cluster_transport::Peers;
+use crate::proxy::downstream::request::carried;
+use crate::proxy::downstream::request_head::Asked;
+use crate::proxy::downstream::server::Front;
+use crate::proxy::runtime::Answer;
+use crate::proxy::upstream::forwarded_request::{Forward, Payload};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -57,7 +57,9 @@
 }
 
 async fn finish(front: &Front, peers: &Rc<Peers>, orphan: &Orphan) -> Gone {
-    let Some((asked, forward)) = kept::request(front, &orphan.request) else { return Gone::Refused };
+    let Some((asked, forward)) = serialized_request::request(front, &orphan.request) else {
+        return Gone::Refused;
+    };
     let (Some(key), Payload::Whole(body)) = (asked.key, &forward.body) else { return Gone::Refused };
     let of = record_of(&asked, key, &forward, body);
     let fits = of == (orphan.id, orphan.digest) && peers.finishes(front.class_name(asked.arrival.class));
@@ -95,7 +97,7 @@
         match answer {
             Answer::Served(_) => return Gone::Finished,
             Answer::Refused(wait) => {
-                let told = wait.map_or(Duration::ZERO, super::driver::duration);
+                let told = wait.map_or(Duration::ZERO, crate::proxy::runtime::duration);
                 drop(work);
                 sleep((AGAIN * 2u32.pow(tried)).max(told.min(AGAIN * 8))).await;
             }
--- a/src/net/peers/claims.rs
+++ b/src/proxy/cluster_transport/claims.rs
@@ -1,6 +1,6 @@
 //! A request's work at the ledger, as whoever carries it calls for it.
 
-use super::*;
+use crate::proxy::cluster_transport::*;
 
 impl Peers {
     /// Whether a ledger of work is kept.
--- a/src/net/disk.rs
+++ b/src/proxy/cluster_transport/disk.rs
@@ -3,7 +3,7 @@
 //! The file is a `redb` database: copy on write, checksummed, synced at each commit; a commit that was torn is not there
 //! after the next opening. Tests below hold it to that, with storage that loses, tears and fails.
 
-use crate::fleet::{Machine, Micros, Put};
+use crate::cluster::{Machine, Micros, Put};
 use redb::{Builder, Database, Error, ReadableDatabase, ReadableTable, TableDefinition};
 use rustix::time::{clock_gettime, ClockId};
 use std::path::{Path, PathBuf};
--- a/src/net/peers/gauges.rs
+++ b/src/proxy/cluster_transport/gauges.rs
@@ -1,6 +1,6 @@
 //! What operators read of the fleet: a report as JSON, and gauges for `/stats`.
 
-use super::*;
+use crate::proxy::cluster_transport::*;
 
 impl Peers {
     /// What operators read, as JSON; none while another process stands for the gateway.
@@ -67,7 +67,7 @@
         }
         if self.keeps_rules() {
             let rollout = fleet.as_ref().and_then(|fleet| fleet.rollout(self.clock.now()));
-            let of = |figure: fn(&crate::fleet::rollout::Report) -> u64| rollout.as_ref().map_or(0, figure);
+            let of = |figure: fn(&crate::cluster::rollout::Report) -> u64| rollout.as_ref().map_or(0, figure);
             line("rollout.number", of(|r| r.number));
             line("rollout.stage", of(|r| r.stage.0.into()));
             line("rollout.running", of(|r| u64::from(r.state == "running")));
--- a/src/net/work.rs
+++ b/src/proxy/cluster_transport/ledger_claim.rs
@@ -1,8 +1,8 @@
 //! One request's work at the ledger, from its claim to its end. The ledger decides; this waits for it, within bounds.
 
-use super::peers::Peers;
-use crate::api::{Micros, Outcome};
-use crate::fleet::ledger::{Change, ClaimId, Finding, ROUND};
+use crate::cluster::ledger::{Change, ClaimId, Finding, ROUND};
+use crate::decision::api::{Micros, Outcome};
+use crate::proxy::cluster_transport::Peers;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/net/recorded.rs
+++ b/src/proxy/cluster_transport/ledger_request.rs
@@ -1,15 +1,15 @@
 //! A request of which the ledger keeps a record: begun here, joined, answered from its record, or taken over.
 
-use super::asked::Asked;
-use super::download::Giving;
-use super::driver::Answer;
-use super::forward::Forward;
-use super::peers::Peers;
-use super::server::{Front, Malformed};
-use super::taking::carried;
-use super::work::{pause, Work};
-use crate::api::*;
-use crate::fleet::ledger::{Finding, RecordId};
+use crate::cluster::ledger::{Finding, RecordId};
+use crate::decision::api::*;
+use crate::proxy::cluster_transport::ledger_claim::{pause, Work};
+use crate::proxy::cluster_transport::Peers;
+use crate::proxy::downstream::request::carried;
+use crate::proxy::downstream::request_head::Asked;
+use crate::proxy::downstream::response_body::Giving;
+use crate::proxy::downstream::server::{Front, Malformed};
+use crate::proxy::runtime::Answer;
+use crate::proxy::upstream::forwarded_request::Forward;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::StatusCode;
@@ -79,7 +79,8 @@
                 }
                 let wait = pause(looks, left);
                 looks += 1;
-                sleep(wait.min(super::driver::duration(arrival.deadline - now - front.last_moment))).await;
+                sleep(wait.min(crate::proxy::runtime::duration(arrival.deadline - now - front.last_moment)))
+                    .await;
             }
             Finding::Lost | Finding::Confirmed(_) => {}
             Finding::Unheld => return Ok(begin(&work, Vec::new(), false).await),
--- a/src/net/peers.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -1,26 +1,32 @@
-//! The socket over which gateways talk to each other, and its loop. `crate::fleet` decides; this carries.
+//! The socket over which gateways talk to each other, and its loop. `crate::cluster` decides; this carries.
 
+pub(crate) mod abandoned_requests;
 mod claims;
+pub(crate) mod disk;
 mod gauges;
-mod lines;
-mod rolls;
+pub(crate) mod ledger_claim;
+pub(crate) mod ledger_request;
+mod notices;
+pub(crate) mod outcome_recorder;
+mod rollouts;
+pub(crate) mod serialized_request;
+pub(crate) mod write_queue_sender;
 mod writes;
 
-use super::arms::Arms;
-use super::branch::Order;
-use super::config::FleetConfig;
-use super::disk::{self, Disk, Word};
-use super::drain::{Duty, End};
-use super::driver::{tell, Clock, Inbox, Input};
-use super::work::{Slot, Work};
-use crate::api::Lent;
-use crate::fleet::branch::{Dot, Fate, Status};
-use crate::fleet::ledger::{Change, ClaimId, Orphan, RecordId};
-use crate::fleet::rollout::{End as RolloutEnd, Key, Start, Told, Why};
-use crate::fleet::{
+use crate::cluster::ledger::{Change, ClaimId, Orphan, RecordId};
+use crate::cluster::rollout::{End as RolloutEnd, Key, Start, Told, Why};
+use crate::cluster::write_queue::{Dot, Fate, Status};
+use crate::cluster::{
     Agreement, Effect, Errand, Event, Fleet, Micros, Notice, Report, Shares, Standing, Taken, BEAT, LONGEST,
     WAKE,
 };
+use crate::decision::api::Lent;
+use crate::proxy::control_plane::config::FleetConfig;
+use crate::proxy::lifecycle::drain::{Duty, End};
+use crate::proxy::runtime::{tell, Clock, Inbox, Input};
+use disk::{Disk, Word};
+use ledger_claim::{Slot, Work};
+use outcome_recorder::Arms;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -32,6 +38,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{sleep, sleep_until, Instant};
 use tracing::{info, warn};
+use write_queue_sender::Order;
 
 /// Datagrams that are read in one `REFILL`: 20,000 a second. What a flood sends beyond that the kernel drops.
 const BUDGET: u32 = 200;
@@ -156,7 +163,7 @@
     ) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let unix = Micros(unix.as_micros().min(u128::from(u64::MAX)) as u64);
-        let settings = crate::fleet::Settings {
+        let settings = crate::cluster::Settings {
             peers: elsewhere.borrow_and_update().clone(),
             disk: self.config.dir.as_ref().map(|_| disk::machine()),
             ..self.config.settings.clone()
@@ -252,7 +259,7 @@
                     let unsent = socket.as_ref().is_none_or(|s| s.try_send_to(&bytes, to).is_err());
                     self.unsent.set(self.unsent.get() + u64::from(unsent));
                 }
-                Effect::Tell(notice) => lines::log(&notice),
+                Effect::Tell(notice) => notices::log(&notice),
                 Effect::Keep(batch, puts) => {
                     if !self.disk.borrow().as_ref().is_some_and(|disk| disk.give(batch, puts)) {
                         self.give(Event::DiskFailed);
@@ -266,7 +273,7 @@
                 Effect::Branch(errand) => self.run_errand(errand),
                 // Where there is no room it is offered again, here or elsewhere.
                 Effect::Orphan(orphan) => drop(self.orphans.try_send(orphan)),
-                Effect::Rollout(told) => lines::log_rollout(&told),
+                Effect::Rollout(told) => notices::log_rollout(&told),
                 Effect::Begun(key) => {
                     if let Some(asks) = self.begins.borrow_mut().take() {
                         // Who asked may have gone.
--- a/src/net/peers/lines.rs
+++ b/src/proxy/cluster_transport/notices.rs
@@ -1,6 +1,6 @@
 //! Lines of the log about the fleet.
 
-use super::*;
+use crate::proxy::cluster_transport::*;
 
 /// What becomes of a rollout.
 pub(super) fn log_rollout(told: &Told) {
--- a/src/net/arms.rs
+++ b/src/proxy/cluster_transport/outcome_recorder.rs
@@ -1,8 +1,8 @@
 //! What the driver saw and the fleet part counts: how requests ended under the rules of a rollout, and whether attempts
 //! outside are answered.
 
-use crate::api::{ClassId, Micros};
-use crate::fleet::rollout::{Arm, Ended, Key};
+use crate::cluster::rollout::{Arm, Ended, Key};
+use crate::decision::api::{ClassId, Micros};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 
--- a/src/net/peers/rolls.rs
+++ b/src/proxy/cluster_transport/rollouts.rs
@@ -1,6 +1,6 @@
 //! Rollouts of rules, as operators call for them, and outcomes that they are judged by.
 
-use super::*;
+use crate::proxy::cluster_transport::*;
 
 impl Peers {
     /// Whether rules of routing may be rolled out.
--- a/src/net/kept.rs
+++ b/src/proxy/cluster_transport/serialized_request.rs
@@ -1,9 +1,9 @@
 //! A request as gateways keep it for each other: what a backend is sent, and no more.
 
-use super::asked::Asked;
-use super::forward::{Forward, Payload};
-use super::server::Front;
-use crate::api::Micros;
+use crate::decision::api::Micros;
+use crate::proxy::downstream::request_head::Asked;
+use crate::proxy::downstream::server::Front;
+use crate::proxy::upstream::forwarded_request::{Forward, Payload};
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::{HeaderMap, Method, Uri};
--- a/src/net/branch.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -1,18 +1,18 @@
 //! Writes of a branch that is cut off: taken from clients, told of to whoever asks, and sent on when the fleet part says so.
 
-use super::arms::Arms;
-use super::asked::Asked;
-use super::driver::Answer;
-use super::finish::{go_on, Gone};
-use super::forward::{Forward, Payload, Tries};
-use super::kept;
-use super::peers::Peers;
-use super::recorded::{record_of, recorded};
-use super::server::Front;
-use super::taking::carried;
-use crate::api::Arrival;
-use crate::fleet::branch::{Dot, End, Fate, State, Status, Write};
-use crate::fleet::ledger::{Finding, RecordId};
+use crate::cluster::ledger::{Finding, RecordId};
+use crate::cluster::write_queue::{Dot, End, Fate, State, Status, Write};
+use crate::decision::api::Arrival;
+use crate::proxy::cluster_transport::abandoned_requests::{go_on, Gone};
+use crate::proxy::cluster_transport::ledger_request::{record_of, recorded};
+use crate::proxy::cluster_transport::outcome_recorder::Arms;
+use crate::proxy::cluster_transport::serialized_request;
+use crate::proxy::cluster_transport::Peers;
+use crate::proxy::downstream::request::carried;
+use crate::proxy::downstream::request_head::Asked;
+use crate::proxy::downstream::server::Front;
+use crate::proxy::runtime::Answer;
+use crate::proxy::upstream::forwarded_request::{Forward, Payload, Tries};
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use std::rc::Rc;
@@ -66,7 +66,7 @@
             return None;
         }
     }
-    let payload = kept::kept(&Method::POST, uri, headers, body)?;
+    let payload = serialized_request::kept(&Method::POST, uri, headers, body)?;
     let key = asked.key.map_or(0, |key| key ^ xxh3_64(body));
     let of = (customer, object, asked.arrival.class.0.min(usize::from(u16::MAX)) as u16, key);
     timeout(ACCEPT, peers.accept_write(of, payload)).await.ok().flatten()
@@ -100,7 +100,7 @@
 }
 
 async fn sent(front: &Front, peers: &Rc<Peers>, order: &Order) -> Fate {
-    let Some((asked, forward)) = kept::request(front, &order.write.payload) else {
+    let Some((asked, forward)) = serialized_request::request(front, &order.write.payload) else {
         return Fate::Answered(400);
     };
     let record = match (asked.key, &forward.body) {
--- a/src/net/peers/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -1,6 +1,6 @@
 //! Writes of a branch, as whoever takes and sends requests calls for them.
 
-use super::*;
+use crate::proxy::cluster_transport::*;
 
 impl Peers {
     /// Whether this gateway is of a branch that accepts writes.
--- a/src/net/config.rs
+++ b/src/proxy/control_plane/config.rs
@@ -4,8 +4,8 @@
 
 pub use fleet_file::FleetConfig;
 
-use super::discovery::MemberList;
-use crate::settings::{flatten, Fields, Site};
+use crate::proxy::control_plane::discovery::MemberList;
+use crate::site_settings::{flatten, Fields, Site};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::env;
@@ -20,7 +20,7 @@
 
 impl ConfigError {
     /// This is wrong.
-    pub(super) fn of(what: String) -> ConfigError {
+    pub(in crate::proxy) fn of(what: String) -> ConfigError {
         ConfigError(what)
     }
 }
@@ -32,8 +32,8 @@
 }
 impl std::error::Error for ConfigError {}
 
-impl From<crate::api::SettingsError> for ConfigError {
-    fn from(e: crate::api::SettingsError) -> ConfigError {
+impl From<crate::decision::api::SettingsError> for ConfigError {
+    fn from(e: crate::decision::api::SettingsError) -> ConfigError {
         ConfigError(format!("settings: {e}"))
     }
 }
@@ -102,7 +102,7 @@
 
 /// Descriptors for all but clients, backends and the counter: standard streams, listeners, epoll, signals, calls to
 /// discovery, the client that waits for a place, and operators.
-const RESERVE: usize = 16 + super::ops::CALLERS;
+const RESERVE: usize = 16 + crate::proxy::admin::CALLERS;
 
 impl SocketLimits {
     fn of(sockets: usize) -> SocketLimits {
@@ -208,7 +208,7 @@
         flatten("", &document.settings, &mut names);
         let pairs = names.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
         let fields = Fields { place: "settings".into(), message: "settings", pairs };
-        let plain = |e: crate::settings::FieldError| ConfigError(e.0);
+        let plain = |e: crate::site_settings::FieldError| ConfigError(e.0);
         let site = Site::read(&fields).map_err(plain)?;
         site.settings.check()?;
         let span = |name, default| {
--- a/src/net/config/fleet_file.rs
+++ b/src/proxy/control_plane/config/fleet_file.rs
@@ -1,7 +1,7 @@
 //! The fleet's file: its form, its bounds, and what the fleet part is told from it.
 
-use super::ConfigError;
-use crate::fleet::{self, About};
+use crate::cluster::{self, About};
+use crate::proxy::control_plane::config::ConfigError;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -96,20 +96,20 @@
 
 impl BranchDocument {
     /// The branch's terms; its gateways have to be seats of the fleet.
-    fn terms(&self, seats: &[String]) -> Result<fleet::branch::Terms, ConfigError> {
+    fn terms(&self, seats: &[String]) -> Result<cluster::write_queue::Terms, ConfigError> {
         let seat = |name: &String| {
             let place = seats.iter().position(|seat| seat == name);
             place
                 .map(|p| p as u16)
                 .ok_or_else(|| ConfigError(format!("branch.seats: there is no seat '{name}'")))
         };
-        Ok(fleet::branch::Terms {
+        Ok(cluster::write_queue::Terms {
             seats: self.seats.iter().map(seat).collect::<Result<_, _>>()?,
             most: self.writes,
             most_of_one: self.of_one,
-            longest: fleet::Micros(self.longest_s.saturating_mul(1_000_000)),
-            cut_after: fleet::Micros(self.cut_after_ms.saturating_mul(1000)),
-            patience: fleet::Micros(0),
+            longest: cluster::Micros(self.longest_s.saturating_mul(1_000_000)),
+            cut_after: cluster::Micros(self.cut_after_ms.saturating_mul(1000)),
+            patience: cluster::Micros(0),
             out: self.out,
             per_s: self.per_s,
             stop: Vec::new(),
@@ -122,7 +122,7 @@
 #[serde(deny_unknown_fields, default)]
 struct RolloutDocument {
     /// The rules in force before any rollout.
-    rule: Vec<fleet::rollout::Rule>,
+    rule: Vec<cluster::rollout::Rule>,
 }
 
 /// The ledger of work in hand; without it none is kept.
@@ -172,7 +172,7 @@
     /// Those of them after which, where one was not done, nothing goes on that came after it.
     pub branch_stops: Vec<String>,
     /// What the fleet part is told.
-    pub settings: fleet::Settings,
+    pub settings: cluster::Settings,
 }
 
 impl FleetConfig {
@@ -190,12 +190,12 @@
         let about = About {
             zone: document.zone,
             version: env!("CARGO_PKG_VERSION").to_string(),
-            capabilities: if document.ledger.is_some() { fleet::LEDGER } else { 0 }
-                | if document.rollout.is_some() { fleet::ROLLOUT } else { 0 },
+            capabilities: if document.ledger.is_some() { cluster::LEDGER } else { 0 }
+                | if document.rollout.is_some() { cluster::ROLLOUT } else { 0 },
             advertise: document.advertise,
         };
-        let micros = |ms: u64| fleet::Micros(ms.saturating_mul(1000));
-        let ledger = document.ledger.as_ref().map(|l| fleet::ledger::Terms {
+        let micros = |ms: u64| cluster::Micros(ms.saturating_mul(1000));
+        let ledger = document.ledger.as_ref().map(|l| cluster::ledger::Terms {
             holders: l.holders,
             lease: micros(l.lease_ms),
             life: micros(l.life_ms),
@@ -207,7 +207,7 @@
             return Err(ConfigError(format!("ledger.wait_ms: expected 0 to 100, found {wait_ms}")));
         }
         let period = std::time::Duration::from_millis(document.period_ms);
-        let settings = fleet::Settings {
+        let settings = cluster::Settings {
             fleet: document.fleet,
             name,
             about,
@@ -215,7 +215,7 @@
             period,
             seats: document.seats,
             ledger,
-            rules: document.rollout.map(|r| fleet::rollout::Rules(r.rule)),
+            rules: document.rollout.map(|r| cluster::rollout::Rules(r.rule)),
             branch,
             disk: None,
         };
--- a/src/net/counter.rs
+++ b/src/proxy/control_plane/counter.rs
@@ -1,10 +1,10 @@
 //! The shared counter: calls over a few connections, each made once, their answers told in order.
 
-use super::http::{CallError, Connection};
-use super::share::Share;
-use super::sparing::Sparing;
-use super::upload::Sending;
-use crate::api::{CountName, Micros, Outcome};
+use crate::decision::api::{CountName, Micros, Outcome};
+use crate::proxy::downstream::request_body::Sending;
+use crate::proxy::lifecycle::permits::Share;
+use crate::proxy::log_rate_limit::Sparing;
+use crate::proxy::upstream::connection::{CallError, Connection};
 use bytes::Bytes;
 use hyper::{header, Method, Request, StatusCode};
 use std::cell::{Cell, RefCell};
--- a/src/net/discovery/call.rs
+++ b/src/proxy/control_plane/discovery/call.rs
@@ -1,8 +1,8 @@
 //! One call to discovery: the whole list, or the changes since a version.
 
-use super::list::{MemberList, LONGEST_LIST};
-use crate::net::http::{CallError, Connection};
-use crate::net::upload::Sending;
+use crate::proxy::control_plane::discovery::endpoint_list::{MemberList, LONGEST_LIST};
+use crate::proxy::downstream::request_body::Sending;
+use crate::proxy::upstream::connection::{CallError, Connection};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::{header, Request, StatusCode};
--- a/src/net/discovery/mod.rs
+++ b/src/proxy/control_plane/discovery/mod.rs
@@ -10,16 +10,16 @@
 //! trip after discovery has it, which is below the 6 s after which it counts as told.
 
 mod call;
-mod list;
+mod endpoint_list;
 
 pub use call::FailureKind;
-pub use list::{Member, MemberList, Phase, LONGEST_LIST, MOST_BACKENDS};
+pub use endpoint_list::{Member, MemberList, Phase, LONGEST_LIST, MOST_BACKENDS};
 
-use super::driver::{Inbox, Input};
-use super::figures::Figures;
-use super::http::Connection;
-use super::sparing::Sparing;
-use crate::api::Settings;
+use crate::decision::api::Settings;
+use crate::proxy::admin::metrics::Figures;
+use crate::proxy::log_rate_limit::Sparing;
+use crate::proxy::runtime::{Inbox, Input};
+use crate::proxy::upstream::connection::Connection;
 use call::{Answer, Call, CallFailure, Progress};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/net/accepting.rs
+++ b/src/proxy/downstream/accept.rs
@@ -1,7 +1,7 @@
 //! What an accept that failed means: some errors are of one connection alone and say nothing of the next, others last for a
 //! while (accept(2), "Error handling").
 
-use super::sparing::Sparing;
+use crate::proxy::log_rate_limit::Sparing;
 use rustix::io::Errno;
 use std::io;
 use std::time::Duration;
--- a/src/net/crowd.rs
+++ b/src/proxy/downstream/idle_connections.rs
@@ -1,8 +1,8 @@
 //! The connections of clients on which no request is open: how long each may stand so, and which is closed
 //! first when room is short.
 
-use super::drain::Duty;
-use super::stream;
+use crate::proxy::lifecycle::drain::Duty;
+use crate::proxy::tcp_io;
 use rustix::net::{shutdown, Shutdown};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -240,7 +240,7 @@
 
 impl AsyncRead for Socket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
-        let done = ready!(stream::poll_read(&self.stream, cx, buf));
+        let done = ready!(tcp_io::poll_read(&self.stream, cx, buf));
         if matches!(done, Ok(length) if length > 0) {
             self.crowd.heard(&self.peer);
         }
@@ -250,7 +250,7 @@
 
 impl AsyncWrite for Socket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let done = stream::poll_write(&self.stream, cx, buf);
+        let done = tcp_io::poll_write(&self.stream, cx, buf);
         self.wrote(done, cx)
     }
     fn poll_write_vectored(
@@ -258,7 +258,7 @@
         cx: &mut Context,
         bufs: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
-        let done = stream::poll_write_vectored(&self.stream, cx, bufs);
+        let done = tcp_io::poll_write_vectored(&self.stream, cx, bufs);
         self.wrote(done, cx)
     }
     fn is_write_vectored(&self) -> bool {
--- a/src/net/taking.rs
+++ b/src/proxy/downstream/request.rs
@@ -1,19 +1,19 @@
 //! One request of a client's, from its body to its answer: on its way through the driver, and at the ledger.
 
-use super::asked::Asked;
-use super::branch::accepted;
-use super::download::Giving;
-use super::drain;
-use super::driver::{tell, Answer, Inbox, Input, Taken};
-use super::figures::{End, Ticket};
-use super::forward::{strip_hop_by_hop, Forward, Payload};
-use super::http::MAX_BODY;
-use super::kept::kept;
-use super::memory::Memory;
-use super::recorded::{record_of, recorded};
-use super::server::{giving, plain, Body, Front, Malformed, WRITES};
-use super::upload::{slowest, Arrived, BodyError, Intake, Upload, LONGEST};
-use crate::api::*;
+use crate::decision::api::*;
+use crate::proxy::admin::metrics::{End, Ticket};
+use crate::proxy::cluster_transport::ledger_request::{record_of, recorded};
+use crate::proxy::cluster_transport::serialized_request::kept;
+use crate::proxy::cluster_transport::write_queue_sender::accepted;
+use crate::proxy::downstream::request_body::{slowest, Arrived, BodyError, Intake, Upload, LONGEST};
+use crate::proxy::downstream::request_head::Asked;
+use crate::proxy::downstream::response_body::Giving;
+use crate::proxy::downstream::server::{giving, plain, Body, Front, Malformed, WRITES};
+use crate::proxy::lifecycle::drain;
+use crate::proxy::memory_budget::Memory;
+use crate::proxy::runtime::{tell, Answer, Inbox, Input, Taken};
+use crate::proxy::upstream::connection::MAX_BODY;
+use crate::proxy::upstream::forwarded_request::{strip_hop_by_hop, Forward, Payload};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
--- a/src/net/asked.rs
+++ b/src/proxy/downstream/request_head.rs
@@ -1,8 +1,8 @@
 //! What a request's head says of it, checked against the site.
 
-use super::forward::BUDGET;
-use super::server::{Front, Malformed};
-use crate::api::*;
+use crate::decision::api::*;
+use crate::proxy::downstream::server::{Front, Malformed};
+use crate::proxy::upstream::forwarded_request::BUDGET;
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{Method, StatusCode};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/src/net/download.rs
+++ b/src/proxy/downstream/response_body.rs
@@ -1,7 +1,7 @@
 //! Answers on their way to clients: kept whole while they are short, passed on as they come where they are not.
 
-use super::backend::Pool;
-use super::http::Connection;
+use crate::proxy::upstream::backend::Pool;
+use crate::proxy::upstream::connection::Connection;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
--- a/src/net/server.rs
+++ b/src/proxy/downstream/server.rs
@@ -1,17 +1,17 @@
 //! Clients: taking their requests, answering them, and `/_health`.
 
-use super::accepting::Accepting;
-use super::closing::{end_after_answer, ended_by_client};
-use super::crowd::{Busy, Crowd, SWEEP_EVERY};
-use super::download::{BrokeOff, Giving};
-use super::drain::{self, Duty};
-use super::driver::{duration, Clock, Inbox};
-use super::figures::{Close, End, Figures, Ticket};
-use super::memory::Memory;
-use super::peers::Peers;
-use super::share::Share;
-use super::taking::take;
-use crate::api::*;
+use crate::decision::api::*;
+use crate::proxy::admin::metrics::{Close, End, Figures, Ticket};
+use crate::proxy::cluster_transport::Peers;
+use crate::proxy::downstream::accept::Accepting;
+use crate::proxy::downstream::close::{end_after_answer, ended_by_client};
+use crate::proxy::downstream::idle_connections::{Busy, Crowd, SWEEP_EVERY};
+use crate::proxy::downstream::request::take;
+use crate::proxy::downstream::response_body::{BrokeOff, Giving};
+use crate::proxy::lifecycle::drain::{self, Duty};
+use crate::proxy::lifecycle::permits::Share;
+use crate::proxy::memory_budget::Memory;
+use crate::proxy::runtime::{duration, Clock, Inbox};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Frame, Incoming, SizeHint};
@@ -239,7 +239,7 @@
     }
     let dot = path.strip_prefix(WRITES).and_then(|name| name.parse().ok());
     let Some(dot) = dot else { return plain(StatusCode::NOT_FOUND, "no such path\n") };
-    let (known, words) = super::branch::told(peers.write_status(dot));
+    let (known, words) = crate::proxy::cluster_transport::write_queue_sender::told(peers.write_status(dot));
     let status = if known { StatusCode::OK } else { StatusCode::NOT_FOUND };
     giving(status, Giving::Whole(Full::new(Bytes::from(words)), None))
 }
@@ -282,8 +282,8 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::config::SocketLimits;
     use super::*;
+    use crate::proxy::control_plane::config::SocketLimits;
     use std::os::fd::OwnedFd;
     use std::os::unix::net::UnixStream;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/src/net/handover.rs
+++ b/src/proxy/lifecycle/handover.rs
@@ -4,11 +4,11 @@
 //! Lines of JSON go both ways over that one connection. Nothing here keeps a process from serving: a peer that
 //! is dead, silent or garbled costs a moment, and then the process goes on alone.
 
-use super::accepting::Accepting;
-use super::discovery::{MemberList, MOST_BACKENDS};
-use super::drain::Duty;
-use super::driver::{Control, Orders};
-use crate::state::Estate;
+use crate::decision::state::Estate;
+use crate::proxy::control_plane::discovery::{MemberList, MOST_BACKENDS};
+use crate::proxy::downstream::accept::Accepting;
+use crate::proxy::lifecycle::drain::Duty;
+use crate::proxy::runtime::{Control, Orders};
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::net::SocketAddr;
--- a/src/net/memory.rs
+++ b/src/proxy/memory_budget.rs
@@ -1,7 +1,7 @@
 //! One budget of memory over all connections.
 
-use super::config::SocketLimits;
-use super::share::Share;
+use crate::proxy::control_plane::config::SocketLimits;
+use crate::proxy::lifecycle::permits::Share;
 use tokio::sync::OwnedSemaphorePermit;
 
 /// Of the machine's memory, what buffers of connections may take in all, and what messages that are kept whole
--- a/src/net/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,50 +1,26 @@
 //! The real gateway: the decision module on sockets.
 
-mod accepting;
-mod arms;
-mod asked;
-pub mod backend;
-mod branch;
-mod closing;
-pub mod config;
-pub mod counter;
-mod crowd;
-pub mod discovery;
-mod disk;
-mod download;
-pub mod drain;
-pub mod driver;
-pub mod figures;
-mod finish;
-pub mod forward;
-pub mod handover;
-pub mod http;
-mod inherit;
-mod kept;
-pub mod memory;
-pub mod ops;
-pub mod peers;
-mod recorded;
-pub mod rollout;
-pub mod server;
-mod share;
-mod sparing;
-mod stream;
-mod taking;
-mod upload;
-mod work;
-
-use arms::Arms;
-use config::{Config, ConfigError, Services};
-use drain::{Duty, End};
-use driver::{Clock, Driver, Inbox, Input};
-use figures::Figures;
-use handover::Succession;
-use memory::Memory;
-use ops::Desk;
-use peers::Peers;
-use server::Front;
-use share::Share;
+pub mod admin;
+pub mod cluster_transport;
+pub mod control_plane;
+pub mod downstream;
+pub mod lifecycle;
+mod log_rate_limit;
+pub mod memory_budget;
+pub mod runtime;
+mod tcp_io;
+pub mod upstream;
+use admin::metrics::Figures;
+use admin::Desk;
+use cluster_transport::outcome_recorder::Arms;
+use cluster_transport::Peers;
+use control_plane::config::{Config, ConfigError, Services};
+use downstream::server::Front;
+use lifecycle::drain::{Duty, End};
+use lifecycle::handover::Succession;
+use lifecycle::permits::Share;
+use memory_budget::Memory;
+use runtime::{Clock, Driver, Inbox, Input};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -85,14 +61,14 @@
 async fn follow(
     mut services: watch::Receiver<Services>,
     mut held: Option<u64>,
-    pace: discovery::Pace,
+    pace: control_plane::discovery::Pace,
     inbox: Inbox,
     figures: Rc<Figures>,
 ) {
     loop {
         let discovery = services.borrow_and_update().discovery;
         tokio::select! {
-            () = discovery::watch(discovery, held.take(), pace, inbox.clone(), figures.clone()) => return,
+            () = control_plane::discovery::watch(discovery, held.take(), pace, inbox.clone(), figures.clone()) => return,
             changed = services.changed() => if changed.is_err() {
                 return;
             },
@@ -134,16 +110,17 @@
     let (accept_fd, folder) = (config.accept_fd, config.folder.clone());
     let classes = config.site.classes.iter().map(|(name, &i)| {
         let class = &config.site.settings.classes[i];
-        (name.clone(), (crate::api::ClassId(i), class.effect, class.deadline))
+        (name.clone(), (crate::decision::api::ClassId(i), class.effect, class.deadline))
     });
     let classes = classes.collect();
-    let plans = config.site.plans.iter().map(|(name, &i)| (name.clone(), crate::api::PlanId(i))).collect();
+    let plans =
+        config.site.plans.iter().map(|(name, &i)| (name.clone(), crate::decision::api::PlanId(i))).collect();
     let tick = config.site.settings.tick;
-    let pace = discovery::Pace::of(&config.site.settings);
+    let pace = control_plane::discovery::Pace::of(&config.site.settings);
     let known = config.known_revision();
     let last_moment = tick + tick;
     let (gateways, most_units) = (config.site.settings.gateways, config.site.settings.most_units);
-    let names = rollout::Names {
+    let names = admin::rollout_calls::Names {
         classes: config.site.classes.keys().cloned().collect(),
         plans: config.site.plans.keys().cloned().collect(),
     };
@@ -183,7 +160,7 @@
     let peers =
         fleet.map(|fleet| Peers::new(fleet, clock, duty.clone(), inbox.clone(), arms, (writes, orphans)));
     let listener = match accept_fd {
-        Some(number) => inherit::listener(number).and_then(TcpListener::from_std),
+        Some(number) => lifecycle::inherited_listener::listener(number).and_then(TcpListener::from_std),
         None => TcpListener::bind(listen).await,
     };
     let listener = listener.map_err(|e| RunError::Listen(listen, e))?;
@@ -204,7 +181,7 @@
         info!(%ops, "operators");
         let (orders, figures, duty) = (orders.clone(), figures.clone(), duty.clone());
         let desk = Desk { orders, figures, duty, peers: peers.clone(), names };
-        tokio::task::spawn_local(ops::serve(listener, Rc::new(desk)));
+        tokio::task::spawn_local(admin::serve(listener, Rc::new(desk)));
     }
     info!(name, %address, "listening");
     let ends = duty.clone();
@@ -241,12 +218,20 @@
     };
     let front = Rc::new(front);
     if let Some(peers) = front.peers.clone().filter(|_| of_branch) {
-        tokio::task::spawn_local(branch::send_on(front.clone(), peers, orders_to_send));
+        tokio::task::spawn_local(cluster_transport::write_queue_sender::send_on(
+            front.clone(),
+            peers,
+            orders_to_send,
+        ));
         looks.watch();
-        tokio::task::spawn_local(branch::look_outside(looks));
+        tokio::task::spawn_local(cluster_transport::write_queue_sender::look_outside(looks));
     }
     if let Some(peers) = front.peers.clone().filter(|_| finishes) {
-        tokio::task::spawn_local(finish::finish_all(front.clone(), peers, orphans_to_finish));
+        tokio::task::spawn_local(cluster_transport::abandoned_requests::finish_all(
+            front.clone(),
+            peers,
+            orphans_to_finish,
+        ));
     }
     let serving = async {
         if let Some(succession) = succession {
@@ -258,7 +243,7 @@
             tokio::task::spawn_local(succession.bequeath());
         }
         duty.serve();
-        server::serve(listener, front, left).await;
+        downstream::server::serve(listener, front, left).await;
     };
     // Guards against living on without a driver, taking requests that nobody decides.
     tokio::select! {
--- a/src/net/driver.rs
+++ b/src/proxy/runtime.rs
@@ -2,27 +2,27 @@
 //! its request table sees to it that every request gets exactly one final answer.
 
 mod attempts;
-mod members;
-mod words;
+mod endpoints;
+mod messages;
 
-pub use words::{tell, Answer, Clock, Control, Inbox, Input, Orders, Taken};
+pub use messages::{tell, Answer, Clock, Control, Inbox, Input, Orders, Taken};
 
-use super::arms::{Arms, Judged, Seen};
-use super::backend::{Backend, Ended, Pool};
-use super::config::{Config, ConfigError};
-use super::counter::{Counted, Counter, Order};
-use super::discovery::{Member, MemberList, Phase};
-use super::download::{Answered, Giving};
-use super::drain::Duty;
-use super::figures::{Figures, Fleet, Unsent};
-use super::forward::Forward;
-use super::handover::{Will, Word};
-use super::memory::Memory;
-use crate::api::*;
-use crate::fleet::rollout::{Arm, Ended as Judgement, Key, Rule};
-use crate::fleet::InForce;
-use crate::rules::{has_new, Gateway};
-use crate::settings::Site;
+use crate::cluster::rollout::{Arm, Ended as Judgement, Key, Rule};
+use crate::cluster::InForce;
+use crate::decision::api::*;
+use crate::decision::gateway::{has_new, Gateway};
+use crate::proxy::admin::metrics::{Figures, Fleet, Unsent};
+use crate::proxy::cluster_transport::outcome_recorder::{Arms, Judged, Seen};
+use crate::proxy::control_plane::config::{Config, ConfigError};
+use crate::proxy::control_plane::counter::{Counted, Counter, Order};
+use crate::proxy::control_plane::discovery::{Member, MemberList, Phase};
+use crate::proxy::downstream::response_body::{Answered, Giving};
+use crate::proxy::lifecycle::drain::Duty;
+use crate::proxy::lifecycle::handover::{Will, Word};
+use crate::proxy::memory_budget::Memory;
+use crate::proxy::upstream::backend::{Backend, Ended, Pool};
+use crate::proxy::upstream::forwarded_request::Forward;
+use crate::site_settings::Site;
 use http_body_util::Full;
 use std::cell::Cell;
 use std::cmp::Reverse;
--- a/src/net/driver/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -1,6 +1,6 @@
 //! Actions of the module: attempts that are sent and how they end, and the one answer of each request.
 
-use super::*;
+use crate::proxy::runtime::*;
 
 impl Driver {
     pub(super) fn attempt_over(&mut self, id: RequestId, attempt: usize) {
--- a/src/net/driver/members.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -1,6 +1,6 @@
 //! Which backends there are: discovery's lists, operators' orders, and the two processes of one gateway.
 
-use super::*;
+use crate::proxy::runtime::*;
 
 impl Driver {
     pub(super) fn obey(&mut self, order: Control) {
--- a/src/net/driver/words.rs
+++ b/src/proxy/runtime/messages.rs
@@ -1,6 +1,6 @@
 //! What the driver is told and asked, and the gateway's clock.
 
-use super::*;
+use crate::proxy::runtime::*;
 
 /// The way to the driver.
 pub type Inbox = mpsc::Sender<Input>;
--- a/src/net/driver/tests.rs
+++ b/src/proxy/runtime/tests.rs
@@ -1,7 +1,7 @@
 //! The driver's table under what comes late, twice or from a client that has left.
 
-use super::super::forward::Payload;
-use super::*;
+use crate::proxy::runtime::*;
+use crate::proxy::upstream::forwarded_request::Payload;
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 
--- a/src/net/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -1,14 +1,14 @@
 //! Attempts at backends: a pool of connections, and the outcome of each attempt by what was written.
 
-use super::download::{Answered, Download};
-use super::figures::{Figures, Unsent};
-use super::forward::{Forward, Payload};
-use super::http::{CallError, Connection, MAX_BODY};
-use super::memory::Memory;
-use super::share::Share;
-use super::sparing::Sparing;
-use crate::api::{Outcome, Report};
-use crate::settings::note;
+use crate::decision::api::{Outcome, Report};
+use crate::proxy::admin::metrics::{Figures, Unsent};
+use crate::proxy::downstream::response_body::{Answered, Download};
+use crate::proxy::lifecycle::permits::Share;
+use crate::proxy::log_rate_limit::Sparing;
+use crate::proxy::memory_budget::Memory;
+use crate::proxy::upstream::connection::{CallError, Connection, MAX_BODY};
+use crate::proxy::upstream::forwarded_request::{Forward, Payload};
+use crate::site_settings::note;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
--- a/src/net/http.rs
+++ b/src/proxy/upstream/connection.rs
@@ -1,8 +1,8 @@
 //! One HTTP/1.1 connection to a backend, the counter or discovery. It never sends anything by itself: a call
 //! is written once, and the caller learns whether any of it was.
 
-use super::stream;
-use super::upload::{Progress, Sending};
+use crate::proxy::downstream::request_body::{Progress, Sending};
+use crate::proxy::tcp_io;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -60,13 +60,13 @@
 
 impl AsyncRead for Metered {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
-        stream::poll_read(&self.stream, cx, buf).map_ok(drop)
+        tcp_io::poll_read(&self.stream, cx, buf).map_ok(drop)
     }
 }
 
 impl AsyncWrite for Metered {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let done = stream::poll_write(&self.stream, cx, buf);
+        let done = tcp_io::poll_write(&self.stream, cx, buf);
         self.note(&done);
         done
     }
@@ -75,7 +75,7 @@
         cx: &mut Context,
         bufs: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
-        let done = stream::poll_write_vectored(&self.stream, cx, bufs);
+        let done = tcp_io::poll_write_vectored(&self.stream, cx, bufs);
         self.note(&done);
         done
     }
--- a/src/net/forward.rs
+++ b/src/proxy/upstream/forwarded_request.rs
@@ -1,8 +1,8 @@
 //! A client's request as it goes on to backends, for as many attempts as it takes.
 
-use super::upload::{Sending, Upload};
-use super::work::Work;
-use crate::api::Outcome;
+use crate::decision::api::Outcome;
+use crate::proxy::cluster_transport::ledger_claim::Work;
+use crate::proxy::downstream::request_body::{Sending, Upload};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
--- /dev/null
+++ b/src/simulator/mod.rs
@@ -0,0 +1,3 @@
+//! The decision module on the simulator's text protocol.
+
+pub mod wire;
--- a/src/wire.rs
+++ b/src/simulator/wire.rs
@@ -1,8 +1,8 @@
 //! The text protocol of the simulator, to and from the types of `api.rs`. Nothing here decides.
 
-use crate::api::*;
-use crate::rules::Gateway;
-use crate::settings::{note, FieldError, Fields, Result, Site};
+use crate::decision::api::*;
+use crate::decision::gateway::Gateway;
+use crate::site_settings::{note, FieldError, Fields, Result, Site};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
--- a/src/settings.rs
+++ b/src/site_settings.rs
@@ -1,7 +1,7 @@
 //! Settings by their dotted names, and the names of what they list. The simulator's adapter and the real
 //! gateway both read them here: one finds them on a line, the other flattens its JSON to the same form.
 
-use crate::api::*;
+use crate::decision::api::*;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Display;
 use std::str::FromStr;
--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -2,11 +2,11 @@
 #[path = "sockets/world/mod.rs"]
 mod world;
 
-use starlinghill::api::Outcome;
-use starlinghill::net::backend::{Backend, Ended, Pool};
-use starlinghill::net::config::SocketLimits;
-use starlinghill::net::forward::{Forward, Payload};
-use starlinghill::net::memory::Memory;
+use starlinghill::decision::api::Outcome;
+use starlinghill::proxy::control_plane::config::SocketLimits;
+use starlinghill::proxy::memory_budget::Memory;
+use starlinghill::proxy::upstream::backend::{Backend, Ended, Pool};
+use starlinghill::proxy::upstream::forwarded_request::{Forward, Payload};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -2,7 +2,7 @@
 //! is served must not fall with the number of servers.
 mod common;
 use common::*;
-use starlinghill::api::*;
+use starlinghill::decision::api::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,7 +1,7 @@
 //! What holds where hundreds of gateways see a request or two a second each.
 mod common;
 use common::*;
-use starlinghill::api::*;
+use starlinghill::decision::api::*;
 use std::collections::BTreeMap;
 
 fn one_of(gateways: u32, me: u32, servers: u32) -> Rig {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,5 +1,5 @@
 //! The adapter on good and bad text.
-use starlinghill::wire::Host;
+use starlinghill::simulator::wire::Host;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
