--- a/benches/request_cost.rs
+++ b/benches/request_cost.rs
@@ -2,8 +2,8 @@
 //! `cargo bench --bench request_cost`; the table stands in `docs/decisions/0010-fleet-size.md`.
 
 use divan::Bencher;
-use starlinghill::decision::api::*;
-use starlinghill::decision::gateway::Gateway;
+use quota_gateway::decision::api::*;
+use quota_gateway::decision::gateway::Gateway;
 
 const SIZES: [u32; 4] = [50, 200, 800, 3200];
 const GATEWAYS: u32 = 300;
--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -12,12 +12,12 @@
 /// Plays a fleet of gateway processes between stand-ins for everything round them, with faults between them, and
 /// judges what they did.
 ///
-/// Begin with `starlinghill-lab up`, which starts a small fleet to try by hand, or with
-/// `starlinghill-lab run lab/scenarios/calm.toml`.
+/// Begin with `quota-gateway-lab up`, which starts a small fleet to try by hand, or with
+/// `quota-gateway-lab run lab/scenarios/calm.toml`.
 ///
 /// Exit codes: 0 all held; 1 a rule was broken, an expectation was missed, or the run is not valid; 2 bad use.
 #[derive(Debug, Parser)]
-#[command(name = "starlinghill-lab", version, max_term_width = 100)]
+#[command(name = "quota-gateway-lab", version, max_term_width = 100)]
 pub struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -45,7 +45,7 @@
 
 #[derive(Debug, Args)]
 struct Common {
-    /// The gateway's program [default: `starlinghill` beside this program, else target/release/starlinghill].
+    /// The gateway's program [default: `quota-gateway` beside this program, else target/release/quota-gateway].
     #[arg(long, value_name = "BIN")]
     gateway: Option<PathBuf>,
     /// The program of the gateways that `gateways.second` names: two builds in one fleet.
@@ -246,7 +246,7 @@
         Command::Check { scenarios } => Ok(check(&scenarios)),
     };
     done.unwrap_or_else(|failure| {
-        eprintln!("starlinghill-lab: {}", failure.text);
+        eprintln!("quota-gateway-lab: {}", failure.text);
         failure.code
     })
 }
@@ -271,8 +271,8 @@
         Some(path) => path.clone(),
         None => {
             let beside =
-                std::env::current_exe().ok().and_then(|own| Some(own.parent()?.join("starlinghill")));
-            let places = [beside, Some(PathBuf::from("target/release/starlinghill"))];
+                std::env::current_exe().ok().and_then(|own| Some(own.parent()?.join("quota-gateway")));
+            let places = [beside, Some(PathBuf::from("target/release/quota-gateway"))];
             places.into_iter().flatten().find(|path| path.is_file()).ok_or_else(|| {
                 Failure::of_use(
                     "no gateway program found: build it by `cargo build --release`, or name one by --gateway",
@@ -287,7 +287,7 @@
     // Processes are started from elsewhere.
     let whole = |path: &Path| std::fs::canonicalize(path).unwrap_or_else(|_| path.to_path_buf());
     let folder = common.logs.clone().unwrap_or_else(|| {
-        let own = format!("starlinghill-lab-{}", std::process::id());
+        let own = format!("quota-gateway-lab-{}", std::process::id());
         std::env::temp_dir().join(own)
     });
     let second = common.second.as_deref().map(whole);
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -2,7 +2,7 @@
 #![forbid(unsafe_code)]
 
 use clap::Parser;
-use starlinghill_lab::cli::{main as run, Cli};
+use quota_gateway_lab::cli::{main as run, Cli};
 use std::process::ExitCode;
 
 /// Threads beside the one that sends requests; the rest of the machine is the gateways'.
@@ -16,7 +16,7 @@
     match runtime {
         Ok(runtime) => ExitCode::from(runtime.block_on(run(cli))),
         Err(error) => {
-            eprintln!("starlinghill-lab: {error}");
+            eprintln!("quota-gateway-lab: {error}");
             ExitCode::FAILURE
         }
     }
--- a/lab/src/members/measure.rs
+++ b/lab/src/members/measure.rs
@@ -2,7 +2,7 @@
 
 use super::world::{seconds, Weather, World};
 use crate::stats;
-use starlinghill::cluster::{Micros, Notice, Standing};
+use quota_gateway::cluster::{Micros, Notice, Standing};
 use std::time::Instant;
 
 /// The figures of one size.
--- a/lab/src/members/world.rs
+++ b/lab/src/members/world.rs
@@ -1,8 +1,8 @@
 //! A fleet of members under virtual time: one queue of events, one seed.
 
+use quota_gateway::cluster::{About, Effect, Event, Fleet, Micros, Notice, Settings, Shares, WAKE};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use starlinghill::cluster::{About, Effect, Event, Fleet, Micros, Notice, Settings, Shares, WAKE};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
--- a/lab/src/play.rs
+++ b/lab/src/play.rs
@@ -92,7 +92,7 @@
                 if Instant::now() > until {
                     gateways.iter().for_each(|gateway| gateway.end_now());
                     eprintln!(
-                        "starlinghill-lab: the run went {} s past its time and was ended",
+                        "quota-gateway-lab: the run went {} s past its time and was ended",
                         BEYOND.as_secs()
                     );
                     std::process::exit(1);
--- a/lab/tests/branch.rs
+++ b/lab/tests/branch.rs
@@ -3,10 +3,10 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use quota_gateway::cluster::write_queue::{Clerk, Dot, End, Fate, Message, State, Status, Telling, Terms};
+use quota_gateway::cluster::Micros;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use starlinghill::cluster::write_queue::{Clerk, Dot, End, Fate, Message, State, Status, Telling, Terms};
-use starlinghill::cluster::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: u64 = 1000;
--- a/lab/tests/disk/main.rs
+++ b/lab/tests/disk/main.rs
@@ -4,9 +4,9 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use quota_gateway::cluster::write_queue::{Dot, Status};
+use quota_gateway::cluster::{Fleet, Notice};
 use rand::RngExt;
-use starlinghill::cluster::write_queue::{Dot, Status};
-use starlinghill::cluster::{Fleet, Notice};
 use world::{Node, Play, MS};
 
 fn cut_with_writes(seed: u64, with_disks: bool) -> Play {
--- a/lab/tests/disk/world.rs
+++ b/lab/tests/disk/world.rs
@@ -1,12 +1,12 @@
 //! The world of these tests: whole fleet parts, a network that loses, doubles and delays, disks that sync late
 //! and fail, processes and machines that end at any moment, all of them at once too.
 
-use rand::{RngExt, SeedableRng};
-use rand_chacha::ChaCha8Rng;
-use starlinghill::cluster::write_queue::{self, Dot, End, Fate, State, Status};
-use starlinghill::cluster::{
+use quota_gateway::cluster::write_queue::{self, Dot, End, Fate, State, Status};
+use quota_gateway::cluster::{
     ledger, About, Effect, Errand, Event, Fleet, Machine, Micros, Notice, Put, Settings, LEDGER,
 };
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/lab/tests/ledger_model.rs
+++ b/lab/tests/ledger_model.rs
@@ -3,8 +3,8 @@
 //!
 //! Time goes by in steps for all alike; what takes rates of clocks and whole lives is in `ledger_plans.rs`.
 
-use starlinghill::cluster::ledger::{Ballot, Change, Claim, Holder, Message, RecordId, Sends, Terms};
-use starlinghill::cluster::Micros;
+use quota_gateway::cluster::ledger::{Ballot, Change, Claim, Holder, Message, RecordId, Sends, Terms};
+use quota_gateway::cluster::Micros;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
--- a/lab/tests/ledger_plans.rs
+++ b/lab/tests/ledger_plans.rs
@@ -3,10 +3,10 @@
 
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
+use quota_gateway::cluster::ledger::{Change, ClaimId, Desk, Finding, Message, Orphan, Out, RecordId, Terms};
+use quota_gateway::cluster::Micros;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use starlinghill::cluster::ledger::{Change, ClaimId, Desk, Finding, Message, Orphan, Out, RecordId, Terms};
-use starlinghill::cluster::Micros;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
--- a/lab/tests/links.rs
+++ b/lab/tests/links.rs
@@ -1,12 +1,12 @@
 //! Links on real sockets: silent cuts, resets, and datagrams that keep their boundaries and their sender.
 
-use starlinghill_lab::clock::Clock;
-use starlinghill_lab::datagrams::Mesh;
-use starlinghill_lab::link::Links;
-use starlinghill_lab::plan::LinkChange;
-use starlinghill_lab::relay::{Door, Serve, Way};
-use starlinghill_lab::scenario::Scenario;
-use starlinghill_lab::targets::Party;
+use quota_gateway_lab::clock::Clock;
+use quota_gateway_lab::datagrams::Mesh;
+use quota_gateway_lab::link::Links;
+use quota_gateway_lab::plan::LinkChange;
+use quota_gateway_lab::relay::{Door, Serve, Way};
+use quota_gateway_lab::scenario::Scenario;
+use quota_gateway_lab::targets::Party;
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::PathBuf;
 use std::sync::Arc;
--- a/lab/tests/members.rs
+++ b/lab/tests/members.rs
@@ -1,8 +1,8 @@
 //! Membership under virtual time: properties over random faults, and the hard cases by themselves.
 
 use proptest::prelude::*;
-use starlinghill::cluster::{Agreement, Micros, Notice, Standing};
-use starlinghill_lab::members::world::{seconds, Weather, World};
+use quota_gateway::cluster::{Agreement, Micros, Notice, Standing};
+use quota_gateway_lab::members::world::{seconds, Weather, World};
 use std::collections::BTreeMap;
 
 /// A fault, and how long after the one before it comes, in tenths of a second.
--- a/lab/tests/overlaps.rs
+++ b/lab/tests/overlaps.rs
@@ -1,7 +1,7 @@
 //! Faults of one kind that overlap on one party: each lasts until its own end.
 
-use starlinghill_lab::plan::{us, Action, Plan, Us};
-use starlinghill_lab::scenario::Scenario;
+use quota_gateway_lab::plan::{us, Action, Plan, Us};
+use quota_gateway_lab::scenario::Scenario;
 use std::path::PathBuf;
 
 fn plan(faults: &str) -> Plan {
--- a/lab/tests/program.rs
+++ b/lab/tests/program.rs
@@ -8,7 +8,7 @@
 use std::process::{Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-const LAB: &str = env!("CARGO_BIN_EXE_starlinghill-lab");
+const LAB: &str = env!("CARGO_BIN_EXE_quota-gateway-lab");
 const GATEWAY: &str = env!("CARGO_BIN_EXE_lab-mischief");
 
 fn file(name: &str, text: &str) -> PathBuf {
--- a/lab/tests/rollout.rs
+++ b/lab/tests/rollout.rs
@@ -3,10 +3,10 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use quota_gateway::cluster::rollout::{Arm, End, Ended, Message, Order, Start, Steward, Telling, Why, TICK};
+use quota_gateway::cluster::Micros;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use starlinghill::cluster::rollout::{Arm, End, Ended, Message, Order, Start, Steward, Telling, Why, TICK};
-use starlinghill::cluster::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: u64 = 1000;
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -1,7 +1,7 @@
 //! Scenario files: what is wrong is said with file, line and key; the seed decides the plan.
 
-use starlinghill_lab::plan::Plan;
-use starlinghill_lab::scenario::{Scenario, Setting};
+use quota_gateway_lab::plan::Plan;
+use quota_gateway_lab::scenario::{Scenario, Setting};
 use std::path::{Path, PathBuf};
 
 const GOOD: &str = "name = \"x\"\nabout = \"It shows nothing.\"\nlength_s = 5\n";
--- a/src/bin/starlinghill-simhost.rs
+++ b/src/bin/quota-gateway-simulator.rs
@@ -1,7 +1,7 @@
 //! The decisions on the simulator's wire: batches on standard input, replies on standard output.
 #![forbid(unsafe_code)]
 
-use starlinghill::simulator::wire::Host;
+use quota_gateway::simulator::wire::Host;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
@@ -26,7 +26,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("starlinghill-simhost: {e}");
+            eprintln!("quota-gateway-simulator: {e}");
             ExitCode::FAILURE
         }
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,7 +2,7 @@
 //! ends at SIGTERM.
 #![forbid(unsafe_code)]
 
-use starlinghill::proxy::{self, control_plane::config::Config};
+use quota_gateway::proxy::{self, control_plane::config::Config};
 use std::error::Error;
 use std::process::ExitCode;
 use tokio::signal::unix::{signal, SignalKind};
@@ -54,7 +54,7 @@
 }
 
 fn failed(error: &(impl std::fmt::Display + ?Sized)) -> ExitCode {
-    eprintln!("starlinghill: {error}");
+    eprintln!("quota-gateway: {error}");
     ExitCode::FAILURE
 }
 
--- a/src/proxy/cluster_transport/disk.rs
+++ b/src/proxy/cluster_transport/disk.rs
@@ -387,7 +387,7 @@
 
     #[test]
     fn a_file_that_is_not_sound_is_set_aside_and_a_new_one_begun() {
-        let folder = std::env::temp_dir().join(format!("starlinghill-disk-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("quota-gateway-disk-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let path = folder.join(FILE);
         std::fs::write(&path, b"no file of ours, but for its name, with bytes enough to look at".repeat(40))
--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -2,11 +2,11 @@
 #[path = "sockets/world/mod.rs"]
 mod world;
 
-use starlinghill::decision::api::Outcome;
-use starlinghill::proxy::control_plane::config::SocketLimits;
-use starlinghill::proxy::memory_budget::Memory;
-use starlinghill::proxy::upstream::backend::{Backend, Ended, Pool};
-use starlinghill::proxy::upstream::forwarded_request::{Forward, Payload};
+use quota_gateway::decision::api::Outcome;
+use quota_gateway::proxy::control_plane::config::SocketLimits;
+use quota_gateway::proxy::memory_budget::Memory;
+use quota_gateway::proxy::upstream::backend::{Backend, Ended, Pool};
+use quota_gateway::proxy::upstream::forwarded_request::{Forward, Payload};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/tests/breaker.rs
+++ b/tests/breaker.rs
@@ -1,7 +1,7 @@
 //! The breaker over the counter: each transition, and the breaks foreseen for it.
 mod common;
 use common::*;
-use starlinghill::decision::api::*;
+use quota_gateway::decision::api::*;
 
 /// Makes one window call for a customer and lets it fail; says whether a call was made.
 fn failing(rig: &mut Rig, customer: u64) -> bool {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A gateway under test, driven through the interface, and a counter that answers on demand.
 #![allow(dead_code)]
 
-use starlinghill::decision::api::*;
-use starlinghill::decision::gateway::Gateway;
+use quota_gateway::decision::api::*;
+use quota_gateway::decision::gateway::Gateway;
 
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
--- a/tests/counter.rs
+++ b/tests/counter.rs
@@ -2,8 +2,8 @@
 #[path = "sockets/world/mod.rs"]
 mod world;
 
-use starlinghill::decision::api::{CountName, Micros, Outcome};
-use starlinghill::proxy::control_plane::counter::{Counted, Counter, Order};
+use quota_gateway::decision::api::{CountName, Micros, Outcome};
+use quota_gateway::proxy::control_plane::counter::{Counted, Counter, Order};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 use world::{http, on_runtime, Refusing, Reply, Stub};
--- a/tests/earlier.rs
+++ b/tests/earlier.rs
@@ -1,7 +1,7 @@
 //! What other gateways sent of a request before this one had it bounds what the module sends and says.
 mod common;
 use common::*;
-use starlinghill::decision::api::*;
+use quota_gateway::decision::api::*;
 
 /// A request of this class whose earlier attempts were sent so long ago, to these servers.
 fn taken_over(rig: &mut Rig, class: usize, earlier: &[(u64, u64)]) -> (RequestId, Vec<Action>) {
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -2,7 +2,7 @@
 //! is served must not fall with the number of servers.
 mod common;
 use common::*;
-use starlinghill::decision::api::*;
+use quota_gateway::decision::api::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
--- a/tests/lent.rs
+++ b/tests/lent.rs
@@ -1,7 +1,7 @@
 //! Shares that follow the living: what the gateways let on by themselves, together, while the counter is down.
 
-use starlinghill::decision::api::*;
-use starlinghill::decision::gateway::Gateway;
+use quota_gateway::decision::api::*;
+use quota_gateway::decision::gateway::Gateway;
 
 const GATEWAYS: u32 = 4;
 const RATE: f64 = 40.0;
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,8 +1,8 @@
 //! Rules of routing weigh what may be chosen anyway: they change nothing where nobody has them, and allow nothing.
 mod common;
 use common::*;
-use starlinghill::decision::api::*;
-use starlinghill::decision::gateway::has_new;
+use quota_gateway::decision::api::*;
+use quota_gateway::decision::gateway::has_new;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,7 +1,7 @@
 //! The five rules, each by the guard that keeps it.
 mod common;
 use common::*;
-use starlinghill::decision::api::*;
+use quota_gateway::decision::api::*;
 
 fn finals(done: &[Action], id: RequestId) -> usize {
     done.iter().filter(|a| matches!(a, Action::Refuse(r, ..) | Action::Fail(r, _) if *r == id)).count()
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,7 +1,7 @@
 //! What holds where hundreds of gateways see a request or two a second each.
 mod common;
 use common::*;
-use starlinghill::decision::api::*;
+use quota_gateway::decision::api::*;
 use std::collections::BTreeMap;
 
 fn one_of(gateways: u32, me: u32, servers: u32) -> Rig {
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -1,7 +1,7 @@
 //! Choice of a server, health, further attempts and what waits.
 mod common;
 use common::*;
-use starlinghill::decision::api::*;
+use quota_gateway::decision::api::*;
 
 #[test]
 fn work_spreads_by_what_is_out() {
@@ -132,7 +132,7 @@
     let bad = |change: fn(&mut Settings)| {
         let mut set = settings();
         change(&mut set);
-        starlinghill::decision::gateway::Gateway::new(1, set).is_err()
+        quota_gateway::decision::gateway::Gateway::new(1, set).is_err()
     };
     assert!(bad(|s| s.gateways = 0));
     assert!(bad(|s| s.me = 2));
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,7 +1,7 @@
 //! What all gateways together send to servers in slow start: the sum over the fleet, at any number of gateways.
 mod common;
 use common::*;
-use starlinghill::decision::api::*;
+use quota_gateway::decision::api::*;
 use std::collections::{BTreeMap, VecDeque};
 
 const STEP: u64 = 10 * MS;
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -308,7 +308,7 @@
     let counter = counter();
     let inner = program(&config(discovery.stub.address, counter.address));
     let mut command = std::process::Command::new("/bin/sh");
-    command.args(["-c", &format!("ulimit -n 24; exec {}", env!("CARGO_BIN_EXE_starlinghill"))]);
+    command.args(["-c", &format!("ulimit -n 24; exec {}", env!("CARGO_BIN_EXE_quota-gateway"))]);
     command.envs(inner.get_envs().filter_map(|(k, v)| Some((k, v?)))).stderr(std::process::Stdio::piped());
     let node = Node::spawn(command);
     node.wait_ready();
--- a/tests/sockets/replacement.rs
+++ b/tests/sockets/replacement.rs
@@ -33,7 +33,7 @@
     pub fn command(&self, config: &str) -> Command {
         let inner = program(config);
         let mut command = Command::new("/bin/sh");
-        command.args(["-c", &format!("exec {} 7<&0 0</dev/null", env!("CARGO_BIN_EXE_starlinghill"))]);
+        command.args(["-c", &format!("exec {} 7<&0 0</dev/null", env!("CARGO_BIN_EXE_quota-gateway"))]);
         command.envs(inner.get_envs().filter_map(|(k, v)| Some((k, v?))));
         command.env("NODE_ACCEPT_FD", "7").env("TMPDIR", &self.folder);
         command.stdin(Stdio::from(OwnedFd::from(self.listener.try_clone().expect("a socket"))));
--- a/tests/sockets/scarcity.rs
+++ b/tests/sockets/scarcity.rs
@@ -12,7 +12,7 @@
     let text = config.replace(r#""sockets":1024"#, &format!(r#""sockets":{DESCRIPTORS}"#));
     let inner = program(&text);
     let mut command = Command::new("/bin/sh");
-    let script = format!("ulimit -n {DESCRIPTORS}; exec {}", env!("CARGO_BIN_EXE_starlinghill"));
+    let script = format!("ulimit -n {DESCRIPTORS}; exec {}", env!("CARGO_BIN_EXE_quota-gateway"));
     command.args(["-c", &script]).envs(inner.get_envs().filter_map(|(name, value)| Some((name, value?))));
     command.stderr(Stdio::piped());
     command
--- a/tests/sockets/system_calls.rs
+++ b/tests/sockets/system_calls.rs
@@ -9,7 +9,7 @@
 /// The library to load; built beside this test.
 fn library() -> PathBuf {
     let own = std::env::current_exe().expect("this test");
-    let path = own.with_file_name("libstarlinghill_shim.so");
+    let path = own.with_file_name("libsyscall_faults.so");
     assert!(path.is_file(), "{} is not there", path.display());
     path
 }
--- a/tests/sockets/world/node.rs
+++ b/tests/sockets/world/node.rs
@@ -42,7 +42,7 @@
     let name = format!("config-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, config).expect("written");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_starlinghill"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_quota-gateway"));
     command.env("NODE_CONFIG", path).env_remove("NODE_LISTEN").env_remove("NODE_DISCOVERY");
     command.env("NODE_OPS", "127.0.0.1:0").env_remove("NODE_ACCEPT_FD");
     command.stderr(Stdio::piped());
--- a/tests/window.rs
+++ b/tests/window.rs
@@ -1,7 +1,7 @@
 //! The window count: its edges, refusals, late answers, lost adds, and the local bucket.
 mod common;
 use common::*;
-use starlinghill::decision::api::*;
+use quota_gateway::decision::api::*;
 
 /// One request whose call is answered with this total.
 fn with_total(rig: &mut Rig, units: f64, total: f64) -> (RequestId, Vec<Action>) {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,5 +1,5 @@
 //! The adapter on good and bad text.
-use starlinghill::simulator::wire::Host;
+use quota_gateway::simulator::wire::Host;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -82,7 +82,7 @@
 
 #[test]
 fn the_program_exits_with_one_plain_line() {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_starlinghill-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_quota-gateway-simulator"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
