--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -361,5 +361,8 @@
     }
 }
 
+#[cfg(test)]
+#[path = "../../tests/fixtures/datagrams.rs"]
+pub(crate) mod datagram_fixtures;
 #[cfg(test)]
 mod tests;
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -306,3 +306,7 @@
         None => std::future::pending().await,
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/fixtures/gauges.rs"]
+mod gauge_fixtures;
