--- a/src/net/disk.rs
+++ b/src/net/disk.rs
@@ -178,6 +178,9 @@
     }
 }
 
+#[cfg(test)]
+mod fixture_tests;
+
 #[cfg(test)]
 mod tests {
     use super::*;
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -10,6 +10,7 @@
 mod reload;
 mod replacement;
 mod rollout;
+mod rollout_calls;
 mod scarcity;
 mod size;
 mod system_calls;
--- a/tests/sockets/rollout.rs
+++ b/tests/sockets/rollout.rs
@@ -8,7 +8,7 @@
 
 const RULES: &str = "stages = [50, 100]\nbake_s = 1\nleast = 1\nmargin = 0.2\n[[rule]]\nattempts = 1\n";
 
-fn fleet(discovery: &Discovery, counter: &Stub, files: &[PathBuf]) -> Vec<Node> {
+pub fn fleet(discovery: &Discovery, counter: &Stub, files: &[PathBuf]) -> Vec<Node> {
     let nodes: Vec<Node> = (0..3).map(|n| keeper(n, discovery, counter, &files[n])).collect();
     for node in &nodes {
         node.wait_ready();
