--- a/src/net/disk/fixture_tests.rs
+++ b/src/proxy/cluster_transport/disk/fixture_tests.rs
@@ -4,14 +4,14 @@
 //! One gateway of three is driven by datagrams alone: it holds a branch's writes in every state, records of the ledger
 //! at every point of their life, and a rollout in every form.
 
-use super::{Disk, Word};
-use crate::api::Micros;
-use crate::fleet::branch::{self, Dot, End, Entry, State, Status, Write};
-use crate::fleet::ledger::{self, Ballot, Record, RecordId, Seen, Sent};
-use crate::fleet::rollout::{self, Cell, Key, Order, Row, Rule, Rules, Terms, Why};
-use crate::fleet::{
+use crate::cluster::ledger::{self, Ballot, Record, RecordId, Seen, Sent};
+use crate::cluster::rollout::{self, Cell, Key, Order, Row, Rule, Rules, Terms, Why};
+use crate::cluster::write_queue::{self, Dot, End, Entry, State, Status, Write};
+use crate::cluster::{
     About, Effect, Event, Fleet, Machine, Notice, Put, Settings, BEAT, LEDGER, LONGEST, ROLLOUT,
 };
+use crate::decision::api::Micros;
+use crate::proxy::cluster_transport::disk::{Disk, Word};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -90,7 +90,7 @@
         seats: SEATS.map(str::to_string).to_vec(),
         ledger: Some(ledger::Terms { holders: 3, lease: Micros(2_000_000), life: Micros(10_000_000) }),
         rules: Some(Rules(vec![Rule { attempts: Some(3), ..Rule::default() }])),
-        branch: Some(branch::Terms {
+        branch: Some(write_queue::Terms {
             seats: vec![0, 1, 2],
             most: 100,
             most_of_one: 50,
@@ -167,13 +167,13 @@
         let asked: Vec<u64> = self
             .sent
             .iter()
-            .filter_map(|bytes| match said::<branch::Message>(OF_BRANCH, bytes)? {
-                branch::Message::Want(number, _) => Some(number),
+            .filter_map(|bytes| match said::<write_queue::Message>(OF_BRANCH, bytes)? {
+                write_queue::Message::Want(number, _) => Some(number),
                 _ => None,
             })
             .collect();
         for number in asked {
-            self.hear(OF_BRANCH, 0, &branch::Message::Page(number, Vec::new(), false, false));
+            self.hear(OF_BRANCH, 0, &write_queue::Message::Page(number, Vec::new(), false, false));
         }
     }
 
@@ -305,7 +305,7 @@
         let sent_ago = matches!(state, State::Sent(_) | State::Ended(End::Unknown | End::Done(_)));
         let sent_ago = sent_ago.then_some(Micros(150_000 + u64::from(number)));
         let age = Micros(700_000 + u64::from(number));
-        node.hear(OF_BRANCH, 0, &branch::Message::Hold(Box::new(write(number)), state, age, sent_ago));
+        node.hear(OF_BRANCH, 0, &write_queue::Message::Hold(Box::new(write(number)), state, age, sent_ago));
     }
     for which in [OWNED, OFFERED, ANSWERED, FREED] {
         let promise = node.prepare(id(which), ballot(1));
@@ -325,8 +325,8 @@
     // A write ends later than it was heard of, and was first sent earlier than was known.
     let (age, sent_ago) = (Micros(1_100_003), Some(Micros(900_000)));
     let done = State::Ended(End::Done(500));
-    node.hear(OF_BRANCH, 2, &branch::Message::Hold(Box::new(write(3)), done, age, sent_ago));
-    let again = branch::Message::Hold(Box::new(write(9)), State::Sent(0), Micros(50), Some(Micros(40)));
+    node.hear(OF_BRANCH, 2, &write_queue::Message::Hold(Box::new(write(3)), done, age, sent_ago));
+    let again = write_queue::Message::Hold(Box::new(write(9)), State::Sent(0), Micros(50), Some(Micros(40)));
     node.hear(OF_BRANCH, 2, &again);
     node.run_until(ENDED - Micros(400_000));
     assert_eq!(node.orphans.len(), 1, "the one whose owner is silent");
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -315,5 +315,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/fixtures/gauges.rs"]
+#[path = "../../../tests/fixtures/gauges.rs"]
 mod gauge_fixtures;
--- a/tests/rollout_documents.rs
+++ b/tests/rollout_documents.rs
@@ -1,6 +1,6 @@
 //! What operators write of a rollout is read as the build before read it (`tests/fixtures/rollout`).
 
-use starlinghill::fleet::rollout::{Rule, Rules, Start, Terms};
+use quota_gateway::cluster::rollout::{Rule, Rules, Start, Terms};
 
 fn read(name: &str) -> Start {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/rollout").join(name);
