--- a/src/rules.rs
+++ b/src/rules.rs
@@ -8,6 +8,7 @@
 mod quota;
 mod routing;
 
+pub use crate::state::Estate;
 pub(crate) use quota::Breaker;
 pub use routing::has_new;
 
@@ -403,7 +404,7 @@
     }
 
     /// What another process needs to go on as this gateway. What was owed to the counter is its to pay.
-    pub(crate) fn hand_over(&mut self) -> Estate {
+    pub fn hand_over(&mut self) -> Estate {
         self.role = Role::Elder;
         let mut customers = Vec::with_capacity(self.customers.len());
         for (&id, c) in &mut self.customers {
@@ -429,7 +430,7 @@
 
     /// Goes on where another process was. The own list says who is in service; a life of a server's that only
     /// that list knows is a new one.
-    pub(crate) fn take_over(&mut self, estate: Estate) {
+    pub fn take_over(&mut self, estate: Estate) {
         for (id, theirs) in estate.servers {
             let theirs = Server { out: 0.0, ejections: theirs.ejections.min(EJECT_DOUBLINGS), ..theirs };
             let own = self.servers.entry(id).or_default();
