--- a/src/decision/gateway.rs
+++ b/src/decision/gateway.rs
@@ -8,7 +8,7 @@
 mod routing;
 mod selection;
 
-pub use crate::state::Estate;
+pub use crate::decision::state::Estate;
 pub(crate) use quota::Breaker;
 pub use routing::has_new;
 
--- a/tests/decision_fixtures/module.rs
+++ b/tests/decision_fixtures/module.rs
@@ -6,8 +6,8 @@
     AttemptLine, EndpointLine, How, LoadLine, Model, Response, Scenario, Scope, Status, Stimulus, CLASSES,
     MS, PLANS, TICK,
 };
-use starlinghill::api::*;
-use starlinghill::rules::{has_new, Gateway};
+use quota_gateway::decision::api::*;
+use quota_gateway::decision::gateway::{has_new, Gateway};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::rc::Rc;
