--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -2,11 +2,11 @@
 #[path = "sockets/world/mod.rs"]
 mod world;
 
-use starlinghill::api::Outcome;
-use starlinghill::net::backend::{Backend, Ended, Pool};
-use starlinghill::net::config::SocketLimits;
-use starlinghill::net::forward::{Forward, Payload};
-use starlinghill::net::memory::Memory;
+use quota_gateway::decision::api::Outcome;
+use quota_gateway::proxy::control_plane::config::SocketLimits;
+use quota_gateway::proxy::memory_budget::Memory;
+use quota_gateway::proxy::upstream::backend::{Backend, Ended, Pool};
+use quota_gateway::proxy::upstream::forwarded_request::{Forward, Payload};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
