--- a/lab/src/backend.rs
+++ b/lab/src/backend.rs
@@ -1,13 +1,13 @@
 //! The stand-in of a backend: the model of its machine behind HTTP, with its faults.
 
-use crate::ground::Ground;
+use crate::backend_model::{Job, Machine, Offer};
+use crate::fault_targets::Party;
 use crate::link::lock;
-use crate::machine::{Job, Machine, Offer};
 use crate::plan::{Illness, Us};
 use crate::record::{Attempt, Fall, Outcome};
 use crate::relay::Stamp;
+use crate::run_context::Ground;
 use crate::serve::{answer, connection, half, Answer};
-use crate::targets::Party;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
--- a/lab/src/judge/orphans.rs
+++ b/lab/src/checker/abandoned_requests.rs
@@ -1,11 +1,11 @@
 //! What became of requests with a key, or such that must not run twice, whose gateway was lost while it had them; and
 //! whether any ran more often than its class permits.
 
-use super::rules::Absences;
+use super::invariants::Absences;
+use crate::cluster_poll::Ledger;
 use crate::plan::{Plan, Us};
 use crate::record::{End, Outcome, Record, Try};
 use crate::scenario::Effect;
-use crate::seen::Ledger;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The figures.
--- a/lab/src/judge/figures.rs
+++ b/lab/src/checker/metrics.rs
@@ -425,11 +425,11 @@
     );
     let late = histogram(tries.iter().filter(|t| t.nth == 0).map(|t| t.began.saturating_sub(t.due)));
     let at = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1000.0;
-    let fleet = super::fleet::words(plan, record);
-    let orphans = super::orphans::measure(plan, record);
-    let ledger = super::orphans::ledger(record);
+    let fleet = super::cluster::words(plan, record);
+    let orphans = super::abandoned_requests::measure(plan, record);
+    let ledger = super::abandoned_requests::ledger(record);
     let staged = super::rollout::staged(record);
-    let accepted = super::accepted::measure(plan, record);
+    let accepted = super::accepted_writes::measure(plan, record);
     let mut figures = Figures {
         fleet_one: fleet.one,
         fleet_wrong_s: fleet.wrong_for_s,
--- a/lab/src/judge/mod.rs
+++ b/lab/src/checker/mod.rs
@@ -1,18 +1,18 @@
 //! The judge: rules and figures, from what the stand-ins saw and nothing else. It shares no code with the
 //! program's own decisions.
 
-mod accepted;
-mod figures;
-mod fleet;
-mod orphans;
+mod abandoned_requests;
+mod accepted_writes;
+mod cluster;
+mod invariants;
+mod metrics;
+mod request_history;
 mod rollout;
-mod rules;
-mod story;
 #[cfg(test)]
 mod tests;
 
-pub use figures::{Figures, Row, Timeline};
-pub use rules::{Broken, Rule};
+pub use invariants::{Broken, Rule};
+pub use metrics::{Figures, Row, Timeline};
 
 use crate::plan::Plan;
 use crate::record::Record;
@@ -54,8 +54,8 @@
 
 /// Judges a run.
 pub fn judge(plan: &Plan, record: &Record) -> Verdict {
-    let broken = rules::broken(plan, record);
-    let (figures, timeline) = figures::measure(plan, record);
+    let broken = invariants::broken(plan, record);
+    let (figures, timeline) = metrics::measure(plan, record);
     let mut doubts = Vec::new();
     if figures.late_p99_ms > LATENESS_BOUND_MS {
         let late = figures.late_p99_ms;
@@ -83,5 +83,13 @@
         () if broken.is_empty() && missed.is_empty() => Word::Held,
         () => Word::Failed,
     };
-    Verdict { word, broken, missed, stories: story::stories(plan, record), doubts, figures, timeline }
+    Verdict {
+        word,
+        broken,
+        missed,
+        stories: request_history::stories(plan, record),
+        doubts,
+        figures,
+        timeline,
+    }
 }
--- a/lab/src/judge/story.rs
+++ b/lab/src/checker/request_history.rs
@@ -1,7 +1,7 @@
 //! What became of single requests that broke a promise: their tries and attempts in the order of time, for whoever looks for
 //! the cause.
 
-use super::{accepted, orphans};
+use super::{abandoned_requests, accepted_writes};
 use crate::plan::Plan;
 use crate::record::Record;
 
@@ -10,9 +10,11 @@
 
 /// The stories of requests that ran too often, and of accepted writes that are lost.
 pub(super) fn stories(plan: &Plan, record: &Record) -> Vec<String> {
-    let doubled =
-        orphans::doubled(plan, record).into_iter().map(|arrival| (arrival, "ran more often than it may"));
-    let lost = accepted::lost(plan, record).into_iter().map(|arrival| (arrival, "was accepted and is lost"));
+    let doubled = abandoned_requests::doubled(plan, record)
+        .into_iter()
+        .map(|arrival| (arrival, "ran more often than it may"));
+    let lost =
+        accepted_writes::lost(plan, record).into_iter().map(|arrival| (arrival, "was accepted and is lost"));
     let told = doubled.chain(lost).take(MOST);
     told.map(|(arrival, what)| story(plan, record, arrival, what)).collect()
 }
--- a/lab/src/judge/rollout.rs
+++ b/lab/src/checker/rollout.rs
@@ -1,6 +1,6 @@
 //! What gateways said of a rollout of rules, against each other and against the faults of the run.
 
-use super::rules::Absences;
+use super::invariants::Absences;
 use crate::plan::{Action, Plan, Us};
 use crate::record::{Record, RolloutSeen};
 use std::collections::BTreeMap;
--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -1,11 +1,11 @@
 //! The command line: what a user asks for, and the exit code: 0 held, 1 a rule broken or an expectation missed,
 //! or a run that says nothing, 2 bad use.
 
-use crate::judge::Word;
-use crate::play::{play, PlayError, Played};
+use crate::checker::Word;
+use crate::run::Means;
+use crate::runner::{play, PlayError, Played};
 use crate::scenario::{Scenario, Setting};
-use crate::world::Means;
-use crate::{report, table, trials, up};
+use crate::{experiment, interactive, report, table};
 use clap::{Args, Parser, Subcommand};
 use std::path::{Path, PathBuf};
 
@@ -223,7 +223,7 @@
     let done = match cli.command {
         Command::Run(run) => one_run(run).await,
         Command::Sweep(sweep) => {
-            trials::sweep(&sweep.scenario, &sweep.seeds, &sweep.set, sweep.csv.as_deref(), |_| {
+            experiment::sweep(&sweep.scenario, &sweep.seeds, &sweep.set, sweep.csv.as_deref(), |_| {
                 means(&sweep.common)
             })
             .await
@@ -233,10 +233,10 @@
                 let means = means(&compare.common)?;
                 Ok(Means { binary: binary.unwrap_or(means.binary), ..means })
             };
-            trials::compare(&compare.scenario, [&compare.a, &compare.b], compare.pairs, binary).await
+            experiment::compare(&compare.scenario, [&compare.a, &compare.b], compare.pairs, binary).await
         }
         Command::Up(up) => match means(&up.common) {
-            Ok(means) => up::up(up.gateways.into(), up.backends.into(), &means).await,
+            Ok(means) => interactive::up(up.gateways.into(), up.backends.into(), &means).await,
             Err(failure) => Err(failure),
         },
         Command::Members(m) => {
--- a/lab/src/client.rs
+++ b/lab/src/client.rs
@@ -1,13 +1,13 @@
 //! Clients and the front: requests at their times, whatever became of those before; retries; connections kept.
 
-use crate::ground::Ground;
+use crate::fault_targets::Party;
 use crate::http::{Answer, Connection, Idle};
 use crate::link::lock;
 use crate::plan::{us, Us};
 use crate::record::{End, Fate, Receipt, Try};
 use crate::relay::{through, Way};
+use crate::run_context::Ground;
 use crate::scenario::Effect;
-use crate::targets::Party;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/lab/src/seen.rs
+++ b/lab/src/cluster_poll.rs
@@ -1,9 +1,9 @@
 //! What gateways say of their fleet, asked again and again at their operators' addresses.
 
 use crate::gateway::Gateway;
-use crate::ground::Ground;
 use crate::link::lock;
 use crate::record::{FleetSeen, RolloutSeen};
+use crate::run_context::Ground;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/lab/src/counter.rs
+++ b/lab/src/counter.rs
@@ -1,9 +1,9 @@
 //! The stand-in of the counter: numbers by name behind a line of bounded length, with its faults.
 
-use crate::ground::Ground;
 use crate::link::lock;
 use crate::plan::Us;
 use crate::record::Call;
+use crate::run_context::Ground;
 use crate::serve::{answer, connection, Answer};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
--- a/lab/src/datagrams.rs
+++ b/lab/src/datagrams.rs
@@ -1,8 +1,8 @@
 //! Datagrams between gateways: for each pair an address on either side, boundaries kept, the sender seen at the
 //! address that the receiver knows it by.
 
+use crate::fault_targets::Party;
 use crate::link::Links;
-use crate::targets::Party;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
--- a/lab/src/discovery.rs
+++ b/lab/src/discovery.rs
@@ -1,11 +1,11 @@
 //! The stand-in of discovery: the true list, and an agent for each gateway that has it late.
 
 use crate::backend::Backend;
-use crate::ground::Ground;
+use crate::fault_targets::Party;
 use crate::link::lock;
 use crate::plan::{Draw, Us};
+use crate::run_context::Ground;
 use crate::serve::{answer, connection, Answer};
-use crate::targets::Party;
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 use serde_json::{json, Value};
--- a/lab/src/trials.rs
+++ b/lab/src/experiment.rs
@@ -1,12 +1,12 @@
 //! Many plays: sweeps over seeds and settings, and two sides played in turns.
 
+use crate::checker::Word;
 use crate::cli::{code, Failure, Seeds, Values};
-use crate::judge::Word;
-use crate::play::{play, Played};
+use crate::run::Means;
+use crate::runner::{play, Played};
 use crate::scenario::{Scenario, Setting};
 use crate::stats::{median, ratio, spread};
 use crate::table::{number, table};
-use crate::world::Means;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
--- a/lab/src/gateway.rs
+++ b/lab/src/gateway.rs
@@ -1,10 +1,10 @@
 //! Processes of the program: started with a configuration of their own, watched, signalled, started again.
 
 use crate::client::Clients;
-use crate::ground::Ground;
 use crate::link::lock;
 use crate::plan::{us, Draw, Us};
 use crate::record::{Life, LifeEvent, Usage};
+use crate::run_context::Ground;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::{json, Value};
--- a/lab/src/up.rs
+++ b/lab/src/interactive.rs
@@ -3,9 +3,9 @@
 use crate::cli::Failure;
 use crate::link::lock;
 use crate::plan::Plan;
-use crate::play::PlayError;
+use crate::run::{Means, SetUpError, World};
+use crate::runner::PlayError;
 use crate::scenario::Scenario;
-use crate::world::{Means, SetUpError, World};
 use std::path::PathBuf;
 
 /// Seconds that the stand-ins' clock counts for: far longer than anybody stays.
@@ -26,7 +26,7 @@
     let tariff = plan.scenario.plans[plan.customers[0].plan].name.clone();
     let world = tokio::select! {
         world = World::start(plan, means) => world.map_err(|e: SetUpError| PlayError::from(e))?,
-        () = crate::stop::asked() => return Err(PlayError::Stopped.into()),
+        () = crate::shutdown_signal::asked() => return Err(PlayError::Stopped.into()),
     };
     println!("gateway  clients                operators");
     for gateway in &world.gateways {
@@ -45,7 +45,7 @@
          'http://{listen}/api?customer={customer:016x}'"
     );
     println!("curl http://{ops}/stats\n\nCtrl-C ends it all.");
-    crate::stop::asked().await;
+    crate::shutdown_signal::asked().await;
     world.end().await;
     println!("\nall ended");
     Ok(0)
--- a/lab/src/link.rs
+++ b/lab/src/link.rs
@@ -1,8 +1,8 @@
 //! The state of every directed way between two parties, and a piece's crossing of it.
 
+use crate::fault_targets::Party;
 use crate::plan::{Draw, LinkChange};
 use crate::scenario::Scenario;
-use crate::targets::Party;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
--- a/lab/src/plan/faults.rs
+++ b/lab/src/plan/faults.rs
@@ -1,8 +1,8 @@
 //! Faults resolved to steps: who exactly, and when to the microsecond.
 
 use super::{us, Draw, Us};
+use crate::fault_targets::{Party, Target};
 use crate::scenario::{Fault, Kind, Scenario};
-use crate::targets::{Party, Target};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Something that is done to the fleet at a moment.
--- a/lab/src/record.rs
+++ b/lab/src/record.rs
@@ -1,7 +1,7 @@
 //! What the stand-ins saw of a run: the only thing that the judge goes by.
 
+use crate::cluster_poll::Ledger;
 use crate::plan::Us;
-use crate::seen::Ledger;
 
 /// How one try of a client ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/lab/src/report/mod.rs
+++ b/lab/src/report/mod.rs
@@ -2,8 +2,8 @@
 
 mod plots;
 
-use crate::judge::Word;
-use crate::play::Played;
+use crate::checker::Word;
+use crate::runner::Played;
 use crate::table::number;
 use std::fmt::Write;
 use std::io;
@@ -69,7 +69,7 @@
         writeln!(page, "<p class=\"{class}\"><b>{title}</b></p><ul>{}</ul>", items.concat())
     };
     let broken =
-        |b: &crate::judge::Broken| format!("{:?}, {} times: {}", b.rule, b.count, b.cases.join("; "));
+        |b: &crate::checker::Broken| format!("{:?}, {} times: {}", b.rule, b.count, b.cases.join("; "));
     list(page, "Rules broken", verdict.broken.iter().map(broken).collect())?;
     list(page, "Expected otherwise", verdict.missed.clone())?;
     list(page, "Not valid", verdict.doubts.clone())
--- a/lab/src/report/plots.rs
+++ b/lab/src/report/plots.rs
@@ -1,7 +1,7 @@
 //! The plots of a report: figures over time with the faults as bands, and a strip of colour for each gateway.
 
 use crate::plan::Band;
-use crate::play::Played;
+use crate::runner::Played;
 use plotters::prelude::*;
 
 /// A plot that could not be drawn.
--- a/lab/src/play.rs
+++ b/lab/src/runner.rs
@@ -1,9 +1,9 @@
 //! One run from a scenario to its verdict, with a progress bar on a terminal.
 
-use crate::judge::{judge, Verdict};
+use crate::checker::{judge, Verdict};
 use crate::plan::{Band, Plan};
+use crate::run::{Means, SetUpError, World};
 use crate::scenario::Scenario;
-use crate::world::{Means, SetUpError, World};
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use serde::Serialize;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -52,12 +52,12 @@
     let world = tokio::select! {
         world = World::start(plan.clone(), means) => world?,
         // What has started by then ends with its handles.
-        () = crate::stop::asked() => return Err(PlayError::Stopped),
+        () = crate::shutdown_signal::asked() => return Err(PlayError::Stopped),
     };
     let _watchdog = Watchdog::over(&world, scenario);
     let record = tokio::select! {
         record = world.play(|sent| bar.set_position(sent as u64)) => record,
-        () = crate::stop::asked() => {
+        () = crate::shutdown_signal::asked() => {
             bar.finish_and_clear();
             world.end().await;
             return Err(PlayError::Stopped);
--- a/lab/src/scenario/check.rs
+++ b/lab/src/scenario/check.rs
@@ -1,7 +1,7 @@
 //! What is wrong with a scenario, all of it at once: file, line, key, what was expected.
 
 use super::{Fault, Scenario, FIGURES_WITH_BOUNDS};
-use crate::targets::Target;
+use crate::fault_targets::Target;
 use std::fmt;
 use std::path::PathBuf;
 
--- a/lab/src/table.rs
+++ b/lab/src/table.rs
@@ -1,7 +1,7 @@
 //! Plain tables and the text of a run's result.
 
-use crate::judge::Word;
-use crate::play::Played;
+use crate::checker::Word;
+use crate::runner::Played;
 use std::fmt::Write;
 
 /// Lines of cells, columns as wide as their widest cell; the first column to the left, others to the right.
--- a/lab/src/receipts.rs
+++ b/lab/src/write_status_poll.rs
@@ -1,9 +1,9 @@
 //! Clients ask, once the faults are over, what became of the writes that were accepted with 202.
 
-use crate::ground::Ground;
+use crate::cluster_poll::call_ops;
 use crate::link::lock;
 use crate::record::Fate;
-use crate::seen::call_ops;
+use crate::run_context::Ground;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
--- a/lab/tests/judge.rs
+++ b/lab/tests/judge.rs
@@ -1,10 +1,10 @@
 //! The judge on real processes: a sound gateway passes, and for each rule one that breaks it is caught.
 
-use quota_gateway_lab::judge::{Rule, Word};
+use quota_gateway_lab::checker::{Rule, Word};
 use quota_gateway_lab::plan::Plan;
-use quota_gateway_lab::play::{play, Played};
+use quota_gateway_lab::run::{Means, World};
+use quota_gateway_lab::runner::{play, Played};
 use quota_gateway_lab::scenario::Scenario;
-use quota_gateway_lab::world::{Means, World};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
--- a/lab/tests/links.rs
+++ b/lab/tests/links.rs
@@ -2,11 +2,11 @@
 
 use quota_gateway_lab::clock::Clock;
 use quota_gateway_lab::datagrams::Mesh;
+use quota_gateway_lab::fault_targets::Party;
 use quota_gateway_lab::link::Links;
 use quota_gateway_lab::plan::LinkChange;
 use quota_gateway_lab::relay::{Door, Serve, Way};
 use quota_gateway_lab::scenario::Scenario;
-use quota_gateway_lab::targets::Party;
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::PathBuf;
 use std::sync::Arc;
