--- a/lab/src/backend.rs
+++ b/lab/src/backend.rs
@@ -3,10 +3,10 @@
 use crate::backend_model::{Job, Machine, Offer};
 use crate::fault_targets::Party;
 use crate::link::lock;
-use crate::plan::{Illness, Us};
+use crate::plan::{BackendFault, Microseconds};
 use crate::record::{Attempt, Fall, Outcome};
-use crate::relay::Stamp;
-use crate::run_context::Ground;
+use crate::relay::LastRead;
+use crate::run_context::RunContext;
 use crate::serve::{answer, connection, half, Answer};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -30,9 +30,9 @@
     machine: Machine,
     waiting: HashMap<Job, oneshot::Sender<()>>,
     next: Job,
-    ills: Vec<Illness>,
+    ills: Vec<BackendFault>,
     connections: usize,
-    report: (Us, String),
+    report: (Microseconds, String),
     draining: bool,
 }
 
@@ -42,20 +42,25 @@
     pub number: usize,
     /// The name in discovery's list.
     pub id: String,
-    ground: Arc<Ground>,
+    context: Arc<RunContext>,
     speed: f64,
     state: Mutex<State>,
     changed: Notify,
     /// Whether its process runs.
     pub alive: watch::Sender<bool>,
     /// When it last started; 0: long ago.
-    started: Mutex<Us>,
+    started: Mutex<Microseconds>,
 }
 
 impl Backend {
     /// A backend; `since`: it starts now, cold.
-    pub fn new(ground: Arc<Ground>, number: usize, speed: f64, since: Option<Us>) -> Arc<Backend> {
-        let spec = &ground.plan.scenario.backends;
+    pub fn new(
+        context: Arc<RunContext>,
+        number: usize,
+        speed: f64,
+        since: Option<Microseconds>,
+    ) -> Arc<Backend> {
+        let spec = &context.plan.scenario.backends;
         let state = State {
             machine: Machine::new(spec, speed, since),
             waiting: HashMap::new(),
@@ -65,11 +70,11 @@
             report: (0, String::new()),
             draining: false,
         };
-        let id = format!("s-{:08x}", ground.mark(number as u64, 7) as u32);
+        let id = format!("s-{:08x}", context.mark(number as u64, 7) as u32);
         let backend = Arc::new(Backend {
             number,
             id,
-            ground,
+            context,
             speed,
             state: Mutex::new(state),
             changed: Notify::new(),
@@ -81,7 +86,7 @@
     }
 
     /// When it last started; 0: long ago.
-    pub fn started(&self) -> Us {
+    pub fn started(&self) -> Microseconds {
         *lock(&self.started)
     }
 
@@ -89,7 +94,7 @@
     pub fn die(&self) {
         self.alive.send_replace(false);
         let mut state = lock(&self.state);
-        let spec = &self.ground.plan.scenario.backends;
+        let spec = &self.context.plan.scenario.backends;
         state.machine = Machine::new(spec, self.speed, None);
         state.waiting.clear();
         state.connections = 0;
@@ -97,10 +102,10 @@
 
     /// Its process starts, cold.
     pub fn start(&self) {
-        let now = self.ground.clock.now().max(1);
+        let now = self.context.clock.now().max(1);
         *lock(&self.started) = now;
         let mut state = lock(&self.state);
-        state.machine = Machine::new(&self.ground.plan.scenario.backends, self.speed, Some(now));
+        state.machine = Machine::new(&self.context.plan.scenario.backends, self.speed, Some(now));
         state.machine.advance(now);
         slow_down(&mut state, now);
         state.draining = false;
@@ -114,8 +119,8 @@
     }
 
     /// Falls ill, or gets well.
-    pub fn ill(&self, ill: Illness, on: bool) {
-        let now = self.ground.clock.now();
+    pub fn ill(&self, ill: BackendFault, on: bool) {
+        let now = self.context.clock.now();
         let mut state = lock(&self.state);
         match on {
             true => state.ills.push(ill),
@@ -137,19 +142,19 @@
             let next = lock(&self.state).machine.next();
             tokio::select! {
                 () = self.changed.notified() => {}
-                () = self.ground.clock.until(next.unwrap_or(0)), if next.is_some() => {}
+                () = self.context.clock.until(next.unwrap_or(0)), if next.is_some() => {}
             }
             let mut state = lock(&self.state);
-            let done = state.machine.advance(self.ground.clock.now());
+            let done = state.machine.advance(self.context.clock.now());
             finish(&mut state, done);
         }
     }
 
     /// Takes a gateway's connection.
-    pub fn accept(self: &Arc<Backend>, stream: DuplexStream, stamp: Stamp, gateway: usize) {
-        let spec = &self.ground.plan.scenario.backends;
+    pub fn accept(self: &Arc<Backend>, stream: DuplexStream, stamp: LastRead, gateway: usize) {
+        let spec = &self.context.plan.scenario.backends;
         let most = (spec.connections_per_core as f64 * spec.cores) as usize;
-        let now = self.ground.clock.now();
+        let now = self.context.clock.now();
         {
             let mut state = lock(&self.state);
             if state.connections >= most {
@@ -160,12 +165,12 @@
             state.machine.burden(now, work);
         }
         self.changed.notify_one();
-        self.ground.note(|record| record.connections += 1);
+        self.context.note(|record| record.connections += 1);
         let backend = self.clone();
         let idle = Duration::from_secs_f64(spec.idle_s);
         let mut alive = self.alive.subscribe();
         let (own, from) = (Party::Backend(self.number), Party::Gateway(gateway));
-        let (up, down) = (self.ground.links.get(from, own), self.ground.links.get(own, from));
+        let (up, down) = (self.context.links.get(from, own), self.context.links.get(own, from));
         tokio::spawn(async move {
             // A handshake takes a round trip more before the first request is read.
             down.cross(&mut down.watch()).await;
@@ -184,11 +189,11 @@
         });
     }
 
-    async fn serve(&self, request: Request<Incoming>, gateway: usize, first: Us) -> Answer {
+    async fn serve(&self, request: Request<Incoming>, gateway: usize, first: Microseconds) -> Answer {
         match request.uri().path() {
             "/ping" => return answer(StatusCode::OK, ""),
             "/_load" => {
-                lock(&self.state).machine.burden(self.ground.clock.now(), SMALL_WORK);
+                lock(&self.state).machine.burden(self.context.clock.now(), SMALL_WORK);
                 return answer(StatusCode::OK, self.report());
             }
             _ => {}
@@ -196,10 +201,10 @@
         let id = id_of(request.headers());
         let body = Limited::new(request.into_body(), LONGEST).collect().await;
         let Ok(_) = body else { return answer(StatusCode::BAD_REQUEST, "") };
-        let came = self.ground.clock.now();
-        let arrival = id.and_then(|id| self.ground.arrival(id));
+        let came = self.context.clock.now();
+        let arrival = id.and_then(|id| self.context.arrival(id));
         let mut open = Open {
-            ground: &self.ground,
+            context: &self.context,
             backend: self,
             job: None,
             attempt: Some(Attempt {
@@ -223,18 +228,25 @@
         self.run(id, arrival, gateway, came, open).await
     }
 
-    async fn run(&self, id: u64, arrival: usize, gateway: usize, now: Us, mut open: Open<'_>) -> Answer {
-        let arrival_spec = &self.ground.plan.arrivals[arrival];
-        let class = &self.ground.plan.scenario.classes[arrival_spec.class];
-        let window = (class.window_ms * 1000.0) as Us;
-        let keyed = self.ground.plan.keyed(arrival_spec.class);
+    async fn run(
+        &self,
+        id: u64,
+        arrival: usize,
+        gateway: usize,
+        now: Microseconds,
+        mut open: Open<'_>,
+    ) -> Answer {
+        let arrival_spec = &self.context.plan.arrivals[arrival];
+        let class = &self.context.plan.scenario.classes[arrival_spec.class];
+        let window = (class.window_ms * 1000.0) as Microseconds;
+        let keyed = self.context.plan.keyed(arrival_spec.class);
         let (offer, done, ills) = {
             let mut state = lock(&self.state);
             let ended = state.machine.advance(now);
             finish(&mut state, ended);
-            let repeated = keyed && self.ground.repeated(arrival, window, now);
+            let repeated = keyed && self.context.repeated(arrival, window, now);
             let work = if repeated { SMALL_WORK } else { arrival_spec.work_us };
-            let knowing = self.ground.knows(gateway, self.number, self.started());
+            let knowing = self.context.knows(gateway, self.number, self.started());
             let job = state.next;
             state.next += 1;
             let offer = match state.draining {
@@ -251,7 +263,7 @@
             let knowing = state.machine.knowing();
             if offer == Offer::Fell {
                 let fall = Fall { backend: self.number, at: now, knowing };
-                self.ground.note(|record| record.falls.push(fall));
+                self.context.note(|record| record.falls.push(fall));
             }
             (offer, done, state.ills.clone())
         };
@@ -268,7 +280,7 @@
             Offer::Taken => self.changed.notify_one(),
         }
         let died = done.await.is_err();
-        if died || ills.contains(&Illness::Silent) {
+        if died || ills.contains(&BackendFault::Silent) {
             if died {
                 open.end(Outcome::Died);
             }
@@ -280,19 +292,19 @@
     }
 
     /// The answer of a job that is done.
-    fn reply(&self, id: u64, ills: &[Illness], mut open: Open<'_>) -> Answer {
-        let rate = |pick: fn(&Illness) -> Option<f64>| ills.iter().filter_map(pick).fold(0.0, f64::max);
-        let errors = rate(|ill| if let Illness::Errors(rate) = ill { Some(*rate) } else { None });
-        let halves = rate(|ill| if let Illness::Half(rate) = ill { Some(*rate) } else { None });
-        let errors = errors.max(self.ground.plan.scenario.backends.error_rate);
-        let mark = self.ground.mark(id, self.number);
+    fn reply(&self, id: u64, ills: &[BackendFault], mut open: Open<'_>) -> Answer {
+        let rate = |pick: fn(&BackendFault) -> Option<f64>| ills.iter().filter_map(pick).fold(0.0, f64::max);
+        let errors = rate(|ill| if let BackendFault::Errors(rate) = ill { Some(*rate) } else { None });
+        let halves = rate(|ill| if let BackendFault::Half(rate) = ill { Some(*rate) } else { None });
+        let errors = errors.max(self.context.plan.scenario.backends.error_rate);
+        let mark = self.context.mark(id, self.number);
         // The same request fares alike when it comes again to this backend.
-        if self.ground.part(id, 1 << 20 | self.number as u64) < errors {
+        if self.context.part(id, 1 << 20 | self.number as u64) < errors {
             open.end(Outcome::Error);
             return self.with_report(answer(StatusCode::INTERNAL_SERVER_ERROR, ""));
         }
         let body = Bytes::from(format!("lab {mark:016x} {:>180}\n", self.id));
-        if self.ground.part(id, 2 << 20 | self.number as u64) < halves {
+        if self.context.part(id, 2 << 20 | self.number as u64) < halves {
             open.end(Outcome::Half);
             return half(body);
         }
@@ -308,9 +320,9 @@
     }
 
     fn report(&self) -> String {
-        let now = self.ground.clock.now();
+        let now = self.context.clock.now();
         let mut state = lock(&self.state);
-        let fresh = (self.ground.plan.scenario.backends.report_ms * 1000.0) as Us;
+        let fresh = (self.context.plan.scenario.backends.report_ms * 1000.0) as Microseconds;
         if state.report.1.is_empty() || now >= state.report.0 + fresh {
             let (held, busy) = (state.machine.held(), state.machine.busy());
             state.report = (now, format!("TEXT concurrent={held}, load_share={busy:.3}"));
@@ -326,9 +338,9 @@
     }
 }
 
-fn slow_down(state: &mut State, now: Us) -> Vec<Job> {
+fn slow_down(state: &mut State, now: Microseconds) -> Vec<Job> {
     let done = state.machine.advance(now);
-    let slower = state.ills.iter().map(|ill| if let Illness::Slow(times) = ill { *times } else { 1.0 });
+    let slower = state.ills.iter().map(|ill| if let BackendFault::Slow(times) = ill { *times } else { 1.0 });
     let slower = slower.product();
     state.machine.slow(now, slower);
     done
@@ -343,7 +355,7 @@
 
 /// An attempt that has not ended; given up where it is dropped.
 struct Open<'a> {
-    ground: &'a Ground,
+    context: &'a RunContext,
     backend: &'a Backend,
     job: Option<Job>,
     attempt: Option<Attempt>,
@@ -356,9 +368,9 @@
         }
     }
     fn end(&mut self, outcome: Outcome) {
-        let ended = self.ground.clock.now();
+        let ended = self.context.clock.now();
         if let Some(attempt) = self.attempt.take() {
-            self.ground.note(|record| record.attempts.push(Attempt { outcome, ended, ..attempt }));
+            self.context.note(|record| record.attempts.push(Attempt { outcome, ended, ..attempt }));
         }
     }
 }
@@ -368,7 +380,7 @@
         let mut outcome = Outcome::Abandoned;
         if let Some(job) = self.job.take() {
             let mut state = lock(&self.backend.state);
-            let drops = self.ground.plan.scenario.backends.drops_cancelled;
+            let drops = self.context.plan.scenario.backends.drops_cancelled;
             if drops && state.machine.drop_waiting(job) {
                 state.waiting.remove(&job);
                 self.change(|attempt| attempt.ran = false);
--- a/lab/src/backend_model.rs
+++ b/lab/src/backend_model.rs
@@ -1,7 +1,7 @@
 //! The model of a backend's machine: cores shared by the requests in work, a waiting room, a cold start, and
 //! falling over. No I/O; time is passed in.
 
-use crate::plan::Us;
+use crate::plan::Microseconds;
 use crate::scenario::Backends;
 use std::collections::VecDeque;
 
@@ -35,15 +35,15 @@
     cold_from: f64,
     cold_us: f64,
     fall_multiple: f64,
-    fall_us: Us,
+    fall_us: Microseconds,
     /// When it started; `None`: long ago.
-    since: Option<Us>,
+    since: Option<Microseconds>,
     slower: f64,
     running: Vec<Work>,
     waiting: VecDeque<Work>,
     /// Work sent while it was cold: when, how much, and whether its sender knew of the start.
-    sent: VecDeque<(Us, f64, bool)>,
-    last: Us,
+    sent: VecDeque<(Microseconds, f64, bool)>,
+    last: Microseconds,
 }
 
 /// Slack of the rule on falling over, for chance: the work of so many seconds of the present capacity.
@@ -51,7 +51,7 @@
 
 impl Machine {
     /// A machine by its scenario; `since` as it started, `None` for long ago.
-    pub fn new(spec: &Backends, speed: f64, since: Option<Us>) -> Machine {
+    pub fn new(spec: &Backends, speed: f64, since: Option<Microseconds>) -> Machine {
         Machine {
             cores: spec.cores,
             speed,
@@ -60,7 +60,7 @@
             cold_from: spec.cold_from,
             cold_us: spec.cold_s * 1e6,
             fall_multiple: spec.fall_multiple,
-            fall_us: (spec.fall_s * 1e6) as Us,
+            fall_us: (spec.fall_s * 1e6) as Microseconds,
             since,
             slower: 1.0,
             running: Vec::new(),
@@ -71,7 +71,7 @@
     }
 
     /// How warm it is: the part of its capacity that it has, up to 1.
-    pub fn warmth(&self, now: Us) -> f64 {
+    pub fn warmth(&self, now: Microseconds) -> f64 {
         let Some(since) = self.since else { return 1.0 };
         let age = now.saturating_sub(since) as f64;
         if age >= self.cold_us {
@@ -81,18 +81,18 @@
     }
 
     /// Work that it can do in a microsecond now, over all cores.
-    fn capacity(&self, now: Us) -> f64 {
+    fn capacity(&self, now: Microseconds) -> f64 {
         self.cores * self.speed * self.warmth(now) / self.slower
     }
 
     /// Work done in a microsecond on each of the requests in work.
-    fn pace(&self, now: Us) -> f64 {
+    fn pace(&self, now: Microseconds) -> f64 {
         let share = (self.cores / self.running.len().max(1) as f64).min(1.0);
         self.capacity(now) / self.cores * share
     }
 
     /// Makes it so many times slower.
-    pub fn slow(&mut self, now: Us, times: f64) {
+    pub fn slow(&mut self, now: Microseconds, times: f64) {
         self.advance(now);
         self.slower = times.max(0.001);
     }
@@ -108,7 +108,7 @@
     }
 
     /// Lets the work go on to a time; returns the jobs done by then, in order.
-    pub fn advance(&mut self, now: Us) -> Vec<Job> {
+    pub fn advance(&mut self, now: Microseconds) -> Vec<Job> {
         let mut done = Vec::new();
         while self.last < now {
             // Steps of at most 20 ms while cold, as the capacity changes meanwhile.
@@ -118,7 +118,7 @@
             let least = self.running.iter().map(|work| work.left).fold(f64::INFINITY, f64::min);
             // Until the first one is done, at the least a microsecond.
             let step = if pace > 0.0 { (least / pace).ceil().max(1.0) } else { f64::INFINITY };
-            let to = if step < (most - self.last) as f64 { self.last + step as Us } else { most };
+            let to = if step < (most - self.last) as f64 { self.last + step as Microseconds } else { most };
             let each = pace * (to - self.last) as f64;
             self.last = to;
             self.running.retain_mut(|work| {
@@ -144,14 +144,14 @@
     }
 
     /// When the next job is done if nothing else comes.
-    pub fn next(&self) -> Option<Us> {
+    pub fn next(&self) -> Option<Microseconds> {
         let least = self.running.iter().map(|work| work.left).reduce(f64::min)?;
         let pace = self.pace(self.last);
-        (pace > 0.0).then(|| self.last + (least / pace).ceil().max(1.0) as Us)
+        (pace > 0.0).then(|| self.last + (least / pace).ceil().max(1.0) as Microseconds)
     }
 
     /// Work of its own, such as a handshake, that slows down the others by taking a part of the cores.
-    pub fn burden(&mut self, now: Us, work_us: f64) {
+    pub fn burden(&mut self, now: Microseconds, work_us: f64) {
         self.advance(now);
         let all = self.running.len().max(1) as f64;
         let each = work_us / all;
@@ -159,7 +159,7 @@
     }
 
     /// Offers a job; `knowing`: its sender has been told when this machine started. `advance` comes first.
-    pub fn offer(&mut self, now: Us, job: Job, work_us: f64, knowing: bool) -> Offer {
+    pub fn offer(&mut self, now: Microseconds, job: Job, work_us: f64, knowing: bool) -> Offer {
         if self.warmth(now) < 1.0 {
             self.sent.push_back((now, work_us, knowing));
             while self.sent.front().is_some_and(|(at, ..)| at + self.fall_us < now) {
--- a/lab/src/checker/abandoned_requests.rs
+++ b/lab/src/checker/abandoned_requests.rs
@@ -3,7 +3,7 @@
 
 use super::invariants::Absences;
 use crate::cluster_poll::Ledger;
-use crate::plan::{Plan, Us};
+use crate::plan::{Microseconds, Plan};
 use crate::record::{End, Outcome, Record, Try};
 use crate::scenario::Effect;
 use std::collections::{BTreeMap, BTreeSet};
@@ -39,7 +39,7 @@
     for all in tries.values_mut() {
         all.sort_by_key(|one| one.nth);
         let lost = |one: &&&Try| {
-            let written = one.written.unwrap_or(Us::MAX);
+            let written = one.written.unwrap_or(Microseconds::MAX);
             matches!(one.end, End::Broken | End::GaveUp) && absences.excuses(one.gateway, written, one.ended)
         };
         // A client that had no time left to come again is not missed by any gateway.
@@ -84,7 +84,7 @@
 /// The requests that ran more often than their class permits.
 pub(super) fn doubled(plan: &Plan, record: &Record) -> Vec<usize> {
     let of: BTreeMap<u64, usize> = record.tries.iter().map(|one| (one.id, one.arrival)).collect();
-    let mut runs: BTreeMap<usize, Vec<Us>> = BTreeMap::new();
+    let mut runs: BTreeMap<usize, Vec<Microseconds>> = BTreeMap::new();
     for attempt in record.attempts.iter().filter(|attempt| attempt.ran) {
         if let Some(arrival) = of.get(&attempt.id) {
             runs.entry(*arrival).or_default().push(attempt.came);
@@ -93,7 +93,7 @@
     let class = |arrival: &usize| &plan.scenario.classes[plan.arrivals[*arrival].class];
     // As all figures, from the end of the warm-up on: before it no holder of the ledger has a vote.
     let from = crate::plan::us(plan.scenario.warm_up_s);
-    let too_often = |(arrival, _): &(usize, Vec<Us>)| {
+    let too_often = |(arrival, _): &(usize, Vec<Microseconds>)| {
         class(arrival).effect != Effect::Safe && plan.arrivals[*arrival].at >= from
     };
     runs.into_iter().filter(|(_, at)| at.len() > 1).filter(too_often).map(|(arrival, _)| arrival).collect()
--- a/lab/src/checker/accepted_writes.rs
+++ b/lab/src/checker/accepted_writes.rs
@@ -1,6 +1,6 @@
 //! Writes that a branch accepted with 202, against what its clients saw and what the backends ran.
 
-use crate::plan::{Plan, Us};
+use crate::plan::{Microseconds, Plan};
 use crate::record::{End, Fate, Outcome, Record};
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
 
 pub(super) fn measure(plan: &Plan, record: &Record) -> Accepted {
     // By arrival: when its first try began and when the first 202 was there; and the branch that said so.
-    let mut taken: BTreeMap<usize, (Us, Us)> = BTreeMap::new();
+    let mut taken: BTreeMap<usize, (Microseconds, Microseconds)> = BTreeMap::new();
     let mut branch: BTreeMap<usize, usize> = BTreeMap::new();
     for one in record.tries.iter().filter(|t| matches!(t.end, End::Answer { status: 202, .. })) {
         let held = taken.entry(one.arrival).or_insert((one.began, one.ended));
@@ -38,7 +38,7 @@
         taken.get_mut(&one.arrival).into_iter().for_each(|held| held.0 = held.0.min(one.began));
     }
     let of: BTreeMap<u64, usize> = record.tries.iter().map(|one| (one.id, one.arrival)).collect();
-    let mut ran: BTreeMap<usize, Us> = BTreeMap::new();
+    let mut ran: BTreeMap<usize, Microseconds> = BTreeMap::new();
     for attempt in record.attempts.iter().filter(|a| a.outcome == Outcome::Served) {
         if let Some(arrival) = of.get(&attempt.id).filter(|arrival| taken.contains_key(arrival)) {
             let first = ran.entry(*arrival).or_insert(attempt.came);
--- a/lab/src/checker/invariants.rs
+++ b/lab/src/checker/invariants.rs
@@ -1,6 +1,6 @@
 //! The rules that hold always, each from the documents' words and the record of the stand-ins.
 
-use crate::plan::{Plan, Us};
+use crate::plan::{Microseconds, Plan};
 use crate::record::{Attempt, End, Life, Outcome, Record, Try};
 use crate::scenario::Effect;
 use crate::settings::MOST_ATTEMPTS;
@@ -41,13 +41,13 @@
 }
 
 /// Time limits are so much longer on sockets.
-const SLACK: Us = 50_000;
+const SLACK: Microseconds = 50_000;
 /// Nothing new this long after word of a drain.
-const DRAIN: Us = 1_000_000;
+const DRAIN: Microseconds = 1_000_000;
 /// The ceiling's slack holds what its rate gives in this time, in seconds.
 const CEILING_SLACK_S: f64 = 0.15;
 /// After SIGTERM what comes later than this may be lost.
-const AFTER_TERM: Us = 700_000;
+const AFTER_TERM: Microseconds = 700_000;
 /// The part of a cold backend's load that has to come from gateways that knew of its start.
 const KNOWING: f64 = 2.0 / 3.0;
 /// Cases kept of each rule.
@@ -56,7 +56,7 @@
 struct Book(BTreeMap<Rule, Broken>);
 
 impl Book {
-    fn note(&mut self, rule: Rule, at: Us, case: String) {
+    fn note(&mut self, rule: Rule, at: Microseconds, case: String) {
         let broken = self.0.entry(rule).or_insert(Broken { rule, count: 0, cases: Vec::new() });
         broken.count += 1;
         if broken.cases.len() < CASES {
@@ -68,16 +68,16 @@
 /// When a gateway could not act: killed, paused, cut off from the clients.
 pub(super) struct Absences {
     /// From and to, by gateway.
-    out: HashMap<usize, Vec<(Us, Us)>>,
-    pauses: HashMap<usize, Vec<(Us, Us)>>,
+    out: HashMap<usize, Vec<(Microseconds, Microseconds)>>,
+    pauses: HashMap<usize, Vec<(Microseconds, Microseconds)>>,
 }
 
 impl Absences {
     pub(super) fn of(record: &Record) -> Absences {
-        let mut out: HashMap<usize, Vec<(Us, Us)>> = HashMap::new();
-        let mut pauses: HashMap<usize, Vec<(Us, Us)>> = HashMap::new();
-        let mut since: HashMap<usize, Us> = HashMap::new();
-        let mut paused: HashMap<usize, Us> = HashMap::new();
+        let mut out: HashMap<usize, Vec<(Microseconds, Microseconds)>> = HashMap::new();
+        let mut pauses: HashMap<usize, Vec<(Microseconds, Microseconds)>> = HashMap::new();
+        let mut since: HashMap<usize, Microseconds> = HashMap::new();
+        let mut paused: HashMap<usize, Microseconds> = HashMap::new();
         for event in &record.lives {
             match event.what {
                 // The signal was sent a moment before it was noted.
@@ -99,30 +99,36 @@
                 Life::Started | Life::Ended { .. } => {}
             }
         }
-        since.into_iter().for_each(|(gateway, from)| out.entry(gateway).or_default().push((from, Us::MAX)));
+        since
+            .into_iter()
+            .for_each(|(gateway, from)| out.entry(gateway).or_default().push((from, Microseconds::MAX)));
         paused
             .into_iter()
-            .for_each(|(gateway, from)| pauses.entry(gateway).or_default().push((from, Us::MAX)));
+            .for_each(|(gateway, from)| pauses.entry(gateway).or_default().push((from, Microseconds::MAX)));
         for excuse in &record.excuses {
             out.entry(excuse.gateway).or_default().push((excuse.from, excuse.to));
         }
         Absences { out, pauses }
     }
 
-    fn overlaps(spans: Option<&Vec<(Us, Us)>>, from: Us, to: Us) -> bool {
+    fn overlaps(
+        spans: Option<&Vec<(Microseconds, Microseconds)>>,
+        from: Microseconds,
+        to: Microseconds,
+    ) -> bool {
         spans.is_some_and(|spans| spans.iter().any(|(a, b)| *a <= to && from <= *b))
     }
 
     /// Whether nothing is owed for a request of this time.
-    pub(super) fn excuses(&self, gateway: usize, from: Us, to: Us) -> bool {
+    pub(super) fn excuses(&self, gateway: usize, from: Microseconds, to: Microseconds) -> bool {
         Absences::overlaps(self.out.get(&gateway), from, to)
             || Absences::overlaps(self.pauses.get(&gateway), from, to)
     }
 
     /// When a gateway that was told something at a time could first act on it.
-    fn awake(&self, gateway: usize, at: Us, by: Us) -> Us {
+    fn awake(&self, gateway: usize, at: Microseconds, by: Microseconds) -> Microseconds {
         let spans = self.pauses.get(&gateway).into_iter().flatten();
-        spans.filter(|(from, to)| *from <= by && at <= *to).map(|(_, to)| *to).fold(at, Us::max)
+        spans.filter(|(from, to)| *from <= by && at <= *to).map(|(_, to)| *to).fold(at, Microseconds::max)
     }
 }
 
@@ -212,7 +218,7 @@
     let may_have_run = |a: &&&Attempt| a.outcome != Outcome::TurnedAway;
     let Some(first) = attempts.iter().find(may_have_run) else { return };
     let later = attempts.iter().filter(|a| a.first > first.first);
-    let window = (class.window_ms * 1000.0) as Us;
+    let window = (class.window_ms * 1000.0) as Microseconds;
     for attempt in later {
         let late = match class.effect {
             Effect::Safe => false,
@@ -232,14 +238,14 @@
 }
 
 /// Word of a backend: when, whether it is ready, from which process.
-type Word = (Us, bool, usize);
+type Word = (Microseconds, bool, usize);
 
 fn drained(record: &Record, absences: &Absences, book: &mut Book) {
     let mut told: HashMap<(usize, usize), Vec<Word>> = HashMap::new();
     for word in &record.told {
         told.entry((word.gateway, word.backend)).or_default().push((word.at, word.ready, word.life));
     }
-    let mut starts: HashMap<usize, Vec<(Us, usize)>> = HashMap::new();
+    let mut starts: HashMap<usize, Vec<(Microseconds, usize)>> = HashMap::new();
     for event in record.lives.iter().filter(|event| event.what == Life::Started) {
         starts.entry(event.gateway).or_default().push((event.at, event.life));
     }
@@ -263,7 +269,7 @@
 }
 
 fn ceilings(plan: &Plan, record: &Record, by_id: &HashMap<u64, Vec<&Attempt>>, book: &mut Book) {
-    let mut spent: HashMap<usize, Vec<(Us, f64)>> = HashMap::new();
+    let mut spent: HashMap<usize, Vec<(Microseconds, f64)>> = HashMap::new();
     let (mut seen, mut used) = (HashSet::new(), HashSet::new());
     for one in record.tries.iter().filter(|one| seen.insert(one.id)) {
         let arrival = &plan.arrivals[one.arrival];
@@ -308,7 +314,7 @@
         }
     }
     let limits = &plan.scenario.gateways;
-    let mut worst: BTreeMap<usize, (u64, usize, Us)> = BTreeMap::new();
+    let mut worst: BTreeMap<usize, (u64, usize, Microseconds)> = BTreeMap::new();
     for usage in &record.usage {
         let entry = worst.entry(usage.gateway).or_insert((0, 0, usage.at));
         if usage.memory > entry.0 || usage.descriptors > entry.1 {
--- a/lab/src/checker/metrics.rs
+++ b/lab/src/checker/metrics.rs
@@ -1,6 +1,6 @@
 //! The figures of a run: worth served inside quotas, and what it cost.
 
-use crate::plan::{Plan, Us};
+use crate::plan::{Microseconds, Plan};
 use crate::record::{Attempt, End, Outcome, Record, Try};
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -8,7 +8,7 @@
 
 /// The figures of a run. Shares are of 1; times in milliseconds.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Figures {
+pub struct Metrics {
     /// Requests asked for, retries apart.
     pub requests: usize,
     /// Tries of clients.
@@ -162,7 +162,7 @@
     pub gateways: Vec<Vec<f64>>,
 }
 
-impl Figures {
+impl Metrics {
     /// The figure of a name that `[expect]` may bound.
     pub fn get(&self, name: &str) -> Option<f64> {
         self.named().into_iter().find(|(n, _)| *n == name).map(|(_, value)| value)
@@ -227,11 +227,11 @@
 /// A store of units: full at first, filling at a rate, holding a burst at most.
 struct Store {
     units: f64,
-    last: Us,
+    last: Microseconds,
 }
 
 impl Store {
-    fn at(&mut self, now: Us, rate: f64, burst: f64) -> f64 {
+    fn at(&mut self, now: Microseconds, rate: f64, burst: f64) -> f64 {
         self.units = (self.units + rate * now.saturating_sub(self.last) as f64 / 1e6).min(burst);
         self.last = self.last.max(now);
         self.units
@@ -249,14 +249,14 @@
         Stores { plan, all: HashMap::new() }
     }
     /// What a customer's store holds, and what it can.
-    fn level(&mut self, customer: usize, now: Us) -> (f64, f64) {
+    fn level(&mut self, customer: usize, now: Microseconds) -> (f64, f64) {
         let spec = &self.plan.scenario.plans[self.plan.customers[customer].plan];
         let burst = self.plan.burst(spec);
         let store = self.all.entry(customer).or_insert(Store { units: burst, last: 0 });
         (store.at(now, spec.rate, burst), burst)
     }
     /// Takes units if they are there.
-    fn take(&mut self, customer: usize, now: Us, units: f64) -> bool {
+    fn take(&mut self, customer: usize, now: Microseconds, units: f64) -> bool {
         let inside = self.level(customer, now).0 >= units;
         if inside {
             self.all.get_mut(&customer).into_iter().for_each(|store| store.units -= units);
@@ -278,9 +278,9 @@
     sent_units: f64,
 }
 
-fn quotas(plan: &Plan, record: &Record, first: &HashMap<u64, Us>, from: Us) -> Quotas {
+fn quotas(plan: &Plan, record: &Record, first: &HashMap<u64, Microseconds>, from: Microseconds) -> Quotas {
     // In the order of their times: sent on with the first attempt, or refused.
-    let mut events: Vec<(Us, &Try, bool)> = Vec::new();
+    let mut events: Vec<(Microseconds, &Try, bool)> = Vec::new();
     for one in &record.tries {
         match first.get(&one.id) {
             Some(at) => events.push((*at, one, true)),
@@ -395,9 +395,9 @@
     names.iter().zip(sums).map(row).collect()
 }
 
-pub(super) fn measure(plan: &Plan, record: &Record) -> (Figures, Timeline) {
+pub(super) fn measure(plan: &Plan, record: &Record) -> (Metrics, Timeline) {
     let from = crate::plan::us(plan.scenario.warm_up_s);
-    let mut first: HashMap<u64, Us> = HashMap::new();
+    let mut first: HashMap<u64, Microseconds> = HashMap::new();
     for attempt in &record.attempts {
         let at = first.entry(attempt.id).or_insert(attempt.first);
         *at = (*at).min(attempt.first);
@@ -430,7 +430,7 @@
     let ledger = super::abandoned_requests::ledger(record);
     let staged = super::rollout::staged(record);
     let accepted = super::accepted_writes::measure(plan, record);
-    let mut figures = Figures {
+    let mut figures = Metrics {
         fleet_one: fleet.one,
         fleet_wrong_s: fleet.wrong_for_s,
         fleet_agreed: fleet.agreed,
@@ -523,7 +523,7 @@
 }
 
 /// The least served share over 10 s, or over the whole of a shorter run.
-fn worst(timeline: &Timeline, from: Us) -> f64 {
+fn worst(timeline: &Timeline, from: Microseconds) -> f64 {
     let from = (from / 1_000_000) as usize;
     let seconds = timeline.offered.len();
     let width = 10.min(seconds.saturating_sub(from)).max(1);
@@ -538,7 +538,7 @@
     let seconds = (plan.scenario.length_s.ceil() as usize).max(1);
     let zones = &plan.scenario.net.zones;
     let flat = || vec![0.0; seconds];
-    let second = |at: Us| ((at / 1_000_000) as usize).min(seconds - 1);
+    let second = |at: Microseconds| ((at / 1_000_000) as usize).min(seconds - 1);
     let mut all = Timeline {
         offered: flat(),
         served: flat(),
--- a/lab/src/checker/mod.rs
+++ b/lab/src/checker/mod.rs
@@ -12,7 +12,7 @@
 mod tests;
 
 pub use invariants::{Broken, Rule};
-pub use metrics::{Figures, Row, Timeline};
+pub use metrics::{Metrics, Row, Timeline};
 
 use crate::plan::Plan;
 use crate::record::Record;
@@ -47,13 +47,13 @@
     /// Why it is not valid, where it is not.
     pub doubts: Vec<String>,
     /// The figures.
-    pub figures: Figures,
+    pub figures: Metrics,
     /// How it went, second by second.
     pub timeline: Timeline,
 }
 
 /// Judges a run.
-pub fn judge(plan: &Plan, record: &Record) -> Verdict {
+pub fn check(plan: &Plan, record: &Record) -> Verdict {
     let broken = invariants::broken(plan, record);
     let (figures, timeline) = metrics::measure(plan, record);
     let mut doubts = Vec::new();
--- a/lab/src/checker/rollout.rs
+++ b/lab/src/checker/rollout.rs
@@ -1,14 +1,14 @@
 //! What gateways said of a rollout of rules, against each other and against the faults of the run.
 
 use super::invariants::Absences;
-use crate::plan::{Action, Plan, Us};
-use crate::record::{Record, RolloutSeen};
+use crate::plan::{Action, Microseconds, Plan};
+use crate::record::{Record, RolloutObservation};
 use std::collections::BTreeMap;
 
 /// An end reaches every gateway that can be reached within this.
-const REACHED: Us = 3_000_000;
+const REACHED: Microseconds = 3_000_000;
 /// Looks are so far apart, and a gateway that has just come back may not have been told.
-const LOOK: Us = 500_000;
+const LOOK: Microseconds = 500_000;
 
 /// The figures; all zero where there was no rollout.
 #[derive(Debug, Clone, Copy, Default)]
@@ -27,8 +27,8 @@
     pub leaders: f64,
 }
 
-fn by_number(record: &Record) -> BTreeMap<u64, Vec<&RolloutSeen>> {
-    let mut all: BTreeMap<u64, Vec<&RolloutSeen>> = BTreeMap::new();
+fn by_number(record: &Record) -> BTreeMap<u64, Vec<&RolloutObservation>> {
+    let mut all: BTreeMap<u64, Vec<&RolloutObservation>> = BTreeMap::new();
     record.rollouts.iter().for_each(|seen| all.entry(seen.number).or_default().push(seen));
     all
 }
@@ -37,7 +37,7 @@
 pub(super) fn staged(record: &Record) -> Staged {
     let all = by_number(record);
     let Some(looks) = all.values().next_back() else { return Staged::default() };
-    let mut last: BTreeMap<usize, &RolloutSeen> = BTreeMap::new();
+    let mut last: BTreeMap<usize, &RolloutObservation> = BTreeMap::new();
     last.extend(looks.iter().map(|seen| (seen.gateway, *seen)));
     let part = |state: &str| {
         last.values().filter(|seen| seen.state == state).count() as f64 / last.len().max(1) as f64
@@ -65,9 +65,9 @@
 }
 
 /// Gateways that went by a rollout for longer than they may after its end, each with when and what.
-pub(super) fn went_on(plan: &Plan, record: &Record, absences: &Absences) -> Vec<(Us, String)> {
+pub(super) fn went_on(plan: &Plan, record: &Record, absences: &Absences) -> Vec<(Microseconds, String)> {
     let mut found = Vec::new();
-    let cut = |from: Us, to: Us| {
+    let cut = |from: Microseconds, to: Microseconds| {
         let on = plan.steps.iter().filter(|s| matches!(s.action, Action::Link { on: true, .. }));
         let bands = plan.bands.iter().filter(|b| b.name.starts_with("cut") || b.name.starts_with("impair"));
         on.count() > 0
--- a/lab/src/checker/tests.rs
+++ b/lab/src/checker/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::plan::us;
-use crate::record::{Attempt, End, Excuse, Fate, Life, LifeEvent, Outcome, Receipt, Told, Try, Usage};
+use crate::record::{Attempt, End, Fate, FaultWindow, Life, LifeEvent, Outcome, Receipt, Told, Try, Usage};
 use crate::scenario::{Effect, Scenario};
 
 fn plan() -> Plan {
@@ -53,14 +53,14 @@
 fn a_late_generator_or_a_lack_of_ports_is_never_held() {
     let plan = plan();
     let record = sound(&plan);
-    let verdict = judge(&plan, &record);
+    let verdict = check(&plan, &record);
     assert_eq!((verdict.word, verdict.broken.len()), (Word::Held, 0), "{:?}", verdict.missed);
     assert!(verdict.figures.served > 0.99 && (verdict.figures.attempts - 1.0).abs() < 1e-9);
     let mut late = record.clone();
     late.tries.iter_mut().for_each(|one| one.began += 30_000);
-    assert_eq!(judge(&plan, &late).word, Word::NotValid);
+    assert_eq!(check(&plan, &late).word, Word::NotValid);
     let starved = Record { starved: 1, ..record };
-    assert_eq!(judge(&plan, &starved).word, Word::NotValid);
+    assert_eq!(check(&plan, &starved).word, Word::NotValid);
 }
 
 #[test]
@@ -68,7 +68,7 @@
     let plan = plan();
     let mut record = sound(&plan);
     record.tries.iter_mut().for_each(|one| one.end = End::Answer { status: 502, mark: None });
-    let verdict = judge(&plan, &record);
+    let verdict = check(&plan, &record);
     assert_eq!((verdict.word, verdict.missed.len()), (Word::Failed, 1));
 }
 
@@ -79,22 +79,22 @@
     let lost = record.tries.len() / 2;
     record.tries[lost].end = End::Broken;
     let Try { gateway, written, ended, .. } = record.tries[lost].clone();
-    assert_eq!(judge(&plan, &record).broken[0].rule, Rule::Answered);
+    assert_eq!(check(&plan, &record).broken[0].rule, Rule::Answered);
     let event = |at, what| LifeEvent { gateway, life: 0, at, what };
     let killed = Record { lives: vec![event(ended, Life::Killed)], ..record.clone() };
-    assert_eq!(judge(&plan, &killed).broken, []);
-    let cut = Excuse { gateway, from: written.unwrap_or(0), to: ended };
-    assert_eq!(judge(&plan, &Record { excuses: vec![cut], ..record.clone() }).broken, []);
+    assert_eq!(check(&plan, &killed).broken, []);
+    let cut = FaultWindow { gateway, from: written.unwrap_or(0), to: ended };
+    assert_eq!(check(&plan, &Record { excuses: vec![cut], ..record.clone() }).broken, []);
     // Killed and ready again long before: no excuse any more.
     assert!(ended > 100_000, "a request from the middle of the run");
     let early = vec![event(0, Life::Killed), event(1, Life::Ready)];
     let too_early = Record { lives: early, ..record.clone() };
-    assert_eq!(judge(&plan, &too_early).broken.len(), 1);
+    assert_eq!(check(&plan, &too_early).broken.len(), 1);
     // SIGTERM excuses what came 0.7 s after it and no sooner.
     for (before, broken) in [(us(0.5), 1), (us(0.9), 0)] {
         let term = written.unwrap_or(0).saturating_sub(before);
         let lives = vec![event(term, Life::Terminated)];
-        assert_eq!(judge(&plan, &Record { lives, ..record.clone() }).broken.len(), broken, "{before}");
+        assert_eq!(check(&plan, &Record { lives, ..record.clone() }).broken.len(), broken, "{before}");
     }
 }
 
@@ -106,12 +106,12 @@
     let told = |at| Told { gateway: attempt.gateway, life: 0, backend: 0, ready: false, at };
     let heard = attempt.first - us(2.0);
     record.told = vec![told(heard)];
-    let first = judge(&plan, &record);
+    let first = check(&plan, &record);
     assert_eq!(first.broken.iter().map(|b| b.rule).collect::<Vec<_>>(), [Rule::Drain]);
     let event = |at, what| LifeEvent { gateway: attempt.gateway, life: 0, at, what };
     record.lives = vec![event(heard - 1000, Life::Paused), event(attempt.first - us(0.5), Life::Continued)];
     assert!(
-        judge(&plan, &record).broken.iter().all(|b| b.count < first.broken[0].count),
+        check(&plan, &record).broken.iter().all(|b| b.count < first.broken[0].count),
         "it woke half a second ago"
     );
 }
@@ -134,7 +134,7 @@
         record
     };
     let rules =
-        |plan: &Plan, record: &Record| judge(plan, record).broken.iter().map(|b| b.rule).collect::<Vec<_>>();
+        |plan: &Plan, record: &Record| check(plan, record).broken.iter().map(|b| b.rule).collect::<Vec<_>>();
     assert_eq!(rules(&unsafe_plan, &again(1, Outcome::Abandoned)), [Rule::Effect], "it may have run");
     assert_eq!(rules(&unsafe_plan, &again(1, Outcome::TurnedAway)), [], "it never ran");
     assert_eq!(rules(&sound_plan, &again(5, Outcome::TurnedAway)), [], "six in all");
@@ -156,7 +156,7 @@
         [(memory, descriptors, 0), (memory + 1, descriptors, 1), (memory, descriptors + 1, 1)]
     {
         let usage = vec![Usage { gateway: 0, life: 0, at: 1, cpu_us: 0, memory, descriptors }];
-        let found = judge(&plan, &Record { usage, ..sound(&plan) }).broken;
+        let found = check(&plan, &Record { usage, ..sound(&plan) }).broken;
         assert_eq!(found.len(), broken, "{found:?}");
         assert!(found.iter().all(|b| b.rule == Rule::Limits));
     }
@@ -174,7 +174,7 @@
         }
         let receipt = |told| Receipt { arrival, place: "/writes/1".into(), told };
         record.receipts.extend(told.map(receipt));
-        let f = judge(&plan, &record).figures;
+        let f = check(&plan, &record).figures;
         [f.accepted_lost, f.accepted_superseded, f.accepted_not_done, f.accepted_open, f.accepted_untrue]
     };
     assert_eq!(of(true, Some(Fate::Done(200))), [0.0; 5]);
--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -2,8 +2,8 @@
 //! or a run that says nothing, 2 bad use.
 
 use crate::checker::Word;
-use crate::run::Means;
-use crate::runner::{play, PlayError, Played};
+use crate::run::RunResources;
+use crate::runner::{play, RunError, RunResult};
 use crate::scenario::{Scenario, Setting};
 use crate::{experiment, interactive, report, table};
 use clap::{Args, Parser, Subcommand};
@@ -211,9 +211,9 @@
     }
 }
 
-impl From<PlayError> for Failure {
-    fn from(error: PlayError) -> Failure {
-        let code = if matches!(error, PlayError::Stopped) { 130 } else { 1 };
+impl From<RunError> for Failure {
+    fn from(error: RunError) -> Failure {
+        let code = if matches!(error, RunError::Stopped) { 130 } else { 1 };
         Failure { text: error.to_string(), code }
     }
 }
@@ -224,19 +224,19 @@
         Command::Run(run) => one_run(run).await,
         Command::Sweep(sweep) => {
             experiment::sweep(&sweep.scenario, &sweep.seeds, &sweep.set, sweep.csv.as_deref(), |_| {
-                means(&sweep.common)
+                resources(&sweep.common)
             })
             .await
         }
         Command::Compare(compare) => {
             let binary = |binary: Option<PathBuf>| {
-                let means = means(&compare.common)?;
-                Ok(Means { binary: binary.unwrap_or(means.binary), ..means })
+                let resources = resources(&compare.common)?;
+                Ok(RunResources { binary: binary.unwrap_or(resources.binary), ..resources })
             };
             experiment::compare(&compare.scenario, [&compare.a, &compare.b], compare.pairs, binary).await
         }
-        Command::Up(up) => match means(&up.common) {
-            Ok(means) => interactive::up(up.gateways.into(), up.backends.into(), &means).await,
+        Command::Up(up) => match resources(&up.common) {
+            Ok(resources) => interactive::up(up.gateways.into(), up.backends.into(), &resources).await,
             Err(failure) => Err(failure),
         },
         Command::Members(m) => {
@@ -266,7 +266,7 @@
 }
 
 /// The program to play, and where its files go.
-fn means(common: &Common) -> Result<Means, Failure> {
+fn resources(common: &Common) -> Result<RunResources, Failure> {
     let binary = match &common.gateway {
         Some(path) => path.clone(),
         None => {
@@ -292,28 +292,28 @@
     });
     let second = common.second.as_deref().map(whole);
     let folder = std::path::absolute(&folder).unwrap_or(folder);
-    Ok(Means { binary: whole(&binary), second, folder })
+    Ok(RunResources { binary: whole(&binary), second, folder })
 }
 
 /// 0 if it held.
-pub(crate) fn code(played: &Played) -> u8 {
-    u8::from(played.verdict.word != Word::Held)
+pub(crate) fn code(result: &RunResult) -> u8 {
+    u8::from(result.verdict.word != Word::Held)
 }
 
 async fn one_run(run: Run) -> Result<u8, Failure> {
     let scenario = Scenario::load(&run.scenario, &run.set).map_err(Failure::of_use)?;
-    let means = means(&run.common)?;
-    let played = play(&scenario, run.seed.unwrap_or(scenario.seed), &means).await?;
-    print!("{}", table::result(&played));
-    println!("logs: {}", means.folder.display());
+    let resources = resources(&run.common)?;
+    let result = play(&scenario, run.seed.unwrap_or(scenario.seed), &resources).await?;
+    print!("{}", table::result(&result));
+    println!("logs: {}", resources.folder.display());
     let written = |path: &Path, error| Failure { text: format!("{}: {error}", path.display()), code: 1 };
     if let Some(path) = &run.json {
-        let text = serde_json::to_string_pretty(&played).map_err(|e| written(path, e.to_string()))?;
+        let text = serde_json::to_string_pretty(&result).map_err(|e| written(path, e.to_string()))?;
         std::fs::write(path, text).map_err(|e| written(path, e.to_string()))?;
     }
     if let Some(folder) = &run.report {
-        let path = report::write(&played, folder).map_err(|e| written(folder, e.to_string()))?;
+        let path = report::write(&result, folder).map_err(|e| written(folder, e.to_string()))?;
         println!("report: {}", path.display());
     }
-    Ok(if run.rules_only { u8::from(!played.verdict.broken.is_empty()) } else { code(&played) })
+    Ok(if run.rules_only { u8::from(!result.verdict.broken.is_empty()) } else { code(&result) })
 }
--- a/lab/src/client.rs
+++ b/lab/src/client.rs
@@ -3,10 +3,10 @@
 use crate::fault_targets::Party;
 use crate::http::{Answer, Connection, Idle};
 use crate::link::lock;
-use crate::plan::{us, Us};
+use crate::plan::{us, Microseconds};
 use crate::record::{End, Fate, Receipt, Try};
 use crate::relay::{through, Way};
-use crate::run_context::Ground;
+use crate::run_context::RunContext;
 use crate::scenario::Effect;
 use std::io;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 /// Requests under way at once; beyond that the lab itself is too slow.
 const MOST_OPEN: usize = 20_000;
 /// A client hears an answer for so long after its time; it earns nothing, but is not lost.
-pub const GRACE: Us = 500_000;
+pub const GRACE: Microseconds = 500_000;
 /// A close that came so soon after a request crossed it.
 const CROSSED: Duration = Duration::from_millis(30);
 
@@ -43,27 +43,27 @@
 
 /// All clients, and the front that deals their requests out.
 pub struct Clients {
-    ground: Arc<Ground>,
+    context: Arc<RunContext>,
     lines: Vec<Line>,
     open: AtomicUsize,
 }
 
 impl Clients {
     /// Clients of gateways at these addresses.
-    pub fn new(ground: Arc<Ground>, addresses: &[SocketAddr]) -> Arc<Clients> {
+    pub fn new(context: Arc<RunContext>, addresses: &[SocketAddr]) -> Arc<Clients> {
         let line = |(number, address): (usize, &SocketAddr)| Line {
             address: *address,
             way: Way {
-                up: ground.links.get(Party::Clients, Party::Gateway(number)),
-                down: ground.links.get(Party::Gateway(number), Party::Clients),
-                clock: ground.clock.clone(),
+                up: context.links.get(Party::Clients, Party::Gateway(number)),
+                down: context.links.get(Party::Gateway(number), Party::Clients),
+                clock: context.clock.clone(),
             },
             kept: Mutex::default(),
-            places: Semaphore::new(ground.plan.scenario.load.connections),
+            places: Semaphore::new(context.plan.scenario.load.connections),
             down: AtomicBool::new(false),
         };
         let lines = addresses.iter().enumerate().map(line).collect();
-        Arc::new(Clients { ground, lines, open: AtomicUsize::new(0) })
+        Arc::new(Clients { context, lines, open: AtomicUsize::new(0) })
     }
 
     /// The front notices that a gateway is down, or that it is back.
@@ -78,14 +78,14 @@
 
     /// Sends every request of the plan at its time; `seen` hears how many are sent.
     pub async fn send_all(self: &Arc<Clients>, seen: impl Fn(usize)) {
-        for arrival in 0..self.ground.plan.arrivals.len() {
-            let at = self.ground.plan.arrivals[arrival].at;
-            if self.ground.clock.now() < at {
-                self.ground.clock.until(at).await;
+        for arrival in 0..self.context.plan.arrivals.len() {
+            let at = self.context.plan.arrivals[arrival].at;
+            if self.context.clock.now() < at {
+                self.context.clock.until(at).await;
             }
             seen(arrival);
             if self.open() >= MOST_OPEN {
-                self.ground.starved.note(&io::ErrorKind::OutOfMemory.into());
+                self.context.starved.note(&io::ErrorKind::OutOfMemory.into());
                 continue;
             }
             self.open.fetch_add(1, Ordering::Relaxed);
@@ -99,16 +99,16 @@
 
     /// One request with its retries.
     async fn request(self: &Arc<Clients>, arrival: usize) {
-        let spec = &self.ground.plan.arrivals[arrival];
-        let class = &self.ground.plan.scenario.classes[spec.class];
-        let load = &self.ground.plan.scenario.load;
+        let spec = &self.context.plan.arrivals[arrival];
+        let class = &self.context.plan.scenario.classes[spec.class];
+        let load = &self.context.plan.scenario.load;
         let over = spec.at + us(class.deadline_ms / 1000.0);
         let window_over = spec.at + us(class.window_ms / 1000.0);
         let mut due = spec.at;
         for nth in 0..=load.retries {
             let until = (due + spec.patience_us).min(over);
             let (end, retry_after) = self.one_try(arrival, nth, due, until).await;
-            let now = self.ground.clock.now();
+            let now = self.context.clock.now();
             let again = match end {
                 End::Answer { status: 200 | 202, .. } | End::Open => return,
                 End::Answer { status: 429 | 503, .. } | End::Unreachable => true,
@@ -118,10 +118,10 @@
                     Effect::Unsafe => false,
                 },
             };
-            let id = self.ground.plan.id(arrival, nth);
+            let id = self.context.plan.id(arrival, nth);
             let mut pause = load.backoff_ms / 1000.0 * f64::from(1 << nth.min(10));
-            pause *= 0.5 + self.ground.part(id, 11);
-            if let Some(told) = retry_after.filter(|_| self.ground.part(id, 12) < load.honour) {
+            pause *= 0.5 + self.context.part(id, 11);
+            if let Some(told) = retry_after.filter(|_| self.context.part(id, 12) < load.honour) {
                 pause = pause.max(told);
             }
             due = now + us(pause);
@@ -134,7 +134,7 @@
 
     /// The gateway that a try goes to: the next of the customer's set that the front believes to be up.
     fn pick(&self, arrival: usize, nth: u32) -> usize {
-        let set = &self.ground.plan.arrivals[arrival].gateways;
+        let set = &self.context.plan.arrivals[arrival].gateways;
         let up: Vec<usize> =
             set.iter().copied().filter(|g| !self.lines[*g].down.load(Ordering::Relaxed)).collect();
         let from = if up.is_empty() { set } else { &up };
@@ -146,19 +146,19 @@
         self: &Arc<Clients>,
         arrival: usize,
         nth: u32,
-        due: Us,
-        until: Us,
+        due: Microseconds,
+        until: Microseconds,
     ) -> (End, Option<f64>) {
         let gateway = self.pick(arrival, nth);
-        let id = self.ground.plan.id(arrival, nth);
-        self.ground.announce(id, arrival);
-        let began = self.ground.clock.now();
+        let id = self.context.plan.id(arrival, nth);
+        self.context.announce(id, arrival);
+        let began = self.context.clock.now();
         let this = Try {
             arrival,
             nth,
             id,
             gateway,
-            life: self.ground.life(gateway),
+            life: self.context.life(gateway),
             due,
             until,
             began,
@@ -173,9 +173,9 @@
         let clients = self.clone();
         let mut this = this;
         tokio::spawn(async move {
-            let deadline = clients.ground.clock.instant(until + GRACE);
+            let deadline = clients.context.clock.instant(until + GRACE);
             let mut retry_after = None;
-            let until = clients.ground.clock.instant(until);
+            let until = clients.context.clock.instant(until);
             this.end = match timeout_at(deadline, clients.exchange(&mut this, &text, until)).await {
                 Ok((end, answer)) => {
                     let (told, place) = answer.map_or((None, None), |a| (a.retry_after, a.location));
@@ -183,20 +183,20 @@
                     let place = place.filter(|_| matches!(end, End::Answer { status: 202, .. }));
                     if let Some(place) = place {
                         let receipt = Receipt { arrival: this.arrival, place, told: Fate::Nothing };
-                        clients.ground.note(|record| record.receipts.push(receipt));
+                        clients.context.note(|record| record.receipts.push(receipt));
                     }
                     end
                 }
                 Err(_) if this.written.is_none() => End::Unreachable,
                 Err(_) => End::GaveUp,
             };
-            this.ended = clients.ground.clock.now();
+            this.ended = clients.context.clock.now();
             let end = this.end;
-            clients.ground.note(|record| record.tries.push(this));
+            clients.context.note(|record| record.tries.push(this));
             // Its client may have gone on to another try.
             let _ = tell.send((end, retry_after));
         });
-        match timeout_at(self.ground.clock.instant(until), told).await {
+        match timeout_at(self.context.clock.instant(until), told).await {
             Ok(Ok(ended)) => ended,
             _ => (End::GaveUp, None),
         }
@@ -216,7 +216,7 @@
                 None => match timeout_at(until, self.connect(line)).await {
                     Ok(Ok(connection)) => connection,
                     Ok(Err(error)) => {
-                        self.ground.starved.note(&error);
+                        self.context.starved.note(&error);
                         return (End::Unreachable, None);
                     }
                     Err(_) => return (End::Unreachable, None),
@@ -229,7 +229,7 @@
             let wrote = Instant::now();
             let written = connection.write(text).await.is_ok();
             if written {
-                this.written = Some(self.ground.clock.now());
+                this.written = Some(self.context.clock.now());
             }
             let read = if written { connection.read().await } else { Ok(None) };
             match read {
@@ -265,7 +265,7 @@
 
     fn keep(&self, line: &Line, kept: Kept) {
         let mut all = lock(&line.kept);
-        if all.len() < self.ground.plan.scenario.load.connections {
+        if all.len() < self.context.plan.scenario.load.connections {
             all.push(kept);
         }
     }
@@ -283,7 +283,7 @@
     }
 
     fn spoke(&self, kept: &Kept) {
-        self.ground.note(|record| {
+        self.context.note(|record| {
             let (arrival, nth) = kept.last;
             let tries = record.tries.iter_mut().rev();
             tries.filter(|t| t.arrival == arrival && t.nth == nth).take(1).for_each(|t| t.twice = true);
@@ -300,7 +300,7 @@
     }
 
     fn text(&self, arrival: usize, nth: u32, id: u64, budget_ms: u64) -> Vec<u8> {
-        let plan = &self.ground.plan;
+        let plan = &self.context.plan;
         let spec = &plan.arrivals[arrival];
         let customer = &plan.customers[spec.customer];
         let class = &plan.scenario.classes[spec.class];
--- a/lab/src/clock.rs
+++ b/lab/src/clock.rs
@@ -1,6 +1,6 @@
 //! The run's clock: microseconds since its first moment, on the system's monotonic clock.
 
-use crate::plan::Us;
+use crate::plan::Microseconds;
 use std::sync::{Arc, OnceLock};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::{sleep_until, Duration, Instant};
@@ -16,19 +16,19 @@
         self.0.get_or_init(|| (Instant::now(), unix.as_millis() as u64));
     }
     /// The time now; 0 before the start.
-    pub fn now(&self) -> Us {
-        self.0.get().map_or(0, |(start, _)| start.elapsed().as_micros() as Us)
+    pub fn now(&self) -> Microseconds {
+        self.0.get().map_or(0, |(start, _)| start.elapsed().as_micros() as Microseconds)
     }
     /// The instant of a time; before the start, as if it started now.
-    pub fn instant(&self, at: Us) -> Instant {
+    pub fn instant(&self, at: Microseconds) -> Instant {
         self.0.get().map_or_else(Instant::now, |(start, _)| *start) + Duration::from_micros(at)
     }
     /// Waits for a time.
-    pub async fn until(&self, at: Us) {
+    pub async fn until(&self, at: Microseconds) {
         sleep_until(self.instant(at)).await;
     }
     /// A time as Unix time in milliseconds.
-    pub fn unix_ms(&self, at: Us) -> u64 {
+    pub fn unix_ms(&self, at: Microseconds) -> u64 {
         self.0.get().map_or(0, |(_, unix)| *unix) + at / 1000
     }
 }
--- a/lab/src/cluster_poll.rs
+++ b/lab/src/cluster_poll.rs
@@ -2,8 +2,8 @@
 
 use crate::gateway::Gateway;
 use crate::link::lock;
-use crate::record::{FleetSeen, RolloutSeen};
-use crate::run_context::Ground;
+use crate::record::{ClusterObservation, RolloutObservation};
+use crate::run_context::RunContext;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -66,10 +66,10 @@
 }
 
 /// Looks at what the gateways say for as long as it is let.
-pub async fn watch_fleets(ground: Arc<Ground>, gateways: Vec<Arc<Gateway>>) {
+pub async fn watch_fleets(context: Arc<RunContext>, gateways: Vec<Arc<Gateway>>) {
     loop {
         let looks: Vec<_> =
-            gateways.iter().map(|gateway| tokio::spawn(look(ground.clone(), gateway.clone()))).collect();
+            gateways.iter().map(|gateway| tokio::spawn(look(context.clone(), gateway.clone()))).collect();
         sleep(LOOK).await;
         for look in looks {
             // A look that failed saw nothing.
@@ -78,15 +78,24 @@
     }
 }
 
-async fn look(ground: Arc<Ground>, gateway: Arc<Gateway>) {
+async fn look(context: Arc<RunContext>, gateway: Arc<Gateway>) {
     let ops = lock(&gateway.place).ops;
-    let (life, asked) = (ground.life(gateway.number), ground.clock.now());
-    if ground.plan.scenario.gateways.rollout {
+    let (life, asked) = (context.life(gateway.number), context.clock.now());
+    if context.plan.scenario.gateways.rollout {
         if let Ok(Some(said)) = timeout(PATIENCE, ask::<Rollout>(ops, "/rollout")).await {
             let (number, stage, state, leads) = (said.number, said.stage.0, said.state, said.leads);
-            let (gateway, at) = (gateway.number, ground.clock.now());
-            ground.note(|record| {
-                record.rollouts.push(RolloutSeen { gateway, life, asked, at, number, stage, state, leads });
+            let (gateway, at) = (gateway.number, context.clock.now());
+            context.note(|record| {
+                record.rollouts.push(RolloutObservation {
+                    gateway,
+                    life,
+                    asked,
+                    at,
+                    number,
+                    stage,
+                    state,
+                    leads,
+                });
             });
         }
     }
@@ -98,11 +107,11 @@
     present.sort_unstable();
     let down = report.members.iter().filter(|m| m.state == "down").filter_map(|m| number(&m.name));
     let down = down.collect();
-    let seen = FleetSeen {
+    let seen = ClusterObservation {
         gateway: gateway.number,
         life,
         asked,
-        at: ground.clock.now(),
+        at: context.clock.now(),
         present,
         down,
         view: report.view.as_ref().map(|v| (v.number, v.digest.clone())),
@@ -110,7 +119,7 @@
         ledger: report.ledger.unwrap_or_default(),
         whole: report.view.as_ref().is_some_and(|v| v.share_for_ms > 0),
     };
-    ground.note(|record| record.fleets.push(seen));
+    context.note(|record| record.fleets.push(seen));
 }
 
 async fn ask<T: for<'de> Deserialize<'de>>(ops: SocketAddr, path: &str) -> Option<T> {
--- a/lab/src/counter.rs
+++ b/lab/src/counter.rs
@@ -1,9 +1,9 @@
 //! The stand-in of the counter: numbers by name behind a line of bounded length, with its faults.
 
 use crate::link::lock;
-use crate::plan::Us;
+use crate::plan::Microseconds;
 use crate::record::Call;
-use crate::run_context::Ground;
+use crate::run_context::RunContext;
 use crate::serve::{answer, connection, Answer};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
@@ -27,7 +27,7 @@
 
 struct State {
     /// Totals and when they are forgotten.
-    totals: HashMap<String, (f64, Us)>,
+    totals: HashMap<String, (f64, Microseconds)>,
     /// When the calls in line are done.
     busy_until: f64,
     slower_us: u64,
@@ -40,7 +40,7 @@
 
 /// The counter.
 pub struct Counter {
-    ground: Arc<Ground>,
+    context: Arc<RunContext>,
     /// Calls a second.
     capacity: f64,
     state: Mutex<State>,
@@ -51,15 +51,15 @@
 
 impl Counter {
     /// A counter by its scenario.
-    pub fn new(ground: Arc<Ground>) -> Arc<Counter> {
-        let scenario = &ground.plan.scenario;
+    pub fn new(context: Arc<RunContext>) -> Arc<Counter> {
+        let scenario = &context.plan.scenario;
         let capacity = match scenario.counter.per_s {
             own if own > 0.0 => own,
             _ => scenario.load.per_s * BEARS,
         };
         let gateways = scenario.gateways.count;
         Arc::new(Counter {
-            ground,
+            context,
             capacity,
             state: Mutex::new(State {
                 totals: HashMap::new(),
@@ -133,9 +133,9 @@
     }
 
     async fn call(self: &Arc<Counter>, request: &Request<Incoming>, gateway: usize) -> Answer {
-        let at = self.ground.clock.now();
+        let at = self.context.clock.now();
         let note = |status: StatusCode| {
-            self.ground.note(|record| record.calls.push(Call { gateway, at, status: status.as_u16() }));
+            self.context.note(|record| record.calls.push(Call { gateway, at, status: status.as_u16() }));
         };
         let read = (request.method() == Method::POST)
             .then(|| read(request.uri().path(), request.uri().query().unwrap_or("")))
@@ -159,8 +159,8 @@
     }
 
     /// How long until a call's turn is over; `None`: the line is too long.
-    fn turn(&self, now: Us) -> Option<Duration> {
-        let spec = &self.ground.plan.scenario.counter;
+    fn turn(&self, now: Microseconds) -> Option<Duration> {
+        let spec = &self.context.plan.scenario.counter;
         let mut state = lock(&self.state);
         let limit: f64 = state.limits.iter().map(|f| f64::from(*f) / 1e6).product();
         let start = state.busy_until.max(now as f64);
@@ -173,8 +173,8 @@
     }
 
     /// Adds, and gives the total's text; `None`: an answer without a number.
-    fn add(&self, name: String, amount: f64, life: Us) -> Option<String> {
-        let now = self.ground.clock.now();
+    fn add(&self, name: String, amount: f64, life: Microseconds) -> Option<String> {
+        let now = self.context.clock.now();
         let mut state = lock(&self.state);
         if state.totals.len() >= state.tidy_at {
             state.totals.retain(|_, (_, until)| *until > now);
@@ -187,13 +187,13 @@
         }
         total.0 += amount;
         let text = format!("{}", total.0);
-        let garbled = self.ground.part(now ^ total.0.to_bits(), 5) * 1e6 < f64::from(garble);
+        let garbled = self.context.part(now ^ total.0.to_bits(), 5) * 1e6 < f64::from(garble);
         (!garbled).then_some(text)
     }
 }
 
 /// Name, amount and life of a call in its right form.
-fn read(path: &str, query: &str) -> Option<(String, f64, Us)> {
+fn read(path: &str, query: &str) -> Option<(String, f64, Microseconds)> {
     let name = path.strip_prefix("/v1/count/").filter(|name| (1..=64).contains(&name.len()))?;
     let value = |key: &str| query.split('&').find_map(|pair| pair.strip_prefix(key)?.strip_prefix('='));
     let amount: f64 = value("add")?.parse().ok().filter(|a: &f64| a.abs() <= 1e9)?;
--- a/lab/src/discovery.rs
+++ b/lab/src/discovery.rs
@@ -3,8 +3,8 @@
 use crate::backend::Backend;
 use crate::fault_targets::Party;
 use crate::link::lock;
-use crate::plan::{Draw, Us};
-use crate::run_context::Ground;
+use crate::plan::{Draw, Microseconds};
+use crate::run_context::RunContext;
 use crate::serve::{answer, connection, Answer};
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
@@ -25,7 +25,7 @@
 /// Connections of a gateway to its agent at once.
 const CONNECTIONS: usize = 32;
 /// What the agent has counts as told after this.
-const DEEMED: Us = 6_000_000;
+const DEEMED: Microseconds = 6_000_000;
 /// The first revision of a list.
 const FIRST: u64 = 41;
 
@@ -47,7 +47,7 @@
     revision: u64,
     /// The number of the true change that it shows, so that news that comes out of turn changes nothing.
     change: u64,
-    started: Us,
+    started: Microseconds,
     told: bool,
 }
 
@@ -67,7 +67,7 @@
 
 /// The true list and all agents.
 pub struct Discovery {
-    ground: Arc<Ground>,
+    context: Arc<RunContext>,
     backends: Mutex<BTreeMap<usize, Arc<Backend>>>,
     /// Where each gateway reaches each backend.
     doors: Mutex<BTreeMap<(usize, usize), SocketAddr>>,
@@ -80,7 +80,7 @@
 
 impl Discovery {
     /// Discovery that lists nothing yet.
-    pub fn new(ground: Arc<Ground>) -> Arc<Discovery> {
+    pub fn new(context: Arc<RunContext>) -> Arc<Discovery> {
         let agent = |gateway| {
             let list = List { revision: FIRST, entries: BTreeMap::new() };
             let (revision, silent) = (watch::Sender::new(FIRST), watch::Sender::new(0));
@@ -93,8 +93,8 @@
             })
         };
         Arc::new(Discovery {
-            agents: (0..ground.plan.scenario.gateways.count).map(agent).collect(),
-            ground,
+            agents: (0..context.plan.scenario.gateways.count).map(agent).collect(),
+            context,
             backends: Mutex::default(),
             doors: Mutex::default(),
             labels: Mutex::default(),
@@ -140,12 +140,12 @@
             *changes
         };
         let started = lock(&self.backends).get(&backend).map_or(0, |b| b.started());
-        let spec = &self.ground.plan.scenario.discovery;
+        let spec = &self.context.plan.scenario.discovery;
         let range = if phase == Phase::Ready { spec.add_s } else { spec.notice_s };
         let late = *lock(&self.late_us);
         for agent in &self.agents {
             let stream = 7 << 32 | change << 12 | agent.gateway as u64;
-            let after = Draw::new(self.ground.plan.seed, stream).between(range);
+            let after = Draw::new(self.context.plan.seed, stream).between(range);
             let wait = Duration::from_secs_f64(after) + Duration::from_micros(late);
             let (discovery, agent) = (self.clone(), agent.clone());
             tokio::spawn(async move {
@@ -155,8 +155,15 @@
         }
     }
 
-    async fn deliver(&self, agent: &Arc<Agent>, backend: usize, phase: Phase, change: u64, started: Us) {
-        let link = self.ground.links.get(Party::Discovery, Party::Gateway(agent.gateway));
+    async fn deliver(
+        &self,
+        agent: &Arc<Agent>,
+        backend: usize,
+        phase: Phase,
+        change: u64,
+        started: Microseconds,
+    ) {
+        let link = self.context.links.get(Party::Discovery, Party::Gateway(agent.gateway));
         link.cross(&mut link.watch()).await;
         if phase == Phase::Gone {
             // While it lasts, what went is listed on.
@@ -176,20 +183,20 @@
             revision
         };
         agent.revision.send_replace(revision);
-        let life = self.ground.life(agent.gateway);
+        let life = self.context.life(agent.gateway);
         sleep(Duration::from_micros(DEEMED)).await;
-        if self.ground.life(agent.gateway) == life {
+        if self.context.life(agent.gateway) == life {
             self.tell(agent, |entry, number| number == backend && entry.revision == revision);
         }
     }
 
     /// Notes as told what is not yet, of those entries.
     fn tell(&self, agent: &Agent, which: impl Fn(&Entry, usize) -> bool) {
-        let at = self.ground.clock.now();
+        let at = self.context.clock.now();
         let mut list = lock(&agent.list);
         for (number, entry) in list.entries.iter_mut().filter(|(n, e)| !e.told && which(e, **n)) {
             entry.told = true;
-            self.ground.told(agent.gateway, *number, entry.phase == Phase::Ready, entry.started, at);
+            self.context.told(agent.gateway, *number, entry.phase == Phase::Ready, entry.started, at);
         }
     }
 
@@ -229,16 +236,16 @@
     }
 
     fn member(&self, gateway: usize, number: usize, entry: &Entry) -> Option<Value> {
-        let scenario = &self.ground.plan.scenario;
+        let scenario = &self.context.plan.scenario;
         let backend = lock(&self.backends).get(&number)?.clone();
         let address = *lock(&self.doors).get(&(gateway, number))?;
-        let zone = self.ground.links.zone(Party::Backend(number))?;
+        let zone = self.context.links.zone(Party::Backend(number))?;
         let phase = match entry.phase {
             Phase::Ready => "ready",
             Phase::Draining => "draining",
             Phase::Gone => "gone",
         };
-        let since = if entry.started == 0 { 0 } else { self.ground.clock.unix_ms(entry.started) };
+        let since = if entry.started == 0 { 0 } else { self.context.clock.unix_ms(entry.started) };
         let label = lock(&self.labels).get(&number).cloned().unwrap_or_default();
         Some(json!({"id": backend.id, "host_port": address.to_string(), "locality": scenario.net.zones[zone],
             "flavor": label, "cell": 0, "phase": phase, "size": 1.0, "up_since_ms": since}))
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -2,8 +2,8 @@
 
 use crate::checker::Word;
 use crate::cli::{code, Failure, Seeds, Values};
-use crate::run::Means;
-use crate::runner::{play, Played};
+use crate::run::RunResources;
+use crate::runner::{play, RunResult};
 use crate::scenario::{Scenario, Setting};
 use crate::stats::{median, ratio, spread};
 use crate::table::{number, table};
@@ -11,12 +11,12 @@
 use std::path::{Path, PathBuf};
 
 /// The word for a play in a table.
-fn word(played: &Played) -> String {
-    match played.verdict.word {
+fn word(result: &RunResult) -> String {
+    match result.verdict.word {
         Word::Held => "held".into(),
         Word::NotValid => "not valid".into(),
         Word::Failed => {
-            let rules: Vec<String> = played.verdict.broken.iter().map(|b| format!("{:?}", b.rule)).collect();
+            let rules: Vec<String> = result.verdict.broken.iter().map(|b| format!("{:?}", b.rule)).collect();
             if rules.is_empty() {
                 "missed".into()
             } else {
@@ -44,7 +44,7 @@
     seeds: &Seeds,
     sets: &[Values],
     csv: Option<&Path>,
-    means: impl Fn(&[Setting]) -> Result<Means, Failure>,
+    resources: impl Fn(&[Setting]) -> Result<RunResources, Failure>,
 ) -> Result<u8, Failure> {
     // All are checked before the first is played.
     let mut plays = Vec::new();
@@ -63,8 +63,8 @@
         let mut figures: Vec<Vec<f64>> = Vec::new();
         let mut held = 0;
         for seed in &seeds.0 {
-            let played = play(scenario, *seed, &means(settings)?).await?;
-            let named = played.verdict.figures.named();
+            let result = play(scenario, *seed, &resources(settings)?).await?;
+            let named = result.verdict.figures.named();
             if figures.is_empty() {
                 figures = vec![Vec::new(); named.len()];
             }
@@ -76,13 +76,13 @@
                 writer.write_record(&head).map_err(|e| failed(&e))?;
                 rows.push(["settings".into(), "held".into()].into_iter().chain(names).collect());
             }
-            let values = settings.iter().map(|s| s.value.clone()).chain([seed.to_string(), word(&played)]);
+            let values = settings.iter().map(|s| s.value.clone()).chain([seed.to_string(), word(&result)]);
             let line: Vec<String> = values.chain(named.iter().map(|(_, v)| v.to_string())).collect();
             writer.write_record(&line).map_err(|e| failed(&e))?;
             writer.flush().map_err(|e| failed(&e))?;
             named.iter().zip(&mut figures).for_each(|((_, value), all)| all.push(*value));
-            held += usize::from(played.verdict.word == Word::Held);
-            worst = worst.max(code(&played));
+            held += usize::from(result.verdict.word == Word::Held);
+            worst = worst.max(code(&result));
         }
         let name: Vec<String> = settings.iter().map(|s| format!("{}={}", s.key, s.value)).collect();
         let cells = figures.iter().map(|all| {
@@ -132,15 +132,15 @@
     path: &Path,
     sides: [&String; 2],
     pairs: u32,
-    means: impl Fn(Option<PathBuf>) -> Result<Means, Failure>,
+    resources: impl Fn(Option<PathBuf>) -> Result<RunResources, Failure>,
 ) -> Result<u8, Failure> {
     let [a, b] = sides;
     let (a, b) = (side(path, a)?, side(path, b)?);
-    let mut plays: Vec<[Played; 2]> = Vec::new();
+    let mut plays: Vec<[RunResult; 2]> = Vec::new();
     for pair in 0..u64::from(pairs) {
-        let one = play(&a.scenario, a.scenario.seed + pair, &means(a.binary.clone())?).await?;
-        let other = play(&b.scenario, b.scenario.seed + pair, &means(b.binary.clone())?).await?;
-        let served = |played: &Played| format!("{} {:.4}", word(played), played.verdict.figures.served);
+        let one = play(&a.scenario, a.scenario.seed + pair, &resources(a.binary.clone())?).await?;
+        let other = play(&b.scenario, b.scenario.seed + pair, &resources(b.binary.clone())?).await?;
+        let served = |result: &RunResult| format!("{} {:.4}", word(result), result.verdict.figures.served);
         println!("seed {}: A {}, B {}", one.seed, served(&one), served(&other));
         plays.push([one, other]);
     }
@@ -155,7 +155,7 @@
         .map(|(n, _)| *n)
         .collect();
     for (place, name) in names.iter().enumerate() {
-        let value = |played: &Played| played.verdict.figures.named()[place].1;
+        let value = |result: &RunResult| result.verdict.figures.named()[place].1;
         let values: Vec<(f64, f64)> = plays.iter().map(|[a, b]| (value(a), value(b))).collect();
         let side =
             |pick: fn(&(f64, f64)) -> f64| number(median(&values.iter().map(pick).collect::<Vec<f64>>()));
--- a/lab/src/gateway.rs
+++ b/lab/src/gateway.rs
@@ -2,9 +2,9 @@
 
 use crate::client::Clients;
 use crate::link::lock;
-use crate::plan::{us, Draw, Us};
+use crate::plan::{us, Draw, Microseconds};
 use crate::record::{Life, LifeEvent, Usage};
-use crate::run_context::Ground;
+use crate::run_context::RunContext;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::{json, Value};
@@ -23,7 +23,7 @@
 /// Between two looks at what processes use.
 const SAMPLE: Duration = Duration::from_millis(250);
 /// After SIGTERM a process has the longest deadline (or 3 s, if that is longer), and so much more.
-const AFTER_TERM: Us = 700_000;
+const AFTER_TERM: Microseconds = 700_000;
 
 /// Where one gateway finds the others, and what it is told.
 pub struct Place {
@@ -52,7 +52,7 @@
 pub struct Gateway {
     /// Its number.
     pub number: usize,
-    ground: Arc<Ground>,
+    context: Arc<RunContext>,
     /// Where it stands; a reload moves its services.
     pub place: Mutex<Place>,
     process: Mutex<Process>,
@@ -75,34 +75,34 @@
 
 impl Gateway {
     /// A gateway that is not started yet.
-    pub fn new(ground: Arc<Ground>, number: usize, place: Place) -> Arc<Gateway> {
+    pub fn new(context: Arc<RunContext>, number: usize, place: Place) -> Arc<Gateway> {
         let process = Mutex::new(Process { pid: None, asked: None, paused: false });
         let running = watch::Sender::new(false);
-        Arc::new(Gateway { number, ground, place: Mutex::new(place), process, running })
+        Arc::new(Gateway { number, context, place: Mutex::new(place), process, running })
     }
 
     fn event(&self, what: Life) {
         let event = LifeEvent {
             gateway: self.number,
-            life: self.ground.life(self.number),
-            at: self.ground.clock.now(),
+            life: self.context.life(self.number),
+            at: self.context.clock.now(),
             what,
         };
-        self.ground.note(|record| record.lives.push(event));
+        self.context.note(|record| record.lives.push(event));
     }
 
     /// Its log so far.
     pub fn log(&self) -> PathBuf {
-        self.ground.folder.join(format!("g{}.log", self.number))
+        self.context.folder.join(format!("g{}.log", self.number))
     }
 
     /// Writes its configuration, with the list of backends that it had last.
     pub fn configure(&self, known: &Value) -> Result<PathBuf, StartError> {
-        let path = self.ground.folder.join(format!("g{}.json", self.number));
+        let path = self.context.folder.join(format!("g{}.json", self.number));
         let place = lock(&self.place);
-        let life = self.ground.life(self.number) as u64;
-        let scenario = &self.ground.plan.scenario;
-        let seed = Draw::new(self.ground.plan.seed, 9 << 32 | life << 16 | self.number as u64).bits();
+        let life = self.context.life(self.number) as u64;
+        let scenario = &self.context.plan.scenario;
+        let seed = Draw::new(self.context.plan.seed, 9 << 32 | life << 16 | self.number as u64).bits();
         let config = json!({
             "name": format!("g{}", self.number),
             "listen": place.listen.to_string(),
@@ -112,7 +112,7 @@
             "seed": format!("{seed:016x}"),
             "limits": {"cores": 1.0, "memory_mb": scenario.gateways.memory_mb, "sockets": scenario.gateways.sockets},
             "known": known,
-            "settings": crate::settings::settings(&self.ground.plan, self.number),
+            "settings": crate::settings::settings(&self.context.plan, self.number),
         });
         // In one step, so that no reader finds half of it.
         let fresh = path.with_extension("new");
@@ -125,7 +125,7 @@
     /// Starts a process.
     pub fn start(self: &Arc<Gateway>, known: &Value) -> Result<(), StartError> {
         let config = self.configure(known)?;
-        let folder = self.ground.folder.join(format!("g{}", self.number));
+        let folder = self.context.folder.join(format!("g{}", self.number));
         let failed = |path: &PathBuf, e| StartError::Files(path.clone(), e);
         std::fs::create_dir_all(&folder).map_err(|e| failed(&folder, e))?;
         let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log());
@@ -235,7 +235,7 @@
         if self.signal(Signal::SIGTERM) {
             self.event(Life::Terminated);
         }
-        let longest = self.ground.plan.scenario.classes.iter().map(|c| us(c.deadline_ms / 1000.0)).max();
+        let longest = self.context.plan.scenario.classes.iter().map(|c| us(c.deadline_ms / 1000.0)).max();
         let time = longest.unwrap_or(0).max(3_000_000) + AFTER_TERM;
         let mut running = self.running.subscribe();
         if timeout(Duration::from_micros(time), running.wait_for(|running| !running)).await.is_err() {
@@ -266,8 +266,8 @@
         let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, |list| list.count());
         Some(Usage {
             gateway: self.number,
-            life: self.ground.life(self.number),
-            at: self.ground.clock.now(),
+            life: self.context.life(self.number),
+            at: self.context.clock.now(),
             cpu_us,
             memory,
             descriptors,
@@ -287,10 +287,10 @@
 }
 
 /// Looks at what all gateways use, again and again.
-pub async fn watch_usage(ground: Arc<Ground>, gateways: Vec<Arc<Gateway>>) {
+pub async fn watch_usage(context: Arc<RunContext>, gateways: Vec<Arc<Gateway>>) {
     loop {
         let samples: Vec<Usage> = gateways.iter().filter_map(|gateway| gateway.sample()).collect();
-        ground.note(|record| record.usage.extend(samples));
+        context.note(|record| record.usage.extend(samples));
         sleep(SAMPLE).await;
     }
 }
@@ -309,10 +309,10 @@
 }
 
 /// The front notices a gateway's end after some seconds, drawn by the seed.
-pub fn notice(ground: &Ground, clients: &Arc<Clients>, gateway: &Arc<Gateway>) {
-    let life = ground.life(gateway.number);
+pub fn notice(context: &RunContext, clients: &Arc<Clients>, gateway: &Arc<Gateway>) {
+    let life = context.life(gateway.number);
     let stream = 8 << 32 | (life as u64) << 16 | gateway.number as u64;
-    let after = Draw::new(ground.plan.seed, stream).between(ground.plan.scenario.load.notice_s);
+    let after = Draw::new(context.plan.seed, stream).between(context.plan.scenario.load.notice_s);
     let (clients, gateway) = (clients.clone(), gateway.clone());
     tokio::spawn(async move {
         sleep(Duration::from_secs_f64(after)).await;
--- a/lab/src/interactive.rs
+++ b/lab/src/interactive.rs
@@ -3,8 +3,8 @@
 use crate::cli::Failure;
 use crate::link::lock;
 use crate::plan::Plan;
-use crate::run::{Means, SetUpError, World};
-use crate::runner::PlayError;
+use crate::run::{RunResources, SetUpError, World};
+use crate::runner::RunError;
 use crate::scenario::Scenario;
 use std::path::PathBuf;
 
@@ -12,7 +12,7 @@
 const LONG: &str = "length_s = 3600\nload.per_s = 0.1\ncounter.per_s = 2000\n";
 
 /// Starts it, says where everything is, and stays.
-pub(crate) async fn up(gateways: usize, backends: usize, means: &Means) -> Result<u8, Failure> {
+pub(crate) async fn up(gateways: usize, backends: usize, resources: &RunResources) -> Result<u8, Failure> {
     let text = format!(
         "name = \"up\"\nabout = \"A fleet to try by hand.\"\n{LONG}gateways.count = {gateways}\n\
          backends.count = {backends}\nload.spread = [1, {gateways}]\n"
@@ -25,8 +25,8 @@
     let customer = plan.customers[0].number;
     let tariff = plan.scenario.plans[plan.customers[0].plan].name.clone();
     let world = tokio::select! {
-        world = World::start(plan, means) => world.map_err(|e: SetUpError| PlayError::from(e))?,
-        () = crate::shutdown_signal::asked() => return Err(PlayError::Stopped.into()),
+        world = World::start(plan, resources) => world.map_err(|e: SetUpError| RunError::from(e))?,
+        () = crate::shutdown_signal::asked() => return Err(RunError::Stopped.into()),
     };
     println!("gateway  clients                operators");
     for gateway in &world.gateways {
@@ -37,7 +37,7 @@
         let place = lock(&world.gateways[0].place);
         (place.listen, place.ops)
     };
-    println!("logs     {}", means.folder.display());
+    println!("logs     {}", resources.folder.display());
     println!("\nA request, and the figures:\n");
     println!(
         "curl -i -H \"X-Call-Id: $(od -An -N8 -tx8 /dev/urandom | tr -d ' ')\" -H 'X-Call-Class: {class}' \
--- a/lab/src/plan/arrivals.rs
+++ b/lab/src/plan/arrivals.rs
@@ -1,6 +1,6 @@
 //! Customers and their requests, drawn ahead: an open loop that waits for nobody.
 
-use super::{us, Draw, Us, MOST_UNITS};
+use super::{us, Draw, Microseconds, MOST_UNITS};
 use crate::scenario::{Kind, Scenario};
 
 /// A customer of the fleet.
@@ -24,14 +24,14 @@
     usual: f64,
     spell: f64,
     /// Beginnings and ends of spells.
-    spells: Vec<(Us, Us)>,
+    spells: Vec<(Microseconds, Microseconds)>,
 }
 
 /// One first try.
 #[derive(Debug, Clone)]
 pub struct Arrival {
     /// When its client sends it.
-    pub at: Us,
+    pub at: Microseconds,
     /// Who asks.
     pub customer: usize,
     /// Its class.
@@ -41,7 +41,7 @@
     /// Units of the quota.
     pub units: u32,
     /// How long the client waits for one try.
-    pub patience_us: Us,
+    pub patience_us: Microseconds,
     /// The gateways of the set in the order in which its tries go to them.
     pub gateways: Vec<usize>,
 }
@@ -49,8 +49,8 @@
 /// A change of the load for some time.
 struct Swell {
     kind: Kind,
-    from: Us,
-    to: Us,
+    from: Microseconds,
+    to: Microseconds,
     amount: f64,
     plans: Vec<usize>,
 }
@@ -81,7 +81,7 @@
         let mut at = 0.0;
         loop {
             at += draw.exp(1e6 / highest);
-            let now = at as Us;
+            let now = at as Microseconds;
             if now >= end {
                 break;
             }
@@ -109,7 +109,7 @@
                 }
             }
             let impatient = now_on(Kind::Impatient).map_or(1.0, |swell| swell.amount);
-            let patience_us = (us(spec.deadline_ms / 1000.0) as f64 * share * impatient) as Us;
+            let patience_us = (us(spec.deadline_ms / 1000.0) as f64 * share * impatient) as Microseconds;
             let gateway = |rank: usize| (customer.first + rank) % scenario.gateways.count;
             arrivals.push(Arrival {
                 at: now,
@@ -231,7 +231,7 @@
 }
 
 /// Requests a second at a moment.
-fn rate(customer: &Customer, swells: &[Swell], base: f64, extra: Option<f64>, now: Us) -> f64 {
+fn rate(customer: &Customer, swells: &[Swell], base: f64, extra: Option<f64>, now: Microseconds) -> f64 {
     let habit = &customer.habit;
     let spell = habit.spells.iter().any(|(from, to)| (*from..*to).contains(&now));
     let mut rate = base * if spell { habit.spell } else { habit.usual };
--- a/lab/src/plan/faults.rs
+++ b/lab/src/plan/faults.rs
@@ -1,6 +1,6 @@
 //! Faults resolved to steps: who exactly, and when to the microsecond.
 
-use super::{us, Draw, Us};
+use super::{us, Draw, Microseconds};
 use crate::fault_targets::{Party, Target};
 use crate::scenario::{Fault, Kind, Scenario};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone)]
 pub struct Step {
     /// When.
-    pub at: Us,
+    pub at: Microseconds,
     /// What.
     pub action: Action,
 }
@@ -56,7 +56,7 @@
     /// A backend begins to drain, and a new one starts.
     Drain { old: usize, new: usize, label: String },
     /// A backend answers slower, with errors, by halves, or not at all.
-    Ill { backend: usize, ill: Illness, on: bool },
+    Ill { backend: usize, ill: BackendFault, on: bool },
     /// The counter takes no calls.
     CounterDown(bool),
     /// It takes so many microseconds longer.
@@ -78,12 +78,12 @@
     /// An operator sends this text to a gateway as a rollout.
     Rollout { gateway: usize, rules: String },
     /// Whoever leads the rollout is killed, and starts again so many microseconds later.
-    KillLeader { back: Us },
+    KillLeader { back: Microseconds },
 }
 
 /// What is wrong with a backend.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Illness {
+pub enum BackendFault {
     /// Times slower.
     Slow(f64),
     /// The part of answers that are errors.
@@ -167,7 +167,7 @@
 }
 
 /// When a fault is on, from and to.
-fn spells(fault: &Fault) -> Vec<(Us, Us)> {
+fn spells(fault: &Fault) -> Vec<(Microseconds, Microseconds)> {
     let from = us(fault.at_s);
     let to = from + us(fault.for_s.unwrap_or(0.0));
     let Some([on, off]) = fault.flap_s else { return vec![(from, to)] };
@@ -191,14 +191,14 @@
         who.iter().filter_map(|p| if let Party::Gateway(g) = p { Some(*g) } else { None }).collect();
     let servers: Vec<usize> =
         who.iter().filter_map(|p| if let Party::Backend(b) = p { Some(*b) } else { None }).collect();
-    let mut push = |at: Us, action: Action| steps.push(Step { at, action });
+    let mut push = |at: Microseconds, action: Action| steps.push(Step { at, action });
     let mut lasting = |action: &dyn Fn(bool) -> Vec<Action>| {
         for (from, to) in &spells {
             action(true).into_iter().for_each(|action| push(*from, action));
             action(false).into_iter().for_each(|action| push(*to, action));
         }
     };
-    let ill = |ill: Illness| {
+    let ill = |ill: BackendFault| {
         let servers = servers.clone();
         move |on| servers.iter().map(|b| Action::Ill { backend: *b, ill, on }).collect::<Vec<_>>()
     };
@@ -251,10 +251,10 @@
             }
         }
         Kind::Reload => gateways.iter().for_each(|g| push(at, Action::Reload(*g))),
-        Kind::Slow => lasting(&ill(Illness::Slow(factor))),
-        Kind::Errors => lasting(&ill(Illness::Errors(rate))),
-        Kind::Half => lasting(&ill(Illness::Half(rate))),
-        Kind::Silent => lasting(&ill(Illness::Silent)),
+        Kind::Slow => lasting(&ill(BackendFault::Slow(factor))),
+        Kind::Errors => lasting(&ill(BackendFault::Errors(rate))),
+        Kind::Half => lasting(&ill(BackendFault::Half(rate))),
+        Kind::Silent => lasting(&ill(BackendFault::Silent)),
         Kind::Replace => {
             for (turn, old) in batches(servers, fault, draw) {
                 let new = *backends;
@@ -263,10 +263,13 @@
                 push(at + turn, Action::Drain { old, new, label });
                 push(at + turn + us(fault.drain_s.unwrap_or(0.0)).max(1), Action::BackendDies(old));
                 if let Some(errors) = fault.errors {
-                    push(at + turn, Action::Ill { backend: new, ill: Illness::Errors(errors), on: true });
+                    push(
+                        at + turn,
+                        Action::Ill { backend: new, ill: BackendFault::Errors(errors), on: true },
+                    );
                 }
                 if let Some(factor) = fault.factor {
-                    push(at + turn, Action::Ill { backend: new, ill: Illness::Slow(factor), on: true });
+                    push(at + turn, Action::Ill { backend: new, ill: BackendFault::Slow(factor), on: true });
                 }
             }
         }
@@ -299,9 +302,9 @@
 }
 
 /// Who is taken when: some at a time, in an order that the seed draws.
-fn batches(mut all: Vec<usize>, fault: &Fault, draw: &mut Draw) -> Vec<(Us, usize)> {
+fn batches(mut all: Vec<usize>, fault: &Fault, draw: &mut Draw) -> Vec<(Microseconds, usize)> {
     draw.shuffle(&mut all);
     let size = ((all.len() as f64 * fault.batch.unwrap_or(1.0)).round() as usize).max(1);
     let every = us(fault.every_s.unwrap_or(0.0));
-    all.into_iter().enumerate().map(|(i, who)| ((i / size) as Us * every, who)).collect()
+    all.into_iter().enumerate().map(|(i, who)| ((i / size) as Microseconds * every, who)).collect()
 }
--- a/lab/src/plan/mod.rs
+++ b/lab/src/plan/mod.rs
@@ -7,17 +7,17 @@
 
 pub use arrivals::{Arrival, Customer};
 pub use draw::Draw;
-pub use faults::{Action, Band, Illness, LinkChange, Step};
+pub use faults::{Action, BackendFault, Band, LinkChange, Step};
 
 use crate::scenario::{Effect, Scenario};
 use sha2::{Digest, Sha256};
 
 /// Microseconds since the first moment of the run.
-pub type Us = u64;
+pub type Microseconds = u64;
 
 /// Seconds as microseconds.
-pub fn us(seconds: f64) -> Us {
-    (seconds * 1e6).round().max(0.0) as Us
+pub fn us(seconds: f64) -> Microseconds {
+    (seconds * 1e6).round().max(0.0) as Microseconds
 }
 
 /// All choices of one run.
--- a/lab/src/record.rs
+++ b/lab/src/record.rs
@@ -1,7 +1,7 @@
 //! What the stand-ins saw of a run: the only thing that the judge goes by.
 
 use crate::cluster_poll::Ledger;
-use crate::plan::Us;
+use crate::plan::Microseconds;
 
 /// How one try of a client ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -33,15 +33,15 @@
     /// The process of the gateway, counted from 0 over its restarts.
     pub life: usize,
     /// When its client wanted to send it.
-    pub due: Us,
+    pub due: Microseconds,
     /// When its client stops waiting, as the request says.
-    pub until: Us,
+    pub until: Microseconds,
     /// When its client began to send it.
-    pub began: Us,
+    pub began: Microseconds,
     /// When the request's last byte was written.
-    pub written: Option<Us>,
+    pub written: Option<Microseconds>,
     /// When it ended.
-    pub ended: Us,
+    pub ended: Microseconds,
     /// How.
     pub end: End,
     /// The gateway wrote more than one answer.
@@ -77,11 +77,11 @@
     /// The gateway that sent it.
     pub gateway: usize,
     /// When its first byte was read.
-    pub first: Us,
+    pub first: Microseconds,
     /// When its last byte had come.
-    pub came: Us,
+    pub came: Microseconds,
     /// When it ended.
-    pub ended: Us,
+    pub ended: Microseconds,
     /// How.
     pub outcome: Outcome,
     /// It was begun.
@@ -104,7 +104,7 @@
     /// Whether it takes work, as told.
     pub ready: bool,
     /// When it was told, or counts as told.
-    pub at: Us,
+    pub at: Microseconds,
 }
 
 /// A cold backend was sent more than it bears.
@@ -113,7 +113,7 @@
     /// The backend.
     pub backend: usize,
     /// When.
-    pub at: Us,
+    pub at: Microseconds,
     /// The part of the load that came from gateways that knew of its start.
     pub knowing: f64,
 }
@@ -124,7 +124,7 @@
     /// Who called.
     pub gateway: usize,
     /// When it came.
-    pub at: Us,
+    pub at: Microseconds,
     /// The status of its answer; 0: none.
     pub status: u16,
 }
@@ -187,7 +187,7 @@
     /// Counted from 0 over its restarts.
     pub life: usize,
     /// When.
-    pub at: Us,
+    pub at: Microseconds,
     /// What.
     pub what: Life,
 }
@@ -200,7 +200,7 @@
     /// Counted from 0 over its restarts.
     pub life: usize,
     /// When.
-    pub at: Us,
+    pub at: Microseconds,
     /// Processor time of this process so far.
     pub cpu_us: u64,
     /// Resident memory in bytes.
@@ -211,15 +211,15 @@
 
 /// What a gateway said of its fleet.
 #[derive(Debug, Clone, PartialEq)]
-pub struct FleetSeen {
+pub struct ClusterObservation {
     /// The gateway.
     pub gateway: usize,
     /// Counted from 0 over its restarts.
     pub life: usize,
     /// When it was asked.
-    pub asked: Us,
+    pub asked: Microseconds,
     /// When its answer was there.
-    pub at: Us,
+    pub at: Microseconds,
     /// Gateways that take part, itself among them, in order.
     pub present: Vec<usize>,
     /// Gateways that it holds down.
@@ -236,15 +236,15 @@
 
 /// What a gateway said of a rollout of rules.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RolloutSeen {
+pub struct RolloutObservation {
     /// The gateway.
     pub gateway: usize,
     /// Counted from 0 over its restarts.
     pub life: usize,
     /// When it was asked.
-    pub asked: Us,
+    pub asked: Microseconds,
     /// When its answer was there.
-    pub at: Us,
+    pub at: Microseconds,
     /// The rollout's number.
     pub number: u64,
     /// The stage that it goes by.
@@ -257,13 +257,13 @@
 
 /// Who was cut off from the clients, and when: nothing is owed there.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Excuse {
+pub struct FaultWindow {
     /// The gateway.
     pub gateway: usize,
     /// From.
-    pub from: Us,
+    pub from: Microseconds,
     /// To.
-    pub to: Us,
+    pub to: Microseconds,
 }
 
 /// All of it.
@@ -286,11 +286,11 @@
     /// What they used.
     pub usage: Vec<Usage>,
     /// What they said of their fleet.
-    pub fleets: Vec<FleetSeen>,
+    pub fleets: Vec<ClusterObservation>,
     /// What they said of a rollout.
-    pub rollouts: Vec<RolloutSeen>,
+    pub rollouts: Vec<RolloutObservation>,
     /// Clients' ways that were cut or broken on purpose.
-    pub excuses: Vec<Excuse>,
+    pub excuses: Vec<FaultWindow>,
     /// Connections that gateways opened to backends: backend by gateway.
     pub connections: usize,
     /// Times that the lab itself lacked a port or a descriptor.
@@ -298,5 +298,5 @@
     /// Processor time of the lab itself over the run.
     pub lab_cpu_us: u64,
     /// When the last arrival's settling was over.
-    pub ended: Us,
+    pub ended: Microseconds,
 }
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Clock;
 use crate::link::{Link, View};
-use crate::plan::Us;
+use crate::plan::Microseconds;
 use socket2::SockRef;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -34,14 +34,14 @@
 
 /// When the last piece came off a connection's socket, before it crossed the link: when it was sent.
 #[derive(Debug, Clone, Default)]
-pub struct Stamp(Arc<AtomicU64>);
+pub struct LastRead(Arc<AtomicU64>);
 
-impl Stamp {
+impl LastRead {
     /// That time.
-    pub fn last(&self) -> Us {
+    pub fn last(&self) -> Microseconds {
         self.0.load(Ordering::Relaxed)
     }
-    fn set(&self, at: Us) {
+    fn set(&self, at: Microseconds) {
         self.0.store(at, Ordering::Relaxed);
     }
 }
@@ -55,9 +55,9 @@
 
 /// Times that the lab itself lacked a port or a descriptor, so that a run is not valid.
 #[derive(Debug, Default)]
-pub struct Starved(AtomicUsize);
+pub struct StarvedReads(AtomicUsize);
 
-impl Starved {
+impl StarvedReads {
     /// How often so far.
     pub fn count(&self) -> usize {
         self.0.load(Ordering::Relaxed)
@@ -73,10 +73,10 @@
 }
 
 /// What stands behind a listener and takes its connections.
-pub type Serve = Arc<dyn Fn(DuplexStream, Stamp) + Send + Sync>;
+pub type Serve = Arc<dyn Fn(DuplexStream, LastRead) + Send + Sync>;
 
 /// A listener at an address of one gateway's own, behind which another party stands.
-pub struct Door {
+pub struct GatewayListener {
     /// Where it listens.
     pub address: SocketAddr,
     open: watch::Sender<bool>,
@@ -109,22 +109,22 @@
     }
 }
 
-impl Door {
+impl GatewayListener {
     /// Opens one at any port of an address. While `alive` is false new connections are refused, and those there
     /// are reset.
     pub fn open(
         ip: IpAddr,
         way: Way,
         alive: watch::Receiver<bool>,
-        starved: Arc<Starved>,
+        starved: Arc<StarvedReads>,
         serve: Serve,
-    ) -> io::Result<Door> {
+    ) -> io::Result<GatewayListener> {
         let listener = listen(SocketAddr::new(ip, 0))?;
         let address = listener.local_addr()?;
         let open = watch::Sender::new(true);
         let standing = Standing { alive, open: open.subscribe() };
         tokio::spawn(keep(listener, address, way, standing, starved, serve));
-        Ok(Door { address, open })
+        Ok(GatewayListener { address, open })
     }
 
     /// Ends it: its connections are reset, new ones are refused.
@@ -145,7 +145,7 @@
     address: SocketAddr,
     way: Way,
     mut standing: Standing,
-    starved: Arc<Starved>,
+    starved: Arc<StarvedReads>,
     serve: Serve,
 ) {
     let (mut up, mut down) = (way.up.watch(), way.down.watch());
@@ -232,11 +232,11 @@
 
 /// The lab's end of a connection that suffers what is on its way. `standing`: the party at the lab's end; when it
 /// dies the connection is reset.
-pub fn through(stream: TcpStream, way: Way, standing: Option<Standing>) -> (DuplexStream, Stamp) {
+pub fn through(stream: TcpStream, way: Way, standing: Option<Standing>) -> (DuplexStream, LastRead) {
     // Small messages must not wait for each other; it can fail on a connection that is broken already.
     let _ = stream.set_nodelay(true);
     let (inner, outer) = duplex(16 * 1024);
-    let stamp = Stamp::default();
+    let stamp = LastRead::default();
     tokio::spawn(carry(stream, outer, way, stamp.clone(), standing));
     (inner, stamp)
 }
@@ -245,7 +245,7 @@
     mut stream: TcpStream,
     outer: DuplexStream,
     way: Way,
-    stamp: Stamp,
+    stamp: LastRead,
     standing: Option<Standing>,
 ) {
     let (read, write) = stream.split();
--- a/lab/src/report/mod.rs
+++ b/lab/src/report/mod.rs
@@ -3,7 +3,7 @@
 mod plots;
 
 use crate::checker::Word;
-use crate::runner::Played;
+use crate::runner::RunResult;
 use crate::table::number;
 use std::fmt::Write;
 use std::io;
@@ -17,10 +17,10 @@
 ul{margin:.2em 0;padding-left:1.3em}";
 
 /// Writes the page into a folder and returns its path.
-pub fn write(played: &Played, folder: &Path) -> io::Result<PathBuf> {
+pub fn write(result: &RunResult, folder: &Path) -> io::Result<PathBuf> {
     std::fs::create_dir_all(folder)?;
-    let path = folder.join(format!("{}-{}.html", played.scenario, played.seed));
-    std::fs::write(&path, page(played).map_err(io::Error::other)?)?;
+    let path = folder.join(format!("{}-{}.html", result.scenario, result.seed));
+    std::fs::write(&path, page(result).map_err(io::Error::other)?)?;
     Ok(path)
 }
 
@@ -29,37 +29,37 @@
 }
 
 /// The page's text.
-pub fn page(played: &Played) -> Result<String, plots::PlotError> {
+pub fn page(result: &RunResult) -> Result<String, plots::PlotError> {
     let mut page = String::new();
     // Writing to a string fails never.
-    let _ = head(&mut page, played);
-    for (title, plot) in plots::all(played)? {
+    let _ = head(&mut page, result);
+    for (title, plot) in plots::all(result)? {
         let _ = writeln!(page, "<h2>{}</h2>\n{plot}", escaped(&title));
     }
-    let _ = tables(&mut page, played);
+    let _ = tables(&mut page, result);
     page.push_str("</body></html>\n");
     Ok(page)
 }
 
-fn head(page: &mut String, played: &Played) -> std::fmt::Result {
-    let verdict = &played.verdict;
+fn head(page: &mut String, result: &RunResult) -> std::fmt::Result {
+    let verdict = &result.verdict;
     let (class, word) = match verdict.word {
         Word::Held => ("held", "held"),
         Word::Failed => ("failed", "failed"),
         Word::NotValid => ("not-valid", "not valid"),
     };
-    let name = escaped(&played.scenario);
-    let [gateways, backends, customers] = played.sizes;
+    let name = escaped(&result.scenario);
+    let [gateways, backends, customers] = result.sizes;
     write!(
         page,
         "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>{name}, seed {}</title>\
          <style>{STYLE}</style></head><body>\n<h1>{name}: <span class=\"{class}\">{word}</span></h1>\n<p>{}</p>\n\
          <p class=\"small\">seed {}, {gateways} gateways, {backends} backends, {customers} customers, {} s, plan {}</p>\n",
-        played.seed,
-        escaped(played.about.trim()),
-        played.seed,
-        played.length_s,
-        &played.digest,
+        result.seed,
+        escaped(result.about.trim()),
+        result.seed,
+        result.length_s,
+        &result.digest,
     )?;
     let list = |page: &mut String, title: &str, items: Vec<String>| -> std::fmt::Result {
         if items.is_empty() {
@@ -75,8 +75,8 @@
     list(page, "Not valid", verdict.doubts.clone())
 }
 
-fn tables(page: &mut String, played: &Played) -> std::fmt::Result {
-    let figures = &played.verdict.figures;
+fn tables(page: &mut String, result: &RunResult) -> std::fmt::Result {
+    let figures = &result.verdict.figures;
     let row = |name: &str, value: &str| {
         format!("<tr><td>{}</td><td class=\"n\">{}</td></tr>", escaped(name), escaped(value))
     };
@@ -86,14 +86,14 @@
     rows.push(row("descriptors, most", &figures.descriptors.to_string()));
     let late = format!("{:.2}, {:.2} ms", figures.late_p50_ms, figures.late_p99_ms);
     rows.push(row("generator late, p50, p99", &late));
-    write!(page, "<h2>Figures</h2>\n<div class=\"cols\"><table>{}</table>\n<table>", rows.concat())?;
+    write!(page, "<h2>Metrics</h2>\n<div class=\"cols\"><table>{}</table>\n<table>", rows.concat())?;
     for (what, rows) in [("plan", &figures.plans), ("class", &figures.classes), ("zone", &figures.zones)] {
         write!(page, "<tr><th colspan=\"2\">served by {what}</th></tr>")?;
         for one in rows {
             write!(page, "{}", row(&one.name, &format!("{:.3}", one.served)))?;
         }
     }
-    let faults: Vec<String> = played
+    let faults: Vec<String> = result
         .faults
         .iter()
         .map(|band| row(&band.name, &format!("{:.1} to {:.1} s", band.from_s, band.to_s)))
--- a/lab/src/report/plots.rs
+++ b/lab/src/report/plots.rs
@@ -1,7 +1,7 @@
 //! The plots of a report: figures over time with the faults as bands, and a strip of colour for each gateway.
 
 use crate::plan::Band;
-use crate::runner::Played;
+use crate::runner::RunResult;
 use plotters::prelude::*;
 
 /// A plot that could not be drawn.
@@ -26,15 +26,15 @@
 type Line<'a> = (&'a str, Vec<f64>);
 
 /// All plots, each with its title.
-pub fn all(played: &Played) -> Result<Vec<(String, String)>, PlotError> {
-    let timeline = &played.verdict.timeline;
+pub fn all(result: &RunResult) -> Result<Vec<(String, String)>, PlotError> {
+    let timeline = &result.verdict.timeline;
     let share: Vec<f64> = timeline
         .served
         .iter()
         .zip(&timeline.offered)
         .map(|(served, offered)| if *offered > 0.0 { (served / offered).min(1.0) } else { 1.0 })
         .collect();
-    let bands = &played.faults;
+    let bands = &result.faults;
     let zones: Vec<Line> =
         timeline.zones.iter().map(|(name, values)| (name.as_str(), values.clone())).collect();
     let rates = [
@@ -44,7 +44,7 @@
     ];
     let plot = |title: &str, lines: &[Line], top: Option<f64>| -> Result<(String, String), PlotError> {
         let drawn =
-            lines_over_time(lines, bands, played.length_s, top).map_err(|e| PlotError(e.to_string()))?;
+            lines_over_time(lines, bands, result.length_s, top).map_err(|e| PlotError(e.to_string()))?;
         Ok((title.to_string(), drawn))
     };
     let mut all = vec![
@@ -59,7 +59,7 @@
     if zones.len() > 1 {
         all.push(plot("Served share by the zone of the gateway asked first", &zones, Some(1.02))?);
     }
-    let strip = heat(&timeline.gateways, bands, played.length_s).map_err(|e| PlotError(e.to_string()))?;
+    let strip = heat(&timeline.gateways, bands, result.length_s).map_err(|e| PlotError(e.to_string()))?;
     all.push((
         "Served share by the gateway asked first (green all, red none, grey nothing asked)".into(),
         strip,
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -11,9 +11,9 @@
 use crate::gateway::{notice, used, watch_usage, Gateway, Place, StartError};
 use crate::link::lock;
 use crate::plan::{us, Action, Plan};
-use crate::record::{Excuse, Record};
-use crate::relay::{Door, Serve, Way};
-use crate::run_context::Ground;
+use crate::record::{FaultWindow, Record};
+use crate::relay::{GatewayListener, Serve, Way};
+use crate::run_context::RunContext;
 use crate::write_status_poll::ask_receipts;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -53,7 +53,7 @@
 
 /// What a run is played with.
 #[derive(Debug, Clone)]
-pub struct Means {
+pub struct RunResources {
     /// The program.
     pub binary: PathBuf,
     /// The program of the gateways in `gateways.second`.
@@ -64,16 +64,16 @@
 
 /// A fleet that stands.
 pub struct World {
-    ground: Arc<Ground>,
+    context: Arc<RunContext>,
     backends: Mutex<BTreeMap<usize, Arc<Backend>>>,
     counter: Arc<Counter>,
     discovery: Arc<Discovery>,
     /// Its gateways.
     pub gateways: Vec<Arc<Gateway>>,
     clients: Arc<Clients>,
-    doors: Mutex<BTreeMap<(usize, usize), Door>>,
+    doors: Mutex<BTreeMap<(usize, usize), GatewayListener>>,
     /// Doors to agent and counter, by gateway.
-    services: Mutex<BTreeMap<usize, [Door; 2]>>,
+    services: Mutex<BTreeMap<usize, [GatewayListener; 2]>>,
     /// The list that each gateway had when it last ended.
     known: Mutex<BTreeMap<usize, Value>>,
     /// Keeps the agents' doors open.
@@ -111,20 +111,23 @@
 
 impl World {
     /// Sets everything up and starts the gateways. The run's clock stands at 0 until they are ready.
-    pub async fn start(plan: Plan, means: &Means) -> Result<Arc<World>, SetUpError> {
-        std::fs::create_dir_all(&means.folder)?;
+    pub async fn start(plan: Plan, resources: &RunResources) -> Result<Arc<World>, SetUpError> {
+        std::fs::create_dir_all(&resources.folder)?;
         let net = Net::take()?;
-        let ground = Arc::new(Ground::new(plan, Clock::default(), means.folder.clone(), net.byte));
-        let scenario = &ground.plan.scenario;
-        let counter = Counter::new(ground.clone());
-        let discovery = Discovery::new(ground.clone());
-        let places = places(&ground, means).await?;
+        let context = Arc::new(RunContext::new(plan, Clock::default(), resources.folder.clone(), net.byte));
+        let scenario = &context.plan.scenario;
+        let counter = Counter::new(context.clone());
+        let discovery = Discovery::new(context.clone());
+        let places = places(&context, resources).await?;
         let listens: Vec<SocketAddr> = places.iter().map(|place| place.listen).collect();
-        let clients = Clients::new(ground.clone(), &listens);
-        let gateways: Vec<Arc<Gateway>> =
-            places.into_iter().enumerate().map(|(n, place)| Gateway::new(ground.clone(), n, place)).collect();
+        let clients = Clients::new(context.clone(), &listens);
+        let gateways: Vec<Arc<Gateway>> = places
+            .into_iter()
+            .enumerate()
+            .map(|(n, place)| Gateway::new(context.clone(), n, place))
+            .collect();
         let world = Arc::new(World {
-            ground: ground.clone(),
+            context: context.clone(),
             backends: Mutex::default(),
             counter,
             discovery,
@@ -138,7 +141,7 @@
         });
         for number in 0..scenario.backends.count {
             let backend = world.add_backend(number, None)?;
-            world.discovery.list(&backend, &ground.plan.backends[number].label);
+            world.discovery.list(&backend, &context.plan.backends[number].label);
         }
         for gateway in &world.gateways {
             world.move_services(gateway.number)?;
@@ -147,28 +150,29 @@
         for gateway in &world.gateways {
             gateway.ready().await?;
         }
-        ground.clock.start();
+        context.clock.start();
         Ok(world)
     }
 
     /// Plays the plan to its end; `seen` hears the number of each arrival as it is sent.
     pub async fn play(self: &Arc<World>, seen: impl Fn(usize)) -> Record {
-        let ground = &self.ground;
+        let context = &self.context;
         let own = || used("self").map_or(0, |(cpu_us, _)| cpu_us);
         let before = own();
-        let usage = tokio::spawn(watch_usage(ground.clone(), self.gateways.clone()));
-        let talk = ground.plan.scenario.gateways.peers;
-        let fleets = talk.then(|| tokio::spawn(watch_fleets(ground.clone(), self.gateways.clone())));
+        let usage = tokio::spawn(watch_usage(context.clone(), self.gateways.clone()));
+        let talk = context.plan.scenario.gateways.peers;
+        let fleets = talk.then(|| tokio::spawn(watch_fleets(context.clone(), self.gateways.clone())));
         let world = self.clone();
         let steps = tokio::spawn(async move {
-            for step in &world.ground.plan.steps {
-                world.ground.clock.until(step.at).await;
+            for step in &world.context.plan.steps {
+                world.context.clock.until(step.at).await;
                 world.act(&step.action);
             }
         });
         self.clients.send_all(seen).await;
         // Until all is answered or given up.
-        let longest = ground.plan.scenario.classes.iter().map(|c| c.deadline_ms / 1000.0).fold(0.0, f64::max);
+        let longest =
+            context.plan.scenario.classes.iter().map(|c| c.deadline_ms / 1000.0).fold(0.0, f64::max);
         let settling = Duration::from_secs_f64(longest + 1.5);
         let _ = timeout(settling, async {
             while self.clients.open() > 0 {
@@ -179,18 +183,18 @@
         .await;
         self.clients.look_at_kept().await;
         let listens: Vec<SocketAddr> = self.gateways.iter().map(|g| lock(&g.place).listen).collect();
-        ask_receipts(ground, &listens).await;
+        ask_receipts(context, &listens).await;
         steps.abort();
         usage.abort();
         fleets.into_iter().for_each(|fleets| fleets.abort());
-        ground.note(|record| {
+        context.note(|record| {
             record.lab_cpu_us = own().saturating_sub(before);
-            record.starved = ground.starved.count();
-            record.ended = ground.clock.now();
-            record.excuses = excuses(&ground.plan);
+            record.starved = context.starved.count();
+            record.ended = context.clock.now();
+            record.excuses = excuses(&context.plan);
         });
         self.end().await;
-        std::mem::take(&mut *lock(&ground.record))
+        std::mem::take(&mut *lock(&context.record))
     }
 
     /// Ends all gateways: paused ones go on first, all get SIGTERM.
@@ -211,16 +215,16 @@
     /// The way between a gateway and a party behind a door of its.
     fn way(&self, gateway: usize, party: Party) -> Way {
         Way {
-            up: self.ground.links.get(Party::Gateway(gateway), party),
-            down: self.ground.links.get(party, Party::Gateway(gateway)),
-            clock: self.ground.clock.clone(),
+            up: self.context.links.get(Party::Gateway(gateway), party),
+            down: self.context.links.get(party, Party::Gateway(gateway)),
+            clock: self.context.clock.clone(),
         }
     }
 
     fn add_backend(&self, number: usize, since: Option<u64>) -> io::Result<Arc<Backend>> {
-        let spec = &self.ground.plan.backends[number];
-        self.ground.links.place(number, spec.zone);
-        let backend = Backend::new(self.ground.clone(), number, spec.speed, since);
+        let spec = &self.context.plan.backends[number];
+        self.context.links.place(number, spec.zone);
+        let backend = Backend::new(self.context.clone(), number, spec.speed, since);
         for gateway in 0..self.gateways.len() {
             self.backend_door(gateway, &backend)?;
         }
@@ -232,8 +236,9 @@
         let behind = backend.clone();
         let serve: Serve = Arc::new(move |stream, stamp| behind.accept(stream, stamp, gateway));
         let way = self.way(gateway, Party::Backend(backend.number));
-        let ip = self.ground.side(gateway, last::BACKENDS);
-        let door = Door::open(ip, way, backend.alive.subscribe(), self.ground.starved.clone(), serve)?;
+        let ip = self.context.side(gateway, last::BACKENDS);
+        let door =
+            GatewayListener::open(ip, way, backend.alive.subscribe(), self.context.starved.clone(), serve)?;
         self.discovery.door(gateway, backend.number, door.address);
         if let Some(old) = lock(&self.doors).insert((gateway, backend.number), door) {
             old.close();
@@ -243,13 +248,13 @@
 
     /// Opens new doors to a gateway's agent and counter, and closes the old ones a moment later.
     fn move_services(&self, gateway: usize) -> io::Result<()> {
-        let ground = &self.ground;
+        let context = &self.context;
         let open = |last, party, alive, serve| {
-            Door::open(
-                ground.side(gateway, last),
+            GatewayListener::open(
+                context.side(gateway, last),
                 self.way(gateway, party),
                 alive,
-                ground.starved.clone(),
+                context.starved.clone(),
                 serve,
             )
         };
@@ -266,7 +271,7 @@
         if let Some(old) = lock(&self.services).insert(gateway, [agent, counter]) {
             tokio::spawn(async move {
                 sleep(MOVED).await;
-                old.iter().for_each(Door::close);
+                old.iter().for_each(GatewayListener::close);
             });
         }
         Ok(())
@@ -299,9 +304,9 @@
             Action::Drain { old, new, label } => {
                 self.backend(*old).iter().for_each(|backend| backend.drain());
                 self.discovery.change(*old, Phase::Draining);
-                match self.add_backend(*new, Some(self.ground.clock.now().max(1))) {
+                match self.add_backend(*new, Some(self.context.clock.now().max(1))) {
                     Ok(backend) => self.discovery.add(&backend, label),
-                    Err(error) => self.ground.starved.note(&error),
+                    Err(error) => self.context.starved.note(&error),
                 }
             }
             Action::Ill { backend, ill, on } => {
@@ -319,7 +324,7 @@
                 if let Some(backend) = self.backend(*b) {
                     for gateway in 0..self.gateways.len() {
                         let moved = self.backend_door(gateway, &backend);
-                        moved.iter_err(|error| self.ground.starved.note(error));
+                        moved.iter_err(|error| self.context.starved.note(error));
                     }
                     self.discovery.moved(*b);
                 }
@@ -345,7 +350,7 @@
 
     /// Kills the gateway that said last that it leads.
     fn kill_leader(self: &Arc<World>, back: u64) {
-        let record = lock(&self.ground.record);
+        let record = lock(&self.context.record);
         let leader = record.rollouts.iter().rev().find(|seen| seen.leads).map(|seen| seen.gateway);
         drop(record);
         let Some(leader) = leader else { return };
@@ -365,11 +370,11 @@
         };
         match action {
             Action::Link { from, to, change, on } => {
-                pairs(from, to, &|from, to| self.ground.links.get(from, to).change(change, *on));
+                pairs(from, to, &|from, to| self.context.links.get(from, to).change(change, *on));
             }
             Action::Reset { one, other } => {
-                pairs(one, other, &|from, to| self.ground.links.get(from, to).reset());
-                pairs(other, one, &|from, to| self.ground.links.get(from, to).reset());
+                pairs(one, other, &|from, to| self.context.links.get(from, to).reset());
+                pairs(other, one, &|from, to| self.context.links.get(from, to).reset());
             }
             _ => {}
         }
@@ -381,7 +386,7 @@
         lock(&self.known).insert(number, self.discovery.known(number));
         tokio::spawn(async move {
             if killed {
-                notice(&world.ground, &world.clients, &gateway);
+                notice(&world.context, &world.clients, &gateway);
                 gateway.kill().await;
                 return;
             }
@@ -401,7 +406,7 @@
             while gateway.runs() {
                 sleep(Duration::from_millis(5)).await;
             }
-            world.ground.next_life(number);
+            world.context.next_life(number);
             world.discovery.forget(number);
             let known = lock(&world.known).get(&number).cloned();
             let known = known.unwrap_or_else(|| world.discovery.known(number));
@@ -420,7 +425,7 @@
         let gateway = self.gateways[number].clone();
         gateway.pause(on);
         if on {
-            notice(&self.ground, &self.clients, &gateway);
+            notice(&self.context, &self.clients, &gateway);
         } else {
             self.clients.front(number, false);
         }
@@ -453,7 +458,7 @@
 }
 
 /// When clients could not reach gateways, by the plan.
-fn excuses(plan: &Plan) -> Vec<Excuse> {
+fn excuses(plan: &Plan) -> Vec<FaultWindow> {
     let gateway = |party: &Party| if let Party::Gateway(g) = party { Some(*g) } else { None };
     let mut all = Vec::new();
     for (place, step) in plan.steps.iter().enumerate() {
@@ -478,7 +483,7 @@
         if clients(one) || clients(other) {
             let hit = one.iter().chain(other).filter_map(gateway);
             // What was held up meanwhile arrives a little later.
-            all.extend(hit.map(|gateway| Excuse {
+            all.extend(hit.map(|gateway| FaultWindow {
                 gateway,
                 from: step.at,
                 to: until.saturating_add(us(0.6)),
@@ -489,10 +494,10 @@
 }
 
 /// Addresses of all gateways, with those of each other where they talk.
-async fn places(ground: &Arc<Ground>, means: &Means) -> Result<Vec<Place>, SetUpError> {
-    let scenario = &ground.plan.scenario;
+async fn places(context: &Arc<RunContext>, resources: &RunResources) -> Result<Vec<Place>, SetUpError> {
+    let scenario = &context.plan.scenario;
     let count = scenario.gateways.count;
-    let own = |gateway| ground.side(gateway, last::OWN);
+    let own = |gateway| context.side(gateway, last::OWN);
     let nowhere = SocketAddr::new(own(0), 0);
     let mut places = Vec::with_capacity(count);
     let mut held = Vec::new();
@@ -502,34 +507,38 @@
         let (listen, ops) = (TcpListener::bind((own(number), 0))?, TcpListener::bind((own(number), 0))?);
         let datagrams = UdpSocket::bind((own(number), 0))?;
         peers.push(datagrams.local_addr()?);
-        let second = means.second.as_ref().filter(|_| scenario.gateways.second.contains(&number));
+        let second = resources.second.as_ref().filter(|_| scenario.gateways.second.contains(&number));
         places.push(Place {
             listen: listen.local_addr()?,
             ops: ops.local_addr()?,
             discovery: nowhere,
             counter: nowhere,
             env: Vec::new(),
-            binary: second.unwrap_or(&means.binary).clone(),
+            binary: second.unwrap_or(&resources.binary).clone(),
         });
         held.push((listen, ops, datagrams));
     }
     let mesh = match scenario.gateways.peers {
         true => {
-            let ips: Vec<IpAddr> = (0..count).map(|g| ground.side(g, last::PEERS)).collect();
-            Some(Mesh::open(&ips, peers, &ground.links).await?)
+            let ips: Vec<IpAddr> = (0..count).map(|g| context.side(g, last::PEERS)).collect();
+            Some(Mesh::open(&ips, peers, &context.links).await?)
         }
         false => None,
     };
     for (number, place) in places.iter_mut().enumerate() {
-        place.env = environment(ground, mesh.as_ref(), number)?;
+        place.env = environment(context, mesh.as_ref(), number)?;
     }
     Ok(places)
 }
 
 /// A gateway's further environment, with its own names in place.
-fn environment(ground: &Ground, mesh: Option<&Mesh>, number: usize) -> io::Result<Vec<(String, String)>> {
-    let scenario = &ground.plan.scenario;
-    let peers = ground.folder.join(format!("g{number}.peers.toml"));
+fn environment(
+    context: &RunContext,
+    mesh: Option<&Mesh>,
+    number: usize,
+) -> io::Result<Vec<(String, String)>> {
+    let scenario = &context.plan.scenario;
+    let peers = context.folder.join(format!("g{number}.peers.toml"));
     let mut listen = String::new();
     if let Some(mesh) = mesh {
         let others = mesh.seen[number].iter().enumerate().filter(|(other, _)| *other != number);
@@ -546,7 +555,7 @@
         let ledger = &scenario.gateways.ledger;
         let mut ledger: String = ledger.iter().map(|(name, value)| format!("{name} = {value}\n")).collect();
         if scenario.gateways.disks {
-            let disk = ground.folder.join(format!("g{number}.disk"));
+            let disk = context.folder.join(format!("g{number}.disk"));
             std::fs::create_dir_all(&disk)?;
             ledger.push_str(&format!("dir = \"{}\"\n", std::path::absolute(&disk)?.display()));
         }
@@ -569,7 +578,7 @@
     let fill = |text: &String| {
         text.replace("{name}", &format!("g{number}"))
             .replace("{zone}", &scenario.net.zones[number % scenario.zones()])
-            .replace("{folder}", &folder(&ground.folder))
+            .replace("{folder}", &folder(&context.folder))
             .replace("{peers}", &folder(&peers))
             .replace("{peer_listen}", &listen)
     };
--- a/lab/src/run_context.rs
+++ b/lab/src/run_context.rs
@@ -2,16 +2,16 @@
 
 use crate::clock::Clock;
 use crate::link::{lock, Links};
-use crate::plan::{Plan, Us};
+use crate::plan::{Microseconds, Plan};
 use crate::record::{Record, Told};
-use crate::relay::Starved;
+use crate::relay::StarvedReads;
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
 
 /// Shared by all stand-ins.
-pub struct Ground {
+pub struct RunContext {
     /// All that the seed decided.
     pub plan: Plan,
     /// The run's clock.
@@ -21,7 +21,7 @@
     /// What was seen so far.
     pub record: Mutex<Record>,
     /// Lacks of the lab itself.
-    pub starved: Arc<Starved>,
+    pub starved: Arc<StarvedReads>,
     /// Where configurations and logs are kept.
     pub folder: PathBuf,
     /// The second byte of this run's loopback addresses.
@@ -29,18 +29,18 @@
     /// Arrivals by the ids that clients have sent.
     ids: Mutex<HashMap<u64, usize>>,
     /// Keyed arrivals that have been begun: when.
-    keys: Mutex<HashMap<usize, Us>>,
+    keys: Mutex<HashMap<usize, Microseconds>>,
     /// What each gateway's living process knows of starts: gateway and backend.
-    knows: Mutex<HashMap<(usize, usize), Us>>,
+    knows: Mutex<HashMap<(usize, usize), Microseconds>>,
     lives: Mutex<Vec<usize>>,
 }
 
-impl Ground {
-    /// A new ground; `net` is the second byte of its loopback addresses.
-    pub fn new(plan: Plan, clock: Clock, folder: PathBuf, net: u8) -> Ground {
+impl RunContext {
+    /// A new context; `net` is the second byte of its loopback addresses.
+    pub fn new(plan: Plan, clock: Clock, folder: PathBuf, net: u8) -> RunContext {
         let links = Links::new(&plan.scenario, plan.seed);
         let gateways = plan.scenario.gateways.count;
-        Ground {
+        RunContext {
             plan,
             clock,
             links,
@@ -78,7 +78,7 @@
     }
 
     /// Whether a keyed request has been begun within its window; if not, it is from now on.
-    pub fn repeated(&self, arrival: usize, window: Us, now: Us) -> bool {
+    pub fn repeated(&self, arrival: usize, window: Microseconds, now: Microseconds) -> bool {
         let mut keys = lock(&self.keys);
         match keys.get(&arrival) {
             Some(at) if now < at + window => true,
@@ -101,7 +101,7 @@
     }
 
     /// Notes that discovery told a gateway of a backend.
-    pub fn told(&self, gateway: usize, backend: usize, ready: bool, started: Us, at: Us) {
+    pub fn told(&self, gateway: usize, backend: usize, ready: bool, started: Microseconds, at: Microseconds) {
         let life = self.life(gateway);
         if ready {
             lock(&self.knows).insert((gateway, backend), started);
@@ -110,7 +110,7 @@
     }
 
     /// Whether a gateway's process was told of a backend's start at this time.
-    pub fn knows(&self, gateway: usize, backend: usize, started: Us) -> bool {
+    pub fn knows(&self, gateway: usize, backend: usize, started: Microseconds) -> bool {
         lock(&self.knows).get(&(gateway, backend)).is_some_and(|at| *at >= started)
     }
 
--- a/lab/src/runner.rs
+++ b/lab/src/runner.rs
@@ -1,8 +1,8 @@
 //! One run from a scenario to its verdict, with a progress bar on a terminal.
 
-use crate::checker::{judge, Verdict};
+use crate::checker::{check, Verdict};
 use crate::plan::{Band, Plan};
-use crate::run::{Means, SetUpError, World};
+use crate::run::{RunResources, SetUpError, World};
 use crate::scenario::Scenario;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use serde::Serialize;
@@ -15,7 +15,7 @@
 
 /// What a run came to, with what it was played with.
 #[derive(Debug, Clone, Serialize)]
-pub struct Played {
+pub struct RunResult {
     /// The scenario's name.
     pub scenario: String,
     /// What the scenario shows.
@@ -36,7 +36,7 @@
 
 /// A run that did not come to its end.
 #[derive(Debug, thiserror::Error)]
-pub enum PlayError {
+pub enum RunError {
     /// It could not be set up.
     #[error("{0}")]
     SetUp(#[from] SetUpError),
@@ -46,13 +46,13 @@
 }
 
 /// Plays a scenario with a seed. Ctrl-C and SIGTERM end the run and all of its processes.
-pub async fn play(scenario: &Scenario, seed: u64, means: &Means) -> Result<Played, PlayError> {
+pub async fn play(scenario: &Scenario, seed: u64, resources: &RunResources) -> Result<RunResult, RunError> {
     let plan = Plan::draw(scenario, seed);
     let bar = bar(&plan);
     let world = tokio::select! {
-        world = World::start(plan.clone(), means) => world?,
+        world = World::start(plan.clone(), resources) => world?,
         // What has started by then ends with its handles.
-        () = crate::shutdown_signal::asked() => return Err(PlayError::Stopped),
+        () = crate::shutdown_signal::asked() => return Err(RunError::Stopped),
     };
     let _watchdog = Watchdog::over(&world, scenario);
     let record = tokio::select! {
@@ -60,12 +60,12 @@
         () = crate::shutdown_signal::asked() => {
             bar.finish_and_clear();
             world.end().await;
-            return Err(PlayError::Stopped);
+            return Err(RunError::Stopped);
         }
     };
     bar.finish_and_clear();
-    let verdict = judge(&plan, &record);
-    Ok(Played {
+    let verdict = check(&plan, &record);
+    Ok(RunResult {
         scenario: scenario.name.clone(),
         about: scenario.about.clone(),
         seed,
--- a/lab/src/stats.rs
+++ b/lab/src/stats.rs
@@ -64,10 +64,10 @@
     let logs: Vec<f64> = pairs.iter().map(|(a, b)| (b / a).ln()).collect();
     let mean = |values: &mut dyn Iterator<Item = f64>| values.sum::<f64>() / logs.len() as f64;
     let mut draw = Draw::new(1, 1);
-    let mut means: Vec<f64> =
+    let mut resources: Vec<f64> =
         (0..RESAMPLES).map(|_| mean(&mut (0..logs.len()).map(|_| logs[draw.below(logs.len())]))).collect();
-    means.sort_by(f64::total_cmp);
-    let at = |part: f64| means[((means.len() - 1) as f64 * part).round() as usize].exp();
+    resources.sort_by(f64::total_cmp);
+    let at = |part: f64| resources[((resources.len() - 1) as f64 * part).round() as usize].exp();
     Some(Ratio { mean: mean(&mut logs.iter().copied()).exp(), low: at(0.025), high: at(0.975) })
 }
 
--- a/lab/src/table.rs
+++ b/lab/src/table.rs
@@ -1,7 +1,7 @@
 //! Plain tables and the text of a run's result.
 
 use crate::checker::Word;
-use crate::runner::Played;
+use crate::runner::RunResult;
 use std::fmt::Write;
 
 /// Lines of cells, columns as wide as their widest cell; the first column to the left, others to the right.
@@ -28,19 +28,19 @@
 }
 
 /// The result of a run as a person reads it.
-pub fn result(played: &Played) -> String {
+pub fn result(result: &RunResult) -> String {
     let mut text = String::new();
-    let verdict = &played.verdict;
-    let [gateways, backends, customers] = played.sizes;
+    let verdict = &result.verdict;
+    let [gateways, backends, customers] = result.sizes;
     // Writing to a string fails never.
-    let _ = writeln!(text, "{}, seed {}: {}", played.scenario, played.seed, played.about.trim());
+    let _ = writeln!(text, "{}, seed {}: {}", result.scenario, result.seed, result.about.trim());
     let _ = writeln!(
         text,
         "{gateways} gateways, {backends} backends, {customers} customers, {} s; plan {}",
-        played.length_s,
-        &played.digest[..16]
+        result.length_s,
+        &result.digest[..16]
     );
-    for band in &played.faults {
+    for band in &result.faults {
         let _ = writeln!(text, "  {:6.1} to {:5.1} s  {}", band.from_s, band.to_s, band.name);
     }
     let figures = &verdict.figures;
--- a/lab/src/write_status_poll.rs
+++ b/lab/src/write_status_poll.rs
@@ -3,7 +3,7 @@
 use crate::cluster_poll::call_ops;
 use crate::link::lock;
 use crate::record::Fate;
-use crate::run_context::Ground;
+use crate::run_context::RunContext;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
@@ -14,8 +14,8 @@
 const LONGEST: Duration = Duration::from_secs(20);
 
 /// Asks for each receipt at one gateway after another, until one knows the write; any of them may have died.
-pub async fn ask_receipts(ground: &Ground, gateways: &[SocketAddr]) {
-    let places: Vec<String> = lock(&ground.record).receipts.iter().map(|r| r.place.clone()).collect();
+pub async fn ask_receipts(context: &RunContext, gateways: &[SocketAddr]) {
+    let places: Vec<String> = lock(&context.record).receipts.iter().map(|r| r.place.clone()).collect();
     let until = Instant::now() + LONGEST;
     for (number, place) in places.iter().enumerate() {
         let mut told = Fate::Nothing;
@@ -29,7 +29,7 @@
                 break;
             }
         }
-        ground.note(|record| record.receipts[number].told = told);
+        context.note(|record| record.receipts[number].told = told);
     }
 }
 
--- a/lab/tests/judge.rs
+++ b/lab/tests/checker.rs
@@ -2,8 +2,8 @@
 
 use quota_gateway_lab::checker::{Rule, Word};
 use quota_gateway_lab::plan::Plan;
-use quota_gateway_lab::run::{Means, World};
-use quota_gateway_lab::runner::{play, Played};
+use quota_gateway_lab::run::{RunResources, World};
+use quota_gateway_lab::runner::{play, RunResult};
 use quota_gateway_lab::scenario::Scenario;
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -43,33 +43,32 @@
 drain_s = 4
 "#;
 
-fn rules(mischief: &str, change: &[(&str, &str)]) -> (Vec<Rule>, Played) {
-    let mut text = SCENARIO.replace(
-        "gateways.count = 2",
-        &format!("gateways.count = 2\ngateways.env.MISCHIEF = \"{mischief}\""),
-    );
+fn rules(fault: &str, change: &[(&str, &str)]) -> (Vec<Rule>, RunResult) {
+    let mut text = SCENARIO
+        .replace("gateways.count = 2", &format!("gateways.count = 2\ngateways.env.FAULT = \"{fault}\""));
     for (from, to) in change {
         assert!(text.contains(from), "{from}");
         text = text.replace(from, to);
     }
     let scenario = Scenario::parse(PathBuf::from("small.toml"), &text, &[]).expect("a good scenario");
     let folder =
-        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("judge-{mischief}-{}", std::process::id()));
-    let means = Means { binary: env!("CARGO_BIN_EXE_lab-mischief").into(), second: None, folder };
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("checker-{fault}-{}", std::process::id()));
+    let resources =
+        RunResources { binary: env!("CARGO_BIN_EXE_lab-faulty-gateway").into(), second: None, folder };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
         .expect("a runtime");
-    let played = runtime.block_on(play(&scenario, 1, &means)).expect("it runs");
-    (played.verdict.broken.iter().map(|b| b.rule).collect(), played)
+    let result = runtime.block_on(play(&scenario, 1, &resources)).expect("it runs");
+    (result.verdict.broken.iter().map(|b| b.rule).collect(), result)
 }
 
 #[test]
 fn a_sound_gateway_breaks_no_rule_and_its_figures_stand() {
-    let (broken, played) = rules("none", &[]);
-    assert_eq!(broken, [], "{:?}", played.verdict.broken);
-    let figures = &played.verdict.figures;
+    let (broken, result) = rules("none", &[]);
+    assert_eq!(broken, [], "{:?}", result.verdict.broken);
+    let figures = &result.verdict.figures;
     assert!(figures.requests > 50 && figures.served > 0.5, "{figures:?}");
     assert!(figures.attempts > 0.9 && figures.counter_calls == 0.0, "{figures:?}");
 }
@@ -79,13 +78,14 @@
     let scenario = Scenario::parse(PathBuf::from("small.toml"), SCENARIO, &[]).expect("a good scenario");
     let folder =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("breaks-off-{}", std::process::id()));
-    let means = Means { binary: env!("CARGO_BIN_EXE_lab-mischief").into(), second: None, folder };
+    let resources =
+        RunResources { binary: env!("CARGO_BIN_EXE_lab-faulty-gateway").into(), second: None, folder };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
         .expect("a runtime");
-    let world = runtime.block_on(World::start(Plan::draw(&scenario, 1), &means)).expect("it starts");
+    let world = runtime.block_on(World::start(Plan::draw(&scenario, 1), &resources)).expect("it starts");
     let listens = |world: &World| -> Vec<SocketAddr> {
         world.gateways.iter().map(|g| g.place.lock().expect("whole").listen).collect()
     };
@@ -103,11 +103,11 @@
 #[test]
 fn requests_lost_late_answered_twice_or_with_made_up_bodies_are_caught() {
     std::thread::scope(|scope| {
-        for mischief in ["lose", "late", "twice", "made-up"] {
+        for fault in ["lose", "late", "twice", "made-up"] {
             scope.spawn(move || {
-                let (broken, played) = rules(mischief, &[]);
-                assert_eq!(broken, [Rule::Answered], "{mischief}: {:?}", played.verdict.broken);
-                assert_eq!(played.verdict.word, Word::Failed, "{mischief}");
+                let (broken, result) = rules(fault, &[]);
+                assert_eq!(broken, [Rule::Answered], "{fault}: {:?}", result.verdict.broken);
+                assert_eq!(result.verdict.word, Word::Failed, "{fault}");
             });
         }
     });
@@ -118,14 +118,14 @@
     // Work longer than the window, so that every repeat comes after it.
     let keyed = "[[class]]\nname = \"publish-cover\"\nshare = 1\nwork_ms = 60\nwork_cv = 0\naim_ms = 900\n\
                  deadline_ms = 2000\nworth = 1\neffect = \"keyed\"\nwindow_ms = 1\n[[fault]]";
-    let (broken, played) = rules("repeat", &[("[[fault]]", keyed), ("load.per_s = 30", "load.per_s = 10")]);
-    assert_eq!(broken, [Rule::Effect], "{:?}", played.verdict.broken);
+    let (broken, result) = rules("repeat", &[("[[fault]]", keyed), ("load.per_s = 30", "load.per_s = 10")]);
+    assert_eq!(broken, [Rule::Effect], "{:?}", result.verdict.broken);
 }
 
 #[test]
 fn sends_to_what_drains_are_caught() {
-    let (broken, played) = rules("drain", &[]);
-    assert_eq!(broken, [Rule::Drain], "{:?}", played.verdict.broken);
+    let (broken, result) = rules("drain", &[]);
+    assert_eq!(broken, [Rule::Drain], "{:?}", result.verdict.broken);
 }
 
 #[test]
@@ -134,22 +134,22 @@
         "backends.count = 4",
         "backends.count = 4\nbackends.cores = 0.2\nbackends.cold_s = 20\nbackends.fall_s = 1",
     );
-    let (broken, played) = rules("cold", &[weak]);
-    assert!(broken.contains(&Rule::Cold), "{:?}", played.verdict.broken);
+    let (broken, result) = rules("cold", &[weak]);
+    assert!(broken.contains(&Rule::Cold), "{:?}", result.verdict.broken);
 }
 
 #[test]
 fn a_ceiling_passed_is_caught() {
     let low = ("over_cost = 1", "over_cost = 1\nceiling = 1.1");
     let heavy = ("load.heavy = 0", "load.heavy = 1\nload.heavy_x = [4, 4]");
-    let (broken, played) = rules("none", &[low, heavy]);
-    assert_eq!(broken, [Rule::Ceiling], "{:?}", played.verdict.broken);
+    let (broken, result) = rules("none", &[low, heavy]);
+    assert_eq!(broken, [Rule::Ceiling], "{:?}", result.verdict.broken);
 }
 
 #[test]
 fn a_crash_and_too_much_memory_are_caught() {
-    let (broken, played) = rules("crash", &[]);
-    assert!(broken.contains(&Rule::Crash), "{:?}", played.verdict.broken);
-    let (broken, played) = rules("memory", &[]);
-    assert!(broken.contains(&Rule::Limits), "{:?}", played.verdict.broken);
+    let (broken, result) = rules("crash", &[]);
+    assert!(broken.contains(&Rule::Crash), "{:?}", result.verdict.broken);
+    let (broken, result) = rules("memory", &[]);
+    assert!(broken.contains(&Rule::Limits), "{:?}", result.verdict.broken);
 }
--- a/lab/tests/mischief/gateway.rs
+++ b/lab/tests/faulty_gateway/gateway.rs
@@ -1,4 +1,4 @@
-//! A very small gateway for the lab's own tests: sound, or breaking the one rule that `MISCHIEF` names. It asks no
+//! A very small gateway for the lab's own tests: sound, or breaking the one rule that `FAULT` names. It asks no
 //! counter and knows no quota; it exists to show that the judge catches what it should, and nothing else.
 #![forbid(unsafe_code)]
 
@@ -64,7 +64,7 @@
 }
 
 struct Gateway {
-    mischief: String,
+    fault: String,
     began: Instant,
     backends: Mutex<BTreeMap<String, Backend>>,
     ballast: Mutex<Vec<u8>>,
@@ -73,7 +73,7 @@
 
 impl Gateway {
     fn does(&self, what: &str) -> bool {
-        self.mischief == what
+        self.fault == what
     }
 
     fn learn(&self, list: &Value) {
@@ -198,12 +198,12 @@
 
 fn main() -> Result<(), AnyError> {
     let config: Value = serde_json::from_str(&std::fs::read_to_string(env::var("NODE_CONFIG")?)?)?;
-    let mischief = env::var("MISCHIEF").unwrap_or_default();
-    if mischief == "stillborn" {
+    let fault = env::var("FAULT").unwrap_or_default();
+    if fault == "stillborn" {
         return Err("this one is made to end at its start".into());
     }
     let gateway = Arc::new(Gateway {
-        mischief,
+        fault,
         began: Instant::now(),
         backends: Mutex::default(),
         ballast: Mutex::default(),
--- a/lab/tests/links.rs
+++ b/lab/tests/links.rs
@@ -5,7 +5,7 @@
 use quota_gateway_lab::fault_targets::Party;
 use quota_gateway_lab::link::Links;
 use quota_gateway_lab::plan::LinkChange;
-use quota_gateway_lab::relay::{Door, Serve, Way};
+use quota_gateway_lab::relay::{GatewayListener, Serve, Way};
 use quota_gateway_lab::scenario::Scenario;
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::PathBuf;
@@ -38,7 +38,7 @@
 }
 
 /// A door of gateway 0 to backend 0, which sends back what it hears.
-fn echo(links: &Links, alive: &watch::Sender<bool>) -> Door {
+fn echo(links: &Links, alive: &watch::Sender<bool>) -> GatewayListener {
     let (gateway, backend) = (Party::Gateway(0), Party::Backend(0));
     let way =
         Way { up: links.get(gateway, backend), down: links.get(backend, gateway), clock: Clock::default() };
@@ -49,7 +49,7 @@
             let _ = tokio::io::copy(&mut read, &mut write).await;
         });
     });
-    Door::open(local(), way, alive.subscribe(), Arc::default(), serve).expect("a port")
+    GatewayListener::open(local(), way, alive.subscribe(), Arc::default(), serve).expect("a port")
 }
 
 async fn says(stream: &mut TcpStream, text: &[u8], within: Duration) -> bool {
--- a/lab/tests/overlaps.rs
+++ b/lab/tests/overlapping_faults.rs
@@ -1,6 +1,6 @@
 //! Faults of one kind that overlap on one party: each lasts until its own end.
 
-use quota_gateway_lab::plan::{us, Action, Plan, Us};
+use quota_gateway_lab::plan::{us, Action, Microseconds, Plan};
 use quota_gateway_lab::scenario::Scenario;
 use std::path::PathBuf;
 
@@ -10,7 +10,7 @@
     Plan::draw(&scenario, 918_273)
 }
 
-fn pauses(plan: &Plan, number: usize) -> Vec<(Us, bool)> {
+fn pauses(plan: &Plan, number: usize) -> Vec<(Microseconds, bool)> {
     let of_one = |action: &Action| match action {
         Action::Pause { gateway, on } if *gateway == number => Some(*on),
         _ => None,
--- a/lab/tests/program.rs
+++ b/lab/tests/program.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 const LAB: &str = env!("CARGO_BIN_EXE_quota-gateway-lab");
-const GATEWAY: &str = env!("CARGO_BIN_EXE_lab-mischief");
+const GATEWAY: &str = env!("CARGO_BIN_EXE_lab-faulty-gateway");
 
 fn file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", std::process::id()));
@@ -49,7 +49,7 @@
 
 #[test]
 fn a_gateway_that_ends_at_its_start_is_named_with_its_last_lines() {
-    let path = file("stillborn.toml", &format!("{SMALL}gateways.env.MISCHIEF = \"stillborn\"\n"));
+    let path = file("stillborn.toml", &format!("{SMALL}gateways.env.FAULT = \"stillborn\"\n"));
     let (code, text) = lab(&["run", path.to_str().expect("text"), "--gateway", GATEWAY]);
     assert_eq!(code, Some(1));
     assert!(
