--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,3 +9,7 @@
 mod settings;
 mod state;
 pub mod wire;
+
+#[cfg(test)]
+#[path = "../tests/common/fixture.rs"]
+mod fixture;
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -238,17 +238,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn clients_have_what_the_others_leave_and_the_sum_fits() {
-        for sockets in [24, 256, 384, 1024] {
-            let limits = SocketLimits::of(sockets);
-            let all = limits.clients + limits.backends + limits.counter;
-            assert!(all + 11 <= sockets, "{sockets}: {limits:?}");
-            // A third is for clients; as much again may be held by peers that send nothing.
-            assert!(sockets < 256 || limits.clients * 8 >= sockets * 5, "{sockets}: {limits:?}");
-        }
-    }
-}
+mod tests;
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -276,3 +276,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
