--- a/lab/tests/disk/world.rs
+++ b/lab/tests/disk/world.rs
@@ -1,12 +1,12 @@
 //! The world of these tests: whole fleet parts, a network that loses, doubles and delays, disks that sync late
 //! and fail, processes and machines that end at any moment, all of them at once too.
 
-use rand::{RngExt, SeedableRng};
-use rand_chacha::ChaCha8Rng;
-use starlinghill::fleet::branch::{self, Dot, End, Fate, State, Status};
-use starlinghill::fleet::{
+use quota_gateway::cluster::write_queue::{self, Dot, End, Fate, State, Status};
+use quota_gateway::cluster::{
     ledger, About, Effect, Errand, Event, Fleet, Machine, Micros, Notice, Put, Settings, LEDGER,
 };
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -142,7 +142,7 @@
             seats: (0..seats).map(name).collect(),
             ledger: Some(ledger::Terms { holders: 3, lease: Micros(600 * MS), life: Micros(5_000 * MS) }),
             rules: None,
-            branch: Some(branch::Terms {
+            branch: Some(write_queue::Terms {
                 seats: (0..seats as u16).skip(node % self.branches).step_by(self.branches).collect(),
                 most: 5000,
                 most_of_one: 500,
--- a/src/net/disk.rs
+++ b/src/proxy/cluster_transport/disk.rs
@@ -3,7 +3,7 @@
 //! The file is a `redb` database: copy on write, checksummed, synced at each commit; a commit that was torn is not there
 //! after the next opening. Tests below hold it to that, with storage that loses, tears and fails.
 
-use crate::fleet::{Machine, Micros, Put};
+use crate::cluster::{Machine, Micros, Put};
 use redb::{Builder, Database, Error, ReadableDatabase, ReadableTable, TableDefinition};
 use rustix::time::{clock_gettime, ClockId};
 use std::path::{Path, PathBuf};
@@ -178,6 +178,9 @@
     }
 }
 
+#[cfg(test)]
+mod fixture_tests;
+
 #[cfg(test)]
 mod tests {
     use super::*;
@@ -387,7 +390,7 @@
 
     #[test]
     fn a_file_that_is_not_sound_is_set_aside_and_a_new_one_begun() {
-        let folder = std::env::temp_dir().join(format!("starlinghill-disk-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("quota-gateway-disk-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let path = folder.join(FILE);
         std::fs::write(&path, b"no file of ours, but for its name, with bytes enough to look at".repeat(40))
--- a/src/net/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -4,15 +4,15 @@
 //! whatever the fields are called.
 
 use super::{Config, FleetConfig, SocketLimits};
-use crate::api::{Class, Effect, Group, Plan};
+use crate::cluster::rollout::Rule;
+use crate::decision::api::{Class, Effect, Group, Plan};
 use crate::fixture;
-use crate::fleet::rollout::Rule;
 use std::fmt::{Debug, Write};
 
-const GATEWAY: &str = include_str!("../../../tests/fixtures/control/gateway.json");
-const GATEWAY_FEWEST: &str = include_str!("../../../tests/fixtures/control/gateway_fewest.json");
-const FLEET: &str = include_str!("../../../tests/fixtures/control/fleet.toml");
-const FLEET_FEWEST: &str = include_str!("../../../tests/fixtures/control/fleet_fewest.toml");
+const GATEWAY: &str = include_str!("../../../../tests/fixtures/control/gateway.json");
+const GATEWAY_FEWEST: &str = include_str!("../../../../tests/fixtures/control/gateway_fewest.json");
+const FLEET: &str = include_str!("../../../../tests/fixtures/control/fleet.toml");
+const FLEET_FEWEST: &str = include_str!("../../../../tests/fixtures/control/fleet_fewest.toml");
 
 /// Lines of `key = value`.
 #[derive(Default)]
--- a/src/net/handover/tests.rs
+++ b/src/proxy/lifecycle/handover/tests.rs
@@ -3,16 +3,16 @@
 //! The files are in `tests/fixtures/control`. An older build may be at the other end, so they never change.
 
 use super::{Line, Word};
-use crate::api::ClassId;
+use crate::decision::api::ClassId;
+use crate::decision::gateway::Gateway;
 use crate::fixture;
-use crate::net::config::Config;
-use crate::rules::Gateway;
+use crate::proxy::control_plane::config::Config;
 use tokio::net::UnixStream;
 
-const PREDECESSOR: &str = include_str!("../../../tests/fixtures/control/handover_predecessor.jsonl");
-const SUCCESSOR: &str = include_str!("../../../tests/fixtures/control/handover_successor.jsonl");
-const OTHER_BUILDS: &str = include_str!("../../../tests/fixtures/control/handover_other_builds.jsonl");
-const CONFIGURATION: &str = include_str!("../../../tests/fixtures/control/gateway.json");
+const PREDECESSOR: &str = include_str!("../../../../tests/fixtures/control/handover_predecessor.jsonl");
+const SUCCESSOR: &str = include_str!("../../../../tests/fixtures/control/handover_successor.jsonl");
+const OTHER_BUILDS: &str = include_str!("../../../../tests/fixtures/control/handover_other_builds.jsonl");
+const CONFIGURATION: &str = include_str!("../../../../tests/fixtures/control/gateway.json");
 
 fn state_of(line: &str) -> Box<super::Will> {
     match serde_json::from_str(line) {
--- a/tests/endpoint_list_form.rs
+++ b/tests/endpoint_list_form.rs
@@ -4,7 +4,7 @@
 #[path = "common/fixture.rs"]
 mod fixture;
 
-use starlinghill::net::discovery::{MemberList, Phase};
+use quota_gateway::proxy::control_plane::discovery::{MemberList, Phase};
 use std::fmt::Write;
 
 fn list_text(name: &str) -> String {
--- a/tests/start_errors.rs
+++ b/tests/start_errors.rs
@@ -9,7 +9,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_starlinghill");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_quota-gateway");
 /// A program that still runs then has found nothing wrong.
 const LONGEST_START: Duration = Duration::from_secs(10);
 
