--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 use std::time::Duration;
 
-fn member(name: &str, seed: u64) -> Fleet {
+fn settings(name: &str) -> Settings {
     let about = About { zone: "z".into(), version: "1".into(), capabilities: 0, advertise: None };
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
-    let settings = Settings {
+    Settings {
         fleet: "norte".into(),
         name: name.into(),
         about,
@@ -17,8 +17,11 @@
         rules: None,
         branch: None,
         disk: None,
-    };
-    Fleet::new(settings, Micros(0), Micros(1_790_000_000_000_000), seed).expect("sound settings")
+    }
+}
+
+fn member(name: &str, seed: u64) -> Fleet {
+    Fleet::new(settings(name), Micros(0), Micros(1_790_000_000_000_000), seed).expect("sound settings")
 }
 
 #[test]
@@ -60,3 +63,55 @@
     assert!(bent.records().count() <= MOST_MEMBERS);
     assert_eq!(fleets[0].present(), 2);
 }
+
+impl Fleet {
+    /// A gateway with a ledger, a branch and a disk, whose counters all differ, for the test of `/stats`.
+    pub(crate) fn with_distinct_counts() -> Fleet {
+        let terms = branch::Terms {
+            seats: vec![0, 1, 2],
+            most: 10,
+            most_of_one: 10,
+            longest: Micros(1_000_000),
+            cut_after: Micros(1_000_000),
+            patience: Micros(1_000_000),
+            out: 1,
+            per_s: 1,
+            stop: Vec::new(),
+        };
+        let ledger = ledger::Terms { holders: 3, lease: Micros(400_000), life: Micros(2_000_000) };
+        let settings = Settings {
+            seats: ["a", "b", "c"].map(String::from).to_vec(),
+            ledger: Some(ledger),
+            branch: Some(terms.clone()),
+            disk: Some(Machine { boot: 7, uptime: Micros(0) }),
+            ..settings("a")
+        };
+        let unix = Micros(1_790_000_000_000_000);
+        let mut fleet = Fleet::new(settings, Micros(0), unix, 1).expect("sound settings");
+        fleet.handle(Micros(0), Event::Wake, &mut Vec::new());
+        // Found late once; its score becomes 4.
+        fleet.handle(Micros(1_000_000), Event::Wake, &mut Vec::new());
+        let desk = fleet.desk.as_mut().expect("a ledger");
+        desk.tallies = ledger::Tallies {
+            claims: 11,
+            clear: 12,
+            taken_over: 13,
+            running: 14,
+            answered: 15,
+            mistakes: 16,
+            unheld: 17,
+            lost: 18,
+            unprotected: 19,
+            orphans: 20,
+        };
+        let refusals = &mut desk.holder_mut().refusals;
+        (refusals.mute, refusals.full, refusals.late, refusals.unfit) = (21, 22, 23, 24);
+        let mut clerk = branch::Clerk::new(0, terms, 1, Micros(0));
+        clerk.tallies = branch::Tallies { accepted: 31, refused: 32, sent: 33, done: 34, not_done: 35 };
+        fleet.branch = Some(Branch::new(clerk, Micros(0)));
+        (fleet.traffic.heard, fleet.traffic.sent) = (41, 42);
+        let strangers = Stranger::ALL.into_iter().zip(51..);
+        fleet.traffic.strangers = strangers.collect();
+        fleet
+    }
+}
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -4,6 +4,8 @@
 mod gauges;
 mod lines;
 mod rolls;
+#[cfg(test)]
+mod tests;
 mod writes;
 
 use super::arms::Arms;
--- /dev/null
+++ b/src/net/peers/tests.rs
@@ -0,0 +1,34 @@
+//! The cluster's lines of `/stats` as `tests/fixtures/stats-gauges.txt` holds them.
+
+use super::Peers;
+use crate::fleet::Fleet;
+use crate::net::arms::Arms;
+use crate::net::config::FleetConfig;
+use crate::net::drain::Duty;
+use crate::net::driver::Clock;
+use std::path::Path;
+use std::rc::Rc;
+use tokio::sync::mpsc;
+
+const FILE: &str = "fleet = \"norte\"\nname = \"a\"\nlisten = \"127.0.0.1:1\"\nseats = [\"a\", \"b\", \"c\"]\n\
+    [ledger]\nholders = 3\n[rollout]\n[branch]\nseats = [\"a\", \"b\", \"c\"]\nclasses = [\"buy\"]\n[peers]\nb = \"127.0.0.1:2\"\n";
+
+#[test]
+fn every_cluster_gauge_has_its_key_place_and_value_in_the_stats() {
+    let config = FleetConfig::parse(FILE, "a").expect("sound");
+    let (inbox, _inputs) = mpsc::channel(1);
+    let ((writes, _w), (orphans, _o)) = (mpsc::channel(1), mpsc::channel(1));
+    let (duty, arms) = (Rc::new(Duty::default()), Rc::new(Arms::default()));
+    let peers = Peers::new(config, Clock::start(), duty, inbox, arms, (writes, orphans));
+    assert_eq!(peers.gauges(), "", "nothing while another process stands for the gateway");
+    *peers.fleet.borrow_mut() = Some(Fleet::with_distinct_counts());
+    peers.unsent.set(61);
+    peers.finished.0.set(62);
+    peers.finished.1.set(63);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/stats-gauges.txt");
+    let text = peers.gauges();
+    if std::env::var_os("WRITE_NEW_FIXTURES").is_some() && !path.exists() {
+        std::fs::write(&path, &text).expect("written");
+    }
+    assert_eq!(text, std::fs::read_to_string(path).expect("the fixture"));
+}
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -1,4 +1,5 @@
 //! The gateway on loopback sockets: what real networks do to it that the simulator does not.
+mod admin_fixtures;
 mod backends;
 mod branch;
 mod closing;
--- /dev/null
+++ b/tests/stats_keys.rs
@@ -0,0 +1,57 @@
+//! `/stats` as `tests/fixtures/stats-counters.txt` holds it: every counter of a process under its own key, in its place.
+
+use starlinghill::api::{ClassId, Outcome, RefusalReason};
+use starlinghill::net::discovery::FailureKind;
+use starlinghill::net::figures::{Close, End, Figures, Fleet, Unsent};
+use std::path::Path;
+use std::rc::Rc;
+use strum::VariantArray;
+
+const FIXTURE: &str = "tests/fixtures/stats-counters.txt";
+
+/// Counts each variant once more than the one before it, from `first` on, so that no two lines are alike.
+fn raise<Kind: Copy>(kinds: &[Kind], first: usize, count: impl Fn(Kind)) {
+    for (place, kind) in kinds.iter().enumerate() {
+        for _ in 0..first + place {
+            count(*kind);
+        }
+    }
+}
+
+#[test]
+fn every_counter_has_its_key_place_and_value_in_the_stats() {
+    let figures = Rc::new(Figures::new(["look".to_string(), "buy".to_string()]));
+    for (class, ends) in [(0, [3, 4, 5]), (1, [6, 7, 8])] {
+        for (end, count) in [End::Served, End::Refused, End::Failed].into_iter().zip(ends) {
+            for _ in 0..count {
+                figures.taken(ClassId(class)).ends(end);
+            }
+        }
+    }
+    let _in_flight = [figures.taken(ClassId(0)), figures.taken(ClassId(1))];
+    (0..9).for_each(|_| figures.attempt());
+    (0..10).for_each(|_| figures.discovery.called());
+    for (revision, bytes) in [(41, 100), (42, 23), (43, 7)] {
+        figures.discovery.listed(revision, bytes);
+    }
+    raise(FailureKind::VARIANTS, 11, |kind| figures.discovery.failed(kind));
+    raise(Outcome::VARIANTS, 21, |kind| figures.outcomes.raise(kind));
+    raise(Unsent::VARIANTS, 31, |kind| figures.unsent.raise(kind));
+    raise(RefusalReason::VARIANTS, 41, |kind| figures.refusals.raise(kind));
+    raise(Close::VARIANTS, 51, |kind| figures.closes.raise(kind));
+    let text = figures.text(Fleet { known: 61, excluded: 62 });
+    // The only value that the clock decides.
+    let line = |line: &str| match line.split_once("last_list_ms_ago=") {
+        Some((before, ago)) => {
+            assert!(ago.parse::<u64>().is_ok(), "{line}");
+            format!("{before}last_list_ms_ago=MS\n")
+        }
+        None => format!("{line}\n"),
+    };
+    let text: String = text.lines().map(line).collect();
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(FIXTURE);
+    if std::env::var_os("WRITE_NEW_FIXTURES").is_some() && !path.exists() {
+        std::fs::write(&path, &text).expect("written");
+    }
+    assert_eq!(text, std::fs::read_to_string(path).expect("the fixture"));
+}
