--- a/lab/tests/scenario_keys.rs
+++ b/lab/tests/scenario_keys.rs
@@ -1,7 +1,7 @@
 //! Every key of a scenario file is read into its own place, and a wrong one is refused with the words of the build
 //! that wrote `tests/fixtures/scenario-errors.txt`.
 
-use starlinghill_lab::scenario::{Class, Effect, Fault, Plan, Scenario};
+use quota_gateway_lab::scenario::{Class, Effect, Fault, Plan, Scenario};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use toml::Value;
--- a/src/fleet/tests.rs
+++ b/src/cluster/tests.rs
@@ -1,6 +1,6 @@
 //! The whole part against bytes that nobody sends.
 
-use super::*;
+use crate::cluster::*;
 use std::time::Duration;
 
 fn settings(name: &str) -> Settings {
@@ -49,7 +49,7 @@
                         body[at] = if rng.bool() { rng.u8(..) } else { 0xff };
                     }
                     body.truncate(rng.usize(11..=body.len()));
-                    frame::seal(&mut body);
+                    datagram::seal(&mut body);
                     bent.handle(now, Event::Datagram(from[0], &body), &mut Vec::new());
                 }
                 fleets[to].handle(now, Event::Datagram(from[1 - to], &bytes), &mut out);
@@ -67,7 +67,7 @@
 impl Fleet {
     /// A gateway with a ledger, a branch and a disk, whose counters all differ, for the test of `/stats`.
     pub(crate) fn with_distinct_counts() -> Fleet {
-        let terms = branch::Terms {
+        let terms = write_queue::Terms {
             seats: vec![0, 1, 2],
             most: 10,
             most_of_one: 10,
@@ -106,8 +106,8 @@
         };
         let refusals = &mut desk.holder_mut().refusals;
         (refusals.mute, refusals.full, refusals.late, refusals.unfit) = (21, 22, 23, 24);
-        let mut clerk = branch::Clerk::new(0, terms, 1, Micros(0));
-        clerk.tallies = branch::Tallies { accepted: 31, refused: 32, sent: 33, done: 34, not_done: 35 };
+        let mut clerk = write_queue::Clerk::new(0, terms, 1, Micros(0));
+        clerk.tallies = write_queue::Tallies { accepted: 31, refused: 32, sent: 33, done: 34, not_done: 35 };
         fleet.branch = Some(Branch::new(clerk, Micros(0)));
         (fleet.traffic.heard, fleet.traffic.sent) = (41, 42);
         let strangers = Stranger::ALL.into_iter().zip(51..);
--- a/src/net/peers/tests.rs
+++ b/src/proxy/cluster_transport/tests.rs
@@ -1,11 +1,11 @@
 //! The cluster's lines of `/stats` as `tests/fixtures/stats-gauges.txt` holds them.
 
 use super::Peers;
-use crate::fleet::Fleet;
-use crate::net::arms::Arms;
-use crate::net::config::FleetConfig;
-use crate::net::drain::Duty;
-use crate::net::driver::Clock;
+use crate::cluster::Fleet;
+use crate::proxy::cluster_transport::outcome_recorder::Arms;
+use crate::proxy::control_plane::config::FleetConfig;
+use crate::proxy::lifecycle::drain::Duty;
+use crate::proxy::runtime::Clock;
 use std::path::Path;
 use std::rc::Rc;
 use tokio::sync::mpsc;
--- a/tests/stats_keys.rs
+++ b/tests/stats_keys.rs
@@ -1,8 +1,8 @@
 //! `/stats` as `tests/fixtures/stats-counters.txt` holds it: every counter of a process under its own key, in its place.
 
-use starlinghill::api::{ClassId, Outcome, RefusalReason};
-use starlinghill::net::discovery::FailureKind;
-use starlinghill::net::figures::{Close, End, Figures, Fleet, Unsent};
+use quota_gateway::decision::api::{ClassId, Outcome, RefusalReason};
+use quota_gateway::proxy::admin::metrics::{Close, End, Figures, Fleet, Unsent};
+use quota_gateway::proxy::control_plane::discovery::FailureKind;
 use std::path::Path;
 use std::rc::Rc;
 use strum::VariantArray;
