--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -10,6 +10,8 @@
 pub(crate) mod outcome_recorder;
 mod rollouts;
 pub(crate) mod serialized_request;
+#[cfg(test)]
+mod tests;
 pub(crate) mod write_queue_sender;
 mod writes;
 
