--- a/lab/src/members/world.rs
+++ b/lab/src/members/world.rs
@@ -1,6 +1,6 @@
 //! A fleet of members under virtual time: one queue of events, one seed.
 
-use quota_gateway::cluster::{About, Effect, Event, Fleet, Micros, Notice, Settings, Shares, WAKE};
+use quota_gateway::cluster::{MemberMetadata, Effect, Event, ClusterNode, Micros, ClusterNotice, Settings, Shares, WAKE};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -41,7 +41,7 @@
 struct Node {
     name: String,
     address: SocketAddr,
-    fleet: Option<Fleet>,
+    fleet: Option<ClusterNode>,
     life: u32,
     paused: bool,
     backlog: Vec<(SocketAddr, Vec<u8>)>,
@@ -97,7 +97,7 @@
     /// Ways that nothing crosses, from and to.
     cuts: BTreeSet<(usize, usize)>,
     /// What members told, and when.
-    pub notices: Vec<(Micros, usize, Notice)>,
+    pub notices: Vec<(Micros, usize, ClusterNotice)>,
     effects: Vec<Effect>,
 }
 
@@ -154,7 +154,7 @@
         self.rng.random_range(0..below.max(1))
     }
     /// A member that runs.
-    pub fn fleet(&self, node: usize) -> Option<&Fleet> {
+    pub fn fleet(&self, node: usize) -> Option<&ClusterNode> {
         self.nodes.get(node)?.fleet.as_ref()
     }
     /// A node's name.
@@ -190,7 +190,7 @@
         for &other in told {
             self.nodes[other].peers.insert(name.clone(), address);
             let peers = self.nodes[other].peers.clone();
-            self.give(other, Event::Peers(peers));
+            self.give(other, Event::PeerAddressesChanged { addresses: peers });
         }
     }
 
@@ -209,7 +209,7 @@
     pub fn start(&mut self, node: usize) {
         let random = self.rng.random::<u64>();
         let (now, n) = (self.now, &mut self.nodes[node]);
-        let about = About {
+        let metadata = MemberMetadata {
             zone: format!("z{}", node % 3),
             version: "1.0.0".into(),
             capabilities: 1,
@@ -222,13 +222,13 @@
             disk: None,
             fleet: "virtual".into(),
             name: n.name.clone(),
-            about,
+            metadata,
             peers: n.peers.clone(),
             period: Duration::from_secs(1),
             seats: self.seats.clone(),
         };
         let unix = Micros(UNIX) + now - n.behind;
-        n.fleet = Some(Fleet::new(settings, now, unix, random).expect("sound settings"));
+        n.fleet = Some(ClusterNode::new(settings, now, unix, random).expect("sound settings"));
         (n.paused, n.life, n.shares) = (false, n.life + 1, Shares::default());
         n.backlog.clear();
         let life = n.life;
@@ -256,9 +256,9 @@
         self.nodes[node].paused = on;
         if !on {
             for (from, bytes) in std::mem::take(&mut self.nodes[node].backlog) {
-                self.give(node, Event::Datagram(from, &bytes));
+                self.give(node, Event::Datagram { from, bytes: &bytes });
             }
-            self.give(node, Event::Wake);
+            self.give(node, Event::Tick);
         }
     }
 
@@ -285,7 +285,7 @@
     /// A datagram that comes from nobody of the fleet.
     pub fn inject(&mut self, to: usize, bytes: &[u8]) {
         let from = SocketAddr::from(([10, 255, 255, 255], 9));
-        self.give(to, Event::Datagram(from, bytes));
+        self.give(to, Event::Datagram { from, bytes });
     }
 
     fn push(&mut self, at: Micros, what: What) {
@@ -301,17 +301,17 @@
         }
         for effect in effects.drain(..) {
             match effect {
-                Effect::Send(address, bytes) => self.send(node, address, bytes),
-                Effect::Tell(notice) => self.notices.push((self.now, node, notice)),
-                Effect::Shares(shares) => self.nodes[node].shares = shares,
+                Effect::Send { to: address, bytes } => self.send(node, address, bytes),
+                Effect::Notify(notice) => self.notices.push((self.now, node, notice)),
+                Effect::QuotaSharesChanged(shares) => self.nodes[node].shares = shares,
                 // No ledger is kept here.
-                Effect::Found(..)
-                | Effect::Routing(_)
-                | Effect::Rollout(_)
-                | Effect::Begun(_)
-                | Effect::Keep(..)
-                | Effect::Orphan(_)
-                | Effect::Branch(_) => {}
+                Effect::ClaimResolved { .. }
+                | Effect::RoutingChanged(_)
+                | Effect::RolloutNotice(_)
+                | Effect::RolloutStarted { key: _ }
+                | Effect::PersistBatch { .. }
+                | Effect::RequestAbandoned(_)
+                | Effect::WriteQueue(_) => {}
             }
         }
         self.effects = effects;
@@ -351,7 +351,7 @@
                             node.backlog.push((source, bytes));
                         }
                     } else {
-                        self.give(to, Event::Datagram(source, &bytes));
+                        self.give(to, Event::Datagram { from: source, bytes: &bytes });
                     }
                 }
                 What::Wake(node, life) => {
@@ -359,7 +359,7 @@
                         continue;
                     }
                     if !self.nodes[node].paused {
-                        self.give(node, Event::Wake);
+                        self.give(node, Event::Tick);
                     }
                     self.push(self.now + WAKE, What::Wake(node, life));
                 }
--- a/lab/tests/disk/main.rs
+++ b/lab/tests/disk/main.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use quota_gateway::cluster::write_queue::{Dot, Status};
-use quota_gateway::cluster::{Fleet, Notice};
+use quota_gateway::cluster::{ClusterNode, ClusterNotice};
 use rand::RngExt;
 use world::{Node, Play, MS};
 
@@ -133,7 +133,7 @@
     }
     play.pass(7_000);
     assert_eq!(play.votes(), [(true, true), (false, false), (true, true)]);
-    assert!(play.nodes[1].notices.contains(&Notice::DiskLost), "and it says so");
+    assert!(play.nodes[1].notices.contains(&ClusterNotice::StorageLost), "and it says so");
     assert!(!play.write(1, 99, 99), "it accepts nothing");
     assert!(play.write(0, 99, 99), "the others do");
     play.settle();
@@ -197,7 +197,7 @@
         if i % 40 == 0 {
             play.beat();
         }
-        let waits = play.nodes[0].fleet.as_ref().and_then(Fleet::disk).expect("it has one").1;
+        let waits = play.nodes[0].fleet.as_ref().and_then(ClusterNode::disk).expect("it has one").1;
         most = most.max(waits);
     }
     let told = |play: &Play| {
--- a/lab/tests/disk/world.rs
+++ b/lab/tests/disk/world.rs
@@ -3,7 +3,7 @@
 
 use quota_gateway::cluster::write_queue::{self, Dot, End, Fate, State, Status};
 use quota_gateway::cluster::{
-    ledger, About, Effect, Errand, Event, Fleet, Machine, Micros, Notice, Put, Settings, LEDGER,
+    ledger, MemberMetadata, Effect, Errand, Event, ClusterNode, Machine, Micros, ClusterNotice, Put, Settings, LEDGER,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -19,7 +19,7 @@
 pub type Disk = BTreeMap<Vec<u8>, Vec<u8>>;
 
 pub struct Node {
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<ClusterNode>,
     pub life: u64,
     pub boot: u64,
     /// When its machine was started.
@@ -34,7 +34,7 @@
     pub reads_at: Option<u64>,
     pub wake_at: u64,
     /// What it said of its disk.
-    pub notices: Vec<Notice>,
+    pub notices: Vec<ClusterNotice>,
 }
 
 #[derive(Debug, Default, Clone)]
@@ -131,7 +131,7 @@
         let settings = Settings {
             fleet: "virtual".into(),
             name: name(node),
-            about: About {
+            metadata: MemberMetadata {
                 zone: "z".into(),
                 version: "1".into(),
                 capabilities: LEDGER,
@@ -158,7 +158,7 @@
         let reads_after = self.rng.random_range(MS..300 * MS);
         let now = self.now;
         let n = &mut self.nodes[node];
-        n.fleet = Some(Fleet::new(settings, Micros(now), Micros(now), random).expect("sound settings"));
+        n.fleet = Some(ClusterNode::new(settings, Micros(now), Micros(now), random).expect("sound settings"));
         (n.life, n.wake_at) = (n.life + 1, now);
         n.reads_at = self.with_disks.then_some(now + reads_after);
     }
@@ -186,7 +186,7 @@
     pub fn perform(&mut self, node: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Send(to, bytes) => {
+                Effect::Send { to, bytes } => {
                     let Some(to) = (0..self.nodes.len()).find(|n| address(*n) == to) else { continue };
                     if self.apart && to % self.branches != node % self.branches {
                         continue;
@@ -198,15 +198,15 @@
                         }
                     }
                 }
-                Effect::Keep(batch, puts) => {
+                Effect::PersistBatch { batch, writes: puts } => {
                     let due = self.now + self.rng.random_range(MS..12 * MS);
                     let way = &mut self.nodes[node].under_way;
                     let due = due.max(way.back().map_or(0, |(_, due, _)| *due));
                     way.push_back((batch, due, puts));
                 }
-                Effect::Branch(errand) => self.run(node, errand),
-                Effect::Tell(notice) => {
-                    let of_disk = matches!(notice, Notice::DiskRead { .. } | Notice::DiskLost);
+                Effect::WriteQueue(errand) => self.run(node, errand),
+                Effect::Notify(notice) => {
+                    let of_disk = matches!(notice, ClusterNotice::StorageLoaded { .. } | ClusterNotice::StorageLost);
                     self.nodes[node].notices.extend(of_disk.then_some(notice));
                 }
                 _ => {}
@@ -259,7 +259,7 @@
                 n.reads_at = None;
                 let held =
                     n.disk.iter().map(|(k, v)| Put { key: k.clone(), value: Some(v.clone()) }).collect();
-                self.give(node, Event::DiskRead(held));
+                self.give(node, Event::StorageLoaded { writes: held });
             }
             while !self.nodes[node].stalled
                 && self.nodes[node].under_way.front().is_some_and(|(_, due, _)| *due <= self.now)
@@ -268,10 +268,10 @@
                 let Some((batch, _, puts)) = n.under_way.pop_front() else { break };
                 if n.broken {
                     n.under_way.clear();
-                    self.give(node, Event::DiskFailed);
+                    self.give(node, Event::StorageFailed);
                 } else {
                     apply(&mut n.disk, puts);
-                    self.give(node, Event::DiskHolds(batch));
+                    self.give(node, Event::StorageSynced { batch });
                 }
             }
         }
@@ -287,7 +287,7 @@
             self.disks();
             while let Some(entry) = self.net.first_entry().filter(|e| e.key().0 <= next) {
                 match entry.remove() {
-                    Post::Datagram(to, from, bytes) => self.give(to, Event::Datagram(address(from), &bytes)),
+                    Post::Datagram(to, from, bytes) => self.give(to, Event::Datagram { from: address(from), bytes: &bytes }),
                     Post::Ends(node, life, dot, tries, fate) => {
                         let (now, mut effects) = (Micros(self.now), Vec::new());
                         let n = &mut self.nodes[node];
@@ -310,10 +310,10 @@
         for node in 0..self.nodes.len() {
             let (now, answered) = (Micros(self.now), !self.cut);
             self.nodes[node].fleet.iter_mut().for_each(|fleet| fleet.saw_outside(now, answered));
-            self.give(node, Event::Beat);
+            self.give(node, Event::LedgerTick);
             if self.now >= self.nodes[node].wake_at {
                 self.nodes[node].wake_at = self.now + 200 * MS;
-                self.give(node, Event::Wake);
+                self.give(node, Event::Tick);
             }
         }
     }
@@ -324,7 +324,7 @@
 
     pub fn votes(&self) -> Vec<(bool, bool)> {
         let now = Micros(self.now);
-        let of = |fleet: &Fleet| {
+        let of = |fleet: &ClusterNode| {
             let branch = fleet.branch().is_some_and(|branch| branch.clerk().votes());
             (branch, fleet.desk().is_some_and(|desk| desk.holder().votes(now)))
         };
@@ -363,7 +363,7 @@
         (self.cut, self.loss) = (false, 0.0);
         let until = self.now + 90_000 * MS;
         let waits = |play: &Play| {
-            let open = |f: &Fleet| f.branch().is_some_and(|branch| branch.clerk().shelf().open() > 0);
+            let open = |f: &ClusterNode| f.branch().is_some_and(|branch| branch.clerk().shelf().open() > 0);
             play.nodes.iter().filter_map(|n| n.fleet.as_ref()).any(open)
         };
         // All have their votes again, and nothing waits.
@@ -420,13 +420,13 @@
 /// An event of the same words; events are no values to be copied.
 fn event_of<'a>(event: &Event<'a>) -> Event<'a> {
     match event {
-        Event::Datagram(from, bytes) => Event::Datagram(*from, bytes),
-        Event::Wake => Event::Wake,
-        Event::Beat => Event::Beat,
+        Event::Datagram { from, bytes } => Event::Datagram { from: *from, bytes },
+        Event::Tick => Event::Tick,
+        Event::LedgerTick => Event::LedgerTick,
         Event::Leave => Event::Leave,
-        Event::Peers(peers) => Event::Peers(peers.clone()),
-        Event::DiskRead(puts) => Event::DiskRead(puts.clone()),
-        Event::DiskHolds(batch) => Event::DiskHolds(*batch),
-        Event::DiskFailed => Event::DiskFailed,
+        Event::PeerAddressesChanged { addresses: peers } => Event::PeerAddressesChanged { addresses: peers.clone() },
+        Event::StorageLoaded { writes: puts } => Event::StorageLoaded { writes: puts.clone() },
+        Event::StorageSynced { batch } => Event::StorageSynced { batch: *batch },
+        Event::StorageFailed => Event::StorageFailed,
     }
 }
--- a/lab/tests/members.rs
+++ b/lab/tests/members.rs
@@ -1,7 +1,7 @@
 //! Membership under virtual time: properties over random faults, and the hard cases by themselves.
 
 use proptest::prelude::*;
-use quota_gateway::cluster::{Agreement, Micros, Notice, Standing};
+use quota_gateway::cluster::{Agreement, Micros, ClusterNotice, Standing};
 use quota_gateway_lab::members::world::{seconds, Weather, World};
 use std::collections::BTreeMap;
 
@@ -218,8 +218,8 @@
 }
 
 fn downs(world: &World) -> Vec<String> {
-    let down = |(_, node, n): &(Micros, usize, Notice)| match n {
-        Notice::Standing { name, standing: Standing::Down, .. } => Some(format!("{} by g{node}", name)),
+    let down = |(_, node, n): &(Micros, usize, ClusterNotice)| match n {
+        ClusterNotice::MemberStateChanged { name, standing: Standing::Down, .. } => Some(format!("{} by g{node}", name)),
         _ => None,
     };
     world.notices.iter().filter_map(down).collect()
@@ -345,7 +345,7 @@
     let newer = world.fleet(double).expect("it runs").own().incarnation;
     assert!(older.yielded().is_some_and(|to| to >= newer - 64 && to <= newer + 64), "{:?}", older.yielded());
     assert!(world.fleet(double).is_some_and(|f| f.yielded().is_none()));
-    let named = |n: &(Micros, usize, Notice)| matches!(n.2, Notice::Yielded { .. }) && n.1 == 2;
+    let named = |n: &(Micros, usize, ClusterNotice)| matches!(n.2, ClusterNotice::SeatYielded { .. }) && n.1 == 2;
     assert!(world.notices.iter().any(named));
 }
 
--- a/src/cluster/datagram.rs
+++ b/src/cluster/datagram.rs
@@ -86,33 +86,38 @@
 }
 
 /// Why a datagram was dropped.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stranger {
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
+pub enum DatagramError {
     /// It is no datagram of this protocol, or a part of one.
-    Rubbish,
+    #[error("not a whole datagram of this protocol")]
+    Malformed,
     /// It is longer than any datagram of this protocol.
+    #[error("longer than {LONGEST} bytes")]
     Oversized,
     /// Of a version that this program does not speak.
-    Version,
-    /// Of another fleet.
-    Fleet,
+    #[error("of another version of the protocol than {VERSION}")]
+    UnsupportedVersion,
+    /// Of another cluster.
+    #[error("of another cluster")]
+    OtherCluster,
     /// Sound, but not what this member may be told.
-    Refused,
+    #[error("sound, but not for this member")]
+    Rejected,
 }
 
-impl Stranger {
+impl DatagramError {
     /// All kinds.
-    pub const ALL: [Stranger; 5] =
-        [Stranger::Rubbish, Stranger::Oversized, Stranger::Version, Stranger::Fleet, Stranger::Refused];
+    pub const ALL: [DatagramError; 5] =
+        [DatagramError::Malformed, DatagramError::Oversized, DatagramError::UnsupportedVersion, DatagramError::OtherCluster, DatagramError::Rejected];
 
     /// Its name in figures.
     pub fn name(self) -> &'static str {
         match self {
-            Stranger::Rubbish => "rubbish",
-            Stranger::Oversized => "oversized",
-            Stranger::Version => "version",
-            Stranger::Fleet => "fleet",
-            Stranger::Refused => "refused",
+            DatagramError::Malformed => "rubbish",
+            DatagramError::Oversized => "oversized",
+            DatagramError::UnsupportedVersion => "version",
+            DatagramError::OtherCluster => "fleet",
+            DatagramError::Rejected => "refused",
         }
     }
 }
@@ -143,25 +148,25 @@
 }
 
 /// Reads a frame.
-pub fn read(tag: u32, bytes: &[u8]) -> Result<(Head, &[u8]), Stranger> {
+pub fn read(tag: u32, bytes: &[u8]) -> Result<(Head, &[u8]), DatagramError> {
     if bytes.len() > LONGEST {
-        return Err(Stranger::Oversized);
+        return Err(DatagramError::Oversized);
     }
-    let (prelude, body) = bytes.split_at_checked(PRELUDE).ok_or(Stranger::Rubbish)?;
+    let (prelude, body) = bytes.split_at_checked(PRELUDE).ok_or(DatagramError::Malformed)?;
     let word = |from: usize| prelude.get(from..from + 4).map_or([0; 4], |w| w.try_into().unwrap_or([0; 4]));
     if prelude.get(..2) != Some(&MARK[..]) {
-        return Err(Stranger::Rubbish);
+        return Err(DatagramError::Malformed);
     }
     if prelude.get(2) != Some(&VERSION) {
-        return Err(Stranger::Version);
+        return Err(DatagramError::UnsupportedVersion);
     }
     if word(3) != tag.to_le_bytes() {
-        return Err(Stranger::Fleet);
+        return Err(DatagramError::OtherCluster);
     }
     if word(7) != (xxh3_64(body) as u32).to_le_bytes() {
-        return Err(Stranger::Rubbish);
+        return Err(DatagramError::Malformed);
     }
-    postcard::take_from_bytes(body).map_err(|_| Stranger::Rubbish)
+    postcard::take_from_bytes(body).map_err(|_| DatagramError::Malformed)
 }
 
 #[cfg(test)]
@@ -173,7 +178,7 @@
         let head = Head::Swim { on_record: 77, live: true, doubt: Some(3) };
         let whole = write(tag("norte"), &head, b"inner").expect("short enough");
         assert_eq!(read(tag("norte"), &whole), Ok((head.clone(), &b"inner"[..])));
-        assert_eq!(read(tag("sur"), &whole), Err(Stranger::Fleet));
+        assert_eq!(read(tag("sur"), &whole), Err(DatagramError::OtherCluster));
         for cut in 0..whole.len() {
             assert!(read(tag("norte"), &whole[..cut]).is_err(), "cut at {cut}");
         }
@@ -182,7 +187,7 @@
             bent[at] ^= 0x10;
             assert!(read(tag("norte"), &bent).is_err(), "changed at {at}");
         }
-        assert_eq!(read(tag("norte"), &[0; LONGEST + 1]), Err(Stranger::Oversized));
+        assert_eq!(read(tag("norte"), &[0; LONGEST + 1]), Err(DatagramError::Oversized));
         assert_eq!(write(tag("norte"), &head, &[0; LONGEST]), None);
     }
 }
--- a/src/cluster/event.rs
+++ b/src/cluster/event.rs
@@ -1,70 +1,102 @@
 //! What goes into a gateway's fleet part and what comes out: events, effects, and what people should hear of.
 
-use crate::cluster::datagram::Stranger;
+use crate::cluster::datagram::DatagramError;
 use crate::cluster::ledger::{ClaimId, Finding, Orphan};
 use crate::cluster::rollout::{Key, Told};
 use crate::cluster::{Errand, InForce, Put, Shares, Standing};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What a gateway's fleet part is told.
+/// What the cluster node of a gateway is told.
 #[derive(Debug)]
 pub enum Event<'a> {
-    /// A datagram came, from there.
-    Datagram(SocketAddr, &'a [u8]),
-    /// Time went by; due every `WAKE` at least.
-    Wake,
+    /// A datagram was received.
+    Datagram {
+        /// Its source address.
+        from: SocketAddr,
+        /// The whole datagram.
+        bytes: &'a [u8],
+    },
+    /// Time has passed; due every `WAKE` at least.
+    Tick,
     /// The same for the ledger, where there is one; due every `BEAT`.
-    Beat,
-    /// The gateway leaves by its own word.
+    LedgerTick,
+    /// The gateway leaves the cluster on purpose.
     Leave,
-    /// Gateways are elsewhere now.
-    Peers(BTreeMap<String, SocketAddr>),
-    /// The disk was opened, and held this.
-    DiskRead(Vec<Put>),
-    /// The disk holds all up to this batch.
-    DiskHolds(u64),
-    /// The disk can't be opened, or takes nothing more.
-    DiskFailed,
+    /// The configured addresses of the other gateways changed.
+    PeerAddressesChanged {
+        /// All of them, by name.
+        addresses: BTreeMap<String, SocketAddr>,
+    },
+    /// The storage was opened and read.
+    StorageLoaded {
+        /// What it held.
+        writes: Vec<Put>,
+    },
+    /// The storage holds everything up to this batch, also after a loss of power.
+    StorageSynced {
+        /// The number that `Effect::PersistBatch` gave it.
+        batch: u64,
+    },
+    /// The storage can't be opened, or takes nothing more.
+    StorageFailed,
 }
 
-/// What a gateway's fleet part wants done.
+/// What the cluster node of a gateway wants done.
 #[derive(Debug)]
 pub enum Effect {
     /// Send a datagram.
-    Send(SocketAddr, Vec<u8>),
+    Send {
+        /// Its destination.
+        to: SocketAddr,
+        /// The whole datagram.
+        bytes: Vec<u8>,
+    },
     /// A line for the log.
-    Tell(Notice),
-    /// The shares are so from now on.
-    Shares(Shares),
-    /// Put this batch on the disk, and tell when it is held there, also after a loss of power.
-    Keep(u64, Vec<Put>),
+    Notify(ClusterNotice),
+    /// The quota shares are these from now on.
+    QuotaSharesChanged(Shares),
+    /// Put this batch on the disk, and answer with `Event::StorageSynced` once it would survive a loss of power.
+    PersistBatch {
+        /// Rises by one with each batch.
+        batch: u64,
+        /// Its contents, to be applied in this order.
+        writes: Vec<Put>,
+    },
     /// A claim at the ledger found out.
-    Found(ClaimId, Finding),
+    ClaimResolved {
+        /// Which claim.
+        claim: ClaimId,
+        /// What it found.
+        outcome: Finding,
+    },
     /// A request whose owner is gone and whose client did not come again may be finished.
-    Orphan(Orphan),
-    /// Something is to be done for the branch.
-    Branch(Errand),
-    /// These rules of routing are in force from now on.
-    Routing(Box<InForce>),
+    RequestAbandoned(Orphan),
+    /// Something is to be done for the write queue.
+    WriteQueue(Errand),
+    /// These routing rules are in force from now on.
+    RoutingChanged(Box<InForce>),
     /// What becomes of a rollout, for the log.
-    Rollout(Told),
-    /// The rollout that was asked for here has begun; or not, as another runs or the holders can't be had.
-    Begun(Option<Key>),
+    RolloutNotice(Told),
+    /// The rollout that was asked for here has started, or could not.
+    RolloutStarted {
+        /// Its key; none where another one runs or the ledger can't be had.
+        key: Option<Key>,
+    },
 }
 
 /// What people should hear of.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Notice {
+pub enum ClusterNotice {
     /// Another life under the own name lives; the older, this one, yields its seat and goes on serving.
-    Yielded {
+    SeatYielded {
         /// This process's incarnation.
         own: u64,
         /// The other's.
         other: u64,
     },
     /// Two processes send under one name.
-    Rivals {
+    DuplicateName {
         /// The name.
         name: String,
         /// The older process's incarnation.
@@ -73,7 +105,7 @@
         newer: u64,
     },
     /// A member's standing changed.
-    Standing {
+    MemberStateChanged {
         /// Its name.
         name: String,
         /// What is held of it now.
@@ -83,7 +115,7 @@
     },
     /// The disk was read: writes of the branch and records of the ledger that were held there, and whether they are all
     /// that was ever said by this gateway in the branch and at the ledger, so that it has its votes at once.
-    DiskRead {
+    StorageLoaded {
         /// Writes.
         writes: usize,
         /// Records.
@@ -92,7 +124,7 @@
         votes: (bool, bool),
     },
     /// The disk takes nothing more: the gateway has given up its votes, and serves on.
-    DiskLost,
+    StorageLost,
 }
 
 /// Datagrams and bytes, both ways, and what was dropped.
@@ -109,5 +141,5 @@
     /// Messages that had no address to go to.
     pub unaddressed: u64,
     /// Datagrams dropped, by why.
-    pub strangers: BTreeMap<Stranger, u64>,
+    pub strangers: BTreeMap<DatagramError, u64>,
 }
--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -1,17 +1,17 @@
 //! The fleet's ledger: claims of this gateway go out to the seats that hold a record, and what they say comes in.
 
-use crate::cluster::datagram::{self, Head, Stranger};
+use crate::cluster::datagram::{self, Head, DatagramError};
 use crate::cluster::ledger::{Change, ClaimId, Desk, Message, Out, RecordId};
 use crate::cluster::membership::identity::{Identity, LEDGER};
 use crate::cluster::membership::swim::Swim;
 use crate::cluster::storage::persistence::Word;
-use crate::cluster::{Effect, Fleet, Micros};
+use crate::cluster::{Effect, ClusterNode, Micros};
 use std::net::SocketAddr;
 
 /// How often the ledger is to be called.
 pub const BEAT: Micros = Micros(20_000);
 
-impl Fleet {
+impl ClusterNode {
     /// The ledger, where there is one.
     pub fn desk(&self) -> Option<&Desk> {
         self.desk.as_ref()
@@ -105,10 +105,10 @@
         seat: u16,
         message: Message,
         out: &mut Vec<Effect>,
-    ) -> Result<(), Stranger> {
+    ) -> Result<(), DatagramError> {
         let (now, mut outs) = (self.now, Vec::new());
         let same = self.lending.as_ref().is_some_and(|lending| lending.list() == list);
-        let desk = self.desk.as_mut().filter(|_| same).ok_or(Stranger::Refused)?;
+        let desk = self.desk.as_mut().filter(|_| same).ok_or(DatagramError::Rejected)?;
         desk.hear(now, seat, message, &mut outs);
         self.book(outs, out);
         Ok(())
@@ -124,10 +124,10 @@
         match one {
             Out::Found(claim, finding) => {
                 if !self.rolling_found(claim, &finding, out) && !self.filing_found(claim, &finding, out) {
-                    out.push(Effect::Found(claim, finding));
+                    out.push(Effect::ClaimResolved { claim, outcome: finding });
                 }
             }
-            Out::Orphan(orphan) => out.push(Effect::Orphan(orphan)),
+            Out::Orphan(orphan) => out.push(Effect::RequestAbandoned(orphan)),
             Out::To(seat, message) => {
                 self.send_to_seat(seat, &Head::Ledger { list, seat: own, message }, out)
             }
@@ -151,10 +151,10 @@
 /// Whether the gateway in this seat is there, and holds records.
 fn can_hold(seats: &[String], swim: &Swim, seat: u16) -> bool {
     let record = seats.get(usize::from(seat)).and_then(|name| swim.records().get(name.as_str()));
-    record.is_some_and(|r| r.standing.is_present() && r.identity.about.capabilities & LEDGER != 0)
+    record.is_some_and(|r| r.standing.is_present() && r.identity.metadata.capabilities & LEDGER != 0)
 }
 
 /// What stands for this gateway's list of seats, and its seat.
-pub(super) fn own_seat(fleet: &Fleet) -> Option<(u64, u16)> {
+pub(super) fn own_seat(fleet: &ClusterNode) -> Option<(u64, u16)> {
     fleet.lending.as_ref().map(|lending| (lending.list(), lending.seat().0 as u16))
 }
--- a/src/cluster/membership/identity.rs
+++ b/src/cluster/membership/identity.rs
@@ -20,7 +20,7 @@
 
 /// What a member tells of itself beside its name.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct About {
+pub struct MemberMetadata {
     /// Its zone.
     pub zone: String,
     /// The version of its program.
@@ -41,21 +41,21 @@
     /// It leaves, or has left, by its own word.
     pub leaving: bool,
     /// What it tells of itself.
-    pub about: Rc<About>,
+    pub metadata: Rc<MemberMetadata>,
 }
 
 impl Identity {
     /// The life that starts now: by the wall clock, which may have been set back, and 15 random bits.
-    pub fn born(name: &str, about: About, unix: Micros, random: u64) -> Identity {
+    pub fn born(name: &str, metadata: MemberMetadata, unix: Micros, random: u64) -> Identity {
         let incarnation = (unix.0 / 1000).saturating_mul(A_MILLISECOND) | (random % (A_MILLISECOND / 2));
-        Identity { name: name.into(), incarnation, leaving: false, about: Rc::new(about) }
+        Identity { name: name.into(), incarnation, leaving: false, metadata: Rc::new(metadata) }
     }
 
     /// The identity by which a member that only its name is known of is called.
     pub fn unknown(name: &str) -> Identity {
         let (zone, version) = (String::new(), String::new());
-        let about = About { zone, version, capabilities: 0, advertise: None };
-        Identity { name: name.into(), incarnation: 0, leaving: false, about: Rc::new(about) }
+        let metadata = MemberMetadata { zone, version, capabilities: 0, advertise: None };
+        Identity { name: name.into(), incarnation: 0, leaving: false, metadata: Rc::new(metadata) }
     }
 
     /// The same gateway in a later life than `other`.
@@ -67,9 +67,9 @@
     /// Whether its texts are of a length and kind that a member may have.
     pub fn is_sound(&self) -> bool {
         is_name(&self.name)
-            && (self.about.zone.is_empty() || is_name(&self.about.zone))
-            && self.about.version.len() <= LONGEST_VERSION
-            && self.about.version.bytes().all(|b| b.is_ascii_graphic())
+            && (self.metadata.zone.is_empty() || is_name(&self.metadata.zone))
+            && self.metadata.version.len() <= LONGEST_VERSION
+            && self.metadata.version.bytes().all(|b| b.is_ascii_graphic())
     }
 }
 
--- a/src/cluster/membership/rejoin.rs
+++ b/src/cluster/membership/rejoin.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::*;
 
-impl Fleet {
+impl ClusterNode {
     pub(in crate::cluster) fn meet_rival(&mut self, sends: &mut Vec<Outgoing>, out: &mut Vec<Effect>) {
         if let Some((incarnation, live)) = self.swim.rival() {
             if self.yielded.is_none() && !self.left && incarnation > self.own().incarnation {
@@ -19,16 +19,16 @@
         live: bool,
         sends: &mut Vec<Outgoing>,
         out: &mut Vec<Effect>,
-    ) -> Result<(), Stranger> {
+    ) -> Result<(), DatagramError> {
         let established = self.swim.connected().is_some_and(|at| self.now - at >= ESTABLISHED);
         if live && established {
             let own = self.own().incarnation;
             self.yielded = Some(incarnation);
             (self.desk, self.steward, self.branch, self.keeping) = (None, None, None, None);
             if self.lending.take().is_some() {
-                out.push(Effect::Shares(Shares::default()));
+                out.push(Effect::QuotaSharesChanged(Shares::default()));
             }
-            out.push(Effect::Tell(Notice::Yielded { own, other: incarnation }));
+            out.push(Effect::Notify(ClusterNotice::SeatYielded { own, other: incarnation }));
         } else {
             self.swim.outlive(incarnation, sends);
         }
@@ -41,7 +41,7 @@
             if self.told.get(name) != Some(&record.standing) {
                 self.told.insert(name.clone(), record.standing);
                 let (name, standing, why) = (name.to_string(), record.standing, record.why);
-                out.push(Effect::Tell(Notice::Standing { name, standing, why }));
+                out.push(Effect::Notify(ClusterNotice::MemberStateChanged { name, standing, why }));
             }
         }
         let records = self.swim.records();
@@ -53,7 +53,7 @@
     /// can send a datagram again from elsewhere.
     pub(in crate::cluster) fn hear_at(&mut self, sender: &Identity, from: SocketAddr) {
         let mapped = self.settings.peers.get(&*sender.name) == Some(&from);
-        if mapped || sender.about.advertise == Some(from) {
+        if mapped || sender.metadata.advertise == Some(from) {
             self.heard_at.insert(sender.name.clone(), from);
         }
     }
@@ -64,7 +64,7 @@
         // An older life that still sends is answered where it says that it is.
         let older = |r: &&Record| to.incarnation > 0 && to.incarnation < r.identity.incarnation;
         let record = self.swim.records().get(&to.name).filter(|r| !older(r));
-        let told = record.map_or(to.about.advertise, |r| r.identity.about.advertise);
+        let told = record.map_or(to.metadata.advertise, |r| r.identity.metadata.advertise);
         let mapped = self.settings.peers.get(&*to.name).copied();
         let known = |at: &&SocketAddr| Some(**at) == mapped || Some(**at) == told;
         let heard = self.heard_at.get(&to.name).filter(|_| record.is_some()).filter(known).copied();
@@ -94,7 +94,7 @@
         if !seen.sure && now - seen.since >= UNDER_WAY {
             seen.sure = true;
             let name = older.name.to_string();
-            out.push(Effect::Tell(Notice::Rivals { name, older: older.incarnation, newer }));
+            out.push(Effect::Notify(ClusterNotice::DuplicateName { name, older: older.incarnation, newer }));
         }
     }
 
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -18,10 +18,10 @@
 mod write_queue_node;
 
 pub use crate::decision::api::{Micros, SettingsError};
-pub use datagram::{Stranger, LONGEST};
-pub use event::{Effect, Event, Notice, Traffic};
+pub use datagram::{DatagramError, LONGEST};
+pub use event::{Effect, Event, ClusterNotice, Traffic};
 pub use ledger_node::BEAT;
-pub use membership::identity::{is_name, About, Identity, LEDGER, LONGEST_NAME, ROLLOUT};
+pub use membership::identity::{is_name, MemberMetadata, Identity, LEDGER, LONGEST_NAME, ROLLOUT};
 pub use membership::local_health::WAKE;
 pub use membership::swim::{Record, Standing, MOST_MEMBERS};
 pub use quota_lease::seat_lease::{Shares, WAIT};
@@ -70,7 +70,7 @@
 }
 
 /// The fleet as one gateway knows it.
-pub struct Fleet {
+pub struct ClusterNode {
     settings: Settings,
     tag: u32,
     swim: Swim,
@@ -103,13 +103,13 @@
     keeping: Option<Keeping>,
 }
 
-impl Fleet {
+impl ClusterNode {
     /// A gateway that knows nobody yet. `unix` is the wall clock's time, which is used for nothing but the
     /// incarnation; `now`, here and everywhere, is of a clock that never goes back.
-    pub fn new(settings: Settings, now: Micros, unix: Micros, seed: u64) -> Result<Fleet, SettingsError> {
+    pub fn new(settings: Settings, now: Micros, unix: Micros, seed: u64) -> Result<ClusterNode, SettingsError> {
         settings.check()?;
         let mut rng = fastrand::Rng::with_seed(seed);
-        let own = Identity::born(&settings.name, settings.about.clone(), unix, rng.u64(..));
+        let own = Identity::born(&settings.name, settings.metadata.clone(), unix, rng.u64(..));
         let swim = Swim::new(own, rng.u64(..), settings.period, LONGEST - datagram::OVERHEAD);
         // Guards against hundreds of gateways that start together and knock in step.
         let call_at = Some(now + Micros(rng.u64(0..FIRST_CALL.0)));
@@ -120,7 +120,7 @@
         });
         let steward = lending.as_ref().zip(settings.rules.clone()).map(|(lending, base)| {
             let (own, seats) = lending.seat();
-            Steward::new(own as u16, seats, settings.about.zone.clone(), base, rng.u64(..), now)
+            Steward::new(own as u16, seats, settings.metadata.zone.clone(), base, rng.u64(..), now)
         });
         let branch = lending.as_ref().zip(settings.branch.clone()).map(|(lending, terms)| {
             Branch::new(write_queue::Clerk::new(lending.seat().0 as u16, terms, rng.u64(..), now), now)
@@ -131,7 +131,7 @@
             desk.iter_mut().for_each(|desk| desk.holder_mut().await_disk());
             branch.iter_mut().for_each(Branch::await_disk);
         }
-        Ok(Fleet {
+        Ok(ClusterNode {
             tag: datagram::tag(&settings.fleet),
             settings,
             swim,
@@ -161,10 +161,10 @@
         self.now = self.now.max(now);
         let mut sends = Vec::new();
         match event {
-            Event::Datagram(from, bytes) => self.datagram(from, bytes, &mut sends, out),
-            Event::Wake if self.yielded.is_none() => self.wake(&mut sends, out),
-            Event::Wake => {}
-            Event::Beat => {
+            Event::Datagram { from, bytes } => self.datagram(from, bytes, &mut sends, out),
+            Event::Tick if self.yielded.is_none() => self.wake(&mut sends, out),
+            Event::Tick => {}
+            Event::LedgerTick => {
                 self.beat(out);
                 self.roll(out);
                 self.tend(out);
@@ -174,13 +174,13 @@
                 self.swim.leave(&mut sends);
             }
             Event::Leave => {}
-            Event::Peers(peers) => {
+            Event::PeerAddressesChanged { addresses: peers } => {
                 self.settings.peers = peers;
                 (self.call_at, self.call_step) = (Some(self.now), FIRST_CALL);
             }
-            Event::DiskRead(puts) => self.remember(puts, out),
-            Event::DiskHolds(batch) => self.disk_holds(batch, out),
-            Event::DiskFailed => self.disk_failed(out),
+            Event::StorageLoaded { writes: puts } => self.remember(puts, out),
+            Event::StorageSynced { batch } => self.disk_holds(batch, out),
+            Event::StorageFailed => self.disk_failed(out),
         }
         self.send(sends, out);
     }
@@ -250,7 +250,7 @@
         let Some(lending) = self.lending.as_mut() else { return };
         let own = self.swim.own().incarnation;
         lending.update(self.now, own, self.swim.records());
-        out.extend(lending.news(self.now, own).map(Effect::Shares));
+        out.extend(lending.news(self.now, own).map(Effect::QuotaSharesChanged));
         let (list, token) = (lending.list(), lending.ask(self.now, self.rng.u64(..)));
         let present = self.swim.records().values().filter(|r| r.standing.is_present());
         let present: Vec<&Identity> = present.map(|r| &r.identity).collect();
@@ -269,7 +269,7 @@
         list: u64,
         token: u64,
         out: &mut Vec<Effect>,
-    ) -> Result<(), Stranger> {
+    ) -> Result<(), DatagramError> {
         let now = self.now;
         let Some(lending) = self.lending.as_mut() else { return Ok(()) };
         let Some(table) = lending.answer(list, now) else { return Ok(()) };
@@ -283,7 +283,7 @@
     fn send_frame(&mut self, to: SocketAddr, frame: Vec<u8>, out: &mut Vec<Effect>) {
         self.traffic.sent += 1;
         self.traffic.sent_bytes += frame.len() as u64;
-        out.push(Effect::Send(to, frame));
+        out.push(Effect::Send { to, bytes: frame });
     }
 
     fn datagram(&mut self, from: SocketAddr, bytes: &[u8], sends: &mut Vec<Outgoing>, out: &mut Vec<Effect>) {
@@ -313,7 +313,7 @@
                 Head::Ask { list, token } => return self.answer(from, list, token, out),
                 Head::Words { list, token, table } => {
                     let learnt = self.lending.as_mut().is_some_and(|l| l.learn(list, token, &table));
-                    return if learnt { Ok(()) } else { Err(Stranger::Refused) };
+                    return if learnt { Ok(()) } else { Err(DatagramError::Rejected) };
                 }
             };
             if on_record > self.own().incarnation {
@@ -322,7 +322,7 @@
             if let Some(number) = doubt.filter(|_| on_record == self.own().incarnation) {
                 self.swim.doubted(number, sends);
             }
-            self.swim.datagram(self.now, rest, sends).map_err(|_| Stranger::Refused)
+            self.swim.datagram(self.now, rest, sends).map_err(|_| DatagramError::Rejected)
         });
         if let Some(sender) = self.swim.sender() {
             self.hear_at(&sender, from);
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -1,7 +1,7 @@
 //! What operators read of the fleet.
 
 use crate::cluster::ledger::Tallies;
-use crate::cluster::{Fleet, Standing, Stranger, ViewReport};
+use crate::cluster::{ClusterNode, Standing, DatagramError, ViewReport};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -61,7 +61,7 @@
     pub members: Vec<MemberReport>,
 }
 
-impl Fleet {
+impl ClusterNode {
     /// The report for operators.
     pub fn report(&self) -> Report {
         let members = self.records().map(|r| MemberReport {
@@ -70,11 +70,11 @@
             state: r.standing,
             since_ms: (self.now - r.since).0 / 1000,
             why: r.why,
-            zone: r.identity.about.zone.clone(),
-            version: r.identity.about.version.clone(),
-            capabilities: r.identity.about.capabilities,
+            zone: r.identity.metadata.zone.clone(),
+            version: r.identity.metadata.version.clone(),
+            capabilities: r.identity.metadata.capabilities,
         });
-        let count = |s: Stranger| self.traffic.strangers.get(&s).copied().unwrap_or(0);
+        let count = |s: DatagramError| self.traffic.strangers.get(&s).copied().unwrap_or(0);
         let health = self.swim.health();
         Report {
             fleet: self.settings.fleet.clone(),
@@ -98,7 +98,7 @@
             heard: (self.traffic.heard, self.traffic.heard_bytes),
             sent: (self.traffic.sent, self.traffic.sent_bytes),
             unaddressed: self.traffic.unaddressed,
-            strangers: Stranger::ALL.into_iter().map(|s| (s.name(), count(s))).collect(),
+            strangers: DatagramError::ALL.into_iter().map(|s| (s.name(), count(s))).collect(),
             members: members.collect(),
         }
     }
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -1,13 +1,13 @@
 //! The fleet's rollout: its messages go out to the seats present, and its record is claimed at the ledger.
 
-use crate::cluster::datagram::{Head, Stranger};
+use crate::cluster::datagram::{Head, DatagramError};
 use crate::cluster::ledger::{Change, ClaimId, Finding};
 use crate::cluster::ledger_node::own_seat;
 use crate::cluster::membership::identity::ROLLOUT;
 use crate::cluster::rollout::{
     Arm, Ended, Key, Message, Order, Report, Rules, Start, Steward, Telling, Told, RECORD, TICK,
 };
-use crate::cluster::{Effect, Fleet, Micros};
+use crate::cluster::{Effect, ClusterNode, Micros};
 
 /// What is in force, for whoever routes.
 #[derive(Debug, Clone, PartialEq)]
@@ -35,8 +35,8 @@
     Off,
 }
 
-impl Fleet {
-    /// Somebody wants a rollout. What becomes of it is told by `Effect::Begun`.
+impl ClusterNode {
+    /// Somebody wants a rollout. What becomes of it is told by `Effect::RolloutStarted`.
     pub fn start_rollout(&mut self, now: Micros, start: Start, out: &mut Vec<Effect>) -> Taken {
         let mut tellings = Vec::new();
         let Some(steward) = self.steward.as_mut() else { return Taken::Off };
@@ -115,10 +115,10 @@
         seat: u16,
         message: Message,
         out: &mut Vec<Effect>,
-    ) -> Result<(), Stranger> {
+    ) -> Result<(), DatagramError> {
         let (now, present, mut tellings) = (self.now, self.present_seats(), Vec::new());
         let same = self.lending.as_ref().is_some_and(|lending| lending.list() == list);
-        let steward = self.steward.as_mut().filter(|_| same).ok_or(Stranger::Refused)?;
+        let steward = self.steward.as_mut().filter(|_| same).ok_or(DatagramError::Rejected)?;
         steward.hear(now, seat, message, &present, &mut tellings);
         self.do_all(now, tellings, out);
         Ok(())
@@ -136,12 +136,12 @@
             Finding::Confirmed(1) => {
                 let present = self.present_seats();
                 let begun = self.steward.as_mut().and_then(|s| s.owns(now, &present, &mut tellings));
-                out.extend(begun.map(|key| Effect::Begun(Some(key))));
+                out.extend(begun.map(|key| Effect::RolloutStarted { key: Some(key) }));
             }
             Finding::Confirmed(_) => {}
             _ => {
                 let wanted = self.steward.as_mut().is_some_and(|steward| steward.give_up(now));
-                out.extend(wanted.then_some(Effect::Begun(None)));
+                out.extend(wanted.then_some(Effect::RolloutStarted { key: None }));
                 self.let_go(now, of, None, out);
             }
         }
@@ -166,7 +166,7 @@
         let lapsed = claim.as_ref().filter(|(_, c)| c.owns() && !c.may_act(now)).map(|(of, _)| *of);
         if lapsed.is_some() || steward.claim().is_some() && claim.is_none() {
             let wanted = self.steward.as_mut().is_some_and(|steward| steward.give_up(now));
-            out.extend(wanted.then_some(Effect::Begun(None)));
+            out.extend(wanted.then_some(Effect::RolloutStarted { key: None }));
             lapsed.into_iter().for_each(|of| self.let_go(now, of, None, out));
         }
         let (present, mut tellings) = (self.present_seats(), Vec::new());
@@ -190,7 +190,7 @@
             *name == self.settings.name
                 || records
                     .get(name.as_str())
-                    .is_some_and(|r| r.standing.is_present() && r.identity.about.capabilities & ROLLOUT != 0)
+                    .is_some_and(|r| r.standing.is_present() && r.identity.metadata.capabilities & ROLLOUT != 0)
         };
         let seats = self.settings.seats.iter().enumerate().filter(|(_, name)| there(name));
         seats.map(|(seat, _)| seat as u16).collect()
@@ -209,8 +209,8 @@
                     self.steward.iter_mut().for_each(|steward| steward.claimed(claimed));
                 }
                 Telling::LetGo(claim) => self.let_go(now, claim, None, out),
-                Telling::Routing => out.extend(self.in_force().map(|f| Effect::Routing(Box::new(f)))),
-                Telling::Log(told) => out.push(Effect::Rollout(told)),
+                Telling::Routing => out.extend(self.in_force().map(|f| Effect::RoutingChanged(Box::new(f)))),
+                Telling::Log(told) => out.push(Effect::RolloutNotice(told)),
             }
         }
     }
--- a/src/cluster/settings.rs
+++ b/src/cluster/settings.rs
@@ -1,7 +1,7 @@
 //! What a gateway is told of its fleet, and whether that makes sense.
 
 use crate::cluster::ledger::Terms;
-use crate::cluster::membership::identity::{is_name, About};
+use crate::cluster::membership::identity::{is_name, MemberMetadata};
 use crate::cluster::rollout::Rules;
 use crate::cluster::{write_queue, Machine, Micros, SettingsError, MOST_MEMBERS, MOST_SEATS};
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
     /// The gateway's name.
     pub name: String,
     /// What it tells of itself.
-    pub about: About,
+    pub metadata: MemberMetadata,
     /// Where other gateways are, as seen from here.
     pub peers: BTreeMap<String, SocketAddr>,
     /// How often a member is probed.
@@ -53,8 +53,8 @@
         name("fleet", &self.fleet)?;
         name("name", &self.name)?;
         self.peers.keys().try_for_each(|peer| name("peers", peer))?;
-        if !self.about.zone.is_empty() {
-            name("zone", &self.about.zone)?;
+        if !self.metadata.zone.is_empty() {
+            name("zone", &self.metadata.zone)?;
         }
         if self.peers.len() >= MOST_MEMBERS {
             return fail(format!("peers: expected fewer than {MOST_MEMBERS}, found {}", self.peers.len()));
--- a/src/cluster/storage/persistence.rs
+++ b/src/cluster/storage/persistence.rs
@@ -4,7 +4,7 @@
 use crate::cluster::rollout::Order;
 use crate::cluster::storage::durability_gate::{Durable, Head, Put, MOST_HELD};
 use crate::cluster::write_queue::{Entry as Held, Telling};
-use crate::cluster::{Effect, Fleet, Micros, Notice};
+use crate::cluster::{Effect, ClusterNode, Micros, ClusterNotice};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -68,7 +68,7 @@
     Held { born: told(held.born), sent: held.sent.map(&told), over: held.over.map(&told), ..held }
 }
 
-impl Fleet {
+impl ClusterNode {
     /// Whether the disk is being opened and read: until then nothing that it may hold is answered or changed.
     pub(in crate::cluster) fn awaits_disk(&self) -> bool {
         self.keeping.as_ref().is_some_and(|keeping| keeping.way.is_awaited())
@@ -112,7 +112,7 @@
         self.desk.iter_mut().for_each(|desk| desk.holder_mut().lose_disk());
         let (now, mut tellings) = (self.now, Vec::new());
         self.branch.iter_mut().for_each(|branch| branch.lose_disk(now, &mut tellings));
-        out.push(Effect::Tell(Notice::DiskLost));
+        out.push(Effect::Notify(ClusterNotice::StorageLost));
         self.file(tellings, out);
     }
 
@@ -147,7 +147,7 @@
             }
         }
         if !puts.is_empty() {
-            out.push(Effect::Keep(keeping.way.give(), puts));
+            out.push(Effect::PersistBatch { batch: keeping.way.give(), writes: puts });
         }
     }
 
@@ -221,7 +221,7 @@
         (all_writes, all_records) = (all_writes && !unread, all_records && !unread);
         (keeping.branch_voted, keeping.ledger_voted) = (all_writes, all_records);
         keeping.order = order.clone();
-        out.push(Effect::Keep(keeping.way.give(), puts));
+        out.push(Effect::PersistBatch { batch: keeping.way.give(), writes: puts });
         let (held, kept) = (writes.len(), records.len());
         if let Some(branch) = self.branch.as_mut() {
             branch.remember(now, writes, all_writes);
@@ -229,7 +229,7 @@
         if let Some(desk) = self.desk.as_mut() {
             desk.holder_mut().remember(now, records, all_records);
         }
-        out.push(Effect::Tell(Notice::DiskRead {
+        out.push(Effect::Notify(ClusterNotice::StorageLoaded {
             writes: held,
             records: kept,
             votes: (all_writes, all_records),
--- a/src/cluster/tests.rs
+++ b/src/cluster/tests.rs
@@ -3,13 +3,13 @@
 use crate::cluster::*;
 use std::time::Duration;
 
-fn member(name: &str, seed: u64) -> Fleet {
-    let about = About { zone: "z".into(), version: "1".into(), capabilities: 0, advertise: None };
+fn member(name: &str, seed: u64) -> ClusterNode {
+    let metadata = MemberMetadata { zone: "z".into(), version: "1".into(), capabilities: 0, advertise: None };
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     let settings = Settings {
         fleet: "norte".into(),
         name: name.into(),
-        about,
+        metadata,
         peers: [("a".to_string(), at(1)), ("b".to_string(), at(2))].into(),
         period: Duration::from_secs(1),
         seats: vec!["a".into(), "b".into()],
@@ -18,7 +18,7 @@
         branch: None,
         disk: None,
     };
-    Fleet::new(settings, Micros(0), Micros(1_790_000_000_000_000), seed).expect("sound settings")
+    ClusterNode::new(settings, Micros(0), Micros(1_790_000_000_000_000), seed).expect("sound settings")
 }
 
 #[test]
@@ -29,11 +29,11 @@
     for step in 0..300u64 {
         let now = Micros(step * 200_000);
         for i in 0..2 {
-            fleets[i].handle(now, Event::Wake, &mut out);
+            fleets[i].handle(now, Event::Tick, &mut out);
             let mut under_way: Vec<(usize, Vec<u8>)> = Vec::new();
             let sent = |out: &mut Vec<Effect>, by: usize, under_way: &mut Vec<(usize, Vec<u8>)>| {
                 under_way.extend(out.drain(..).filter_map(|effect| match effect {
-                    Effect::Send(_, bytes) => Some((1 - by, bytes)),
+                    Effect::Send { to: _, bytes } => Some((1 - by, bytes)),
                     _ => None,
                 }));
             };
@@ -47,15 +47,15 @@
                     }
                     body.truncate(rng.usize(11..=body.len()));
                     datagram::seal(&mut body);
-                    bent.handle(now, Event::Datagram(from[0], &body), &mut Vec::new());
+                    bent.handle(now, Event::Datagram { from: from[0], bytes: &body }, &mut Vec::new());
                 }
-                fleets[to].handle(now, Event::Datagram(from[1 - to], &bytes), &mut out);
+                fleets[to].handle(now, Event::Datagram { from: from[1 - to], bytes: &bytes }, &mut out);
                 sent(&mut out, to, &mut under_way);
             }
         }
-        bent.handle(now, Event::Wake, &mut Vec::new());
+        bent.handle(now, Event::Tick, &mut Vec::new());
     }
-    let refused = bent.traffic().strangers.get(&Stranger::Refused).copied().unwrap_or(0);
+    let refused = bent.traffic().strangers.get(&DatagramError::Rejected).copied().unwrap_or(0);
     assert!(refused > 1_000, "{refused} came as far as the protocol and were refused there");
     assert!(bent.records().count() <= MOST_MEMBERS);
     assert_eq!(fleets[0].present(), 2);
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -1,12 +1,12 @@
 //! The fleet's branch: its messages go out to the branch's seats, and its record is claimed at the ledger.
 
-use crate::cluster::datagram::{Head, Stranger};
+use crate::cluster::datagram::{Head, DatagramError};
 use crate::cluster::ledger::{Change, ClaimId, Finding};
 use crate::cluster::ledger_node::own_seat;
 use crate::cluster::storage::durability_gate::BUSY;
 use crate::cluster::storage::persistence::Word;
 use crate::cluster::write_queue::{record, Clerk, Dot, End, Entry, Fate, Message, Status, Telling, Write};
-use crate::cluster::{Effect, Fleet, Micros};
+use crate::cluster::{Effect, ClusterNode, Micros};
 
 /// Who does not own the branch's record asks for it again after this.
 const CLAIM_AGAIN: Micros = Micros(1_000_000);
@@ -53,7 +53,7 @@
     }
 }
 
-impl Fleet {
+impl ClusterNode {
     /// The branch, where this gateway is of one.
     pub fn branch(&self) -> Option<&Branch> {
         self.branch.as_ref()
@@ -101,13 +101,13 @@
         seat: u16,
         message: Message,
         out: &mut Vec<Effect>,
-    ) -> Result<(), Stranger> {
+    ) -> Result<(), DatagramError> {
         let (now, mut tellings) = (self.now, Vec::new());
         let same = self.lending.as_ref().is_some_and(|lending| lending.list() == list);
         if self.awaits_disk() {
             return Ok(());
         }
-        let branch = self.branch.as_mut().filter(|_| same).ok_or(Stranger::Refused)?;
+        let branch = self.branch.as_mut().filter(|_| same).ok_or(DatagramError::Rejected)?;
         branch.clerk.hear(now, seat, message, &mut tellings);
         self.file(tellings, out);
         Ok(())
@@ -177,19 +177,19 @@
                 let Some((list, own)) = own_seat(self) else { return };
                 self.send_to_seat(seat, &Head::Branch { list, seat: own, message }, out);
             }
-            Telling::Accepted(dot, yes) => out.push(Effect::Branch(Errand::Accepted(dot, yes))),
+            Telling::Accepted(dot, yes) => out.push(Effect::WriteQueue(Errand::Accepted(dot, yes))),
             Telling::Send(write, tries, before) => {
                 let claim = self.branch.as_ref().and_then(|b| b.claim);
                 // An owner that was paused sends nothing.
                 if claim.is_some_and(|of| self.may_act(self.now, of)) {
                     let write = Box::new(write);
-                    out.push(Effect::Branch(Errand::Send(write, tries, before.is_some())));
+                    out.push(Effect::WriteQueue(Errand::Send(write, tries, before.is_some())));
                 } else {
                     self.branch.iter_mut().for_each(|branch| branch.clerk.dropped(write.dot));
                 }
             }
-            Telling::NotDone(dot, end) => out.push(Effect::Branch(Errand::NotDone(dot, end))),
-            Telling::Cut(cut, answered) => out.push(Effect::Branch(Errand::Cut(cut, answered))),
+            Telling::NotDone(dot, end) => out.push(Effect::WriteQueue(Errand::NotDone(dot, end))),
+            Telling::Cut(cut, answered) => out.push(Effect::WriteQueue(Errand::Cut(cut, answered))),
         }
     }
 }
--- a/src/net/disk/fixture_tests.rs
+++ b/src/net/disk/fixture_tests.rs
@@ -10,7 +10,7 @@
 use crate::fleet::ledger::{self, Ballot, Record, RecordId, Seen, Sent};
 use crate::fleet::rollout::{self, Cell, Key, Order, Row, Rule, Rules, Terms, Why};
 use crate::fleet::{
-    About, Effect, Event, Fleet, Machine, Notice, Put, Settings, BEAT, LEDGER, LONGEST, ROLLOUT,
+    MemberMetadata, Effect, Event, ClusterNode, Machine, ClusterNotice, Put, Settings, BEAT, LEDGER, LONGEST, ROLLOUT,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -78,13 +78,13 @@
 }
 
 fn settings(machine: Machine) -> Settings {
-    let about =
-        About { zone: "east".into(), version: "1".into(), capabilities: LEDGER | ROLLOUT, advertise: None };
+    let metadata =
+        MemberMetadata { zone: "east".into(), version: "1".into(), capabilities: LEDGER | ROLLOUT, advertise: None };
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     Settings {
         fleet: FLEET.into(),
         name: "b".into(),
-        about,
+        metadata,
         peers: [("a".to_string(), at(1)), ("b".to_string(), at(2)), ("c".to_string(), at(3))].into(),
         period: Duration::from_secs(1),
         seats: SEATS.map(str::to_string).to_vec(),
@@ -107,31 +107,31 @@
 
 /// A gateway on a disk that takes each batch at once.
 struct Node {
-    fleet: Fleet,
+    fleet: ClusterNode,
     now: Micros,
     stored: Stored,
     batches: Vec<(u64, Vec<Put>)>,
-    notices: Vec<Notice>,
+    notices: Vec<ClusterNotice>,
     orphans: Vec<ledger::Orphan>,
     sent: Vec<Vec<u8>>,
 }
 
 impl Node {
     fn begin(machine: Machine, now: Micros, stored: &Stored) -> Node {
-        let fleet = Fleet::new(settings(machine), now, Micros(1_790_000_000_000_000), 7).expect("sound");
+        let fleet = ClusterNode::new(settings(machine), now, Micros(1_790_000_000_000_000), 7).expect("sound");
         let (batches, notices, orphans, sent) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let stored = stored.clone();
         let read = stored.iter().map(|(k, v)| Put { key: k.clone(), value: Some(v.clone()) }).collect();
         let mut node = Node { fleet, now, stored, batches, notices, orphans, sent };
-        node.event(Event::DiskRead(read));
+        node.event(Event::StorageLoaded { writes: read });
         node
     }
 
     fn event(&mut self, event: Event<'_>) {
         let mut effects = Vec::new();
         self.fleet.handle(self.now, event, &mut effects);
-        while let Some(at) = effects.iter().position(|effect| matches!(effect, Effect::Keep(..))) {
-            let Effect::Keep(batch, puts) = effects.remove(at) else { unreachable!("it was found there") };
+        while let Some(at) = effects.iter().position(|effect| matches!(effect, Effect::PersistBatch { .. })) {
+            let Effect::PersistBatch { batch, writes: puts } = effects.remove(at) else { unreachable!("it was found there") };
             for put in &puts {
                 match &put.value {
                     Some(value) => drop(self.stored.insert(put.key.clone(), value.clone())),
@@ -139,13 +139,13 @@
                 }
             }
             self.batches.push((batch, puts));
-            self.fleet.handle(self.now, Event::DiskHolds(batch), &mut effects);
+            self.fleet.handle(self.now, Event::StorageSynced { batch }, &mut effects);
         }
         for effect in effects {
             match effect {
-                Effect::Tell(notice) => self.notices.push(notice),
-                Effect::Orphan(orphan) => self.orphans.push(orphan),
-                Effect::Send(_, bytes) => self.sent.push(bytes),
+                Effect::Notify(notice) => self.notices.push(notice),
+                Effect::RequestAbandoned(orphan) => self.orphans.push(orphan),
+                Effect::Send { to: _, bytes } => self.sent.push(bytes),
                 _ => {}
             }
         }
@@ -154,12 +154,12 @@
     fn run_until(&mut self, until: Micros) {
         while self.now < until {
             self.now = self.now + BEAT;
-            self.event(Event::Beat);
+            self.event(Event::LedgerTick);
         }
     }
 
     fn hear<M: Serialize>(&mut self, kind: u32, seat: u16, message: &M) {
-        self.event(Event::Datagram(SocketAddr::from(([127, 0, 0, 1], 1)), &datagram(kind, seat, message)));
+        self.event(Event::Datagram { from: SocketAddr::from(([127, 0, 0, 1], 1)), bytes: &datagram(kind, seat, message) });
     }
 
     /// Answers every question for pages of names with an empty page without a vote: the branch begins anew.
@@ -469,7 +469,7 @@
     let mut node = next_process(BOOT);
     // Two of them are of claims of its own: on the branch's record and the rollout's.
     let votes = (true, true);
-    assert_eq!(node.notices, [Notice::DiskRead { writes: 9, records: 7, votes }]);
+    assert_eq!(node.notices, [ClusterNotice::StorageLoaded { writes: 9, records: 7, votes }]);
     check_writes(&node, |_, time| then(time));
     let (first, late) = (TOLD_AT, TOLD_AT + Micros(400_000));
     let new = ballot(9);
@@ -505,7 +505,7 @@
 fn after_a_start_of_the_machine_writes_alone_are_remembered() {
     let mut node = next_process(BOOT + 1);
     let votes = (true, false);
-    assert_eq!(node.notices, [Notice::DiskRead { writes: 9, records: 0, votes }]);
+    assert_eq!(node.notices, [ClusterNotice::StorageLoaded { writes: 9, records: 0, votes }]);
     // Each is as old as it was when it was put there: these two were heard of again.
     check_writes(&node, |of, time| {
         let put_at = if [dot(3), dot(9)].contains(&of) { TOLD_AT + Micros(400_000) } else { TOLD_AT };
--- a/src/proxy/cluster_transport/claims.rs
+++ b/src/proxy/cluster_transport/claims.rs
@@ -39,7 +39,7 @@
     pub(super) fn with<T>(
         &self,
         era: u64,
-        act: impl FnOnce(&mut Fleet, Micros, &mut Vec<Effect>) -> T,
+        act: impl FnOnce(&mut ClusterNode, Micros, &mut Vec<Effect>) -> T,
     ) -> Option<T> {
         let mut effects = Vec::new();
         let done = match self.fleet.borrow_mut().as_mut() {
--- a/src/proxy/cluster_transport/gauges.rs
+++ b/src/proxy/cluster_transport/gauges.rs
@@ -13,7 +13,7 @@
     pub fn gauges(&self) -> String {
         let mut text = String::new();
         let fleet = self.fleet.borrow();
-        let Some(report) = fleet.as_ref().map(Fleet::report) else { return text };
+        let Some(report) = fleet.as_ref().map(ClusterNode::report) else { return text };
         let standing = |s: Standing| report.members.iter().filter(|m| m.state == s).count() as u64;
         let mut line = |name: &str, value: u64| {
             // Writing to a string never fails.
@@ -32,7 +32,7 @@
             line("share.for_ms", view.share_for_ms);
             line("share.away", view.away.len() as u64);
         }
-        if let Some(desk) = fleet.as_ref().and_then(Fleet::desk) {
+        if let Some(desk) = fleet.as_ref().and_then(ClusterNode::desk) {
             let (t, holder) = (&desk.tallies, desk.holder());
             line("ledger.votes", u64::from(holder.votes(self.clock.now())));
             line("ledger.records", holder.len() as u64);
@@ -54,7 +54,7 @@
             line("ledger.refused.late", holder.refusals.late);
             line("ledger.refused.unfit", holder.refusals.unfit);
         }
-        if let Some(clerk) = fleet.as_ref().and_then(Fleet::branch).map(|b| b.clerk()) {
+        if let Some(clerk) = fleet.as_ref().and_then(ClusterNode::branch).map(|b| b.clerk()) {
             line("branch.cut", u64::from(clerk.is_cut()));
             line("branch.votes", u64::from(clerk.votes()));
             line("branch.waiting", clerk.shelf().open() as u64);
@@ -76,7 +76,7 @@
             line("rollout.refused", of(|r| r.refused));
             line("rollout.uncounted", self.arms.dropped());
         }
-        if let Some((works, waits)) = fleet.as_ref().and_then(Fleet::disk) {
+        if let Some((works, waits)) = fleet.as_ref().and_then(ClusterNode::disk) {
             line("disk.works", u64::from(works));
             line("disk.waits", waits as u64);
         }
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -17,7 +17,7 @@
 use crate::cluster::rollout::{End as RolloutEnd, Key, Start, Told, Why};
 use crate::cluster::write_queue::{Dot, Fate, Status};
 use crate::cluster::{
-    Agreement, Effect, Errand, Event, Fleet, Micros, Notice, Report, Shares, Standing, Taken, BEAT, LONGEST,
+    Agreement, Effect, Errand, Event, ClusterNode, Micros, ClusterNotice, Report, Shares, Standing, Taken, BEAT, LONGEST,
     WAKE,
 };
 use crate::decision::api::Lent;
@@ -54,7 +54,7 @@
     clock: Clock,
     duty: Rc<Duty>,
     inbox: Inbox,
-    fleet: RefCell<Option<Fleet>>,
+    fleet: RefCell<Option<ClusterNode>>,
     /// Datagrams that the kernel did not take.
     unsent: Cell<u64>,
     /// The socket, while this process takes part.
@@ -168,7 +168,7 @@
             disk: self.config.dir.as_ref().map(|_| disk::machine()),
             ..self.config.settings.clone()
         };
-        match Fleet::new(settings, self.clock.now(), unix, fastrand::u64(..)) {
+        match ClusterNode::new(settings, self.clock.now(), unix, fastrand::u64(..)) {
             Ok(fleet) => {
                 info!(name = %fleet.own().name, incarnation = fleet.own().incarnation, "joining the fleet");
                 let in_force = fleet.in_force().filter(|f| !f.old.0.is_empty());
@@ -197,16 +197,16 @@
             while budget > 0 {
                 let Ok((length, from)) = socket.try_recv_from(&mut buffer) else { break };
                 budget -= 1;
-                self.give(Event::Datagram(from, &buffer[..length]));
+                self.give(Event::Datagram { from, bytes: &buffer[..length] });
             }
             if beat.is_some_and(|at| Instant::now() >= at) {
                 beat = Some(Instant::now() + Duration::from_micros(BEAT.0));
                 self.count();
-                self.give(Event::Beat);
+                self.give(Event::LedgerTick);
             }
             if Instant::now() >= wake {
                 wake = Instant::now() + Duration::from_micros(WAKE.0);
-                self.give(Event::Wake);
+                self.give(Event::Tick);
                 if told.elapsed() >= STRANGERS_EVERY {
                     told = Instant::now();
                     self.tell_strangers(&mut strangers);
@@ -225,16 +225,16 @@
                 () = sleep_until(wake) => {}
                 () = sleep_until(beat.unwrap_or(wake)), if beat.is_some() => {}
                 word = next(&mut words) => match word {
-                    Word::Read(puts) => self.give(Event::DiskRead(puts)),
-                    Word::Holds(batch) => self.give(Event::DiskHolds(batch)),
-                    Word::Failed => self.give(Event::DiskFailed),
+                    Word::Read(puts) => self.give(Event::StorageLoaded { writes: puts }),
+                    Word::Holds(batch) => self.give(Event::StorageSynced { batch }),
+                    Word::Failed => self.give(Event::StorageFailed),
                 },
                 // The duty outlives this.
                 _ = duty.changed() => {}
                 changed = elsewhere.changed() => match changed {
                     Ok(()) => {
                         let peers = elsewhere.borrow_and_update().clone();
-                        self.give(Event::Peers(peers));
+                        self.give(Event::PeerAddressesChanged { addresses: peers });
                     }
                     Err(_) => return,
                 },
@@ -254,33 +254,33 @@
         for effect in effects {
             match effect {
                 // What the kernel has no room for is lost, as on any network.
-                Effect::Send(to, bytes) => {
+                Effect::Send { to, bytes } => {
                     let socket = self.socket.borrow();
                     let unsent = socket.as_ref().is_none_or(|s| s.try_send_to(&bytes, to).is_err());
                     self.unsent.set(self.unsent.get() + u64::from(unsent));
                 }
-                Effect::Tell(notice) => notices::log(&notice),
-                Effect::Keep(batch, puts) => {
+                Effect::Notify(notice) => notices::log(&notice),
+                Effect::PersistBatch { batch, writes: puts } => {
                     if !self.disk.borrow().as_ref().is_some_and(|disk| disk.give(batch, puts)) {
-                        self.give(Event::DiskFailed);
+                        self.give(Event::StorageFailed);
                     }
                 }
-                Effect::Shares(Shares { until, away }) if self.config.lend > 0.0 => {
+                Effect::QuotaSharesChanged(Shares { until, away }) if self.config.lend > 0.0 => {
                     tell(&self.inbox, Input::Lent(Lent { part: self.config.lend, until, away }));
                 }
-                Effect::Shares(_) => {}
-                Effect::Routing(in_force) => tell(&self.inbox, Input::Routing(in_force)),
-                Effect::Branch(errand) => self.run_errand(errand),
+                Effect::QuotaSharesChanged(_) => {}
+                Effect::RoutingChanged(in_force) => tell(&self.inbox, Input::Routing(in_force)),
+                Effect::WriteQueue(errand) => self.run_errand(errand),
                 // Where there is no room it is offered again, here or elsewhere.
-                Effect::Orphan(orphan) => drop(self.orphans.try_send(orphan)),
-                Effect::Rollout(told) => notices::log_rollout(&told),
-                Effect::Begun(key) => {
+                Effect::RequestAbandoned(orphan) => drop(self.orphans.try_send(orphan)),
+                Effect::RolloutNotice(told) => notices::log_rollout(&told),
+                Effect::RolloutStarted { key } => {
                     if let Some(asks) = self.begins.borrow_mut().take() {
                         // Who asked may have gone.
                         let _ = asks.send(key);
                     }
                 }
-                Effect::Found(claim, finding) => {
+                Effect::ClaimResolved { claim, outcome: finding } => {
                     let slot = self.slots.borrow().get(&claim).cloned();
                     slot.into_iter().for_each(|slot| slot.tell(finding.clone()));
                 }
--- a/src/proxy/cluster_transport/notices.rs
+++ b/src/proxy/cluster_transport/notices.rs
@@ -23,23 +23,23 @@
 }
 
 /// What people should hear of the fleet.
-pub(super) fn log(notice: &Notice) {
+pub(super) fn log(notice: &ClusterNotice) {
     match notice {
-        Notice::Yielded { own, other } => {
+        ClusterNotice::SeatYielded { own, other } => {
             warn!(
                 own,
                 other, "a younger process lives under this name; this one yields its seat and serves on"
             );
         }
-        Notice::Rivals { name, older, newer } => {
+        ClusterNotice::DuplicateName { name, older, newer } => {
             warn!(name, older, newer, "two processes send under one name");
         }
-        Notice::Standing { name, standing, why } => {
+        ClusterNotice::MemberStateChanged { name, standing, why } => {
             info!(name, standing = ?standing, why, "member");
         }
-        Notice::DiskRead { writes, records, votes: (branch, ledger) } => {
+        ClusterNotice::StorageLoaded { writes, records, votes: (branch, ledger) } => {
             info!(writes, records, branch, ledger, "read the disk; true: a vote at once");
         }
-        Notice::DiskLost => warn!("without its disk this gateway has no vote; it serves on"),
+        ClusterNotice::StorageLost => warn!("without its disk this gateway has no vote; it serves on"),
     }
 }
--- a/src/proxy/cluster_transport/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -11,7 +11,7 @@
     /// Whether a write of this class is the branch's to accept now.
     pub fn takes_writes(&self, class: &str, customer: u64, object: u64) -> bool {
         let fleet = self.fleet.borrow();
-        let clerk = fleet.as_ref().and_then(Fleet::branch).map(|branch| branch.clerk());
+        let clerk = fleet.as_ref().and_then(ClusterNode::branch).map(|branch| branch.clerk());
         let named = || self.config.branch_classes.iter().any(|name| name == class);
         clerk.is_some_and(|clerk| clerk.takes(customer, object) && named())
     }
@@ -56,7 +56,7 @@
             Errand::Cut(cut, last) => {
                 self.arms.cut(cut);
                 let waits =
-                    self.fleet.borrow().as_ref().and_then(Fleet::branch).map(|b| b.clerk().shelf().open());
+                    self.fleet.borrow().as_ref().and_then(ClusterNode::branch).map(|b| b.clerk().shelf().open());
                 let (last_ms, waits) = (last.0 / 1000, waits.unwrap_or(0));
                 match cut {
                     true => warn!(last_ms, waits, "the branch is cut off: writes are accepted here"),
--- a/src/proxy/control_plane/config/fleet_file.rs
+++ b/src/proxy/control_plane/config/fleet_file.rs
@@ -1,6 +1,6 @@
 //! The fleet's file: its form, its bounds, and what the fleet part is told from it.
 
-use crate::cluster::{self, About};
+use crate::cluster::{self, MemberMetadata};
 use crate::proxy::control_plane::config::ConfigError;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -187,7 +187,7 @@
         let name = document.name.unwrap_or_else(|| name.to_string());
         let mut peers = document.peers;
         peers.remove(&name);
-        let about = About {
+        let metadata = MemberMetadata {
             zone: document.zone,
             version: env!("CARGO_PKG_VERSION").to_string(),
             capabilities: if document.ledger.is_some() { cluster::LEDGER } else { 0 }
@@ -210,7 +210,7 @@
         let settings = cluster::Settings {
             fleet: document.fleet,
             name,
-            about,
+            metadata,
             peers,
             period,
             seats: document.seats,
