--- a/lab/src/members/measure.rs
+++ b/lab/src/members/measure.rs
@@ -2,7 +2,7 @@
 
 use super::world::{seconds, Weather, World};
 use crate::stats;
-use quota_gateway::cluster::{Micros, ClusterNotice, Standing};
+use quota_gateway::cluster::{ClusterNotice, MemberState, Micros};
 use std::time::Instant;
 
 /// The figures of one size.
@@ -75,11 +75,11 @@
         let name = world.name(dead).to_string();
         let (mut miss, mut down) = (vec![None; members], vec![None; members]);
         for (when, node, notice) in &world.notices {
-            let ClusterNotice::MemberStateChanged { name: of, standing, .. } = notice else { continue };
-            if *of == name && !standing.is_present() {
+            let ClusterNotice::MemberStateChanged { name: of, state, .. } = notice else { continue };
+            if *of == name && !state.is_present() {
                 down[*node] = down[*node].or(Some((*when - at).secs()));
             }
-            if *of == name && *standing != Standing::Alive {
+            if *of == name && *state != MemberState::Alive {
                 miss[*node] = miss[*node].or(Some((*when - at).secs()));
             }
         }
@@ -137,7 +137,7 @@
     }
     slow.iter().for_each(|&i| world.pause(i, false));
     world.run_until(end);
-    let down = |n: &&(Micros, usize, ClusterNotice)| matches!(&n.2, ClusterNotice::MemberStateChanged { standing, .. } if *standing == Standing::Down);
+    let down = |n: &&(Micros, usize, ClusterNotice)| matches!(&n.2, ClusterNotice::MemberStateChanged { state, .. } if *state == MemberState::Down);
     let count = world.notices.iter().filter(down).count();
     world.weather = Weather::default();
     count
--- a/lab/src/members/world.rs
+++ b/lab/src/members/world.rs
@@ -1,6 +1,8 @@
 //! A fleet of members under virtual time: one queue of events, one seed.
 
-use quota_gateway::cluster::{MemberMetadata, Effect, Event, ClusterNode, Micros, ClusterNotice, Settings, Shares, WAKE};
+use quota_gateway::cluster::{
+    ClusterNode, ClusterNotice, Effect, Event, MemberMetadata, Micros, QuotaShares, Settings, TICK_INTERVAL,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -48,7 +50,7 @@
     /// What its wall clock is behind by.
     behind: Micros,
     /// The shares as its module was told last; a paused process has them still.
-    shares: Shares,
+    shares: QuotaShares,
     /// What it was told of the others' addresses.
     peers: BTreeMap<String, SocketAddr>,
 }
@@ -117,7 +119,7 @@
             paused: false,
             backlog: Vec::new(),
             behind: Micros(0),
-            shares: Shares::default(),
+            shares: QuotaShares::default(),
             peers,
         }
     }
@@ -229,17 +231,17 @@
         };
         let unix = Micros(UNIX) + now - n.behind;
         n.fleet = Some(ClusterNode::new(settings, now, unix, random).expect("sound settings"));
-        (n.paused, n.life, n.shares) = (false, n.life + 1, Shares::default());
+        (n.paused, n.life, n.shares) = (false, n.life + 1, QuotaShares::default());
         n.backlog.clear();
         let life = n.life;
-        let first = now + Micros(self.rng.random_range(0..WAKE.0));
+        let first = now + Micros(self.rng.random_range(0..TICK_INTERVAL.0));
         self.push(first, What::Wake(node, life));
     }
 
     /// Ends a process without a word.
     pub fn kill(&mut self, node: usize) {
         let n = &mut self.nodes[node];
-        (n.fleet, n.paused, n.shares) = (None, false, Shares::default());
+        (n.fleet, n.paused, n.shares) = (None, false, QuotaShares::default());
         n.backlog.clear();
     }
 
@@ -361,7 +363,7 @@
                     if !self.nodes[node].paused {
                         self.give(node, Event::Tick);
                     }
-                    self.push(self.now + WAKE, What::Wake(node, life));
+                    self.push(self.now + TICK_INTERVAL, What::Wake(node, life));
                 }
             }
         }
@@ -377,7 +379,7 @@
     pub fn in_force(&self, through: &[usize]) -> f64 {
         let spread = through.len() as f64;
         let share = |node: &Node| {
-            let away = node.shares.away.iter().filter(|s| through.contains(&(**s as usize))).count();
+            let away = node.shares.free_seats.iter().filter(|s| through.contains(&(**s as usize))).count();
             1.0 / (spread - away as f64)
         };
         let used = |node: &&Node| {
@@ -393,7 +395,7 @@
         let names: BTreeSet<&str> = awake.iter().map(|&i| self.name(i)).collect();
         awake.iter().all(|&i| {
             let Some(fleet) = self.fleet(i) else { return false };
-            let present = fleet.records().filter(|r| r.standing.is_present()).map(|r| &*r.identity.name);
+            let present = fleet.records().filter(|r| r.state.is_present()).map(|r| &*r.identity.name);
             let mut seen: BTreeSet<&str> = present.collect();
             seen.insert(self.name(i));
             seen == names
--- a/lab/tests/disk/world.rs
+++ b/lab/tests/disk/world.rs
@@ -3,7 +3,8 @@
 
 use quota_gateway::cluster::write_queue::{self, Dot, End, Fate, State, Status};
 use quota_gateway::cluster::{
-    ledger, MemberMetadata, Effect, Errand, Event, ClusterNode, Machine, Micros, ClusterNotice, Put, Settings, LEDGER,
+    ledger, ClusterNode, ClusterNotice, Effect, Errand, Event, Machine, MemberMetadata, Micros, Put,
+    Settings, CAPABILITY_LEDGER,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -134,7 +135,7 @@
             metadata: MemberMetadata {
                 zone: "z".into(),
                 version: "1".into(),
-                capabilities: LEDGER,
+                capabilities: CAPABILITY_LEDGER,
                 advertise: Some(address(node)),
             },
             peers: (0..seats).filter(|n| *n != node).map(|n| (name(n), address(n))).collect(),
@@ -206,7 +207,8 @@
                 }
                 Effect::WriteQueue(errand) => self.run(node, errand),
                 Effect::Notify(notice) => {
-                    let of_disk = matches!(notice, ClusterNotice::StorageLoaded { .. } | ClusterNotice::StorageLost);
+                    let of_disk =
+                        matches!(notice, ClusterNotice::StorageLoaded { .. } | ClusterNotice::StorageLost);
                     self.nodes[node].notices.extend(of_disk.then_some(notice));
                 }
                 _ => {}
@@ -287,7 +289,9 @@
             self.disks();
             while let Some(entry) = self.net.first_entry().filter(|e| e.key().0 <= next) {
                 match entry.remove() {
-                    Post::Datagram(to, from, bytes) => self.give(to, Event::Datagram { from: address(from), bytes: &bytes }),
+                    Post::Datagram(to, from, bytes) => {
+                        self.give(to, Event::Datagram { from: address(from), bytes: &bytes })
+                    }
                     Post::Ends(node, life, dot, tries, fate) => {
                         let (now, mut effects) = (Micros(self.now), Vec::new());
                         let n = &mut self.nodes[node];
@@ -424,7 +428,9 @@
         Event::Tick => Event::Tick,
         Event::LedgerTick => Event::LedgerTick,
         Event::Leave => Event::Leave,
-        Event::PeerAddressesChanged { addresses: peers } => Event::PeerAddressesChanged { addresses: peers.clone() },
+        Event::PeerAddressesChanged { addresses: peers } => {
+            Event::PeerAddressesChanged { addresses: peers.clone() }
+        }
         Event::StorageLoaded { writes: puts } => Event::StorageLoaded { writes: puts.clone() },
         Event::StorageSynced { batch } => Event::StorageSynced { batch: *batch },
         Event::StorageFailed => Event::StorageFailed,
--- a/lab/tests/members.rs
+++ b/lab/tests/members.rs
@@ -1,7 +1,7 @@
 //! Membership under virtual time: properties over random faults, and the hard cases by themselves.
 
 use proptest::prelude::*;
-use quota_gateway::cluster::{Agreement, Micros, ClusterNotice, Standing};
+use quota_gateway::cluster::{Agreement, ClusterNotice, MemberState, Micros};
 use quota_gateway_lab::members::world::{seconds, Weather, World};
 use std::collections::BTreeMap;
 
@@ -87,7 +87,7 @@
 fn picture(world: &World) -> String {
     let line = |i: usize| match world.fleet(i) {
         Some(fleet) => {
-            let others = fleet.records().map(|r| format!("{} {:?}", r.identity.name, r.standing));
+            let others = fleet.records().map(|r| format!("{} {:?}", r.identity.name, r.state));
             let report = fleet.report();
             let self_ = format!("health {} late {:?} sent {:?}", report.health, report.late, report.sent);
             format!("{} ({self_}): {}\n", world.name(i), others.collect::<Vec<_>>().join(", "))
@@ -219,7 +219,9 @@
 
 fn downs(world: &World) -> Vec<String> {
     let down = |(_, node, n): &(Micros, usize, ClusterNotice)| match n {
-        ClusterNotice::MemberStateChanged { name, standing: Standing::Down, .. } => Some(format!("{} by g{node}", name)),
+        ClusterNotice::MemberStateChanged { name, state: MemberState::Down, .. } => {
+            Some(format!("{} by g{node}", name))
+        }
         _ => None,
     };
     world.notices.iter().filter_map(down).collect()
@@ -246,7 +248,7 @@
     assert_eq!(downs(&world), Vec::<String>::new());
     let left = |i: usize| {
         let record = world.fleet(i).and_then(|f| f.records().find(|r| &*r.identity.name == "g2").cloned());
-        record.map(|r| r.standing) == Some(Standing::Left)
+        record.map(|r| r.state) == Some(MemberState::Left)
     };
     assert!(world.awake().into_iter().all(left), "{}", picture(&world));
 }
@@ -345,7 +347,8 @@
     let newer = world.fleet(double).expect("it runs").own().incarnation;
     assert!(older.yielded().is_some_and(|to| to >= newer - 64 && to <= newer + 64), "{:?}", older.yielded());
     assert!(world.fleet(double).is_some_and(|f| f.yielded().is_none()));
-    let named = |n: &(Micros, usize, ClusterNotice)| matches!(n.2, ClusterNotice::SeatYielded { .. }) && n.1 == 2;
+    let named =
+        |n: &(Micros, usize, ClusterNotice)| matches!(n.2, ClusterNotice::SeatYielded { .. }) && n.1 == 2;
     assert!(world.notices.iter().any(named));
 }
 
--- a/src/cluster/datagram.rs
+++ b/src/cluster/datagram.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The longest datagram that is sent or taken, in bytes.
-pub const LONGEST: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// The version of the protocol. Another one is dropped and counted.
 pub const VERSION: u8 = 1;
 /// Bytes before the head: a mark, the version, the fleet, a checksum over all that follows.
@@ -92,7 +92,7 @@
     #[error("not a whole datagram of this protocol")]
     Malformed,
     /// It is longer than any datagram of this protocol.
-    #[error("longer than {LONGEST} bytes")]
+    #[error("longer than {MAX_DATAGRAM_BYTES} bytes")]
     Oversized,
     /// Of a version that this program does not speak.
     #[error("of another version of the protocol than {VERSION}")]
@@ -137,7 +137,7 @@
     let mut bytes = postcard::to_extend(head, bytes).ok()?;
     bytes.extend_from_slice(rest);
     seal(&mut bytes);
-    (bytes.len() <= LONGEST).then_some(bytes)
+    (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
 }
 
 /// Puts in the checksum of a frame that is whole but for it.
@@ -149,7 +149,7 @@
 
 /// Reads a frame.
 pub fn read(tag: u32, bytes: &[u8]) -> Result<(Head, &[u8]), DatagramError> {
-    if bytes.len() > LONGEST {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DatagramError::Oversized);
     }
     let (prelude, body) = bytes.split_at_checked(PRELUDE).ok_or(DatagramError::Malformed)?;
@@ -187,7 +187,7 @@
             bent[at] ^= 0x10;
             assert!(read(tag("norte"), &bent).is_err(), "changed at {at}");
         }
-        assert_eq!(read(tag("norte"), &[0; LONGEST + 1]), Err(DatagramError::Oversized));
-        assert_eq!(write(tag("norte"), &head, &[0; LONGEST]), None);
+        assert_eq!(read(tag("norte"), &[0; MAX_DATAGRAM_BYTES + 1]), Err(DatagramError::Oversized));
+        assert_eq!(write(tag("norte"), &head, &[0; MAX_DATAGRAM_BYTES]), None);
     }
 }
--- a/src/cluster/event.rs
+++ b/src/cluster/event.rs
@@ -3,7 +3,7 @@
 use crate::cluster::datagram::DatagramError;
 use crate::cluster::ledger::{ClaimId, Finding, Orphan};
 use crate::cluster::rollout::{Key, Told};
-use crate::cluster::{Errand, InForce, Put, Shares, Standing};
+use crate::cluster::{Errand, InForce, Put, QuotaShares, MemberState};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -17,9 +17,9 @@
         /// The whole datagram.
         bytes: &'a [u8],
     },
-    /// Time has passed; due every `WAKE` at least.
+    /// Time has passed; due every `TICK_INTERVAL` at least.
     Tick,
-    /// The same for the ledger, where there is one; due every `BEAT`.
+    /// The same for the ledger, where there is one; due every `LEDGER_TICK_INTERVAL`.
     LedgerTick,
     /// The gateway leaves the cluster on purpose.
     Leave,
@@ -55,7 +55,7 @@
     /// A line for the log.
     Notify(ClusterNotice),
     /// The quota shares are these from now on.
-    QuotaSharesChanged(Shares),
+    QuotaSharesChanged(QuotaShares),
     /// Put this batch on the disk, and answer with `Event::StorageSynced` once it would survive a loss of power.
     PersistBatch {
         /// Rises by one with each batch.
@@ -108,10 +108,10 @@
     MemberStateChanged {
         /// Its name.
         name: String,
-        /// What is held of it now.
-        standing: Standing,
-        /// Why.
-        why: &'static str,
+        /// Its state from now on.
+        state: MemberState,
+        /// Why, for people.
+        reason: &'static str,
     },
     /// The disk was read: writes of the branch and records of the ledger that were held there, and whether they are all
     /// that was ever said by this gateway in the branch and at the ledger, so that it has its votes at once.
@@ -129,7 +129,7 @@
 
 /// Datagrams and bytes, both ways, and what was dropped.
 #[derive(Debug, Clone, Default)]
-pub struct Traffic {
+pub struct TrafficCounters {
     /// Datagrams taken.
     pub heard: u64,
     /// Bytes of them.
--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -2,14 +2,14 @@
 
 use crate::cluster::datagram::{self, Head, DatagramError};
 use crate::cluster::ledger::{Change, ClaimId, Desk, Message, Out, RecordId};
-use crate::cluster::membership::identity::{Identity, LEDGER};
+use crate::cluster::membership::identity::{Identity, CAPABILITY_LEDGER};
 use crate::cluster::membership::swim::Swim;
 use crate::cluster::storage::persistence::Word;
 use crate::cluster::{Effect, ClusterNode, Micros};
 use std::net::SocketAddr;
 
 /// How often the ledger is to be called.
-pub const BEAT: Micros = Micros(20_000);
+pub const LEDGER_TICK_INTERVAL: Micros = Micros(20_000);
 
 impl ClusterNode {
     /// The ledger, where there is one.
@@ -151,7 +151,7 @@
 /// Whether the gateway in this seat is there, and holds records.
 fn can_hold(seats: &[String], swim: &Swim, seat: u16) -> bool {
     let record = seats.get(usize::from(seat)).and_then(|name| swim.records().get(name.as_str()));
-    record.is_some_and(|r| r.standing.is_present() && r.identity.metadata.capabilities & LEDGER != 0)
+    record.is_some_and(|r| r.state.is_present() && r.identity.metadata.capabilities & CAPABILITY_LEDGER != 0)
 }
 
 /// What stands for this gateway's list of seats, and its seat.
--- a/src/cluster/membership/identity.rs
+++ b/src/cluster/membership/identity.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 /// The longest name of a gateway or a zone, in bytes.
-pub const LONGEST_NAME: usize = 32;
+pub const MAX_NAME_BYTES: usize = 32;
 /// The longest version, in bytes.
 pub const LONGEST_VERSION: usize = 16;
 /// Incarnations that one millisecond of start time has room for; the first half is drawn from, the second is
@@ -14,9 +14,9 @@
 const A_MILLISECOND: u64 = 1 << 16;
 
 /// The capability of a member that keeps the ledger.
-pub const LEDGER: u32 = 1;
+pub const CAPABILITY_LEDGER: u32 = 1;
 /// The capability of a member that takes part in rollouts of rules.
-pub const ROLLOUT: u32 = 2;
+pub const CAPABILITY_ROLLOUT: u32 = 2;
 
 /// What a member tells of itself beside its name.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -66,17 +66,17 @@
 
     /// Whether its texts are of a length and kind that a member may have.
     pub fn is_sound(&self) -> bool {
-        is_name(&self.name)
-            && (self.metadata.zone.is_empty() || is_name(&self.metadata.zone))
+        is_valid_name(&self.name)
+            && (self.metadata.zone.is_empty() || is_valid_name(&self.metadata.zone))
             && self.metadata.version.len() <= LONGEST_VERSION
             && self.metadata.version.bytes().all(|b| b.is_ascii_graphic())
     }
 }
 
 /// Whether a text may name a gateway or a zone: letters, digits, `.`, `_` and `-`, at most 32 of them.
-pub fn is_name(text: &str) -> bool {
+pub fn is_valid_name(text: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-');
-    !text.is_empty() && text.len() <= LONGEST_NAME && text.bytes().all(allowed)
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(allowed)
 }
 
 impl foca::Identity for Identity {
--- a/src/cluster/membership/local_health.rs
+++ b/src/cluster/membership/local_health.rs
@@ -4,7 +4,7 @@
 use crate::cluster::Micros;
 
 /// The core is called at least this often.
-pub const WAKE: Micros = Micros(200_000);
+pub const TICK_INTERVAL: Micros = Micros(200_000);
 /// A call so much later than due says that the process was paused or its loop ran late.
 const LATE: Micros = Micros(150_000);
 /// Run on time for so long, a gateway's score gets better by one.
@@ -33,12 +33,12 @@
     pub fn wake(&mut self, now: Micros) -> Micros {
         let since = now - self.last.unwrap_or(now);
         self.last = Some(self.last.unwrap_or(now).max(now));
-        let usual = WAKE + LATE;
+        let usual = TICK_INTERVAL + LATE;
         if since > usual {
             self.late += 1;
             self.longest = self.longest.max(since - usual);
             // One step for each time that should have been awake, so that a long pause counts as much as many.
-            let steps = (since - usual).0 / WAKE.0 + 1;
+            let steps = (since - usual).0 / TICK_INTERVAL.0 + 1;
             self.score = self.score.saturating_add(steps.min(u64::from(WORST)) as u32).min(WORST);
             self.on_time = Micros(0);
         }
--- a/src/cluster/membership/rejoin.rs
+++ b/src/cluster/membership/rejoin.rs
@@ -26,7 +26,7 @@
             self.yielded = Some(incarnation);
             (self.desk, self.steward, self.branch, self.keeping) = (None, None, None, None);
             if self.lending.take().is_some() {
-                out.push(Effect::QuotaSharesChanged(Shares::default()));
+                out.push(Effect::QuotaSharesChanged(QuotaShares::default()));
             }
             out.push(Effect::Notify(ClusterNotice::SeatYielded { own, other: incarnation }));
         } else {
@@ -38,10 +38,10 @@
     /// Tells what changed since it was told last.
     pub(in crate::cluster) fn tell(&mut self, out: &mut Vec<Effect>) {
         for (name, record) in self.swim.records() {
-            if self.told.get(name) != Some(&record.standing) {
-                self.told.insert(name.clone(), record.standing);
-                let (name, standing, why) = (name.to_string(), record.standing, record.why);
-                out.push(Effect::Notify(ClusterNotice::MemberStateChanged { name, standing, why }));
+            if self.told.get(name) != Some(&record.state) {
+                self.told.insert(name.clone(), record.state);
+                let (name, state, reason) = (name.to_string(), record.state, record.reason);
+                out.push(Effect::Notify(ClusterNotice::MemberStateChanged { name, state, reason }));
             }
         }
         let records = self.swim.records();
@@ -62,13 +62,13 @@
     /// One that is not known to be there is tried at both.
     pub(in crate::cluster) fn addresses(&self, to: &Identity) -> impl Iterator<Item = SocketAddr> {
         // An older life that still sends is answered where it says that it is.
-        let older = |r: &&Record| to.incarnation > 0 && to.incarnation < r.identity.incarnation;
+        let older = |r: &&MemberRecord| to.incarnation > 0 && to.incarnation < r.identity.incarnation;
         let record = self.swim.records().get(&to.name).filter(|r| !older(r));
         let told = record.map_or(to.metadata.advertise, |r| r.identity.metadata.advertise);
         let mapped = self.settings.peers.get(&*to.name).copied();
         let known = |at: &&SocketAddr| Some(**at) == mapped || Some(**at) == told;
         let heard = self.heard_at.get(&to.name).filter(|_| record.is_some()).filter(known).copied();
-        let there = record.is_some_and(|r| r.standing == Standing::Alive);
+        let there = record.is_some_and(|r| r.state == MemberState::Alive);
         let first = heard.or(mapped).or(told);
         let other = if first == mapped { told } else { mapped };
         first.into_iter().chain(other.filter(|at| !there && Some(*at) != first))
@@ -79,7 +79,7 @@
     pub(in crate::cluster) fn watch_rivals(&mut self, out: &mut Vec<Effect>) {
         let Some((older, newer)) = self.swim.older() else { return };
         let now = self.now;
-        if self.rivals.len() >= MOST_MEMBERS {
+        if self.rivals.len() >= MAX_MEMBERS {
             return;
         }
         let seen = self.rivals.entry(older.name.to_string()).or_insert(Rivals {
@@ -103,7 +103,7 @@
         let records = self.swim.records();
         let absent = |name: &&String| {
             **name != self.settings.name
-                && records.get(name.as_str()).is_none_or(|r| !r.standing.is_present())
+                && records.get(name.as_str()).is_none_or(|r| !r.state.is_present())
         };
         let absent: Vec<String> = self.settings.peers.keys().filter(absent).cloned().collect();
         let alone = self.swim.connected().is_none();
--- a/src/cluster/membership/ring_probe.rs
+++ b/src/cluster/membership/ring_probe.rs
@@ -6,7 +6,7 @@
 //! what it says is a suspicion, which the suspect and everybody who reaches it can refute.
 
 use crate::cluster::membership::identity::Identity;
-use crate::cluster::membership::swim::{Record, Standing};
+use crate::cluster::membership::swim::{MemberRecord, MemberState};
 use crate::cluster::Micros;
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -45,9 +45,9 @@
 
 impl Ring {
     /// The member after this name, the first one after the last.
-    fn neighbour(own: &str, records: &BTreeMap<Rc<str>, Record>) -> Option<Identity> {
+    fn neighbour(own: &str, records: &BTreeMap<Rc<str>, MemberRecord>) -> Option<Identity> {
         let after = records.range::<str, _>((Bound::Excluded(own), Bound::Unbounded));
-        let alive = |r: &&Record| r.standing == Standing::Alive;
+        let alive = |r: &&MemberRecord| r.state == MemberState::Alive;
         after.map(|(_, r)| r).chain(records.values()).find(alive).map(|r| r.identity.clone())
     }
 
@@ -57,7 +57,7 @@
         awake: Micros,
         period: Micros,
         own: &str,
-        records: &BTreeMap<Rc<str>, Record>,
+        records: &BTreeMap<Rc<str>, MemberRecord>,
         random: u64,
         stretched: impl Fn(Micros) -> Micros,
     ) -> Turn {
--- a/src/cluster/membership/swim.rs
+++ b/src/cluster/membership/swim.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// The most names that are kept, those of the dead and gone among them.
-pub const MOST_MEMBERS: usize = 2048;
+pub const MAX_MEMBERS: usize = 2048;
 /// How long the dead and gone are remembered.
 const REMEMBERED: Duration = Duration::from_secs(3600);
 /// How long a direct probe is waited for; a private network's round trip and a busy loop have room in it.
@@ -95,7 +95,7 @@
             return Ok(());
         }
         match self.names.get(&id.name) {
-            None if self.names.len() >= MOST_MEMBERS => return Err(Unfit::Member),
+            None if self.names.len() >= MAX_MEMBERS => return Err(Unfit::Member),
             Some(latest) if *latest >= id.incarnation => {}
             _ => drop(self.names.insert(id.name.clone(), id.incarnation)),
         }
@@ -174,7 +174,7 @@
 /// What is held of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
+pub enum MemberState {
     /// It answers, as far as is known.
     Alive,
     /// Somebody had no answer of it.
@@ -185,24 +185,24 @@
     Left,
 }
 
-impl Standing {
+impl MemberState {
     /// It takes part.
     pub fn is_present(self) -> bool {
-        matches!(self, Standing::Alive | Standing::Suspect)
+        matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
 /// A member as this one sees it.
 #[derive(Debug, Clone)]
-pub struct Record {
+pub struct MemberRecord {
     /// Which life.
     pub identity: Identity,
-    /// What is held of it.
-    pub standing: Standing,
+    /// Its state.
+    pub state: MemberState,
     /// Since when.
     pub since: Micros,
     /// In words.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 /// What the protocol wants sent.
@@ -227,7 +227,7 @@
     serial: u64,
     /// When the dead are forgotten.
     forget: BTreeMap<Rc<str>, (Micros, Identity)>,
-    records: BTreeMap<Rc<str>, Record>,
+    records: BTreeMap<Rc<str>, MemberRecord>,
     looked: Micros,
     stale: bool,
     probing: bool,
@@ -322,12 +322,12 @@
         self.connected
     }
     /// All that are known but this one, by name.
-    pub fn records(&self) -> &BTreeMap<Rc<str>, Record> {
+    pub fn records(&self) -> &BTreeMap<Rc<str>, MemberRecord> {
         &self.records
     }
     /// What the record of a name says, and whether it is held to live.
     pub fn on_record(&self, name: &str) -> (u64, bool) {
-        self.records.get(name).map_or((0, false), |r| (r.identity.incarnation, r.standing.is_present()))
+        self.records.get(name).map_or((0, false), |r| (r.identity.incarnation, r.state.is_present()))
     }
     /// A later life under the own name that was spoken of since the last look, and whether it is held to live.
     pub fn rival(&mut self) -> Option<(u64, bool)> {
@@ -392,7 +392,7 @@
     fn ask_suspects(&mut self, out: &mut Vec<Outgoing>) {
         let (awake, records) = (self.awake, &self.records);
         let suspect = |id: &Identity| {
-            records.get(&id.name).is_some_and(|r| r.identity == *id && r.standing == Standing::Suspect)
+            records.get(&id.name).is_some_and(|r| r.identity == *id && r.state == MemberState::Suspect)
         };
         self.doubts.retain(|_, (id, _, _)| suspect(id));
         let mut due = Vec::new();
@@ -542,30 +542,30 @@
         let mut seen = BTreeSet::new();
         for member in self.foca.iter_membership_state() {
             let id = member.id();
-            let standing = match member.state() {
-                State::Alive => Standing::Alive,
-                State::Suspect => Standing::Suspect,
-                State::Down if id.leaving => Standing::Left,
-                State::Down => Standing::Down,
+            let state = match member.state() {
+                State::Alive => MemberState::Alive,
+                State::Suspect => MemberState::Suspect,
+                State::Down if id.leaving => MemberState::Left,
+                State::Down => MemberState::Down,
             };
             seen.insert(id.name.clone());
             let before = self.records.get(&id.name);
-            let same = before.is_some_and(|r| r.standing == standing && r.identity == *id);
+            let same = before.is_some_and(|r| r.state == state && r.identity == *id);
             if same {
                 continue;
             }
             let later = before.is_some_and(|r| r.identity.incarnation < id.incarnation);
-            let why = match (standing, before.map(|r| r.standing)) {
-                (Standing::Alive, Some(_)) if later => "it came back as a later life",
-                (Standing::Alive, Some(Standing::Suspect)) => "it answered a suspicion",
-                (Standing::Alive, Some(_)) => "it came back",
-                (Standing::Alive, None) if fresh => "it was there when this gateway joined",
-                (Standing::Alive, None) => "it joined",
-                (Standing::Suspect, _) => "somebody had no answer of it, neither straight nor round about",
-                (Standing::Down, _) => "it was silent until the time to answer a suspicion was over",
-                (Standing::Left, _) => "it left by its own word",
+            let reason = match (state, before.map(|r| r.state)) {
+                (MemberState::Alive, Some(_)) if later => "it came back as a later life",
+                (MemberState::Alive, Some(MemberState::Suspect)) => "it answered a suspicion",
+                (MemberState::Alive, Some(_)) => "it came back",
+                (MemberState::Alive, None) if fresh => "it was there when this gateway joined",
+                (MemberState::Alive, None) => "it joined",
+                (MemberState::Suspect, _) => "somebody had no answer of it, neither straight nor round about",
+                (MemberState::Down, _) => "it was silent until the time to answer a suspicion was over",
+                (MemberState::Left, _) => "it left by its own word",
             };
-            let record = Record { identity: id.clone(), standing, since: now, why };
+            let record = MemberRecord { identity: id.clone(), state, since: now, reason };
             self.records.insert(id.name.clone(), record);
         }
         self.records.retain(|name, _| seen.contains(name));
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -18,17 +18,17 @@
 mod write_queue_node;
 
 pub use crate::decision::api::{Micros, SettingsError};
-pub use datagram::{DatagramError, LONGEST};
-pub use event::{Effect, Event, ClusterNotice, Traffic};
-pub use ledger_node::BEAT;
-pub use membership::identity::{is_name, MemberMetadata, Identity, LEDGER, LONGEST_NAME, ROLLOUT};
-pub use membership::local_health::WAKE;
-pub use membership::swim::{Record, Standing, MOST_MEMBERS};
-pub use quota_lease::seat_lease::{Shares, WAIT};
-pub use quota_lease::view::MOST_SEATS;
+pub use datagram::{DatagramError, MAX_DATAGRAM_BYTES};
+pub use event::{Effect, Event, ClusterNotice, TrafficCounters};
+pub use ledger_node::LEDGER_TICK_INTERVAL;
+pub use membership::identity::{is_valid_name, MemberMetadata, Identity, CAPABILITY_LEDGER, MAX_NAME_BYTES, CAPABILITY_ROLLOUT};
+pub use membership::local_health::TICK_INTERVAL;
+pub use membership::swim::{MemberRecord, MemberState, MAX_MEMBERS};
+pub use quota_lease::seat_lease::{QuotaShares, WAIT};
+pub use quota_lease::view::MAX_SEATS;
 pub use quota_lease::view_gossip::VALID;
 pub use quota_lease::{Agreement, ViewReport};
-pub use report::{MemberReport, Report};
+pub use report::{MemberReport, ClusterReport};
 pub use rollout_node::{InForce, Taken};
 pub use settings::Settings;
 pub use storage::durability_gate::{Machine, Put};
@@ -76,7 +76,7 @@
     swim: Swim,
     rng: fastrand::Rng,
     now: Micros,
-    traffic: Traffic,
+    traffic: TrafficCounters,
     /// When absent gateways are called next, and after how long again.
     call_at: Option<Micros>,
     call_step: Micros,
@@ -84,7 +84,7 @@
     yielded: Option<u64>,
     /// Names that two processes may send under.
     rivals: BTreeMap<String, Rivals>,
-    told: BTreeMap<std::rc::Rc<str>, Standing>,
+    told: BTreeMap<std::rc::Rc<str>, MemberState>,
     farewells: u32,
     left: bool,
     /// Where members were heard last.
@@ -110,7 +110,7 @@
         settings.check()?;
         let mut rng = fastrand::Rng::with_seed(seed);
         let own = Identity::born(&settings.name, settings.metadata.clone(), unix, rng.u64(..));
-        let swim = Swim::new(own, rng.u64(..), settings.period, LONGEST - datagram::OVERHEAD);
+        let swim = Swim::new(own, rng.u64(..), settings.period, MAX_DATAGRAM_BYTES - datagram::OVERHEAD);
         // Guards against hundreds of gateways that start together and knock in step.
         let call_at = Some(now + Micros(rng.u64(0..FIRST_CALL.0)));
         let lending = Lending::new(&settings.seats, &settings.name, now, rng.u64(..));
@@ -137,7 +137,7 @@
             swim,
             rng,
             now,
-            traffic: Traffic::default(),
+            traffic: TrafficCounters::default(),
             call_at,
             call_step: FIRST_CALL,
             yielded: None,
@@ -190,19 +190,19 @@
         self.swim.own()
     }
     /// All others that are known, by name.
-    pub fn records(&self) -> impl Iterator<Item = &Record> {
+    pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.swim.records().values()
     }
     /// How many take part, this one among them.
     pub fn present(&self) -> usize {
-        1 + self.records().filter(|r| r.standing.is_present()).count()
+        1 + self.records().filter(|r| r.state.is_present()).count()
     }
     /// Whether its disk holds what it says, and how many words wait for that; none: it has no disk.
     pub fn disk(&self) -> Option<(bool, usize)> {
         self.keeping.as_ref().map(|keeping| (keeping.way().works(), keeping.way().waits()))
     }
     /// Datagrams, bytes and what was dropped.
-    pub fn traffic(&self) -> &Traffic {
+    pub fn traffic(&self) -> &TrafficCounters {
         &self.traffic
     }
     /// The other process that this one has yielded to.
@@ -252,7 +252,7 @@
         lending.update(self.now, own, self.swim.records());
         out.extend(lending.news(self.now, own).map(Effect::QuotaSharesChanged));
         let (list, token) = (lending.list(), lending.ask(self.now, self.rng.u64(..)));
-        let present = self.swim.records().values().filter(|r| r.standing.is_present());
+        let present = self.swim.records().values().filter(|r| r.state.is_present());
         let present: Vec<&Identity> = present.map(|r| &r.identity).collect();
         let Some((token, to)) = token.zip(self.rng.choice(present)) else { return };
         if let (Some(to), Some(frame)) =
--- a/src/cluster/quota_lease/mod.rs
+++ b/src/cluster/quota_lease/mod.rs
@@ -4,11 +4,11 @@
 pub(in crate::cluster) mod seat_lease;
 pub(in crate::cluster) mod view;
 pub(in crate::cluster) mod view_gossip;
-use crate::cluster::{Micros, Record, Standing};
-use seat_lease::{Custody, Occupant, Shares};
+use crate::cluster::{Micros, MemberRecord, MemberState};
+use seat_lease::{Custody, Occupant, QuotaShares};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
-use view::{life, MOST_SEATS};
+use view::{life, MAX_SEATS};
 use view_gossip::{Census, Table};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -43,7 +43,7 @@
     custody: Custody,
     ask_at: Micros,
     out: VecDeque<(u64, Micros)>,
-    told: Option<Shares>,
+    told: Option<QuotaShares>,
     /// Questions and answers of members that have another list of seats.
     pub differing: u64,
 }
@@ -70,7 +70,7 @@
 impl Lending {
     /// The seats in the order of the gateways' numbers, for the gateway of this name.
     pub fn new(seats: &[String], name: &str, now: Micros, random: u64) -> Option<Lending> {
-        let own = seats.iter().position(|seat| seat == name).filter(|_| seats.len() <= MOST_SEATS)?;
+        let own = seats.iter().position(|seat| seat == name).filter(|_| seats.len() <= MAX_SEATS)?;
         Some(Lending {
             names: seats.iter().cloned().enumerate().map(|(number, seat)| (seat, number)).collect(),
             own,
@@ -99,10 +99,10 @@
         &mut self,
         now: Micros,
         own_incarnation: u64,
-        records: &BTreeMap<std::rc::Rc<str>, Record>,
+        records: &BTreeMap<std::rc::Rc<str>, MemberRecord>,
     ) {
         let mut occupants = vec![Occupant::Absent; self.names.len()];
-        for record in records.values().filter(|r| r.standing.is_present()) {
+        for record in records.values().filter(|r| r.state.is_present()) {
             if let Some(&seat) = self.names.get(&*record.identity.name) {
                 occupants[seat] = Occupant::Present(life(record.identity.incarnation));
             }
@@ -152,7 +152,7 @@
     }
 
     /// The shares, where they are not as they were told last.
-    pub fn news(&mut self, now: Micros, own_incarnation: u64) -> Option<Shares> {
+    pub fn news(&mut self, now: Micros, own_incarnation: u64) -> Option<QuotaShares> {
         let shares = self.custody.shares(&self.census, own_incarnation, now);
         (self.told.as_ref() != Some(&shares)).then(|| {
             self.told = Some(shares.clone());
@@ -161,17 +161,17 @@
     }
 
     /// Whether the fleet is of one mind.
-    fn agreement(&self, now: Micros, records: &BTreeMap<std::rc::Rc<str>, Record>) -> Agreement {
-        let standing = |seat: &String| records.get(seat.as_str()).map(|r| r.standing);
-        let count = |s: Standing| self.names.keys().filter(|seat| standing(seat) == Some(s)).count();
+    fn agreement(&self, now: Micros, records: &BTreeMap<std::rc::Rc<str>, MemberRecord>) -> Agreement {
+        let state = |seat: &String| records.get(seat.as_str()).map(|r| r.state);
+        let count = |s: MemberState| self.names.keys().filter(|seat| state(seat) == Some(s)).count();
         // Those that left by word are missed by nobody.
-        let base = self.names.len() - count(Standing::Left);
+        let base = self.names.len() - count(MemberState::Left);
         let heard = self.census.heard(now);
         let holding = self.census.holding(self.custody.view.digest(), now);
         match () {
             () if heard * 2 < base => Agreement::Minority,
             () if heard * 2 == base => Agreement::Even,
-            () if count(Standing::Down) * 5 >= base => Agreement::Majority,
+            () if count(MemberState::Down) * 5 >= base => Agreement::Majority,
             () if holding * 2 > self.names.len() && holding >= self.custody.view.held() => Agreement::Agreed,
             () => Agreement::Converging,
         }
@@ -182,7 +182,7 @@
         &self,
         now: Micros,
         own_incarnation: u64,
-        records: &BTreeMap<std::rc::Rc<str>, Record>,
+        records: &BTreeMap<std::rc::Rc<str>, MemberRecord>,
     ) -> ViewReport {
         let (view, shares) = (&self.custody.view, self.custody.shares(&self.census, own_incarnation, now));
         let digest = view.digest();
@@ -192,7 +192,7 @@
             agreement: self.agreement(now, records),
             holding: (self.census.holding(digest, now), self.census.heard(now), self.names.len()),
             share_for_ms: (shares.until - now).0 / 1000,
-            away: shares.away,
+            away: shares.free_seats,
             differing: self.differing,
         }
     }
--- a/src/cluster/quota_lease/seat_lease.rs
+++ b/src/cluster/quota_lease/seat_lease.rs
@@ -33,11 +33,11 @@
 
 /// The shares as the module is told of them.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Shares {
-    /// The own share is whole, and those of `away` are shared out, until then; 0: it is not.
+pub struct QuotaShares {
+    /// The own share is whole, and those of `free_seats` are shared out, until then; 0: it is not.
     pub until: Micros,
     /// Seats whose shares are free.
-    pub away: Vec<u32>,
+    pub free_seats: Vec<u32>,
 }
 
 /// This member's part in the custody of all seats.
@@ -90,16 +90,16 @@
     }
 
     /// The shares as this member may use them now.
-    pub fn shares(&self, census: &Census, own_incarnation: u64, now: Micros) -> Shares {
+    pub fn shares(&self, census: &Census, own_incarnation: u64, now: Micros) -> QuotaShares {
         let held = census.majority(self.own, Say::Held(life(own_incarnation)), now);
-        let Some(mut until) = held.filter(|_| self.speaks(now)) else { return Shares::default() };
-        let mut away = Vec::new();
+        let Some(mut until) = held.filter(|_| self.speaks(now)) else { return QuotaShares::default() };
+        let mut free_seats = Vec::new();
         for seat in (0..self.seats.len()).filter(|seat| *seat != self.own) {
             if let Some(at) = census.majority(seat, Say::Free, now) {
                 until = until.min(at);
-                away.push(seat as u32);
+                free_seats.push(seat as u32);
             }
         }
-        Shares { until, away }
+        QuotaShares { until, free_seats }
     }
 }
--- a/src/cluster/quota_lease/view.rs
+++ b/src/cluster/quota_lease/view.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The most seats whose shares can follow the living: a view and a table fit into one datagram.
-pub const MOST_SEATS: usize = 300;
+pub const MAX_SEATS: usize = 300;
 
 /// What a member says of a seat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -1,7 +1,7 @@
 //! What operators read of the fleet.
 
 use crate::cluster::ledger::Tallies;
-use crate::cluster::{ClusterNode, Standing, DatagramError, ViewReport};
+use crate::cluster::{ClusterNode, MemberState, DatagramError, ViewReport};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
     /// Its life.
     pub incarnation: u64,
     /// What is held of it.
-    pub state: Standing,
+    pub state: MemberState,
     /// For how long, in milliseconds.
     pub since_ms: u64,
     /// Why.
@@ -28,7 +28,7 @@
 
 /// The fleet as one gateway sees it.
 #[derive(Debug, Clone, Serialize)]
-pub struct Report {
+pub struct ClusterReport {
     /// The fleet's name.
     pub fleet: String,
     /// This gateway's name.
@@ -63,20 +63,20 @@
 
 impl ClusterNode {
     /// The report for operators.
-    pub fn report(&self) -> Report {
+    pub fn report(&self) -> ClusterReport {
         let members = self.records().map(|r| MemberReport {
             name: r.identity.name.to_string(),
             incarnation: r.identity.incarnation,
-            state: r.standing,
+            state: r.state,
             since_ms: (self.now - r.since).0 / 1000,
-            why: r.why,
+            why: r.reason,
             zone: r.identity.metadata.zone.clone(),
             version: r.identity.metadata.version.clone(),
             capabilities: r.identity.metadata.capabilities,
         });
         let count = |s: DatagramError| self.traffic.strangers.get(&s).copied().unwrap_or(0);
         let health = self.swim.health();
-        Report {
+        ClusterReport {
             fleet: self.settings.fleet.clone(),
             name: self.settings.name.clone(),
             incarnation: self.own().incarnation,
--- a/src/cluster/rollout/count_rows.rs
+++ b/src/cluster/rollout/count_rows.rs
@@ -62,7 +62,7 @@
         let sound = row.cells.iter().all(|(class, cell)| {
             *class < crate::cluster::rollout::outcome_counts::MOST_CLASSES && cell.is_sound()
         });
-        if !sound || row.cells.len() > MOST_CELLS || row.zone.len() > crate::cluster::LONGEST_NAME {
+        if !sound || row.cells.len() > MOST_CELLS || row.zone.len() > crate::cluster::MAX_NAME_BYTES {
             self.refused += 1;
             return;
         }
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -3,7 +3,7 @@
 use crate::cluster::datagram::{Head, DatagramError};
 use crate::cluster::ledger::{Change, ClaimId, Finding};
 use crate::cluster::ledger_node::own_seat;
-use crate::cluster::membership::identity::ROLLOUT;
+use crate::cluster::membership::identity::CAPABILITY_ROLLOUT;
 use crate::cluster::rollout::{
     Arm, Ended, Key, Message, Order, Report, Rules, Start, Steward, Telling, Told, RECORD, TICK,
 };
@@ -190,7 +190,7 @@
             *name == self.settings.name
                 || records
                     .get(name.as_str())
-                    .is_some_and(|r| r.standing.is_present() && r.identity.metadata.capabilities & ROLLOUT != 0)
+                    .is_some_and(|r| r.state.is_present() && r.identity.metadata.capabilities & CAPABILITY_ROLLOUT != 0)
         };
         let seats = self.settings.seats.iter().enumerate().filter(|(_, name)| there(name));
         seats.map(|(seat, _)| seat as u16).collect()
--- a/src/cluster/settings.rs
+++ b/src/cluster/settings.rs
@@ -1,9 +1,9 @@
 //! What a gateway is told of its fleet, and whether that makes sense.
 
 use crate::cluster::ledger::Terms;
-use crate::cluster::membership::identity::{is_name, MemberMetadata};
+use crate::cluster::membership::identity::{is_valid_name, MemberMetadata};
 use crate::cluster::rollout::Rules;
-use crate::cluster::{write_queue, Machine, Micros, SettingsError, MOST_MEMBERS, MOST_SEATS};
+use crate::cluster::{write_queue, Machine, Micros, SettingsError, MAX_MEMBERS, MAX_SEATS};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -44,7 +44,7 @@
     /// Whether these settings make sense.
     pub fn check(&self) -> Result<(), SettingsError> {
         let fail = |what: String| Err(SettingsError(what));
-        let name = |what: &str, text: &str| match is_name(text) {
+        let name = |what: &str, text: &str| match is_valid_name(text) {
             true => Ok(()),
             false => {
                 fail(format!("{what}: expected 1 to 32 letters, digits, '.', '_' or '-', found '{text}'"))
@@ -56,15 +56,15 @@
         if !self.metadata.zone.is_empty() {
             name("zone", &self.metadata.zone)?;
         }
-        if self.peers.len() >= MOST_MEMBERS {
-            return fail(format!("peers: expected fewer than {MOST_MEMBERS}, found {}", self.peers.len()));
+        if self.peers.len() >= MAX_MEMBERS {
+            return fail(format!("peers: expected fewer than {MAX_MEMBERS}, found {}", self.peers.len()));
         }
         self.seats.iter().try_for_each(|seat| name("seats", seat))?;
         if !self.seats.is_empty() && !self.seats.contains(&self.name) {
             return fail(format!("seats: expected this gateway's name '{}' among them", self.name));
         }
-        if self.seats.len() > MOST_SEATS {
-            return fail(format!("seats: expected at most {MOST_SEATS}, found {}", self.seats.len()));
+        if self.seats.len() > MAX_SEATS {
+            return fail(format!("seats: expected at most {MAX_SEATS}, found {}", self.seats.len()));
         }
         if self.seats.iter().collect::<std::collections::BTreeSet<_>>().len() < self.seats.len() {
             return fail("seats: expected each name once".into());
--- a/src/cluster/tests.rs
+++ b/src/cluster/tests.rs
@@ -57,6 +57,6 @@
     }
     let refused = bent.traffic().strangers.get(&DatagramError::Rejected).copied().unwrap_or(0);
     assert!(refused > 1_000, "{refused} came as far as the protocol and were refused there");
-    assert!(bent.records().count() <= MOST_MEMBERS);
+    assert!(bent.records().count() <= MAX_MEMBERS);
     assert_eq!(fleets[0].present(), 2);
 }
--- a/src/net/disk/fixture_tests.rs
+++ b/src/net/disk/fixture_tests.rs
@@ -10,7 +10,7 @@
 use crate::fleet::ledger::{self, Ballot, Record, RecordId, Seen, Sent};
 use crate::fleet::rollout::{self, Cell, Key, Order, Row, Rule, Rules, Terms, Why};
 use crate::fleet::{
-    MemberMetadata, Effect, Event, ClusterNode, Machine, ClusterNotice, Put, Settings, BEAT, LEDGER, LONGEST, ROLLOUT,
+    MemberMetadata, Effect, Event, ClusterNode, Machine, ClusterNotice, Put, Settings, LEDGER_TICK_INTERVAL, CAPABILITY_LEDGER, MAX_DATAGRAM_BYTES, CAPABILITY_ROLLOUT,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -63,7 +63,7 @@
     bytes.extend((xxh3_64(FLEET.as_bytes()) as u32).to_le_bytes());
     bytes.extend((xxh3_64(&body) as u32).to_le_bytes());
     bytes.extend(body);
-    assert!(bytes.len() <= LONGEST);
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
     bytes
 }
 
@@ -79,7 +79,7 @@
 
 fn settings(machine: Machine) -> Settings {
     let metadata =
-        MemberMetadata { zone: "east".into(), version: "1".into(), capabilities: LEDGER | ROLLOUT, advertise: None };
+        MemberMetadata { zone: "east".into(), version: "1".into(), capabilities: CAPABILITY_LEDGER | CAPABILITY_ROLLOUT, advertise: None };
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     Settings {
         fleet: FLEET.into(),
@@ -153,7 +153,7 @@
 
     fn run_until(&mut self, until: Micros) {
         while self.now < until {
-            self.now = self.now + BEAT;
+            self.now = self.now + LEDGER_TICK_INTERVAL;
             self.event(Event::LedgerTick);
         }
     }
@@ -294,7 +294,7 @@
 /// order.
 fn told() -> (Node, Vec<(&'static str, Vec<u8>)>) {
     let mut node = Node::begin(Machine { boot: BOOT, uptime: UPTIME }, BEGAN, &Stored::new());
-    node.run_until(BEGAN + BEAT);
+    node.run_until(BEGAN + LEDGER_TICK_INTERVAL);
     node.answer_pages();
     node.run_until(TOLD_AT - Micros(1_000_000));
     drop(node.prepare(id(FORGOTTEN), ballot(1)));
@@ -336,7 +336,7 @@
     let mut on_disk = Vec::new();
     for (name, order) in orders() {
         node.hear(OF_ROLLOUT, 2, &rollout::Message::Order(Box::new(order), false));
-        node.run_until(node.now + BEAT);
+        node.run_until(node.now + LEDGER_TICK_INTERVAL);
         on_disk.push((name, node.stored.get(&b"order"[..]).cloned().expect("it is there")));
     }
     node.run_until(ENDED);
@@ -491,7 +491,7 @@
     let freed = seen(1, first - Micros(3_000), first, freed);
     assert_eq!(node.prepare(id(FREED), new), Promise(id(FREED), new, freed));
     // It was offered to be finished by the process before, and is offered again once that is long enough ago.
-    node.run_until(node.now + BEAT);
+    node.run_until(node.now + LEDGER_TICK_INTERVAL);
     let request = b"a request".to_vec();
     let orphan = ledger::Orphan { id: id(OFFERED), digest: 0xd1_6e57, request };
     assert_eq!(node.orphans, [orphan]);
@@ -511,7 +511,7 @@
         let put_at = if [dot(3), dot(9)].contains(&of) { TOLD_AT + Micros(400_000) } else { TOLD_AT };
         NEXT_BEGAN - (put_at - time)
     });
-    node.run_until(node.now + BEAT);
+    node.run_until(node.now + LEDGER_TICK_INTERVAL);
     let left: Vec<&Vec<u8>> = node.stored.keys().filter(|key| key.first() == Some(&b'r')).collect();
     assert!(left.is_empty(), "its records say nothing any more: {left:?}");
 }
--- a/src/proxy/cluster_transport/gauges.rs
+++ b/src/proxy/cluster_transport/gauges.rs
@@ -5,7 +5,7 @@
 impl Peers {
     /// What operators read, as JSON; none while another process stands for the gateway.
     pub fn report(&self) -> Option<String> {
-        let report: Report = self.fleet.borrow().as_ref()?.report();
+        let report: ClusterReport = self.fleet.borrow().as_ref()?.report();
         serde_json::to_string_pretty(&report).ok()
     }
 
@@ -14,15 +14,15 @@
         let mut text = String::new();
         let fleet = self.fleet.borrow();
         let Some(report) = fleet.as_ref().map(ClusterNode::report) else { return text };
-        let standing = |s: Standing| report.members.iter().filter(|m| m.state == s).count() as u64;
+        let standing = |s: MemberState| report.members.iter().filter(|m| m.state == s).count() as u64;
         let mut line = |name: &str, value: u64| {
             // Writing to a string never fails.
             let _ = writeln!(text, "edge_node.fleet.{name}={value}");
         };
         line("present", report.present as u64);
-        line("suspect", standing(Standing::Suspect));
-        line("down", standing(Standing::Down));
-        line("left", standing(Standing::Left));
+        line("suspect", standing(MemberState::Suspect));
+        line("down", standing(MemberState::Down));
+        line("left", standing(MemberState::Left));
         line("yielded", u64::from(report.yielded_to.is_some()));
         if let Some(view) = &report.view {
             line("view.number", view.number);
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -17,8 +17,8 @@
 use crate::cluster::rollout::{End as RolloutEnd, Key, Start, Told, Why};
 use crate::cluster::write_queue::{Dot, Fate, Status};
 use crate::cluster::{
-    Agreement, Effect, Errand, Event, ClusterNode, Micros, ClusterNotice, Report, Shares, Standing, Taken, BEAT, LONGEST,
-    WAKE,
+    Agreement, Effect, Errand, Event, ClusterNode, Micros, ClusterNotice, ClusterReport, QuotaShares, MemberState, Taken, LEDGER_TICK_INTERVAL, MAX_DATAGRAM_BYTES,
+    TICK_INTERVAL,
 };
 use crate::decision::api::Lent;
 use crate::proxy::control_plane::config::FleetConfig;
@@ -188,7 +188,7 @@
         let (mut wake, mut refill, mut budget) = (Instant::now(), Instant::now(), BUDGET);
         let (mut strangers, mut told) = (0, Instant::now());
         let mut beat = self.keeps_ledger().then(Instant::now);
-        let mut buffer = [0; LONGEST + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             if Instant::now() >= refill {
                 (refill, budget) = (Instant::now() + REFILL, BUDGET);
@@ -200,12 +200,12 @@
                 self.give(Event::Datagram { from, bytes: &buffer[..length] });
             }
             if beat.is_some_and(|at| Instant::now() >= at) {
-                beat = Some(Instant::now() + Duration::from_micros(BEAT.0));
+                beat = Some(Instant::now() + Duration::from_micros(LEDGER_TICK_INTERVAL.0));
                 self.count();
                 self.give(Event::LedgerTick);
             }
             if Instant::now() >= wake {
-                wake = Instant::now() + Duration::from_micros(WAKE.0);
+                wake = Instant::now() + Duration::from_micros(TICK_INTERVAL.0);
                 self.give(Event::Tick);
                 if told.elapsed() >= STRANGERS_EVERY {
                     told = Instant::now();
@@ -265,8 +265,8 @@
                         self.give(Event::StorageFailed);
                     }
                 }
-                Effect::QuotaSharesChanged(Shares { until, away }) if self.config.lend > 0.0 => {
-                    tell(&self.inbox, Input::Lent(Lent { part: self.config.lend, until, away }));
+                Effect::QuotaSharesChanged(QuotaShares { until, free_seats }) if self.config.lend > 0.0 => {
+                    tell(&self.inbox, Input::Lent(Lent { part: self.config.lend, until, away: free_seats }));
                 }
                 Effect::QuotaSharesChanged(_) => {}
                 Effect::RoutingChanged(in_force) => tell(&self.inbox, Input::Routing(in_force)),
--- a/src/proxy/cluster_transport/notices.rs
+++ b/src/proxy/cluster_transport/notices.rs
@@ -34,8 +34,8 @@
         ClusterNotice::DuplicateName { name, older, newer } => {
             warn!(name, older, newer, "two processes send under one name");
         }
-        ClusterNotice::MemberStateChanged { name, standing, why } => {
-            info!(name, standing = ?standing, why, "member");
+        ClusterNotice::MemberStateChanged { name, state, reason } => {
+            info!(name, standing = ?state, why = reason, "member");
         }
         ClusterNotice::StorageLoaded { writes, records, votes: (branch, ledger) } => {
             info!(writes, records, branch, ledger, "read the disk; true: a vote at once");
--- a/src/proxy/control_plane/config/fleet_file.rs
+++ b/src/proxy/control_plane/config/fleet_file.rs
@@ -190,8 +190,8 @@
         let metadata = MemberMetadata {
             zone: document.zone,
             version: env!("CARGO_PKG_VERSION").to_string(),
-            capabilities: if document.ledger.is_some() { cluster::LEDGER } else { 0 }
-                | if document.rollout.is_some() { cluster::ROLLOUT } else { 0 },
+            capabilities: if document.ledger.is_some() { cluster::CAPABILITY_LEDGER } else { 0 }
+                | if document.rollout.is_some() { cluster::CAPABILITY_ROLLOUT } else { 0 },
             advertise: document.advertise,
         };
         let micros = |ms: u64| cluster::Micros(ms.saturating_mul(1000));
