--- a/src/cluster/datagram.rs
+++ b/src/cluster/datagram.rs
@@ -18,69 +18,69 @@
 /// The most bytes that a frame adds to what the membership protocol writes.
 pub const OVERHEAD: usize = PRELUDE + 1 + 10 + 1 + 4;
 
-/// What a frame carries.
+/// What a datagram carries. The order of variants and fields is the wire form.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Head {
+pub enum Payload {
     /// A message of the membership protocol follows.
     Swim {
-        /// The highest incarnation that the sender has on record under the receiver's name; 0: none.
-        on_record: u64,
-        /// That life is held to live.
-        live: bool,
-        /// The sender holds the receiver, as it told of itself last by this number, for a suspect.
-        doubt: Option<u16>,
+        /// The highest incarnation that the sender knows under the receiver's name; 0: none.
+        known_incarnation: u64,
+        /// The sender takes that incarnation for present.
+        is_present: bool,
+        /// The sender suspects the receiver, at this number of the protocol's own incarnations.
+        suspicion: Option<u16>,
     },
     /// Asks whether the receiver is there.
-    Knock {
-        /// Comes back with the answer.
+    RingProbe {
+        /// Comes back with the reply.
         token: u64,
     },
     /// Answers that.
-    Here {
-        /// The knock's.
+    RingProbeReply {
+        /// The probe's.
         token: u64,
     },
-    /// Asks for all words on the seats.
-    Ask {
-        /// What stands for the asker's list of seats.
-        list: u64,
-        /// Comes back with the answer.
+    /// Asks for all statements on the seats.
+    ViewRequest {
+        /// The digest of the sender's list of seats.
+        seat_list: u64,
+        /// Comes back with the reply.
         token: u64,
     },
     /// Answers that.
-    Words {
-        /// What stands for the answerer's list of seats.
-        list: u64,
-        /// The question's.
+    ViewReply {
+        /// The digest of the sender's list of seats.
+        seat_list: u64,
+        /// The request's.
         token: u64,
-        /// The words.
+        /// The statements.
         table: Table,
     },
     /// A message of the ledger.
     Ledger {
-        /// What stands for the sender's list of seats.
-        list: u64,
+        /// The digest of the sender's list of seats.
+        seat_list: u64,
         /// The sender's seat.
         seat: u16,
-        /// What it says.
+        /// The message.
         message: Message,
     },
-    /// A message of a rollout of rules.
+    /// A message of a rollout of routing rules.
     Rollout {
-        /// What stands for the sender's list of seats.
-        list: u64,
+        /// The digest of the sender's list of seats.
+        seat_list: u64,
         /// The sender's seat.
         seat: u16,
-        /// What it says.
+        /// The message.
         message: rollout::Message,
     },
-    /// A message within a branch.
-    Branch {
-        /// What stands for the sender's list of seats.
-        list: u64,
+    /// A message among the gateways that share a write queue.
+    WriteQueue {
+        /// The digest of the sender's list of seats.
+        seat_list: u64,
         /// The sender's seat.
         seat: u16,
-        /// What it says.
+        /// The message.
         message: write_queue::Message,
     },
 }
@@ -123,32 +123,32 @@
 }
 
 /// What stands for a fleet's name on the wire.
-pub fn tag(fleet: &str) -> u32 {
+pub fn cluster_tag(fleet: &str) -> u32 {
     xxh3_64(fleet.as_bytes()) as u32
 }
 
 /// Writes a frame. `None` where it would be too long.
-pub fn write(tag: u32, head: &Head, rest: &[u8]) -> Option<Vec<u8>> {
+pub fn encode(tag: u32, payload: &Payload, rest: &[u8]) -> Option<Vec<u8>> {
     let mut bytes = Vec::with_capacity(OVERHEAD + rest.len());
     bytes.extend(MARK);
     bytes.push(VERSION);
     bytes.extend(tag.to_le_bytes());
     bytes.extend([0; 4]);
-    let mut bytes = postcard::to_extend(head, bytes).ok()?;
+    let mut bytes = postcard::to_extend(payload, bytes).ok()?;
     bytes.extend_from_slice(rest);
-    seal(&mut bytes);
+    write_checksum(&mut bytes);
     (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
 }
 
 /// Puts in the checksum of a frame that is whole but for it.
-pub(super) fn seal(bytes: &mut [u8]) {
+pub(super) fn write_checksum(bytes: &mut [u8]) {
     if let Some((prelude, body)) = bytes.split_at_mut_checked(PRELUDE) {
         prelude[PRELUDE - 4..].copy_from_slice(&(xxh3_64(body) as u32).to_le_bytes());
     }
 }
 
 /// Reads a frame.
-pub fn read(tag: u32, bytes: &[u8]) -> Result<(Head, &[u8]), DatagramError> {
+pub fn decode(tag: u32, bytes: &[u8]) -> Result<(Payload, &[u8]), DatagramError> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DatagramError::Oversized);
     }
@@ -175,19 +175,19 @@
 
     #[test]
     fn a_frame_comes_back_and_every_changed_or_cut_one_is_a_stranger() {
-        let head = Head::Swim { on_record: 77, live: true, doubt: Some(3) };
-        let whole = write(tag("norte"), &head, b"inner").expect("short enough");
-        assert_eq!(read(tag("norte"), &whole), Ok((head.clone(), &b"inner"[..])));
-        assert_eq!(read(tag("sur"), &whole), Err(DatagramError::OtherCluster));
+        let payload = Payload::Swim { known_incarnation: 77, is_present: true, suspicion: Some(3) };
+        let whole = encode(cluster_tag("norte"), &payload, b"inner").expect("short enough");
+        assert_eq!(decode(cluster_tag("norte"), &whole), Ok((payload.clone(), &b"inner"[..])));
+        assert_eq!(decode(cluster_tag("sur"), &whole), Err(DatagramError::OtherCluster));
         for cut in 0..whole.len() {
-            assert!(read(tag("norte"), &whole[..cut]).is_err(), "cut at {cut}");
+            assert!(decode(cluster_tag("norte"), &whole[..cut]).is_err(), "cut at {cut}");
         }
         for at in 0..whole.len() {
             let mut bent = whole.clone();
             bent[at] ^= 0x10;
-            assert!(read(tag("norte"), &bent).is_err(), "changed at {at}");
+            assert!(decode(cluster_tag("norte"), &bent).is_err(), "changed at {at}");
         }
-        assert_eq!(read(tag("norte"), &[0; MAX_DATAGRAM_BYTES + 1]), Err(DatagramError::Oversized));
-        assert_eq!(write(tag("norte"), &head, &[0; MAX_DATAGRAM_BYTES]), None);
+        assert_eq!(decode(cluster_tag("norte"), &[0; MAX_DATAGRAM_BYTES + 1]), Err(DatagramError::Oversized));
+        assert_eq!(encode(cluster_tag("norte"), &payload, &[0; MAX_DATAGRAM_BYTES]), None);
     }
 }
--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -1,6 +1,6 @@
 //! The fleet's ledger: claims of this gateway go out to the seats that hold a record, and what they say comes in.
 
-use crate::cluster::datagram::{self, Head, DatagramError};
+use crate::cluster::datagram::{self, Payload, DatagramError};
 use crate::cluster::ledger::{Change, ClaimId, Desk, Message, Out, RecordId};
 use crate::cluster::membership::identity::{Identity, CAPABILITY_LEDGER};
 use crate::cluster::membership::swim::Swim;
@@ -107,7 +107,7 @@
         out: &mut Vec<Effect>,
     ) -> Result<(), DatagramError> {
         let (now, mut outs) = (self.now, Vec::new());
-        let same = self.lending.as_ref().is_some_and(|lending| lending.list() == list);
+        let same = self.quota_leases.as_ref().is_some_and(|leases| leases.seat_list() == list);
         let desk = self.desk.as_mut().filter(|_| same).ok_or(DatagramError::Rejected)?;
         desk.hear(now, seat, message, &mut outs);
         self.book(outs, out);
@@ -129,18 +129,18 @@
             }
             Out::Orphan(orphan) => out.push(Effect::RequestAbandoned(orphan)),
             Out::To(seat, message) => {
-                self.send_to_seat(seat, &Head::Ledger { list, seat: own, message }, out)
+                self.send_to_seat(seat, &Payload::Ledger { seat_list: list, seat: own, message }, out)
             }
         }
     }
 
     /// Sends a frame to a seat.
-    pub(super) fn send_to_seat(&mut self, seat: u16, head: &Head, out: &mut Vec<Effect>) {
+    pub(super) fn send_to_seat(&mut self, seat: u16, head: &Payload, out: &mut Vec<Effect>) {
         let Some(name) = self.settings.seats.get(usize::from(seat)) else { return };
         let known = self.swim.records().get(name.as_str()).map(|r| r.identity.clone());
         let to = known.unwrap_or_else(|| Identity::unknown(name));
         let address: Option<SocketAddr> = self.addresses(&to).next();
-        let frame = datagram::write(self.tag, head, &[]);
+        let frame = datagram::encode(self.cluster_tag, head, &[]);
         self.traffic.unaddressed += u64::from(address.is_none());
         if let (Some(address), Some(frame)) = (address, frame) {
             self.send_frame(address, frame, out);
@@ -156,5 +156,5 @@
 
 /// What stands for this gateway's list of seats, and its seat.
 pub(super) fn own_seat(fleet: &ClusterNode) -> Option<(u64, u16)> {
-    fleet.lending.as_ref().map(|lending| (lending.list(), lending.seat().0 as u16))
+    fleet.quota_leases.as_ref().map(|leases| (leases.seat_list(), leases.seat().0 as u16))
 }
--- a/src/cluster/membership/rejoin.rs
+++ b/src/cluster/membership/rejoin.rs
@@ -25,7 +25,7 @@
             let own = self.own().incarnation;
             self.yielded = Some(incarnation);
             (self.desk, self.steward, self.branch, self.keeping) = (None, None, None, None);
-            if self.lending.take().is_some() {
+            if self.quota_leases.take().is_some() {
                 out.push(Effect::QuotaSharesChanged(QuotaShares::default()));
             }
             out.push(Effect::Notify(ClusterNotice::SeatYielded { own, other: incarnation }));
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -34,11 +34,11 @@
 pub use storage::durability_gate::{Machine, Put};
 pub use write_queue_node::{Branch, Errand};
 
-use datagram::Head;
+use datagram::Payload;
 use ledger::Desk;
 use membership::ring_probe::{Ring, Turn};
 use membership::swim::{Outgoing, Swim};
-use quota_lease::Lending;
+use quota_lease::QuotaLeases;
 use rollout::Steward;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
 /// The fleet as one gateway knows it.
 pub struct ClusterNode {
     settings: Settings,
-    tag: u32,
+    cluster_tag: u32,
     swim: Swim,
     rng: fastrand::Rng,
     now: Micros,
@@ -91,7 +91,7 @@
     heard_at: BTreeMap<std::rc::Rc<str>, SocketAddr>,
     ring: Ring,
     /// The seats, where the settings name them.
-    lending: Option<Lending>,
+    quota_leases: Option<QuotaLeases>,
     /// The ledger, where the settings want one.
     desk: Option<Desk>,
     /// The part in rollouts, where the settings want one, and when it is due.
@@ -113,10 +113,10 @@
         let swim = Swim::new(own, rng.u64(..), settings.period, MAX_DATAGRAM_BYTES - datagram::OVERHEAD);
         // Guards against hundreds of gateways that start together and knock in step.
         let call_at = Some(now + Micros(rng.u64(0..FIRST_CALL.0)));
-        let lending = Lending::new(&settings.seats, &settings.name, now, rng.u64(..));
+        let lending = QuotaLeases::new(&settings.seats, &settings.name, now, rng.u64(..));
         let desk = lending.as_ref().zip(settings.ledger).map(|(lending, terms)| {
             let (own, seats) = lending.seat();
-            Desk::new(terms, own as u16, seats, lending.list(), rng.u64(..), now)
+            Desk::new(terms, own as u16, seats, lending.seat_list(), rng.u64(..), now)
         });
         let steward = lending.as_ref().zip(settings.rules.clone()).map(|(lending, base)| {
             let (own, seats) = lending.seat();
@@ -132,7 +132,7 @@
             branch.iter_mut().for_each(Branch::await_disk);
         }
         Ok(ClusterNode {
-            tag: datagram::tag(&settings.fleet),
+            cluster_tag: datagram::cluster_tag(&settings.fleet),
             settings,
             swim,
             rng,
@@ -147,7 +147,7 @@
             left: false,
             heard_at: BTreeMap::new(),
             ring: Ring::default(),
-            lending,
+            quota_leases: lending,
             desk,
             steward,
             rolls_at: now,
@@ -237,7 +237,7 @@
             Turn::Quiet => {}
             Turn::Knock(to, token) => {
                 let addresses: Vec<SocketAddr> = self.addresses(&to).collect();
-                if let Some(frame) = datagram::write(self.tag, &Head::Knock { token }, &[]) {
+                if let Some(frame) = datagram::encode(self.cluster_tag, &Payload::RingProbe { token }, &[]) {
                     addresses.into_iter().for_each(|at| self.send_frame(at, frame.clone(), out));
                 }
             }
@@ -247,16 +247,16 @@
 
     /// Says what this member knows of the seats, asks another for its words, and tells what follows.
     fn lend(&mut self, out: &mut Vec<Effect>) {
-        let Some(lending) = self.lending.as_mut() else { return };
+        let Some(lending) = self.quota_leases.as_mut() else { return };
         let own = self.swim.own().incarnation;
         lending.update(self.now, own, self.swim.records());
         out.extend(lending.news(self.now, own).map(Effect::QuotaSharesChanged));
-        let (list, token) = (lending.list(), lending.ask(self.now, self.rng.u64(..)));
+        let (list, token) = (lending.seat_list(), lending.ask(self.now, self.rng.u64(..)));
         let present = self.swim.records().values().filter(|r| r.state.is_present());
         let present: Vec<&Identity> = present.map(|r| &r.identity).collect();
         let Some((token, to)) = token.zip(self.rng.choice(present)) else { return };
         if let (Some(to), Some(frame)) =
-            (self.addresses(to).next(), datagram::write(self.tag, &Head::Ask { list, token }, &[]))
+            (self.addresses(to).next(), datagram::encode(self.cluster_tag, &Payload::ViewRequest { seat_list: list, token }, &[]))
         {
             self.send_frame(to, frame, out);
         }
@@ -271,10 +271,10 @@
         out: &mut Vec<Effect>,
     ) -> Result<(), DatagramError> {
         let now = self.now;
-        let Some(lending) = self.lending.as_mut() else { return Ok(()) };
+        let Some(lending) = self.quota_leases.as_mut() else { return Ok(()) };
         let Some(table) = lending.answer(list, now) else { return Ok(()) };
-        let head = Head::Words { list: lending.list(), token, table };
-        if let Some(frame) = datagram::write(self.tag, &head, &[]) {
+        let head = Payload::ViewReply { seat_list: lending.seat_list(), token, table };
+        if let Some(frame) = datagram::encode(self.cluster_tag, &head, &[]) {
             self.send_frame(to, frame, out);
         }
         Ok(())
@@ -287,39 +287,41 @@
     }
 
     fn datagram(&mut self, from: SocketAddr, bytes: &[u8], sends: &mut Vec<Outgoing>, out: &mut Vec<Effect>) {
-        let taken = datagram::read(self.tag, bytes).and_then(|(head, rest)| {
+        let taken = datagram::decode(self.cluster_tag, bytes).and_then(|(head, rest)| {
             // One that leaves has work to hand over, and records of others.
             if self.yielded.is_some()
-                || self.left && !matches!(head, Head::Ledger { .. } | Head::Branch { .. })
+                || self.left && !matches!(head, Payload::Ledger { .. } | Payload::WriteQueue { .. })
             {
                 return Ok(());
             }
-            let (on_record, live, doubt) = match head {
-                Head::Ledger { list, seat, message } => return self.books_hear(list, seat, message, out),
-                Head::Rollout { list, seat, message } => return self.rolling_hear(list, seat, message, out),
-                Head::Branch { list, seat, message } => return self.filing_hear(list, seat, message, out),
-                Head::Swim { on_record, live, doubt } => (on_record, live, doubt),
-                Head::Knock { token } => {
-                    if let Some(frame) = datagram::write(self.tag, &Head::Here { token }, &[]) {
+            let (known_incarnation, is_present, suspicion) = match head {
+                Payload::Ledger { seat_list: list, seat, message } => return self.books_hear(list, seat, message, out),
+                Payload::Rollout { seat_list: list, seat, message } => return self.rolling_hear(list, seat, message, out),
+                Payload::WriteQueue { seat_list: list, seat, message } => return self.filing_hear(list, seat, message, out),
+                Payload::Swim { known_incarnation, is_present, suspicion } => {
+                    (known_incarnation, is_present, suspicion)
+                }
+                Payload::RingProbe { token } => {
+                    if let Some(frame) = datagram::encode(self.cluster_tag, &Payload::RingProbeReply { token }, &[]) {
                         self.send_frame(from, frame, out);
                     }
                     return Ok(());
                 }
                 // One that comes late, or twice, says nothing new.
-                Head::Here { token } => {
+                Payload::RingProbeReply { token } => {
                     self.ring.here(token);
                     return Ok(());
                 }
-                Head::Ask { list, token } => return self.answer(from, list, token, out),
-                Head::Words { list, token, table } => {
-                    let learnt = self.lending.as_mut().is_some_and(|l| l.learn(list, token, &table));
+                Payload::ViewRequest { seat_list: list, token } => return self.answer(from, list, token, out),
+                Payload::ViewReply { seat_list: list, token, table } => {
+                    let learnt = self.quota_leases.as_mut().is_some_and(|l| l.learn(list, token, &table));
                     return if learnt { Ok(()) } else { Err(DatagramError::Rejected) };
                 }
             };
-            if on_record > self.own().incarnation {
-                return self.meet(on_record, live, sends, out);
+            if known_incarnation > self.own().incarnation {
+                return self.meet(known_incarnation, is_present, sends, out);
             }
-            if let Some(number) = doubt.filter(|_| on_record == self.own().incarnation) {
+            if let Some(number) = suspicion.filter(|_| known_incarnation == self.own().incarnation) {
                 self.swim.doubted(number, sends);
             }
             self.swim.datagram(self.now, rest, sends).map_err(|_| DatagramError::Rejected)
@@ -339,9 +341,9 @@
     }
 
     fn send(&mut self, sends: Vec<Outgoing>, out: &mut Vec<Effect>) {
-        for Outgoing { to, message, doubt } in sends {
-            let (on_record, live) = self.swim.on_record(&to.name);
-            let Some(frame) = datagram::write(self.tag, &Head::Swim { on_record, live, doubt }, &message)
+        for Outgoing { to, message, doubt: suspicion } in sends {
+            let (known_incarnation, is_present) = self.swim.on_record(&to.name);
+            let Some(frame) = datagram::encode(self.cluster_tag, &Payload::Swim { known_incarnation, is_present, suspicion }, &message)
             else {
                 continue;
             };
--- a/src/cluster/quota_lease/mod.rs
+++ b/src/cluster/quota_lease/mod.rs
@@ -34,7 +34,7 @@
 }
 
 /// The seats, as one member keeps them.
-pub struct Lending {
+pub struct QuotaLeases {
     names: BTreeMap<String, usize>,
     own: usize,
     /// What stands for the list of seats on the wire.
@@ -67,11 +67,11 @@
     pub differing: u64,
 }
 
-impl Lending {
+impl QuotaLeases {
     /// The seats in the order of the gateways' numbers, for the gateway of this name.
-    pub fn new(seats: &[String], name: &str, now: Micros, random: u64) -> Option<Lending> {
+    pub fn new(seats: &[String], name: &str, now: Micros, random: u64) -> Option<QuotaLeases> {
         let own = seats.iter().position(|seat| seat == name).filter(|_| seats.len() <= MAX_SEATS)?;
-        Some(Lending {
+        Some(QuotaLeases {
             names: seats.iter().cloned().enumerate().map(|(number, seat)| (seat, number)).collect(),
             own,
             list: xxh3_64(seats.join("\n").as_bytes()),
@@ -90,7 +90,7 @@
     }
 
     /// What stands for the list of seats.
-    pub fn list(&self) -> u64 {
+    pub fn seat_list(&self) -> u64 {
         self.list
     }
 
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -90,7 +90,7 @@
             health: health.score(),
             late: (health.late, health.longest.0 / 1000),
             view: self
-                .lending
+                .quota_leases
                 .as_ref()
                 .map(|l| l.report(self.now, self.own().incarnation, self.swim.records())),
             ledger: self.desk.as_ref().map(|desk| desk.tallies.clone()),
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -1,6 +1,6 @@
 //! The fleet's rollout: its messages go out to the seats present, and its record is claimed at the ledger.
 
-use crate::cluster::datagram::{Head, DatagramError};
+use crate::cluster::datagram::{Payload, DatagramError};
 use crate::cluster::ledger::{Change, ClaimId, Finding};
 use crate::cluster::ledger_node::own_seat;
 use crate::cluster::membership::identity::CAPABILITY_ROLLOUT;
@@ -117,7 +117,7 @@
         out: &mut Vec<Effect>,
     ) -> Result<(), DatagramError> {
         let (now, present, mut tellings) = (self.now, self.present_seats(), Vec::new());
-        let same = self.lending.as_ref().is_some_and(|lending| lending.list() == list);
+        let same = self.quota_leases.as_ref().is_some_and(|leases| leases.seat_list() == list);
         let steward = self.steward.as_mut().filter(|_| same).ok_or(DatagramError::Rejected)?;
         steward.hear(now, seat, message, &present, &mut tellings);
         self.do_all(now, tellings, out);
@@ -201,7 +201,7 @@
             match telling {
                 Telling::To(seat, message) => {
                     let Some((list, own)) = own_seat(self) else { continue };
-                    self.send_to_seat(seat, &Head::Rollout { list, seat: own, message }, out);
+                    self.send_to_seat(seat, &Payload::Rollout { seat_list: list, seat: own, message }, out);
                 }
                 Telling::Claim => {
                     let claimed = self.claim(now, RECORD, 0, out);
--- a/src/cluster/tests.rs
+++ b/src/cluster/tests.rs
@@ -46,7 +46,7 @@
                         body[at] = if rng.bool() { rng.u8(..) } else { 0xff };
                     }
                     body.truncate(rng.usize(11..=body.len()));
-                    datagram::seal(&mut body);
+                    datagram::write_checksum(&mut body);
                     bent.handle(now, Event::Datagram { from: from[0], bytes: &body }, &mut Vec::new());
                 }
                 fleets[to].handle(now, Event::Datagram { from: from[1 - to], bytes: &bytes }, &mut out);
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -1,6 +1,6 @@
 //! The fleet's branch: its messages go out to the branch's seats, and its record is claimed at the ledger.
 
-use crate::cluster::datagram::{Head, DatagramError};
+use crate::cluster::datagram::{Payload, DatagramError};
 use crate::cluster::ledger::{Change, ClaimId, Finding};
 use crate::cluster::ledger_node::own_seat;
 use crate::cluster::storage::durability_gate::BUSY;
@@ -103,7 +103,7 @@
         out: &mut Vec<Effect>,
     ) -> Result<(), DatagramError> {
         let (now, mut tellings) = (self.now, Vec::new());
-        let same = self.lending.as_ref().is_some_and(|lending| lending.list() == list);
+        let same = self.quota_leases.as_ref().is_some_and(|leases| leases.seat_list() == list);
         if self.awaits_disk() {
             return Ok(());
         }
@@ -175,7 +175,7 @@
         match telling {
             Telling::To(seat, message) => {
                 let Some((list, own)) = own_seat(self) else { return };
-                self.send_to_seat(seat, &Head::Branch { list, seat: own, message }, out);
+                self.send_to_seat(seat, &Payload::WriteQueue { seat_list: list, seat: own, message }, out);
             }
             Telling::Accepted(dot, yes) => out.push(Effect::WriteQueue(Errand::Accepted(dot, yes))),
             Telling::Send(write, tries, before) => {
