--- a/src/cluster/datagram.rs
+++ b/src/cluster/datagram.rs
@@ -107,8 +107,13 @@
 
 impl DatagramError {
     /// All kinds.
-    pub const ALL: [DatagramError; 5] =
-        [DatagramError::Malformed, DatagramError::Oversized, DatagramError::UnsupportedVersion, DatagramError::OtherCluster, DatagramError::Rejected];
+    pub const ALL: [DatagramError; 5] = [
+        DatagramError::Malformed,
+        DatagramError::Oversized,
+        DatagramError::UnsupportedVersion,
+        DatagramError::OtherCluster,
+        DatagramError::Rejected,
+    ];
 
     /// Its name in figures.
     pub fn name(self) -> &'static str {
--- a/src/cluster/event.rs
+++ b/src/cluster/event.rs
@@ -3,7 +3,7 @@
 use crate::cluster::datagram::DatagramError;
 use crate::cluster::ledger::{ClaimId, Finding, Orphan};
 use crate::cluster::rollout::{Key, Told};
-use crate::cluster::{Errand, InForce, Put, QuotaShares, MemberState};
+use crate::cluster::{Errand, InForce, MemberState, Put, QuotaShares};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -1,11 +1,11 @@
 //! The fleet's ledger: claims of this gateway go out to the seats that hold a record, and what they say comes in.
 
-use crate::cluster::datagram::{self, Payload, DatagramError};
+use crate::cluster::datagram::{self, DatagramError, Payload};
 use crate::cluster::ledger::{Change, ClaimId, Desk, Message, Out, RecordId};
 use crate::cluster::membership::identity::{Identity, CAPABILITY_LEDGER};
 use crate::cluster::membership::swim::Swim;
 use crate::cluster::storage::persistence::Word;
-use crate::cluster::{Effect, ClusterNode, Micros};
+use crate::cluster::{ClusterNode, Effect, Micros};
 use std::net::SocketAddr;
 
 /// How often the ledger is to be called.
--- a/src/cluster/membership/rejoin.rs
+++ b/src/cluster/membership/rejoin.rs
@@ -102,8 +102,7 @@
     pub(in crate::cluster) fn call_absent(&mut self, sends: &mut Vec<Outgoing>) {
         let records = self.swim.records();
         let absent = |name: &&String| {
-            **name != self.settings.name
-                && records.get(name.as_str()).is_none_or(|r| !r.state.is_present())
+            **name != self.settings.name && records.get(name.as_str()).is_none_or(|r| !r.state.is_present())
         };
         let absent: Vec<String> = self.settings.peers.keys().filter(absent).cloned().collect();
         let alone = self.swim.connected().is_none();
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -19,16 +19,18 @@
 
 pub use crate::decision::api::{Micros, SettingsError};
 pub use datagram::{DatagramError, MAX_DATAGRAM_BYTES};
-pub use event::{Effect, Event, ClusterNotice, TrafficCounters};
+pub use event::{ClusterNotice, Effect, Event, TrafficCounters};
 pub use ledger_node::LEDGER_TICK_INTERVAL;
-pub use membership::identity::{is_valid_name, MemberMetadata, Identity, CAPABILITY_LEDGER, MAX_NAME_BYTES, CAPABILITY_ROLLOUT};
+pub use membership::identity::{
+    is_valid_name, Identity, MemberMetadata, CAPABILITY_LEDGER, CAPABILITY_ROLLOUT, MAX_NAME_BYTES,
+};
 pub use membership::local_health::TICK_INTERVAL;
 pub use membership::swim::{MemberRecord, MemberState, MAX_MEMBERS};
 pub use quota_lease::seat_lease::{QuotaShares, WAIT};
 pub use quota_lease::view::MAX_SEATS;
 pub use quota_lease::view_gossip::VALID;
 pub use quota_lease::{Agreement, ViewReport};
-pub use report::{MemberReport, ClusterReport};
+pub use report::{ClusterReport, MemberReport};
 pub use rollout_node::{InForce, Taken};
 pub use settings::Settings;
 pub use storage::durability_gate::{Machine, Put};
@@ -106,7 +108,12 @@
 impl ClusterNode {
     /// A gateway that knows nobody yet. `unix` is the wall clock's time, which is used for nothing but the
     /// incarnation; `now`, here and everywhere, is of a clock that never goes back.
-    pub fn new(settings: Settings, now: Micros, unix: Micros, seed: u64) -> Result<ClusterNode, SettingsError> {
+    pub fn new(
+        settings: Settings,
+        now: Micros,
+        unix: Micros,
+        seed: u64,
+    ) -> Result<ClusterNode, SettingsError> {
         settings.check()?;
         let mut rng = fastrand::Rng::with_seed(seed);
         let own = Identity::born(&settings.name, settings.metadata.clone(), unix, rng.u64(..));
@@ -255,9 +262,10 @@
         let present = self.swim.records().values().filter(|r| r.state.is_present());
         let present: Vec<&Identity> = present.map(|r| &r.identity).collect();
         let Some((token, to)) = token.zip(self.rng.choice(present)) else { return };
-        if let (Some(to), Some(frame)) =
-            (self.addresses(to).next(), datagram::encode(self.cluster_tag, &Payload::ViewRequest { seat_list: list, token }, &[]))
-        {
+        if let (Some(to), Some(frame)) = (
+            self.addresses(to).next(),
+            datagram::encode(self.cluster_tag, &Payload::ViewRequest { seat_list: list, token }, &[]),
+        ) {
             self.send_frame(to, frame, out);
         }
     }
@@ -295,14 +303,22 @@
                 return Ok(());
             }
             let (known_incarnation, is_present, suspicion) = match head {
-                Payload::Ledger { seat_list: list, seat, message } => return self.books_hear(list, seat, message, out),
-                Payload::Rollout { seat_list: list, seat, message } => return self.rolling_hear(list, seat, message, out),
-                Payload::WriteQueue { seat_list: list, seat, message } => return self.filing_hear(list, seat, message, out),
+                Payload::Ledger { seat_list: list, seat, message } => {
+                    return self.books_hear(list, seat, message, out)
+                }
+                Payload::Rollout { seat_list: list, seat, message } => {
+                    return self.rolling_hear(list, seat, message, out)
+                }
+                Payload::WriteQueue { seat_list: list, seat, message } => {
+                    return self.filing_hear(list, seat, message, out)
+                }
                 Payload::Swim { known_incarnation, is_present, suspicion } => {
                     (known_incarnation, is_present, suspicion)
                 }
                 Payload::RingProbe { token } => {
-                    if let Some(frame) = datagram::encode(self.cluster_tag, &Payload::RingProbeReply { token }, &[]) {
+                    if let Some(frame) =
+                        datagram::encode(self.cluster_tag, &Payload::RingProbeReply { token }, &[])
+                    {
                         self.send_frame(from, frame, out);
                     }
                     return Ok(());
@@ -312,7 +328,9 @@
                     self.ring.here(token);
                     return Ok(());
                 }
-                Payload::ViewRequest { seat_list: list, token } => return self.answer(from, list, token, out),
+                Payload::ViewRequest { seat_list: list, token } => {
+                    return self.answer(from, list, token, out)
+                }
                 Payload::ViewReply { seat_list: list, token, table } => {
                     let learnt = self.quota_leases.as_mut().is_some_and(|l| l.learn(list, token, &table));
                     return if learnt { Ok(()) } else { Err(DatagramError::Rejected) };
@@ -343,8 +361,11 @@
     fn send(&mut self, sends: Vec<Outgoing>, out: &mut Vec<Effect>) {
         for Outgoing { to, message, doubt: suspicion } in sends {
             let (known_incarnation, is_present) = self.swim.on_record(&to.name);
-            let Some(frame) = datagram::encode(self.cluster_tag, &Payload::Swim { known_incarnation, is_present, suspicion }, &message)
-            else {
+            let Some(frame) = datagram::encode(
+                self.cluster_tag,
+                &Payload::Swim { known_incarnation, is_present, suspicion },
+                &message,
+            ) else {
                 continue;
             };
             let addresses: Vec<SocketAddr> = self.addresses(&to).collect();
--- a/src/cluster/quota_lease/mod.rs
+++ b/src/cluster/quota_lease/mod.rs
@@ -4,7 +4,7 @@
 pub(in crate::cluster) mod seat_lease;
 pub(in crate::cluster) mod view;
 pub(in crate::cluster) mod view_gossip;
-use crate::cluster::{Micros, MemberRecord, MemberState};
+use crate::cluster::{MemberRecord, MemberState, Micros};
 use seat_lease::{Custody, Occupant, QuotaShares};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -1,7 +1,7 @@
 //! What operators read of the fleet.
 
 use crate::cluster::ledger::Tallies;
-use crate::cluster::{ClusterNode, MemberState, DatagramError, ViewReport};
+use crate::cluster::{ClusterNode, DatagramError, MemberState, ViewReport};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -1,13 +1,13 @@
 //! The fleet's rollout: its messages go out to the seats present, and its record is claimed at the ledger.
 
-use crate::cluster::datagram::{Payload, DatagramError};
+use crate::cluster::datagram::{DatagramError, Payload};
 use crate::cluster::ledger::{Change, ClaimId, Finding};
 use crate::cluster::ledger_node::own_seat;
 use crate::cluster::membership::identity::CAPABILITY_ROLLOUT;
 use crate::cluster::rollout::{
     Arm, Ended, Key, Message, Order, Report, Rules, Start, Steward, Telling, Told, RECORD, TICK,
 };
-use crate::cluster::{Effect, ClusterNode, Micros};
+use crate::cluster::{ClusterNode, Effect, Micros};
 
 /// What is in force, for whoever routes.
 #[derive(Debug, Clone, PartialEq)]
@@ -188,9 +188,9 @@
         let records = self.swim.records();
         let there = |name: &String| {
             *name == self.settings.name
-                || records
-                    .get(name.as_str())
-                    .is_some_and(|r| r.state.is_present() && r.identity.metadata.capabilities & CAPABILITY_ROLLOUT != 0)
+                || records.get(name.as_str()).is_some_and(|r| {
+                    r.state.is_present() && r.identity.metadata.capabilities & CAPABILITY_ROLLOUT != 0
+                })
         };
         let seats = self.settings.seats.iter().enumerate().filter(|(_, name)| there(name));
         seats.map(|(seat, _)| seat as u16).collect()
--- a/src/cluster/storage/persistence.rs
+++ b/src/cluster/storage/persistence.rs
@@ -4,7 +4,7 @@
 use crate::cluster::rollout::Order;
 use crate::cluster::storage::durability_gate::{Durable, Head, Put, MOST_HELD};
 use crate::cluster::write_queue::{Entry as Held, Telling};
-use crate::cluster::{Effect, ClusterNode, Micros, ClusterNotice};
+use crate::cluster::{ClusterNode, ClusterNotice, Effect, Micros};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -1,12 +1,12 @@
 //! The fleet's branch: its messages go out to the branch's seats, and its record is claimed at the ledger.
 
-use crate::cluster::datagram::{Payload, DatagramError};
+use crate::cluster::datagram::{DatagramError, Payload};
 use crate::cluster::ledger::{Change, ClaimId, Finding};
 use crate::cluster::ledger_node::own_seat;
 use crate::cluster::storage::durability_gate::BUSY;
 use crate::cluster::storage::persistence::Word;
 use crate::cluster::write_queue::{record, Clerk, Dot, End, Entry, Fate, Message, Status, Telling, Write};
-use crate::cluster::{Effect, ClusterNode, Micros};
+use crate::cluster::{ClusterNode, Effect, Micros};
 
 /// Who does not own the branch's record asks for it again after this.
 const CLAIM_AGAIN: Micros = Micros(1_000_000);
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -17,8 +17,8 @@
 use crate::cluster::rollout::{End as RolloutEnd, Key, Start, Told, Why};
 use crate::cluster::write_queue::{Dot, Fate, Status};
 use crate::cluster::{
-    Agreement, Effect, Errand, Event, ClusterNode, Micros, ClusterNotice, ClusterReport, QuotaShares, MemberState, Taken, LEDGER_TICK_INTERVAL, MAX_DATAGRAM_BYTES,
-    TICK_INTERVAL,
+    Agreement, ClusterNode, ClusterNotice, ClusterReport, Effect, Errand, Event, MemberState, Micros,
+    QuotaShares, Taken, LEDGER_TICK_INTERVAL, MAX_DATAGRAM_BYTES, TICK_INTERVAL,
 };
 use crate::decision::api::Lent;
 use crate::proxy::control_plane::config::FleetConfig;
@@ -315,5 +315,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/fixtures/gauges.rs"]
+#[path = "../../../tests/fixtures/gauges.rs"]
 mod gauge_fixtures;
--- a/src/proxy/cluster_transport/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -55,8 +55,12 @@
             Errand::NotDone(dot, end) => warn!(%dot, ?end, "a write of the branch was not done"),
             Errand::Cut(cut, last) => {
                 self.arms.cut(cut);
-                let waits =
-                    self.fleet.borrow().as_ref().and_then(ClusterNode::branch).map(|b| b.clerk().shelf().open());
+                let waits = self
+                    .fleet
+                    .borrow()
+                    .as_ref()
+                    .and_then(ClusterNode::branch)
+                    .map(|b| b.clerk().shelf().open());
                 let (last_ms, waits) = (last.0 / 1000, waits.unwrap_or(0));
                 match cut {
                     true => warn!(last_ms, waits, "the branch is cut off: writes are accepted here"),
