--- a/src/proxy/control_plane/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -155,10 +155,10 @@
     let settings = &config.settings;
     out.put("fleet", &settings.fleet);
     out.put("listen", config.listen);
-    out.put("advertise", settings.about.advertise);
+    out.put("advertise", settings.metadata.advertise);
     out.put("name", &settings.name);
-    out.put("zone", &settings.about.zone);
-    out.put("capabilities", settings.about.capabilities);
+    out.put("zone", &settings.metadata.zone);
+    out.put("capabilities", settings.metadata.capabilities);
     out.put("period_ms", settings.period.as_micros() as f64 / 1000.0);
     out.put("seats", &settings.seats);
     out.put("lend", config.lend);
