--- a/benches/request_cost.rs
+++ b/benches/request_cost.rs
@@ -19,8 +19,8 @@
         deadline: Micros(3 * SECOND),
         worth: 1.0,
         late_worth: 0.0,
-        effect: Effect::Safe,
-        group: Group::All,
+        effect: Idempotency::Idempotent,
+        group: DeduplicationScope::All,
         window: Micros(SECOND),
         stream: false,
     };
@@ -51,12 +51,12 @@
     }
 }
 
-fn entries(servers: u32, started: Option<Micros>) -> Vec<ServerEntry> {
-    let entry = |number: u32| ServerEntry {
-        server: ServerId(u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+fn entries(servers: u32, started: Option<Micros>) -> Vec<EndpointUpdate> {
+    let entry = |number: u32| EndpointUpdate {
+        server: EndpointId(u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         zone: ZoneId(0),
         cell: CellId(u64::from(number / 8)),
-        listed: Listed::InService,
+        listed: EndpointStatus::InService,
         weight: 1.0,
         started: started.filter(|_| number.is_multiple_of(2)),
         label: LabelId::default(),
@@ -78,7 +78,7 @@
         let mut gateway = Gateway::new(7, settings()).expect("sound settings");
         let mut out = Vec::new();
         let list = entries(servers, half_cold.then_some(now));
-        gateway.handle(now, Event::Servers(ListScope::Whole, list), &mut out);
+        gateway.handle(now, Event::Servers(WatchScope::Complete, list), &mut out);
         Driven { gateway, now, next: 0, out }
     }
     /// One request and its answer; the clock stands still, so that what is cold stays cold.
@@ -94,9 +94,9 @@
             _ => None,
         });
         if let Some(server) = sent {
-            let (outcome, took, report) = (Outcome::Ok, Micros(50_000), Report::default());
+            let (outcome, took, report) = (Outcome::Ok, Micros(50_000), LoadReport::default());
             let end =
-                AttemptEnd { id, attempt: 0, server, outcome, took, ended: true, settled: None, report };
+                AttemptEnded { id, attempt: 0, server, outcome, took, ended: true, settled: None, report };
             self.gateway.handle(self.now, Event::AttemptEnded(end), &mut self.out);
         }
         self.out.clear();
@@ -121,6 +121,6 @@
     let now = driven.now;
     let list = || entries(servers, None);
     bencher.with_inputs(list).bench_local_values(|list| {
-        driven.gateway.handle(now, Event::Servers(ListScope::Whole, list), &mut driven.out);
+        driven.gateway.handle(now, Event::Servers(WatchScope::Complete, list), &mut driven.out);
     });
 }
--- a/src/decision/api.rs
+++ b/src/decision/api.rs
@@ -47,7 +47,7 @@
 id!(/// A customer, whose quota all gateways share.
     CustomerId, u64);
 id!(/// A server of the back end; every gateway knows it by the same number.
-    ServerId, u64);
+    EndpointId, u64);
 id!(/// A place in `Settings::classes`.
     ClassId, usize);
 id!(/// A place in `Settings::plans`.
@@ -59,24 +59,24 @@
 id!(/// A group of servers that share which keys they have seen.
     CellId, u64);
 id!(/// A number kept by the counter service.
-    CountName, u64);
+    CounterKey, u64);
 id!(/// A timer, chosen by the module.
     TimerId, u64);
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat.
-    Safe,
+    Idempotent,
     /// Carries a key; the servers of one group drop a repeat within the window.
-    Keyed,
+    WithKey,
     /// Must not run twice.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// Which servers drop the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// Every server.
     All,
     /// The servers of one zone.
@@ -97,9 +97,9 @@
     /// The part of the worth that an answer after the aim earns.
     pub late_worth: f64,
     /// Whether it may run again.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Who drops repeats, where keyed.
-    pub group: Group,
+    pub group: DeduplicationScope,
     /// How long they drop them, where keyed.
     pub window: Micros,
     /// The answer comes as a stream.
@@ -180,26 +180,27 @@
 
 /// Whether a server takes new work, as the list tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Listed {
+pub enum EndpointStatus {
     /// It takes work.
     InService,
     /// It finishes what it has.
     Draining,
     /// It was taken away.
-    Gone,
+    #[serde(rename = "Gone")]
+    Removed,
 }
 
 /// One line of the server list.
 #[derive(Clone, Debug)]
-pub struct ServerEntry {
+pub struct EndpointUpdate {
     /// The server.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
     pub cell: CellId,
     /// Its state.
-    pub listed: Listed,
+    pub listed: EndpointStatus,
     /// Its size against the others.
     pub weight: f64,
     /// When it last started; `None`: long ago.
@@ -210,13 +211,13 @@
 
 /// What a list event holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListScope {
+pub enum WatchScope {
     /// Only entries that changed.
-    Changes,
+    Incremental,
     /// The complete list.
-    Whole,
+    Complete,
     /// A call for the list or the subscription failed; the earlier list stays.
-    Lost,
+    Failed,
 }
 
 /// How an attempt, a probe or a count call ended.
@@ -250,7 +251,7 @@
 
 /// What a server said of its load, where it did.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests being handled.
     pub inflight: Option<f64>,
     /// Requests waiting.
@@ -283,29 +284,29 @@
     /// Its body is still coming and is not kept: it can be sent once. Until it has come the deadline is a bound.
     pub upload: bool,
     /// Attempts of gateways that had it before and are gone; they may have run.
-    pub earlier: Vec<Earlier>,
+    pub earlier: Vec<PriorAttempt>,
     /// One of those had its units counted.
     pub counted: bool,
 }
 
 /// An attempt of another gateway's that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Earlier {
+pub struct PriorAttempt {
     /// The server.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// When, or somewhat before.
     pub sent: Micros,
 }
 
 /// An attempt that ended.
 #[derive(Clone, Debug)]
-pub struct AttemptEnd {
+pub struct AttemptEnded {
     /// The request.
     pub id: RequestId,
     /// Which of its attempts.
     pub attempt: usize,
     /// The server.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// How.
     pub outcome: Outcome,
     /// How long it was out.
@@ -315,13 +316,13 @@
     /// The true units, where they are settled afterwards.
     pub settled: Option<f64>,
     /// The server's load report.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// Shares of quotas that are lent: a gateway's own, while it can't show that it is still held to be there, and
 /// those of gateways that are away. Everywhere together they sum to one at most.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Lent {
+pub struct QuotaLease {
     /// The part of each share that may be lent, 0 to 1.
     pub part: f64,
     /// The own share is whole, and those of `away` are shared out, until then.
@@ -332,7 +333,7 @@
 
 /// How requests of one kind are routed, within bounds that no rule can leave: it only weighs what may be chosen.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Route {
+pub struct RouteRule {
     /// Only requests of this class.
     pub class: Option<ClassId>,
     /// Only customers of this plan.
@@ -351,11 +352,11 @@
 
 /// The rules of routing in force: those of most customers, and those of some that have the new ones.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Routing {
+pub struct RoutingRules {
     /// Of those that fit a request the first counts.
-    pub old: Vec<Rc<Route>>,
+    pub old: Vec<Rc<RouteRule>>,
     /// The same of the new ones.
-    pub new: Vec<Rc<Route>>,
+    pub new: Vec<Rc<RouteRule>>,
     /// The part of the customers, of 10,000, that have the new ones.
     pub share: u16,
     /// Deals the customers out: the same customers at every gateway, others in each rollout.
@@ -366,7 +367,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the server list.
-    Servers(ListScope, Vec<ServerEntry>),
+    Servers(WatchScope, Vec<EndpointUpdate>),
     /// A request came in.
     Request(Arrival),
     /// A timer came due.
@@ -381,58 +382,66 @@
     /// The client is gone.
     ClientGone(RequestId),
     /// A probe ended.
-    Probed(ServerId, Outcome, Report),
+    Probed(EndpointId, Outcome, LoadReport),
     /// A count call ended, with the total where it was answered.
-    Counted(CountName, Outcome, f64),
+    Counted(CounterKey, Outcome, f64),
     /// An attempt ended.
-    AttemptEnded(AttemptEnd),
+    AttemptEnded(AttemptEnded),
     /// An operator takes a server out, whatever the list says of it, or puts it back.
-    Maintenance(ServerId, bool),
+    Maintenance(EndpointId, bool),
     /// The other process of this gateway is gone.
     Alone,
     /// What the gateways know together of each other's shares.
-    Lent(Lent),
+    Lent(QuotaLease),
     /// Other rules of routing are in force.
-    Routing(Routing),
+    Routing(RoutingRules),
 }
 
 /// Why a request ends without a server's answer. For logs and figures alone: clients are not told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr, VariantArray)]
 #[strum(serialize_all = "snake_case")]
-pub enum RefusalReason {
+pub enum RejectionReason {
     /// Its class or plan is not among the settings'.
-    Unknown,
+    #[strum(serialize = "unknown")]
+    UnknownClassOrPlan,
     /// The customer's quota is known to be full.
-    QuotaFull,
+    #[strum(serialize = "quota_full")]
+    QuotaKnownExhausted,
     /// The counter's total is past the quota, or, unheard, the local bucket has no room.
-    QuotaSpent,
+    #[strum(serialize = "quota_spent")]
+    QuotaExceeded,
     /// The customer has as many attempts out as its plan allows.
-    TooManyOut,
+    #[strum(serialize = "too_many_out")]
+    ConcurrencyQuota,
     /// By chance, as many answers came late.
-    Shed,
+    #[strum(serialize = "shed")]
+    LoadShed,
     /// No server became free in time.
-    NoServer,
+    #[strum(serialize = "no_server")]
+    NoEndpoint,
     /// Its attempts ended without an answer, and no further one is allowed.
-    AttemptsFailed,
+    #[strum(serialize = "attempts_failed")]
+    AttemptsExhausted,
     /// Its deadline came.
-    Deadline,
+    #[strum(serialize = "deadline")]
+    DeadlineExceeded,
 }
 
 /// What a gateway does.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt, to be given up at that time.
-    Send(RequestId, ServerId, Micros),
+    Send(RequestId, EndpointId, Micros),
     /// Final answer: refused, with advice when to come back, and why.
-    Refuse(RequestId, Option<Micros>, RefusalReason),
+    Refuse(RequestId, Option<Micros>, RejectionReason),
     /// Final answer: failed, and why.
-    Fail(RequestId, RefusalReason),
+    Fail(RequestId, RejectionReason),
     /// Call off an attempt.
     Cancel(RequestId, usize),
     /// Ask a server for its load.
-    Probe(ServerId),
+    Probe(EndpointId),
     /// Add to a count that lives that long, and hear the total.
-    Count(CountName, f64, Micros),
+    Count(CounterKey, f64, Micros),
     /// Wake the module after this time.
     SetTimer(TimerId, Micros),
     /// Ask for changes of the server list.
--- a/src/decision/gateway.rs
+++ b/src/decision/gateway.rs
@@ -8,7 +8,7 @@
 mod routing;
 mod selection;
 
-pub use crate::decision::state::Estate;
+pub use crate::decision::state::HandoverState;
 pub(crate) use quota::Breaker;
 pub use routing::has_new;
 
@@ -100,19 +100,19 @@
     /// Share of requests that ask the counter.
     ask: f64,
     last_failed: Option<CustomerId>,
-    calls: BTreeMap<CountName, VecDeque<Call>>,
+    calls: BTreeMap<CounterKey, VecDeque<Call>>,
     customers: BTreeMap<CustomerId, Customer>,
     requests: BTreeMap<RequestId, Request>,
-    servers: BTreeMap<ServerId, Server>,
+    servers: BTreeMap<EndpointId, Server>,
     /// Those of them in slow start, so that a request need not look at all of a large fleet for them.
-    cold: BTreeSet<ServerId>,
+    cold: BTreeSet<EndpointId>,
     /// When all of them were looked at last.
     swept: Micros,
     /// Chance decides which of them may be sent to, and those that it drew for the last request.
     draws: bool,
-    drawn: Vec<ServerId>,
+    drawn: Vec<EndpointId>,
     /// The listed servers, in an order that all gateways share.
-    ring: Vec<ServerId>,
+    ring: Vec<EndpointId>,
     timers: BTreeMap<TimerId, Timer>,
     /// Attempts out at all servers.
     out_now: f64,
@@ -129,12 +129,12 @@
     pass: f64,
     usual_worth: f64,
     serial: u64,
-    role: Role,
+    role: ProcessRole,
     /// Shares that are lent among the gateways, where they are, and how often that has changed.
-    lent: Option<Lent>,
+    lent: Option<QuotaLease>,
     turn: u64,
     /// Rules of routing, where any are in force.
-    routing: Routing,
+    routing: RoutingRules,
 }
 
 impl Gateway {
@@ -186,7 +186,7 @@
         match self.timers.remove(&id) {
             // Every request has its answer by its deadline.
             Some(Timer::Deadline(id)) if self.requests.get(&id).is_none_or(|r| r.done || r.streaming) => {}
-            Some(Timer::Deadline(id)) => self.refuse(id, RefusalReason::Deadline),
+            Some(Timer::Deadline(id)) => self.refuse(id, RejectionReason::DeadlineExceeded),
             Some(Timer::Held) => {
                 self.hold_timer = false;
                 self.serve_held();
@@ -203,7 +203,7 @@
     fn on_request(&mut self, a: Arrival) {
         let (id, now, customer, plan) = (a.id, self.now, a.customer, a.plan.0);
         if a.class.0 >= self.set.classes.len() || plan >= self.set.plans.len() {
-            return self.out.push(Action::Refuse(id, None, RefusalReason::Unknown));
+            return self.out.push(Action::Refuse(id, None, RejectionReason::UnknownClassOrPlan));
         }
         self.retries = (self.retries + RETRY_SHARE).min(RETRY_SAVED);
         // Before the deadline by two ticks: a timer may come one late, and the answer takes one.
@@ -219,7 +219,7 @@
         let alike = |r: &Refusal| r.class == a.class && r.units == a.units && now < r.at + REPEAT_SPAN;
         let resent = a.resent || c.refused.as_ref().is_some_and(alike);
         // What others sent of it and may have run bounds what may be sent here, as this gateway's own does.
-        let before = |e: &Earlier| Attempt {
+        let before = |e: &PriorAttempt| Attempt {
             server: e.server,
             sent: e.sent,
             may_have_run: true,
@@ -231,7 +231,7 @@
         self.requests.insert(id, Request { a, arrived: now, attempts, route, ..Request::default() });
         self.roll(customer);
         if !counted && self.shed(id) {
-            return self.refuse(id, RefusalReason::Shed);
+            return self.refuse(id, RejectionReason::LoadShed);
         }
         match self.set.plans[plan].rate > 0.0 && !counted {
             true => self.ask_window(id),
@@ -265,7 +265,7 @@
     }
 
     /// Refuses with a retry-after where that is allowed, or fails.
-    fn refuse(&mut self, id: RequestId, reason: RefusalReason) {
+    fn refuse(&mut self, id: RequestId, reason: RejectionReason) {
         let Some(r) = self.requests.get(&id) else { return };
         let wait = (self.set.retry_after && self.set.plans[r.a.plan.0].rate > 0.0)
             .then(|| self.span(r.a.customer, self.window_of(r.a.plan.0).0).1.min(self.set.max_retry_after));
@@ -308,16 +308,16 @@
         }
     }
 
-    fn on_servers(&mut self, scope: ListScope, entries: Vec<ServerEntry>) {
-        if scope == ListScope::Lost {
+    fn on_servers(&mut self, scope: WatchScope, entries: Vec<EndpointUpdate>) {
+        if scope == WatchScope::Failed {
             let wait = Micros(500_000 + self.rng.u64(0..500_000));
             return self.timer(Timer::Resubscribe, wait);
         }
-        if scope == ListScope::Whole {
+        if scope == WatchScope::Complete {
             self.servers.values_mut().for_each(|s| s.listed = None);
         }
         let (now, cold, units) = (self.now, self.set.cold, self.set.most_units);
-        let changed: Vec<ServerId> = entries.iter().map(|e| e.server).collect();
+        let changed: Vec<EndpointId> = entries.iter().map(|e| e.server).collect();
         for e in entries {
             let new = || Server { limit: LIMIT_START, ..Server::default() };
             let s = self.servers.entry(e.server).or_insert_with(new);
@@ -334,17 +334,17 @@
             }
             (s.zone, s.cell, s.label) = (e.zone, e.cell, e.label);
             s.weight = if e.weight > 0.0 { e.weight } else { 1.0 };
-            s.listed = Some(e.listed).filter(|&listed| listed != Listed::Gone);
+            s.listed = Some(e.listed).filter(|&listed| listed != EndpointStatus::Removed);
         }
         match scope {
-            ListScope::Changes => self.line_up_changed(&changed),
+            WatchScope::Incremental => self.line_up_changed(&changed),
             _ => self.line_up(),
         }
     }
 
     /// The same as `line_up` where these servers alone may have changed: their places in the ring are looked up, so that a
     /// small change costs little in a large fleet.
-    fn line_up_changed(&mut self, changed: &[ServerId]) {
+    fn line_up_changed(&mut self, changed: &[EndpointId]) {
         for id in changed {
             let serves = self.servers.get(id).is_some_and(Server::in_service);
             match (self.ring.binary_search(id), serves) {
@@ -363,7 +363,7 @@
 
     /// An operator's word goes before the list's: out, a server counts as draining; put back, it was
     /// restarted meanwhile, for all that is known, and is cold. Calling twice is as good as once.
-    fn on_maintenance(&mut self, server: ServerId, out: bool) {
+    fn on_maintenance(&mut self, server: EndpointId, out: bool) {
         let now = self.now;
         let Some(s) = self.servers.get_mut(&server).filter(|s| s.maintained != out) else { return };
         s.maintained = out;
@@ -395,7 +395,7 @@
     /// The other process of this gateway is gone. An elder that is alone again after all starts with empty
     /// buckets, as after a restart: its share had gone to the younger.
     fn on_alone(&mut self) {
-        if std::mem::take(&mut self.role) == Role::Elder {
+        if std::mem::take(&mut self.role) == ProcessRole::Predecessor {
             self.since = Some(self.now);
             for c in self.customers.values_mut() {
                 (c.beyond.level, c.beyond.at, c.bucket) = (0.0, self.now, None);
@@ -404,8 +404,8 @@
     }
 
     /// What another process needs to go on as this gateway. What was owed to the counter is its to pay.
-    pub fn hand_over(&mut self) -> Estate {
-        self.role = Role::Elder;
+    pub fn hand_over(&mut self) -> HandoverState {
+        self.role = ProcessRole::Predecessor;
         let mut customers = Vec::with_capacity(self.customers.len());
         for (&id, c) in &mut self.customers {
             let w = &mut c.window;
@@ -415,7 +415,7 @@
             let epoch = Tally::default();
             customers.push((id, Customer { window: tally, epoch, out: 0.0, ..c.clone() }));
         }
-        Estate {
+        HandoverState {
             servers: self.servers.iter().map(|(&id, s)| (id, s.clone())).collect(),
             customers,
             breaker: Breaker { probing: false, ..self.breaker.clone() },
@@ -430,7 +430,7 @@
 
     /// Goes on where another process was. The own list says who is in service; a life of a server's that only
     /// that list knows is a new one.
-    pub fn take_over(&mut self, estate: Estate) {
+    pub fn take_over(&mut self, estate: HandoverState) {
         for (id, theirs) in estate.servers {
             let theirs = Server { out: 0.0, ejections: theirs.ejections.min(EJECT_DOUBLINGS), ..theirs };
             let own = self.servers.entry(id).or_default();
@@ -452,7 +452,7 @@
             (estate.breaker, estate.ask.clamp(LEAST_PART, 1.0), estate.flow);
         (self.latency, self.fail_share) = (estate.latency, estate.fail_share);
         (self.pass, self.usual_worth) = (estate.pass.clamp(LEAST_PART, 1.0), estate.usual_worth);
-        self.role = Role::Younger;
+        self.role = ProcessRole::Successor;
         self.line_up();
     }
 }
--- a/src/decision/gateway/attempts.rs
+++ b/src/decision/gateway/attempts.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    pub(super) fn send(&mut self, id: RequestId, server: ServerId) {
+    pub(super) fn send(&mut self, id: RequestId, server: EndpointId) {
         let now = self.now;
         let suspect = self.servers.get(&server).is_some_and(|s| s.trial || s.fail_share > SUSPECT_SHARE);
         let most = self.requests.get(&id).map_or(0, |r| self.most_attempts(r));
@@ -31,11 +31,11 @@
         // An attempt at a server that failed of late is given up while another could still meet the aim.
         // Guards against servers that fall silent. Not at others: there the work is long, it goes on all the
         // same, and its repeat comes on top at every gateway. Nor while attempts fail everywhere.
-        let again = class.effect != Effect::Unsafe
+        let again = class.effect != Idempotency::NotIdempotent
             && !class.stream
             && !r.a.upload
             && r.attempts.len() + 1 < most
-            && (class.effect == Effect::Safe || class.group == Group::All)
+            && (class.effect == Idempotency::Idempotent || class.group == DeduplicationScope::All)
             && self.fail_share < CALM_SHARE
             && suspect;
         let early = r.arrived + class.aim.times(r.route.give_up.unwrap_or(1.0 - SPARE_PART));
@@ -54,7 +54,7 @@
         self.out.push(Action::Send(id, server, until));
     }
 
-    fn take_place(&mut self, server: ServerId) {
+    fn take_place(&mut self, server: EndpointId) {
         self.servers.get_mut(&server).into_iter().for_each(|s| s.out += 1.0);
         self.out_now += 1.0;
     }
@@ -102,7 +102,7 @@
             if let Some(server) = self.pick(id) {
                 self.send(id, server);
             } else if overdue {
-                self.refuse(id, RefusalReason::NoServer);
+                self.refuse(id, RejectionReason::NoEndpoint);
             } else {
                 self.held.push(id);
             }
@@ -110,7 +110,7 @@
         self.watch_held();
     }
 
-    pub(super) fn on_attempt(&mut self, end: AttemptEnd) {
+    pub(super) fn on_attempt(&mut self, end: AttemptEnded) {
         let (id, outcome) = (end.id, end.outcome);
         let Some(r) = self.requests.get_mut(&id) else { return };
         let named = r.attempts.get_mut(end.attempt);
@@ -139,7 +139,7 @@
             self.retries -= 1.0;
             self.dispatch(id);
         } else if self.requests.get(&id).is_some_and(|r| !r.is_out()) {
-            self.refuse(id, RefusalReason::AttemptsFailed);
+            self.refuse(id, RejectionReason::AttemptsExhausted);
         }
         if !self.held.is_empty() {
             self.serve_held();
@@ -147,7 +147,7 @@
     }
 
     /// Whether an operator took this server out.
-    pub fn is_out(&self, server: ServerId) -> bool {
+    pub fn is_out(&self, server: EndpointId) -> bool {
         self.servers.get(&server).is_some_and(|s| s.maintained)
     }
 
@@ -162,21 +162,22 @@
         let class = &self.set.classes[r.a.class.0];
         let over =
             r.done || r.streaming || self.now >= r.a.deadline || r.attempts.len() >= self.most_attempts(r);
-        let pushed = s.cold_since.is_some() && (s.cold_room.level <= 0.0 || self.role == Role::Elder);
+        let pushed =
+            s.cold_since.is_some() && (s.cold_room.level <= 0.0 || self.role == ProcessRole::Predecessor);
         let second = r.is_out() && !self.set.second_copies || r.a.upload && !r.attempts.is_empty();
         if over || pushed || second || !s.in_service() {
             return false;
         }
         let mut ran = r.attempts.iter().filter(|a| a.out || a.may_have_run);
         match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => ran.next().is_none(),
-            Effect::Keyed => ran.all(|a| {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => ran.next().is_none(),
+            Idempotency::WithKey => ran.all(|a| {
                 self.in_window(class, a, self.set.connect_timeout)
                     && self.servers.get(&a.server).is_some_and(|first| match class.group {
-                        Group::All => true,
-                        Group::Zone => first.zone == s.zone,
-                        Group::Cell => first.cell == s.cell,
+                        DeduplicationScope::All => true,
+                        DeduplicationScope::Zone => first.zone == s.zone,
+                        DeduplicationScope::Cell => first.cell == s.cell,
                     })
             }),
         }
@@ -194,11 +195,11 @@
         let mut ran = r.attempts.iter().filter(|a| a.out || a.may_have_run);
         !r.streaming
             && match class.effect {
-                Effect::Safe => true,
-                Effect::Keyed => {
-                    ran.all(|a| class.group == Group::All && self.in_window(class, a, Micros(0)))
+                Idempotency::Idempotent => true,
+                Idempotency::WithKey => {
+                    ran.all(|a| class.group == DeduplicationScope::All && self.in_window(class, a, Micros(0)))
                 }
-                Effect::Unsafe => ran.next().is_none(),
+                Idempotency::NotIdempotent => ran.next().is_none(),
             }
     }
 }
--- a/src/decision/gateway/quota.rs
+++ b/src/decision/gateway/quota.rs
@@ -131,7 +131,7 @@
         let total = c.window.known();
         if self.room(customer, total) < units && self.breaker.opened.is_none() && total > 0.0 {
             // Known full: a call could only tell the same.
-            return self.refuse(id, RefusalReason::QuotaFull);
+            return self.refuse(id, RejectionReason::QuotaKnownExhausted);
         }
         if self.asks(resent) && self.may_call(customer) {
             self.call(Purpose::Window, customer, Some(id), units);
@@ -165,7 +165,7 @@
         let tally = if purpose == Purpose::Open { &mut c.epoch } else { &mut c.window };
         (tally.owed, tally.posting) = (tally.owed - extra, tally.posting + extra);
         let length = if purpose == Purpose::Open { EPOCH } else { self.window_of(plan).0 };
-        let name = CountName(mix(mix(id.0) ^ mix(span << 1 | u64::from(purpose == Purpose::Open))) >> 1);
+        let name = CounterKey(mix(mix(id.0) ^ mix(span << 1 | u64::from(purpose == Purpose::Open))) >> 1);
         let probe = request.is_some() && (self.breaker.probing || self.customers[&id].breaker.probing);
         let (amount, customer) = (units + extra, id);
         let call = Call { purpose, customer, span, request, amount, extra, probe };
@@ -186,7 +186,7 @@
         self.customers.get_mut(&customer).into_iter().for_each(|c| c.breaker.failure(now, probe));
     }
 
-    pub(super) fn on_counted(&mut self, name: CountName, outcome: Outcome, total: f64) {
+    pub(super) fn on_counted(&mut self, name: CounterKey, outcome: Outcome, total: f64) {
         let Some(call) = self.calls.get_mut(&name).and_then(|queue| queue.pop_front()) else { return };
         if self.calls.get(&name).is_some_and(|queue| queue.is_empty()) {
             self.calls.remove(&name);
@@ -283,7 +283,7 @@
         };
         match ok {
             true => self.ask_place(id),
-            false => self.refuse(id, RefusalReason::QuotaSpent),
+            false => self.refuse(id, RejectionReason::QuotaExceeded),
         }
     }
 
@@ -294,7 +294,7 @@
     fn beyond_take(&mut self, customer: CustomerId, plan: usize, units: f64) -> bool {
         let (now, p) = (self.now, &self.set.plans[plan]);
         let Some(c) = self.customers.get_mut(&customer).filter(|_| p.ceiling_rate > 0.0) else { return true };
-        if self.role == Role::Elder && units > 0.0 {
+        if self.role == ProcessRole::Predecessor && units > 0.0 {
             return false; // This gateway's part is the younger's.
         }
         (c.beyond.rate, c.beyond.depth) =
@@ -308,7 +308,7 @@
     /// for whom a share that starts empty admits nothing for seconds.
     fn local_take(&mut self, customer: CustomerId, plan: usize, units: f64, added: bool) -> bool {
         let (now, most_units, p) = (self.now, self.set.most_units, &self.set.plans[plan]);
-        let elder = self.role == Role::Elder;
+        let elder = self.role == ProcessRole::Predecessor;
         let Some(c) = self.customers.get(&customer).filter(|_| !elder) else { return false };
         let left = self.room(customer, c.window.known()).max(0.0);
         let Some(c) = self.customers.get(&customer) else { return false };
@@ -349,7 +349,7 @@
     }
 
     /// A share that lapsed, or whose parts changed, may have been less in between.
-    pub(super) fn on_lent(&mut self, lent: Lent) {
+    pub(super) fn on_lent(&mut self, lent: QuotaLease) {
         let held = self.lent.as_ref();
         let steady = held.is_some_and(|l| self.now < l.until && l.away == lent.away && l.part == lent.part);
         self.turn += u64::from(!steady);
@@ -367,7 +367,7 @@
         };
         match ok && !done {
             true => self.admit(id),
-            false => self.refuse(id, RefusalReason::TooManyOut),
+            false => self.refuse(id, RejectionReason::ConcurrencyQuota),
         }
         self.sync_places(customer);
     }
--- a/src/decision/gateway/routing.rs
+++ b/src/decision/gateway/routing.rs
@@ -7,15 +7,15 @@
 use std::rc::Rc;
 
 /// Whether a customer has the new rules: the same at every gateway, and no customer always among the first.
-pub fn has_new(routing: &Routing, customer: CustomerId) -> bool {
+pub fn has_new(routing: &RoutingRules, customer: CustomerId) -> bool {
     mix(customer.0 ^ mix(routing.salt)) % 10_000 < u64::from(routing.share)
 }
 
 impl Gateway {
     /// How a request is routed from its arrival to its end.
-    pub(super) fn route_of(&self, a: &Arrival) -> Rc<Route> {
+    pub(super) fn route_of(&self, a: &Arrival) -> Rc<RouteRule> {
         let rules = if has_new(&self.routing, a.customer) { &self.routing.new } else { &self.routing.old };
-        let fits = |r: &&Rc<Route>| {
+        let fits = |r: &&Rc<RouteRule>| {
             r.class.is_none_or(|class| class == a.class) && r.plan.is_none_or(|plan| plan == a.plan)
         };
         rules.iter().find(fits).cloned().unwrap_or_default()
@@ -27,7 +27,7 @@
     }
 }
 
-impl Route {
+impl RouteRule {
     pub(super) fn weight(&self, s: &Server) -> f64 {
         let zone = self.zones.iter().find(|(zone, _)| *zone == s.zone).map_or(1.0, |(_, w)| *w);
         zone * self.labels.iter().find(|(label, _)| *label == s.label).map_or(1.0, |(_, w)| *w)
--- a/src/decision/gateway/selection.rs
+++ b/src/decision/gateway/selection.rs
@@ -14,9 +14,9 @@
     pub(super) fn scale(&self) -> f64 {
         let sharing = f64::from(self.set.gateways) * self.reach() as f64 / self.ring.len().max(1) as f64;
         let part = match self.role {
-            Role::Alone => 1.0,
-            Role::Elder => ELDER_PART,
-            Role::Younger => 1.0 - ELDER_PART,
+            ProcessRole::Single => 1.0,
+            ProcessRole::Predecessor => ELDER_PART,
+            ProcessRole::Successor => 1.0 - ELDER_PART,
         };
         (FLEET_START / LIMIT_START / sharing.max(1e-9)).min(1.0) * part
     }
@@ -29,14 +29,14 @@
     /// The listed servers, this gateway's own part of the fleet first. Guards against learning nothing of any
     /// server where each gateway sees few requests. The golden ratio spreads the parts evenly, also those of
     /// gateways in a row, through which one customer comes.
-    fn own_part_first(&self) -> impl Iterator<Item = ServerId> + '_ {
+    fn own_part_first(&self) -> impl Iterator<Item = EndpointId> + '_ {
         let start = (f64::from(self.set.me) * 0.618_033_988_749_895).fract() * self.ring.len() as f64;
         let (before, first) = self.ring.split_at((start as usize).min(self.ring.len()));
         first.iter().chain(before).copied()
     }
 
     /// The allowed server with the least expected wait, beyond the own part only if that has none.
-    pub(super) fn pick(&mut self, id: RequestId) -> Option<ServerId> {
+    pub(super) fn pick(&mut self, id: RequestId) -> Option<EndpointId> {
         let fresh = self.requests.get(&id).is_some_and(|r| r.attempts.is_empty() && r.held_since.is_none());
         self.warm_up(fresh);
         let salt = self.rng.u64(..);
@@ -50,7 +50,7 @@
         if most > 0.0 && self.out_now >= most.max(if self.sparse() { FEW_OUT } else { 1.0 }) {
             return None;
         }
-        let mut best: Option<(f64, ServerId)> = None;
+        let mut best: Option<(f64, EndpointId)> = None;
         for (i, sid) in self.own_part_first().enumerate() {
             if i >= reach && best.is_some() {
                 break;
@@ -91,7 +91,7 @@
     // ---- health and cold starts ----
 
     /// What a server says of its load is the one word on what the other gateways do to it.
-    pub(super) fn hear(&mut self, server: ServerId, report: Report) {
+    pub(super) fn hear(&mut self, server: EndpointId, report: LoadReport) {
         if let Some(inflight) = report.inflight {
             self.inflight += SMOOTH * (inflight - self.inflight);
             self.servers.get_mut(&server).into_iter().for_each(|s| s.told = Some((inflight, self.now)));
@@ -104,7 +104,7 @@
         told.map_or(self.inflight, |(inflight, trust)| self.inflight + trust * (inflight - self.inflight))
     }
 
-    pub(super) fn judge(&mut self, server: ServerId, outcome: Outcome, took: Micros, aim: Micros) {
+    pub(super) fn judge(&mut self, server: EndpointId, outcome: Outcome, took: Micros, aim: Micros) {
         let now = self.now;
         let (jitter, scale) = (0.75 + 0.5 * self.rng.f64(), self.scale());
         let Some(s) = self.servers.get_mut(&server) else { return };
@@ -242,7 +242,7 @@
             self.servers.get_mut(&id).into_iter().for_each(|s| s.cold_room.level = 0.0);
         }
         let (now, reach) = (self.now, self.reach());
-        let own: Vec<ServerId> = self.own_part_first().take(reach).collect();
+        let own: Vec<EndpointId> = self.own_part_first().take(reach).collect();
         let (mut warm, mut present, mut all) = (0.0, 0.0, 0.0);
         for s in own.iter().map(|sid| &self.servers[sid]).filter(|s| now >= s.ejected_until) {
             all += s.weight;
@@ -250,7 +250,7 @@
             warm += if s.cold_since.is_none() { s.weight } else { 0.0 };
         }
         let base = if warm * 3.0 >= all { present } else { all };
-        let mut cold: Vec<ServerId> = own.into_iter().filter(|id| self.cold.contains(id)).collect();
+        let mut cold: Vec<EndpointId> = own.into_iter().filter(|id| self.cold.contains(id)).collect();
         // Draws in an order that does not depend on whose part it is.
         cold.sort_unstable();
         for id in cold {
--- a/src/decision/state.rs
+++ b/src/decision/state.rs
@@ -109,7 +109,7 @@
 
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Attempt {
-    pub(crate) server: ServerId,
+    pub(crate) server: EndpointId,
     pub(crate) sent: Micros,
     pub(crate) out: bool,
     /// It takes a place at its server: from the last byte of its body to the first of its answer.
@@ -132,7 +132,7 @@
     pub(crate) streaming: bool,
     pub(crate) done: bool,
     /// How it is routed: by the rules that were in force when it came.
-    pub(crate) route: Rc<Route>,
+    pub(crate) route: Rc<RouteRule>,
 }
 
 impl Request {
@@ -150,7 +150,7 @@
     pub(crate) label: LabelId,
     pub(crate) weight: f64,
     /// What the list says; `None`: nothing, it is on none any more.
-    pub(crate) listed: Option<Listed>,
+    pub(crate) listed: Option<EndpointStatus>,
     /// An operator took it out.
     pub(crate) maintained: bool,
     #[serde(skip)]
@@ -172,7 +172,7 @@
 impl Server {
     /// It takes new work, as far as the list and the operators say.
     pub(crate) fn in_service(&self) -> bool {
-        self.listed == Some(Listed::InService) && !self.maintained
+        self.listed == Some(EndpointStatus::InService) && !self.maintained
     }
 }
 
@@ -186,20 +186,20 @@
 
 /// While a gateway's process is replaced, two of them form it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Role {
+pub(crate) enum ProcessRole {
     /// The only one.
     #[default]
-    Alone,
+    Single,
     /// The one that is replaced: it ends what it has.
-    Elder,
+    Predecessor,
     /// The one that takes its place.
-    Younger,
+    Successor,
 }
 
 /// What the process that takes a gateway over must know to keep the rules.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub struct Estate {
-    pub(crate) servers: Vec<(ServerId, Server)>,
+pub struct HandoverState {
+    pub(crate) servers: Vec<(EndpointId, Server)>,
     pub(crate) customers: Vec<(CustomerId, Customer)>,
     pub(crate) breaker: Breaker,
     pub(crate) ask: f64,
--- a/src/proxy/admin/metrics.rs
+++ b/src/proxy/admin/metrics.rs
@@ -1,7 +1,7 @@
 //! What operators read of a gateway: plain counters, each raised where its event happens. Reading them looks
 //! at no request.
 
-use crate::decision::api::{ClassId, Outcome, RefusalReason};
+use crate::decision::api::{ClassId, Outcome, RejectionReason};
 use crate::proxy::control_plane::discovery::FailureKind;
 use std::cell::Cell;
 use std::fmt::Write;
@@ -148,7 +148,7 @@
     /// Why attempts were not written.
     pub unsent: Counts<Unsent>,
     /// Why the module refused or failed requests.
-    pub refusals: Counts<RefusalReason>,
+    pub refusals: Counts<RejectionReason>,
     /// Why clients' connections were closed.
     pub closes: Counts<Close>,
 }
@@ -278,7 +278,7 @@
         figures.discovery.listed(7, 41);
         figures.unsent.raise(Unsent::Drained);
         figures.outcomes.raise(Outcome::ConnectFailed);
-        figures.refusals.raise(RefusalReason::QuotaFull);
+        figures.refusals.raise(RejectionReason::QuotaKnownExhausted);
         figures.closes.raise(Close::Quiet);
         let text = figures.text(Fleet::default());
         for line in [
--- a/src/proxy/cluster_transport/ledger_request.rs
+++ b/src/proxy/cluster_transport/ledger_request.rs
@@ -27,8 +27,8 @@
 }
 
 /// Attempts of owners before this one, as the module is told of them.
-pub fn earlier(sent: Vec<(u64, Micros)>) -> Vec<Earlier> {
-    sent.into_iter().map(|(server, sent)| Earlier { server: ServerId(server), sent }).collect()
+pub fn earlier(sent: Vec<(u64, Micros)>) -> Vec<PriorAttempt> {
+    sent.into_iter().map(|(server, sent)| PriorAttempt { server: EndpointId(server), sent }).collect()
 }
 
 /// Takes a request through the ledger to its answer, by its deadline. `request`: it is left with its record's holders,
@@ -47,7 +47,7 @@
         let Some(mut work) = peers.claim(id, digest, request.clone()) else {
             return Ok(carried(front, arrival, forward(None)).await);
         };
-        let begin = |work: &Rc<Work>, earlier: Vec<Earlier>, counted: bool| {
+        let begin = |work: &Rc<Work>, earlier: Vec<PriorAttempt>, counted: bool| {
             let arrival = Arrival { counted, earlier, ..arrival.clone() };
             carried(front, arrival, forward(Some(work.clone())))
         };
--- a/src/proxy/control_plane/counter.rs
+++ b/src/proxy/control_plane/counter.rs
@@ -1,6 +1,6 @@
 //! The shared counter: calls over a few connections, each made once, their answers told in order.
 
-use crate::decision::api::{CountName, Micros, Outcome};
+use crate::decision::api::{CounterKey, Micros, Outcome};
 use crate::proxy::downstream::request_body::Sending;
 use crate::proxy::lifecycle::permits::Share;
 use crate::proxy::log_rate_limit::Sparing;
@@ -71,7 +71,7 @@
     }
 
     /// Makes one call. An unanswered one closes its connection, so that a late answer meets no later call.
-    pub async fn add(&self, name: CountName, amount: f64, life: Micros) -> Counted {
+    pub async fn add(&self, name: CounterKey, amount: f64, life: Micros) -> Counted {
         let wrote = Cell::new(false);
         match timeout(self.timeout, self.exchange(name, amount, life, &wrote)).await {
             Ok(counted) => counted,
@@ -80,7 +80,7 @@
         }
     }
 
-    async fn exchange(&self, name: CountName, amount: f64, life: Micros, wrote: &Cell<bool>) -> Counted {
+    async fn exchange(&self, name: CounterKey, amount: f64, life: Micros, wrote: &Cell<bool>) -> Counted {
         let _line = self.lines.take().await;
         loop {
             let (mut connection, reused) = match self.take() {
@@ -120,7 +120,7 @@
         None
     }
 
-    fn request(&self, name: CountName, amount: f64, life: Micros) -> Request<Sending> {
+    fn request(&self, name: CounterKey, amount: f64, life: Micros) -> Request<Sending> {
         let life_ms = (life.0 / 1000).max(1);
         let mut request = Request::new(Sending::empty());
         *request.method_mut() = Method::POST;
@@ -157,19 +157,19 @@
 #[derive(Default)]
 pub struct Order {
     serial: u64,
-    waiting: HashMap<CountName, VecDeque<(u64, Option<Counted>)>>,
+    waiting: HashMap<CounterKey, VecDeque<(u64, Option<Counted>)>>,
 }
 
 impl Order {
     /// Notes a call and gives the number by which its answer is told.
-    pub fn made(&mut self, name: CountName) -> u64 {
+    pub fn made(&mut self, name: CounterKey) -> u64 {
         self.serial += 1;
         self.waiting.entry(name).or_default().push_back((self.serial, None));
         self.serial
     }
 
     /// Takes an answer; returns those for its name whose turn has come.
-    pub fn answered(&mut self, name: CountName, serial: u64, counted: Counted) -> Vec<Counted> {
+    pub fn answered(&mut self, name: CounterKey, serial: u64, counted: Counted) -> Vec<Counted> {
         let Some(queue) = self.waiting.get_mut(&name) else { return Vec::new() };
         queue.iter_mut().filter(|call| call.0 == serial).for_each(|call| call.1 = Some(counted));
         let mut ready = Vec::new();
--- a/src/proxy/downstream/request_head.rs
+++ b/src/proxy/downstream/request_head.rs
@@ -47,9 +47,9 @@
             return Err(bad("X-Call-Id: expected an id\n"));
         }
         let (wanted, keyed) = match effect {
-            Effect::Safe => (Method::GET, false),
-            Effect::Keyed => (Method::POST, true),
-            Effect::Unsafe => (Method::POST, false),
+            Idempotency::Idempotent => (Method::GET, false),
+            Idempotency::WithKey => (Method::POST, true),
+            Idempotency::NotIdempotent => (Method::POST, false),
         };
         if *method != wanted {
             return Err(Malformed(StatusCode::METHOD_NOT_ALLOWED, "not this class's method\n"));
@@ -69,7 +69,7 @@
         };
         // No client waits longer than its class says.
         let budget = Micros(budget.saturating_mul(1000)).min(*longest);
-        let key = headers.get("idempotency-key").filter(|_| *effect != Effect::Safe);
+        let key = headers.get("idempotency-key").filter(|_| *effect != Idempotency::Idempotent);
         let key = key.map(|key| xxh3_64_with_seed(key.as_bytes(), class.0 as u64));
         Ok(Asked { arrival, budget, key })
     }
--- a/src/proxy/downstream/server.rs
+++ b/src/proxy/downstream/server.rs
@@ -61,7 +61,7 @@
     /// The budget for what is kept whole, and for buffers.
     pub memory: Rc<Memory>,
     /// The names of classes, with what they may do and the longest wait.
-    pub classes: HashMap<String, (ClassId, Effect, Micros)>,
+    pub classes: HashMap<String, (ClassId, Idempotency, Micros)>,
     /// The names of plans.
     pub plans: HashMap<String, PlanId>,
     /// How many gateways there are.
--- a/src/proxy/lifecycle/handover.rs
+++ b/src/proxy/lifecycle/handover.rs
@@ -4,7 +4,7 @@
 //! Lines of JSON go both ways over that one connection. Nothing here keeps a process from serving: a peer that
 //! is dead, silent or garbled costs a moment, and then the process goes on alone.
 
-use crate::decision::state::Estate;
+use crate::decision::state::HandoverState;
 use crate::proxy::control_plane::discovery::{MemberList, MOST_BACKENDS};
 use crate::proxy::downstream::accept::Accepting;
 use crate::proxy::lifecycle::drain::Duty;
@@ -49,7 +49,7 @@
     /// The list of backends as it last had it.
     pub members: MemberList,
     /// What the module must know.
-    pub estate: Estate,
+    pub estate: HandoverState,
 }
 
 /// What the two processes tell each other.
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -83,11 +83,11 @@
     memory: Rc<Memory>,
     counter: Option<Rc<Counter>>,
     order: Order,
-    backends: HashMap<ServerId, Rc<Backend>>,
+    backends: HashMap<EndpointId, Rc<Backend>>,
     /// The list of backends as it was last told.
-    listed: HashMap<ServerId, Member>,
+    listed: HashMap<EndpointId, Member>,
     /// When backends started: as told, in milliseconds of the wall clock, and on the own clock.
-    starts: HashMap<ServerId, (u64, Micros)>,
+    starts: HashMap<EndpointId, (u64, Micros)>,
     revision: u64,
     /// The way to the other process of this gateway, while there is one.
     other: Option<mpsc::Sender<Word>>,
@@ -101,7 +101,7 @@
     /// When the list known from before is taken for it.
     ready_at: Option<Instant>,
     /// The rollout that runs, and how it deals the customers out.
-    rolled: Option<(Key, Routing)>,
+    rolled: Option<(Key, RoutingRules)>,
     /// Where its ends are counted.
     arms: Rc<Arms>,
 }
@@ -159,7 +159,7 @@
         // Where shares are lent, this gateway's may be with others until it is known not to be.
         let part = fleet.map_or(0.0, |fleet| fleet.lend);
         if part > 0.0 {
-            driver.batch.push(Event::Lent(Lent { part, ..Lent::default() }));
+            driver.batch.push(Event::Lent(QuotaLease { part, ..QuotaLease::default() }));
         }
         // It may be old, but it is what there is until discovery speaks, which is waited for a little.
         if !known.members.is_empty() {
@@ -321,7 +321,7 @@
             Input::Passed(id, attempt, server, whole) => {
                 self.attempt_over(id, attempt);
                 let outcome = if whole { Outcome::Ok } else { Outcome::Reset };
-                self.ended(id, attempt, server, outcome, Micros(0), Report::default());
+                self.ended(id, attempt, server, outcome, Micros(0), LoadReport::default());
             }
         }
     }
@@ -330,7 +330,7 @@
     fn routing(&mut self, in_force: InForce) {
         let InForce { key, counts, old, new, share } = in_force;
         let own = self.site.settings.zone;
-        let mut routes = |rules: Vec<Rule>| -> Vec<Rc<Route>> {
+        let mut routes = |rules: Vec<Rule>| -> Vec<Rc<RouteRule>> {
             let here = rules.into_iter().filter_map(|rule| {
                 let zone = rule.zone.as_ref().map(|zone| self.site.zone(zone));
                 zone.is_none_or(|zone| zone == own).then_some(rule)
@@ -338,7 +338,7 @@
             here.collect::<Vec<_>>().into_iter().map(|rule| Rc::new(route(&mut self.site, rule))).collect()
         };
         let salt = key.map_or(0, |key| key.id);
-        let routing = Routing { old: routes(old.0), new: routes(new.0), share, salt };
+        let routing = RoutingRules { old: routes(old.0), new: routes(new.0), share, salt };
         self.rolled = key.filter(|_| counts).map(|key| (key, routing.clone()));
         self.batch.push(Event::Routing(routing));
     }
@@ -351,9 +351,9 @@
 }
 
 /// A rule in the module's terms.
-fn route(site: &mut Site, rule: Rule) -> Route {
+fn route(site: &mut Site, rule: Rule) -> RouteRule {
     let part = |percent: u16| f64::from(percent) / 100.0;
-    Route {
+    RouteRule {
         class: rule.class.and_then(|name| site.classes.get(&name).copied()).map(ClassId),
         plan: rule.plan.and_then(|name| site.plans.get(&name).copied()).map(PlanId),
         zones: rule.zones.iter().map(|(zone, weight)| (site.zone(zone), part(*weight))).collect(),
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -13,13 +13,13 @@
         &mut self,
         id: RequestId,
         attempt: usize,
-        server: ServerId,
+        server: EndpointId,
         outcome: Outcome,
         took: Micros,
-        report: Report,
+        report: LoadReport,
     ) {
         let ended = self.requests.get(&id).is_none_or(|open| open.reply.is_none());
-        let end = AttemptEnd { id, attempt, server, outcome, took, ended, settled: None, report };
+        let end = AttemptEnded { id, attempt, server, outcome, took, ended, settled: None, report };
         self.batch.push(Event::AttemptEnded(end));
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// Answers a request for which no backend did.
-    fn turn_back(&mut self, id: RequestId, answer: Answer, reason: RefusalReason) {
+    fn turn_back(&mut self, id: RequestId, answer: Answer, reason: RejectionReason) {
         let refused = matches!(answer, Answer::Refused(_));
         debug!(request = id.0, refused, ?reason, "answered without a backend");
         self.figures.refusals.raise(reason);
@@ -64,14 +64,14 @@
         }
     }
 
-    pub(super) fn send(&mut self, now: Micros, id: RequestId, server: ServerId, until: Micros) {
+    pub(super) fn send(&mut self, now: Micros, id: RequestId, server: EndpointId, until: Micros) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let attempt = open.attempts.len();
         let backend = self.backends.get(&server).filter(|_| open.reply.is_some()).cloned();
         let Some(backend) = backend else {
             // The client went, or the list changed, after the module was told last.
             open.attempts.push(Attempt { out: false, call_off: None });
-            return self.ended(id, attempt, server, Outcome::Moot, Micros(0), Report::default());
+            return self.ended(id, attempt, server, Outcome::Moot, Micros(0), LoadReport::default());
         };
         debug!(request = id.0, attempt, backend = %backend.address, "attempt begins");
         let (call_off, called_off) = oneshot::channel();
@@ -100,7 +100,7 @@
         });
     }
 
-    pub(super) fn count(&mut self, name: CountName, amount: f64, life: Micros) {
+    pub(super) fn count(&mut self, name: CounterKey, amount: f64, life: Micros) {
         let serial = self.order.made(name);
         let (counter, inbox) = (self.counter.clone(), self.inbox.clone());
         tokio::task::spawn_local(async move {
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -59,7 +59,7 @@
     }
 
     pub(super) fn members(&mut self, list: MemberList) {
-        let scope = if list.complete { ListScope::Whole } else { ListScope::Changes };
+        let scope = if list.complete { WatchScope::Complete } else { WatchScope::Incremental };
         if list.members.is_empty() && !list.complete {
             self.revision = list.revision;
             return;
@@ -78,9 +78,9 @@
         for member in list.members {
             let server = self.site.server(&member.id);
             let listed = match member.phase {
-                Phase::Ready => Listed::InService,
-                Phase::Draining => Listed::Draining,
-                Phase::Gone => Listed::Gone,
+                Phase::Ready => EndpointStatus::InService,
+                Phase::Draining => EndpointStatus::Draining,
+                Phase::Gone => EndpointStatus::Removed,
             };
             let before = self.listed.get(&server).map(|member| member.phase);
             if before != Some(member.phase) {
@@ -89,7 +89,7 @@
             let backend = Backend {
                 address: member.host_port,
                 up_since_ms: member.up_since_ms,
-                open: Cell::new(listed == Listed::InService),
+                open: Cell::new(listed == EndpointStatus::InService),
             };
             if let Some(old) = self.backends.get(&server) {
                 let same = old.address == backend.address && old.up_since_ms == backend.up_since_ms;
@@ -100,7 +100,7 @@
                     old.open.set(false);
                 }
             }
-            entries.push(ServerEntry {
+            entries.push(EndpointUpdate {
                 server,
                 zone: self.site.zone(&member.locality),
                 cell: CellId(member.cell),
@@ -109,7 +109,7 @@
                 started: self.start_of(server, member.up_since_ms),
                 label: self.site.label(&member.flavor),
             });
-            if listed == Listed::Gone {
+            if listed == EndpointStatus::Removed {
                 self.starts.remove(&server);
                 self.backends.remove(&server);
                 self.listed.remove(&server);
@@ -119,7 +119,7 @@
             }
         }
         if list.complete {
-            let told: HashSet<ServerId> = entries.iter().map(|e| e.server).collect();
+            let told: HashSet<EndpointId> = entries.iter().map(|e| e.server).collect();
             self.starts.retain(|server, _| told.contains(server));
             self.backends.retain(|server, backend| {
                 let stays = told.contains(server);
@@ -139,7 +139,7 @@
 
     /// When a backend started, on this gateway's clock: reckoned once for each start, so that a step of the wall clock makes
     /// no new one of it.
-    fn start_of(&mut self, server: ServerId, up_since_ms: u64) -> Option<Micros> {
+    fn start_of(&mut self, server: EndpointId, up_since_ms: u64) -> Option<Micros> {
         if up_since_ms == 0 {
             return None;
         }
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -76,15 +76,15 @@
     /// Calls to the counter go to this address from now on.
     Counter(SocketAddr),
     /// What the gateways know together of each other's shares.
-    Lent(Lent),
+    Lent(QuotaLease),
     /// Other rules of routing are in force.
     Routing(Box<InForce>),
     /// A call to the counter ended.
-    Counted(CountName, u64, Counted),
+    Counted(CounterKey, u64, Counted),
     /// An attempt ended: its request, number and backend, how, and how long it was out.
-    Ended(RequestId, usize, ServerId, Ended, Micros),
+    Ended(RequestId, usize, EndpointId, Ended, Micros),
     /// A long answer that had begun ended: its request, attempt and backend, and whether it was whole.
-    Passed(RequestId, usize, ServerId, bool),
+    Passed(RequestId, usize, EndpointId, bool),
 }
 
 /// Tells the driver from where nothing can wait.
--- a/src/proxy/upstream/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -1,6 +1,6 @@
 //! Attempts at backends: a pool of connections, and the outcome of each attempt by what was written.
 
-use crate::decision::api::{Outcome, Report};
+use crate::decision::api::{LoadReport, Outcome};
 use crate::proxy::admin::metrics::{Figures, Unsent};
 use crate::proxy::downstream::response_body::{Answered, Download};
 use crate::proxy::lifecycle::permits::Share;
@@ -56,14 +56,21 @@
     /// When the first bytes of a long answer came.
     pub begun_at: Option<Instant>,
     /// What the backend said of its load.
-    pub report: Report,
+    pub report: LoadReport,
     /// Why nothing was written, where the gateway itself kept it back.
     pub unsent: Option<Unsent>,
 }
 
 impl From<Outcome> for Ended {
     fn from(outcome: Outcome) -> Ended {
-        Ended { outcome, body: None, whole_at: None, begun_at: None, report: Report::default(), unsent: None }
+        Ended {
+            outcome,
+            body: None,
+            whole_at: None,
+            begun_at: None,
+            report: LoadReport::default(),
+            unsent: None,
+        }
     }
 }
 
@@ -339,8 +346,8 @@
 
 /// What a backend says of its load: `TEXT name=number, name=number`. What can't be read is passed over.
 /// Also tells whether all of it could be read.
-fn report_of(headers: &HeaderMap) -> (Report, bool) {
-    let mut report = Report::default();
+fn report_of(headers: &HeaderMap) -> (LoadReport, bool) {
+    let mut report = LoadReport::default();
     let Some(header) = headers.get(LOAD_REPORT) else { return (report, true) };
     let Some(text) = header.to_str().ok().and_then(|text| text.strip_prefix("TEXT ")) else {
         return (report, false);
@@ -371,7 +378,7 @@
     use super::*;
     use hyper::header::HeaderValue;
 
-    fn read(text: &str) -> (Report, bool) {
+    fn read(text: &str) -> (LoadReport, bool) {
         let mut headers = HeaderMap::new();
         headers.insert(LOAD_REPORT, HeaderValue::from_str(text).expect("a header"));
         report_of(&headers)
@@ -379,12 +386,12 @@
 
     #[test]
     fn a_load_report_is_read_as_far_as_it_makes_sense() {
-        let whole = Report { inflight: Some(7.0), queue: Some(2.0), busy: Some(0.61) };
+        let whole = LoadReport { inflight: Some(7.0), queue: Some(2.0), busy: Some(0.61) };
         assert_eq!(read("TEXT concurrent=7, depth=2, load_share=0.61, tps=3"), (whole, true));
-        let busy = Report { busy: Some(0.5), ..Report::default() };
+        let busy = LoadReport { busy: Some(0.5), ..LoadReport::default() };
         assert_eq!(read("TEXT concurrent=NaN,depth=-1, load_share=0.5"), (busy, false));
-        assert_eq!(read("TEXT concurrent=, =, ,load_share=0.5=,"), (Report::default(), false));
-        assert_eq!(read("BINARY concurrent=7"), (Report::default(), false));
-        assert_eq!(report_of(&HeaderMap::new()), (Report::default(), true), "none is none");
+        assert_eq!(read("TEXT concurrent=, =, ,load_share=0.5=,"), (LoadReport::default(), false));
+        assert_eq!(read("BINARY concurrent=7"), (LoadReport::default(), false));
+        assert_eq!(report_of(&HeaderMap::new()), (LoadReport::default(), true), "none is none");
     }
 }
--- a/src/simulator/wire.rs
+++ b/src/simulator/wire.rs
@@ -21,8 +21,8 @@
             _ => return self.fail("how", "one of 200 410 499 500 502 503 504 598"),
         })
     }
-    fn report(&self) -> Result<Report> {
-        let mut report = Report::default();
+    fn report(&self) -> Result<LoadReport> {
+        let mut report = LoadReport::default();
         for pair in self.pairs.get("report").into_iter().flat_map(|r| r.split(',')) {
             let value = pair.split_once(':').and_then(|(k, v)| Some((k, v.parse::<f64>().ok()?)));
             match value {
@@ -48,15 +48,15 @@
             .map_err(|e| FieldError(format!("{}: settings: {e}", f.place)))?;
         Ok(Instance { gateway, site })
     }
-    fn entry(&mut self, f: &Fields) -> Result<ServerEntry> {
-        Ok(ServerEntry {
+    fn entry(&mut self, f: &Fields) -> Result<EndpointUpdate> {
+        Ok(EndpointUpdate {
             server: self.site.server(f.text("backend")?),
             zone: self.site.zone(f.pairs.get("rack_zone").copied().unwrap_or("")),
             cell: CellId(f.whole_or("pod", 0)?),
             listed: match f.text("status")? {
-                "in_service" => Listed::InService,
-                "terminating" => Listed::Draining,
-                "terminated" => Listed::Gone,
+                "in_service" => EndpointStatus::InService,
+                "terminating" => EndpointStatus::Draining,
+                "terminated" => EndpointStatus::Removed,
                 _ => return f.fail("status", "in_service, terminating or terminated"),
             },
             weight: f.real_or("heft", 1.0)?,
@@ -103,9 +103,9 @@
             "TIMED_OUT_CLIENT" => Event::ClientGone(RequestId(f.whole("ref")?)),
             "PONG" => Event::Probed(self.site.server(f.text("backend")?), f.outcome()?, f.report()?),
             "COUNT_RESULT" => {
-                Event::Counted(CountName(f.whole("book")?), f.outcome()?, f.real_or("result_value", 0.0)?)
+                Event::Counted(CounterKey(f.whole("book")?), f.outcome()?, f.real_or("result_value", 0.0)?)
             }
-            "OUTCOME" => Event::AttemptEnded(AttemptEnd {
+            "OUTCOME" => Event::AttemptEnded(AttemptEnded {
                 id: RequestId(f.whole("ref")?),
                 attempt: f.whole_or("trial", 0)? as usize,
                 server: self.site.server(f.text("backend")?),
@@ -119,7 +119,7 @@
         }))
     }
     fn write(&self, action: &Action, out: &mut String) {
-        let name = |s: &ServerId| self.site.servers.get(s).map_or("", String::as_str);
+        let name = |s: &EndpointId| self.site.servers.get(s).map_or("", String::as_str);
         // Writing to a String cannot fail.
         let _ = match action {
             Action::Send(r, s, until) => {
@@ -142,8 +142,8 @@
 
 /// A list event whose entry lines are still coming.
 struct OpenList {
-    scope: ListScope,
-    entries: Vec<ServerEntry>,
+    scope: WatchScope,
+    entries: Vec<EndpointUpdate>,
     left: u64,
 }
 
@@ -205,9 +205,9 @@
             }
             "FLEET" => {
                 let scope = match f.text("scope")? {
-                    "incr" => ListScope::Changes,
-                    "total" | "warm_copy" => ListScope::Whole,
-                    "lost" => ListScope::Lost,
+                    "incr" => WatchScope::Incremental,
+                    "total" | "warm_copy" => WatchScope::Complete,
+                    "lost" => WatchScope::Failed,
                     _ => return f.fail("scope", "incr, total, warm_copy or lost"),
                 };
                 let left = f.whole_or("items", 0)?;
--- a/src/site_settings.rs
+++ b/src/site_settings.rs
@@ -90,7 +90,7 @@
     zones: HashMap<String, u32>,
     labels: HashMap<String, u32>,
     /// The servers seen, by the numbers that stand for their names.
-    pub(crate) servers: HashMap<ServerId, String>,
+    pub(crate) servers: HashMap<EndpointId, String>,
 }
 
 impl Site {
@@ -113,15 +113,15 @@
                 worth: f.real_or(&key("credit"), 1.0)?,
                 late_worth: f.real_or(&key("late_share"), 0.0)?,
                 effect: match f.pairs.get(key("effect").as_str()) {
-                    Some(&"pure") => Effect::Safe,
-                    Some(&"token") => Effect::Keyed,
-                    Some(&"side_effect") | None => Effect::Unsafe,
+                    Some(&"pure") => Idempotency::Idempotent,
+                    Some(&"token") => Idempotency::WithKey,
+                    Some(&"side_effect") | None => Idempotency::NotIdempotent,
                     Some(_) => return f.fail(&key("effect"), "pure, token or side_effect"),
                 },
                 group: match f.pairs.get(key("key_scope").as_str()) {
-                    Some(&"all") => Group::All,
-                    Some(&"zone") => Group::Zone,
-                    Some(&"cell") | None => Group::Cell,
+                    Some(&"all") => DeduplicationScope::All,
+                    Some(&"zone") => DeduplicationScope::Zone,
+                    Some(&"cell") | None => DeduplicationScope::Cell,
                     Some(_) => return f.fail(&key("key_scope"), "all, zone or cell"),
                 },
                 window: f.micros_or(&key("window"), 0)?,
@@ -178,23 +178,23 @@
         Ok(Site { settings, classes, plans, zones, labels: HashMap::new(), servers: HashMap::new() })
     }
     /// The number of a server's name.
-    pub(crate) fn server(&mut self, name: &str) -> ServerId {
+    pub(crate) fn server(&mut self, name: &str) -> EndpointId {
         let id = self.place(name);
         self.servers.entry(id).or_insert_with(|| name.to_string());
         id
     }
     /// The number of a server's name, if it was ever seen.
-    pub(crate) fn seen(&self, name: &str) -> Option<ServerId> {
+    pub(crate) fn seen(&self, name: &str) -> Option<EndpointId> {
         Some(self.place(name)).filter(|id| self.servers.contains_key(id))
     }
-    fn place(&self, name: &str) -> ServerId {
+    fn place(&self, name: &str) -> EndpointId {
         // The FNV-1a hash: the same number at every gateway; the next free one on a clash.
         let hash = name
             .bytes()
             .fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3));
-        let mut id = ServerId(hash);
+        let mut id = EndpointId(hash);
         while self.servers.get(&id).is_some_and(|known| known != name) {
-            id = ServerId(id.0.wrapping_add(1));
+            id = EndpointId(id.0.wrapping_add(1));
         }
         id
     }
@@ -212,7 +212,7 @@
 }
 
 /// Puts a value of a load report in its place; those that say nothing here are passed over.
-pub(crate) fn note(report: &mut Report, name: &str, value: f64) {
+pub(crate) fn note(report: &mut LoadReport, name: &str, value: f64) {
     let place = match name {
         "concurrent" => &mut report.inflight,
         "depth" => &mut report.queue,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,7 +7,7 @@
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
 
-pub fn class(effect: Effect, group: Group) -> Class {
+pub fn class(effect: Idempotency, group: DeduplicationScope) -> Class {
     Class {
         aim: Micros(800 * MS),
         deadline: Micros(3 * S),
@@ -41,10 +41,10 @@
     Settings {
         gateways: 2,
         classes: vec![
-            class(Effect::Safe, Group::All),
-            class(Effect::Keyed, Group::Cell),
-            class(Effect::Unsafe, Group::All),
-            class(Effect::Keyed, Group::All),
+            class(Idempotency::Idempotent, DeduplicationScope::All),
+            class(Idempotency::WithKey, DeduplicationScope::Cell),
+            class(Idempotency::NotIdempotent, DeduplicationScope::All),
+            class(Idempotency::WithKey, DeduplicationScope::All),
         ],
         plans: vec![plan(10.0, 20.0), ceiling, Plan { open: 2.0, ..plan(0.0, 0.0) }, plan(0.0, 0.0)],
         max_attempts: 4,
@@ -79,8 +79,8 @@
     pub fn seeded(seed: u64, settings: Settings, servers: u32) -> Rig {
         let gateway = Gateway::new(seed, settings).expect("sound settings");
         let mut rig = Rig { gateway, now: 1_000 * S, done: Vec::new(), next: 1, timers: Vec::new() };
-        let entries = (0..servers).map(|i| entry(i, Listed::InService, None)).collect();
-        rig.tell(Event::Servers(ListScope::Whole, entries));
+        let entries = (0..servers).map(|i| entry(i, EndpointStatus::InService, None)).collect();
+        rig.tell(Event::Servers(WatchScope::Complete, entries));
         rig
     }
     /// Tells one event and returns what it led to.
@@ -133,7 +133,7 @@
         (id, self.tell(Event::Request(arrival)))
     }
     /// A request without quota, sent on at once; returns where it went.
-    pub fn sent(&mut self, class: usize) -> (RequestId, ServerId) {
+    pub fn sent(&mut self, class: usize) -> (RequestId, EndpointId) {
         let (id, out) = self.request(class, 3, 1, 1.0);
         (id, sends(&out).first().expect("it is sent on").1)
     }
@@ -141,19 +141,19 @@
         &mut self,
         id: RequestId,
         attempt: usize,
-        server: ServerId,
+        server: EndpointId,
         outcome: Outcome,
     ) -> Vec<Action> {
         let (took, ended) = (Micros(50 * MS), outcome == Outcome::Ok);
-        let report = Report::default();
-        let end = AttemptEnd { id, attempt, server, outcome, took, ended, settled: None, report };
+        let report = LoadReport::default();
+        let end = AttemptEnded { id, attempt, server, outcome, took, ended, settled: None, report };
         self.tell(Event::AttemptEnded(end))
     }
 }
 
-pub fn entry(i: u32, listed: Listed, started: Option<u64>) -> ServerEntry {
-    ServerEntry {
-        server: ServerId(u64::from(i)),
+pub fn entry(i: u32, listed: EndpointStatus, started: Option<u64>) -> EndpointUpdate {
+    EndpointUpdate {
+        server: EndpointId(u64::from(i)),
         zone: ZoneId(0),
         cell: CellId(u64::from(i) / 2),
         listed,
@@ -163,14 +163,14 @@
     }
 }
 
-pub fn counts(out: &[Action]) -> Vec<(CountName, f64)> {
+pub fn counts(out: &[Action]) -> Vec<(CounterKey, f64)> {
     out.iter().filter_map(|a| if let Action::Count(n, x, _) = a { Some((*n, *x)) } else { None }).collect()
 }
 /// The count calls that add or take off.
-pub fn adds(out: &[Action]) -> Vec<(CountName, f64)> {
+pub fn adds(out: &[Action]) -> Vec<(CounterKey, f64)> {
     counts(out).into_iter().filter(|(_, x)| *x != 0.0).collect()
 }
-pub fn sends(out: &[Action]) -> Vec<(RequestId, ServerId)> {
+pub fn sends(out: &[Action]) -> Vec<(RequestId, EndpointId)> {
     out.iter().filter_map(|a| if let Action::Send(r, s, _) = a { Some((*r, *s)) } else { None }).collect()
 }
 pub fn refused(out: &[Action], id: RequestId) -> bool {
--- a/tests/counter.rs
+++ b/tests/counter.rs
@@ -2,7 +2,7 @@
 #[path = "sockets/world/mod.rs"]
 mod world;
 
-use quota_gateway::decision::api::{CountName, Micros, Outcome};
+use quota_gateway::decision::api::{CounterKey, Micros, Outcome};
 use quota_gateway::proxy::control_plane::counter::{Counted, Counter, Order};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const TIMEOUT: Duration = Duration::from_millis(80);
 
 async fn add(counter: &Counter, name: u64) -> Counted {
-    counter.add(CountName(name), -2.5, Micros(4_000_000)).await
+    counter.add(CounterKey(name), -2.5, Micros(4_000_000)).await
 }
 
 #[test]
@@ -78,7 +78,7 @@
 fn answers_for_one_name_come_in_the_order_of_their_calls() {
     let told = |total| Counted { outcome: Outcome::Ok, total };
     let mut order = Order::default();
-    let (a, b) = (CountName(1), CountName(2));
+    let (a, b) = (CounterKey(1), CounterKey(2));
     let (first, second, other) = (order.made(a), order.made(a), order.made(b));
     assert_eq!(order.answered(a, second, told(2.0)), []);
     assert_eq!(order.answered(b, other, told(9.0)), [told(9.0)], "other names do not wait");
--- a/tests/decision_fixtures/module.rs
+++ b/tests/decision_fixtures/module.rs
@@ -79,14 +79,14 @@
         worth: c.credit,
         late_worth: c.late_share,
         effect: match c.effect {
-            "pure" => Effect::Safe,
-            "token" => Effect::Keyed,
-            _ => Effect::Unsafe,
+            "pure" => Idempotency::Idempotent,
+            "token" => Idempotency::WithKey,
+            _ => Idempotency::NotIdempotent,
         },
         group: match c.key_scope {
-            "all" => Group::All,
-            "zone" => Group::Zone,
-            _ => Group::Cell,
+            "all" => DeduplicationScope::All,
+            "zone" => DeduplicationScope::Zone,
+            _ => DeduplicationScope::Cell,
         },
         window: Micros(c.window),
         stream: c.streaming,
@@ -134,15 +134,17 @@
     match stimulus {
         Stimulus::Endpoints { scope, endpoints } => {
             let scope = match scope {
-                Scope::Incremental => ListScope::Changes,
-                Scope::Complete => ListScope::Whole,
-                Scope::Failed => ListScope::Lost,
+                Scope::Incremental => WatchScope::Incremental,
+                Scope::Complete => WatchScope::Complete,
+                Scope::Failed => WatchScope::Failed,
             };
             Event::Servers(scope, endpoints.iter().map(entry_of).collect())
         }
         Stimulus::Arrival(a) => {
-            let prior =
-                |&(endpoint, sent): &(u64, u64)| Earlier { server: ServerId(endpoint), sent: Micros(sent) };
+            let prior = |&(endpoint, sent): &(u64, u64)| PriorAttempt {
+                server: EndpointId(endpoint),
+                sent: Micros(sent),
+            };
             Event::Request(Arrival {
                 id: RequestId(a.request),
                 class: ClassId(a.class),
@@ -168,31 +170,31 @@
         }
         Stimulus::ClientDisconnected { request } => Event::ClientGone(RequestId(request)),
         Stimulus::Pong { endpoint, how, load } => {
-            Event::Probed(ServerId(endpoint), outcome_of(how), report_of(&load))
+            Event::Probed(EndpointId(endpoint), outcome_of(how), report_of(&load))
         }
         Stimulus::CounterReplied { key, how, total } => {
-            Event::Counted(CountName(key), outcome_of(how), total)
+            Event::Counted(CounterKey(key), outcome_of(how), total)
         }
         Stimulus::AttemptEnded(end) => Event::AttemptEnded(attempt_of(&end)),
-        Stimulus::Maintenance { endpoint, active } => Event::Maintenance(ServerId(endpoint), active),
+        Stimulus::Maintenance { endpoint, active } => Event::Maintenance(EndpointId(endpoint), active),
         Stimulus::PeerProcessExited => Event::Alone,
         Stimulus::QuotaLease { fraction, until, absent } => {
-            Event::Lent(Lent { part: fraction, until: Micros(until), away: absent })
+            Event::Lent(QuotaLease { part: fraction, until: Micros(until), away: absent })
         }
         Stimulus::Routing { variant, share } => Event::Routing(routing_of(variant, share)),
         Stimulus::Start | Stimulus::Stop | Stimulus::HandOver { .. } => unreachable!("no event of a gateway"),
     }
 }
 
-fn entry_of(line: &EndpointLine) -> ServerEntry {
-    ServerEntry {
-        server: ServerId(line.endpoint),
+fn entry_of(line: &EndpointLine) -> EndpointUpdate {
+    EndpointUpdate {
+        server: EndpointId(line.endpoint),
         zone: ZoneId(line.zone),
         cell: CellId(line.cell),
         listed: match line.status {
-            Status::InService => Listed::InService,
-            Status::Draining => Listed::Draining,
-            Status::Removed => Listed::Gone,
+            Status::InService => EndpointStatus::InService,
+            Status::Draining => EndpointStatus::Draining,
+            Status::Removed => EndpointStatus::Removed,
         },
         weight: line.weight,
         started: Some(Micros(line.started)).filter(|s| s.0 > 0),
@@ -200,11 +202,11 @@
     }
 }
 
-fn attempt_of(end: &AttemptLine) -> AttemptEnd {
-    AttemptEnd {
+fn attempt_of(end: &AttemptLine) -> AttemptEnded {
+    AttemptEnded {
         id: RequestId(end.request),
         attempt: end.attempt,
-        server: ServerId(end.endpoint),
+        server: EndpointId(end.endpoint),
         outcome: outcome_of(end.how),
         took: Micros(end.elapsed),
         ended: end.final_answer,
@@ -226,32 +228,32 @@
     }
 }
 
-fn report_of(load: &LoadLine) -> Report {
-    Report { inflight: load.in_flight, queue: load.queued, busy: load.busy }
+fn report_of(load: &LoadLine) -> LoadReport {
+    LoadReport { inflight: load.in_flight, queue: load.queued, busy: load.busy }
 }
 
 /// Rules of routing: none, by zone and label, or with bounds on attempts, time and cold endpoints.
-fn routing_of(variant: usize, share: u16) -> Routing {
-    let by_zone = Rc::new(Route {
+fn routing_of(variant: usize, share: u16) -> RoutingRules {
+    let by_zone = Rc::new(RouteRule {
         class: Some(ClassId(0)),
         zones: vec![(ZoneId(0), 0.5), (ZoneId(2), 3.0)],
         labels: vec![(LabelId(1), 0.25)],
-        ..Route::default()
+        ..RouteRule::default()
     });
-    let bounded = Rc::new(Route {
+    let bounded = Rc::new(RouteRule {
         plan: Some(PlanId(3)),
         attempts: Some(2),
         give_up: Some(0.4),
         cold: Some(0.5),
-        ..Route::default()
+        ..RouteRule::default()
     });
-    let rest = Rc::new(Route { attempts: Some(9), cold: Some(0.25), ..Route::default() });
+    let rest = Rc::new(RouteRule { attempts: Some(9), cold: Some(0.25), ..RouteRule::default() });
     let (old, new) = match variant {
         0 => (Vec::new(), Vec::new()),
         1 => (vec![by_zone.clone()], vec![bounded, rest]),
         _ => (vec![bounded, by_zone], vec![rest]),
     };
-    Routing { old, new, share, salt: 17 }
+    RoutingRules { old, new, share, salt: 17 }
 }
 
 fn response_of(action: &Action) -> Response {
@@ -290,7 +292,7 @@
 }
 
 /// The key of a reason in logs and figures.
-fn key_of(reason: RefusalReason) -> &'static str {
+fn key_of(reason: RejectionReason) -> &'static str {
     reason.into()
 }
 
@@ -316,7 +318,7 @@
 fn write_views(trace: &mut String, gateways: &BTreeMap<u32, Gateway>, now: u64) {
     for (number, gateway) in gateways {
         let (known, avoided) = gateway.fleet(Micros(now));
-        let maintained: Vec<u64> = (0..40).filter(|e| gateway.is_out(ServerId(*e))).collect();
+        let maintained: Vec<u64> = (0..40).filter(|e| gateway.is_out(EndpointId(*e))).collect();
         let _ = writeln!(trace, "{number} knows {known} avoids {avoided} maintains {maintained:?}");
     }
     let canary = |c: &u64| has_new(&routing_of(1, 5_000), CustomerId(*c));
--- a/tests/earlier.rs
+++ b/tests/earlier.rs
@@ -7,8 +7,10 @@
 fn taken_over(rig: &mut Rig, class: usize, earlier: &[(u64, u64)]) -> (RequestId, Vec<Action>) {
     let id = RequestId(1_000_000 + rig.next);
     rig.next += 1;
-    let sent =
-        |&(server, ago): &(u64, u64)| Earlier { server: ServerId(server), sent: Micros(rig.now - ago) };
+    let sent = |&(server, ago): &(u64, u64)| PriorAttempt {
+        server: EndpointId(server),
+        sent: Micros(rig.now - ago),
+    };
     let arrival = Arrival {
         id,
         class: ClassId(class),
@@ -73,13 +75,13 @@
             continue;
         }
         match of.effect {
-            Effect::Safe => {}
-            Effect::Unsafe => assert!(sent.is_empty() && !refused(&rig.done, id), "{what}"),
-            Effect::Keyed => {
+            Idempotency::Idempotent => {}
+            Idempotency::NotIdempotent => assert!(sent.is_empty() && !refused(&rig.done, id), "{what}"),
+            Idempotency::WithKey => {
                 assert!(sent.is_empty() || oldest < of.window.0, "{what}");
                 let same_cell = sent.iter().all(|(_, to)| earlier.iter().all(|(by, _)| by / 2 == to.0 / 2));
-                assert!(of.group == Group::All || same_cell, "{what}");
-                assert!(of.group == Group::All || !refused(&rig.done, id), "{what}");
+                assert!(of.group == DeduplicationScope::All || same_cell, "{what}");
+                assert!(of.group == DeduplicationScope::All || !refused(&rig.done, id), "{what}");
             }
         }
     }
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -124,12 +124,12 @@
     }
     fn ended(&mut self, gateway: usize, id: RequestId, server: usize, outcome: Outcome, took: u64) {
         let held = self.machines[server].busy + self.machines[server].waiting.len();
-        let report = Report { inflight: Some(held as f64), ..Report::default() };
+        let report = LoadReport { inflight: Some(held as f64), ..LoadReport::default() };
         let attempt = self.attempts.get(&(gateway, id)).map_or(0, |n| n - 1);
         let ended = outcome == Outcome::Ok;
-        let server = ServerId(server as u64);
+        let server = EndpointId(server as u64);
         let end =
-            AttemptEnd { id, attempt, server, outcome, took: Micros(took), ended, settled: None, report };
+            AttemptEnded { id, attempt, server, outcome, took: Micros(took), ended, settled: None, report };
         self.tell(gateway, Event::AttemptEnded(end));
     }
     /// The part of the requests that is answered within the aim.
--- a/tests/lent.rs
+++ b/tests/lent.rs
@@ -13,8 +13,8 @@
         deadline: Micros(4_000_000),
         worth: 1.0,
         late_worth: 0.5,
-        effect: Effect::Safe,
-        group: Group::All,
+        effect: Idempotency::Idempotent,
+        group: DeduplicationScope::All,
         window: Micros(0),
         stream: false,
     };
@@ -43,17 +43,17 @@
         ..Settings::default()
     };
     let mut new = Gateway::new(u64::from(me), set).expect("sound settings");
-    let entry = |n| ServerEntry {
-        server: ServerId(n),
+    let entry = |n| EndpointUpdate {
+        server: EndpointId(n),
         zone: ZoneId(0),
         cell: CellId(0),
-        listed: Listed::InService,
+        listed: EndpointStatus::InService,
         weight: 1.0,
         started: None,
         label: LabelId::default(),
     };
     let servers = (0..20).map(entry).collect();
-    new.handle(SECOND, Event::Servers(ListScope::Whole, servers), &mut Vec::new());
+    new.handle(SECOND, Event::Servers(WatchScope::Complete, servers), &mut Vec::new());
     new
 }
 
@@ -75,7 +75,7 @@
                     Action::Count(name, ..) => events.push(Event::Counted(name, Outcome::Full, 0.0)),
                     Action::Send(id, server, _) => {
                         sent += 1.0;
-                        events.push(Event::AttemptEnded(AttemptEnd {
+                        events.push(Event::AttemptEnded(AttemptEnded {
                             id,
                             attempt: 0,
                             server,
@@ -83,7 +83,7 @@
                             took: Micros(1_000),
                             ended: true,
                             settled: None,
-                            report: Report::default(),
+                            report: LoadReport::default(),
                         }));
                     }
                     _ => {}
@@ -95,7 +95,7 @@
 }
 
 /// What all gateways send on in 40 s, a minute after the outage began, in parts of the quota.
-fn parts(lent: impl Fn(u32) -> Option<Lent>, who: &[u32], spread: u32) -> f64 {
+fn parts(lent: impl Fn(u32) -> Option<QuotaLease>, who: &[u32], spread: u32) -> f64 {
     let mut sum = 0.0;
     for &me in who {
         let (mut gateway, mut serial) = (gateway(me), 0);
@@ -112,8 +112,8 @@
 
 #[test]
 fn the_living_use_what_the_dead_lend_and_all_together_never_more_than_the_quota() {
-    let whole = |away: &[u32]| Lent { part: 1.0, until: Micros(u64::MAX), away: away.to_vec() };
-    let alone = || Lent { part: 1.0, ..Lent::default() };
+    let whole = |away: &[u32]| QuotaLease { part: 1.0, until: Micros(u64::MAX), away: away.to_vec() };
+    let alone = || QuotaLease { part: 1.0, ..QuotaLease::default() };
     let near = |found: f64, wanted: f64| assert!((found - wanted).abs() < 0.03, "{found}, not {wanted}");
     // One of four is dead: fixed shares leave a quarter of the quota unused, of which half can be lent, as the
     // other half of a share goes by what each was seen to carry.
@@ -124,6 +124,6 @@
     // A customer that does not come through the dead one has nothing to be lent.
     near(parts(|_| Some(whole(&[3])), &[0, 1], 2), 1.0);
     // A share that ran out is not used on.
-    let over = |_| Some(Lent { part: 1.0, until: Micros(30_000_000), away: vec![3] });
+    let over = |_| Some(QuotaLease { part: 1.0, until: Micros(30_000_000), away: vec![3] });
     near(parts(over, &[0, 1, 2], 4), 0.375);
 }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-fn random_route(rng: &mut fastrand::Rng) -> Rc<Route> {
+fn random_route(rng: &mut fastrand::Rng) -> Rc<RouteRule> {
     let mut weights = |most: u32| -> Vec<(u32, f64)> {
         (0..rng.u32(0..most)).map(|n| (n, [0.05, 0.5, 1.0, 4.0][rng.usize(0..4)])).collect()
     };
     let (zones, labels) = (weights(3), weights(3));
-    Rc::new(Route {
+    Rc::new(RouteRule {
         class: rng.bool().then(|| ClassId(rng.usize(0..4))),
         plan: rng.bool().then(|| PlanId(rng.usize(0..4))),
         zones: zones.into_iter().map(|(n, w)| (ZoneId(n), w)).collect(),
@@ -22,15 +22,15 @@
     })
 }
 
-fn routes(rng: &mut fastrand::Rng) -> Vec<Rc<Route>> {
+fn routes(rng: &mut fastrand::Rng) -> Vec<Rc<RouteRule>> {
     (0..rng.usize(1..5)).map(|_| random_route(rng)).collect()
 }
 
 /// A life of a gateway: requests, ends, news of servers, time. Returns all that it did, and what it sent by request.
-fn life(seed: u64, routing: Option<Routing>) -> (Vec<Action>, BTreeMap<RequestId, usize>) {
+fn life(seed: u64, routing: Option<RoutingRules>) -> (Vec<Action>, BTreeMap<RequestId, usize>) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut rig = Rig::seeded(seed, settings(), 0);
-    let mut listed: BTreeMap<u32, (Listed, u64)> = BTreeMap::new();
+    let mut listed: BTreeMap<u32, (EndpointStatus, u64)> = BTreeMap::new();
     routing.into_iter().for_each(|routing| drop(rig.tell(Event::Routing(routing))));
     let (mut out, mut tries) = (Vec::new(), BTreeMap::new());
     for _ in 0..300 {
@@ -38,17 +38,21 @@
         match rng.usize(0..10) {
             0 => {
                 let i = rng.u32(0..8);
-                let state =
-                    [Listed::InService, Listed::InService, Listed::Draining, Listed::Gone][rng.usize(0..4)];
+                let state = [
+                    EndpointStatus::InService,
+                    EndpointStatus::InService,
+                    EndpointStatus::Draining,
+                    EndpointStatus::Removed,
+                ][rng.usize(0..4)];
                 let started = rng.bool().then_some(rig.now);
                 let mut line = entry(i, state, started);
                 (line.zone, line.label) = (ZoneId(i % 3), LabelId(i % 2));
                 listed.insert(i, (state, rig.now));
-                rig.tell(Event::Servers(ListScope::Changes, vec![line]));
+                rig.tell(Event::Servers(WatchScope::Incremental, vec![line]));
             }
             1..=4 => drop(rig.request(rng.usize(0..4), 3, rng.u64(0..40), 1.0)),
             5..=7 if !out.is_empty() => {
-                let (id, attempt, server): (RequestId, usize, ServerId) =
+                let (id, attempt, server): (RequestId, usize, EndpointId) =
                     out.swap_remove(rng.usize(0..out.len()));
                 let outcome = [Outcome::Ok, Outcome::Error, Outcome::Full, Outcome::Timeout][rng.usize(0..4)];
                 rig.ended(id, attempt, server, outcome);
@@ -57,7 +61,7 @@
         }
         for (id, server) in sends(&rig.done[before..]) {
             let state = listed.get(&(server.0 as u32)).map(|(state, _)| *state);
-            assert_eq!(state, Some(Listed::InService), "seed {seed}: sent to what takes no work");
+            assert_eq!(state, Some(EndpointStatus::InService), "seed {seed}: sent to what takes no work");
             let nth = tries.entry(id).or_insert(0);
             out.push((id, *nth, server));
             *nth += 1;
@@ -70,7 +74,7 @@
 fn rules_that_nobody_has_change_nothing() {
     for seed in 0..60 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let unused = Routing { new: routes(&mut rng), share: 0, salt: seed, ..Routing::default() };
+        let unused = RoutingRules { new: routes(&mut rng), share: 0, salt: seed, ..RoutingRules::default() };
         assert_eq!(life(seed, None).0, life(seed, Some(unused)).0, "seed {seed}");
     }
 }
@@ -81,7 +85,7 @@
     for seed in 0..120 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (old, new) = (routes(&mut rng), routes(&mut rng));
-        let routing = Routing { old, new, share: rng.u16(0..=10_000), salt: seed };
+        let routing = RoutingRules { old, new, share: rng.u16(0..=10_000), salt: seed };
         let (plain, _) = life(seed, None);
         let (done, tries) = life(seed, Some(routing));
         assert!(tries.values().all(|n| *n <= settings().max_attempts), "seed {seed}: {tries:?}");
@@ -95,13 +99,13 @@
 fn a_rule_weighs_by_label_and_bounds_attempts() {
     let mut rig = Rig::new(settings(), 0);
     let lines = (0..8).map(|i| {
-        let mut line = entry(i, Listed::InService, None);
+        let mut line = entry(i, EndpointStatus::InService, None);
         line.label = LabelId(i % 2);
         line
     });
-    rig.tell(Event::Servers(ListScope::Whole, lines.collect()));
-    let route = Route { labels: vec![(LabelId(1), 0.05)], attempts: Some(1), ..Route::default() };
-    rig.tell(Event::Routing(Routing { old: vec![Rc::new(route)], ..Routing::default() }));
+    rig.tell(Event::Servers(WatchScope::Complete, lines.collect()));
+    let route = RouteRule { labels: vec![(LabelId(1), 0.05)], attempts: Some(1), ..RouteRule::default() };
+    rig.tell(Event::Routing(RoutingRules { old: vec![Rc::new(route)], ..RoutingRules::default() }));
     for _ in 0..40 {
         let (id, server) = rig.sent(0);
         assert_eq!(server.0 % 2, 0, "the other label weighs a twentieth");
@@ -112,8 +116,8 @@
 
 #[test]
 fn customers_are_dealt_out_alike_everywhere_and_stay_as_the_share_grows() {
-    let part = |salt: u64, share: u16| Routing { share, salt, ..Routing::default() };
-    let dealt = |routing: &Routing| -> Vec<bool> {
+    let part = |salt: u64, share: u16| RoutingRules { share, salt, ..RoutingRules::default() };
+    let dealt = |routing: &RoutingRules| -> Vec<bool> {
         (0..20_000).map(|customer| has_new(routing, CustomerId(customer))).collect()
     };
     let mut firsts = vec![0; 20_000];
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -103,17 +103,17 @@
 
 #[test]
 fn nothing_goes_to_a_server_that_drains_or_is_gone() {
-    for listed in [Listed::Draining, Listed::Gone] {
+    for listed in [EndpointStatus::Draining, EndpointStatus::Removed] {
         let mut rig = Rig::new(settings(), 2);
-        rig.tell(Event::Servers(ListScope::Changes, vec![entry(0, listed, None)]));
+        rig.tell(Event::Servers(WatchScope::Incremental, vec![entry(0, listed, None)]));
         for _ in 0..50 {
             let (_, server) = rig.sent(0);
-            assert_eq!(server, ServerId(1));
+            assert_eq!(server, EndpointId(1));
             rig.ended(RequestId(rig.next - 1), 0, server, Outcome::Ok);
         }
-        rig.tell(Event::Servers(ListScope::Whole, vec![entry(0, Listed::InService, None)]));
+        rig.tell(Event::Servers(WatchScope::Complete, vec![entry(0, EndpointStatus::InService, None)]));
         for _ in 0..2 {
-            assert_eq!(rig.sent(0).1, ServerId(0), "a server missing from a whole list is gone");
+            assert_eq!(rig.sent(0).1, EndpointId(0), "a server missing from a whole list is gone");
         }
     }
 }
@@ -121,7 +121,7 @@
 #[test]
 fn all_draining_means_refusal_in_time() {
     let mut rig = Rig::new(settings(), 1);
-    rig.tell(Event::Servers(ListScope::Changes, vec![entry(0, Listed::Draining, None)]));
+    rig.tell(Event::Servers(WatchScope::Incremental, vec![entry(0, EndpointStatus::Draining, None)]));
     let (id, out) = rig.request(0, 3, 1, 1.0);
     assert!(sends(&out).is_empty());
     rig.pass(3 * S);
@@ -147,7 +147,10 @@
     let mut rig = Rig::new(settings(), 4);
     flow(&mut rig);
     let (now, cold) = (rig.now, 3);
-    rig.tell(Event::Servers(ListScope::Changes, vec![entry(cold, Listed::InService, Some(now))]));
+    rig.tell(Event::Servers(
+        WatchScope::Incremental,
+        vec![entry(cold, EndpointStatus::InService, Some(now))],
+    ));
     let got = flow(&mut rig);
     let warm = got[..3].iter().sum::<u32>() / 3;
     // From a fifth to three fifths of its capacity over these seconds.
@@ -162,12 +165,12 @@
         rig.pass(10 * MS);
         let (id, server) = rig.sent(0);
         let up = rig.now > 1_010 * S;
-        let outcome = if server == ServerId(0) && !up { Outcome::ConnectFailed } else { Outcome::Ok };
+        let outcome = if server == EndpointId(0) && !up { Outcome::ConnectFailed } else { Outcome::Ok };
         let out = rig.ended(id, 0, server, outcome);
         for (id, server) in sends(&out) {
             rig.ended(id, 1, server, Outcome::Ok);
         }
-        if up && server == ServerId(0) {
+        if up && server == EndpointId(0) {
             break;
         }
     }
@@ -274,7 +277,7 @@
         let (id, out) = rig.request(0, 3, 1, 1.0);
         let sent = sends(&out);
         sent.iter().for_each(|(_, server)| drop(rig.ended(id, 0, *server, Outcome::Ok)));
-        sent.iter().any(|(_, server)| *server == ServerId(3))
+        sent.iter().any(|(_, server)| *server == EndpointId(3))
     };
     let mut rigs: Vec<Rig> = (0..gateways)
         .map(|me| {
@@ -284,7 +287,10 @@
                 step(&mut rig);
             }
             let now = rig.now;
-            rig.tell(Event::Servers(ListScope::Changes, vec![entry(3, Listed::InService, Some(now))]));
+            rig.tell(Event::Servers(
+                WatchScope::Incremental,
+                vec![entry(3, EndpointStatus::InService, Some(now))],
+            ));
             rig
         })
         .collect();
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -61,9 +61,17 @@
             refusals += u32::from(refused(&out, id));
             for (_, server) in sends(&out) {
                 rig.pass(took);
-                let (outcome, report, took) = (Outcome::Ok, Report::default(), Micros(took));
-                let end =
-                    AttemptEnd { id, attempt: 0, server, outcome, took, ended: true, settled: None, report };
+                let (outcome, report, took) = (Outcome::Ok, LoadReport::default(), Micros(took));
+                let end = AttemptEnded {
+                    id,
+                    attempt: 0,
+                    server,
+                    outcome,
+                    took,
+                    ended: true,
+                    settled: None,
+                    report,
+                };
                 rig.tell(Event::AttemptEnded(end));
             }
         }
@@ -87,9 +95,9 @@
         refusals += u32::from(refused(&out, id));
         for (_, server) in sends(&out) {
             rig.pass(took);
-            let (outcome, report, took) = (Outcome::Ok, Report::default(), Micros(took));
+            let (outcome, report, took) = (Outcome::Ok, LoadReport::default(), Micros(took));
             let end =
-                AttemptEnd { id, attempt: 0, server, outcome, took, ended: true, settled: None, report };
+                AttemptEnded { id, attempt: 0, server, outcome, took, ended: true, settled: None, report };
             rig.tell(Event::AttemptEnded(end));
         }
     }
@@ -110,7 +118,7 @@
             rig.pass(100 * MS);
             let (id, out) = rig.request(0, 3, 1, 1.0);
             assert_eq!(patience(&rig, &out), 3 * S, "a sound server has all of the client's time");
-            rig.ended(id, 0, ServerId(0), Outcome::Ok);
+            rig.ended(id, 0, EndpointId(0), Outcome::Ok);
         }
         let (id, server) = rig.sent(0);
         let out = rig.ended(id, 0, server, Outcome::Error);
@@ -146,8 +154,8 @@
             }
         };
         rig.pass(700 * MS);
-        let (outcome, report, took) = (Outcome::Ok, Report::default(), Micros(700 * MS));
-        let end = AttemptEnd { id, attempt: 0, server, outcome, took, ended: true, settled: None, report };
+        let (outcome, report, took) = (Outcome::Ok, LoadReport::default(), Micros(700 * MS));
+        let end = AttemptEnded { id, attempt: 0, server, outcome, took, ended: true, settled: None, report };
         rig.tell(Event::AttemptEnded(end));
     }
     panic!("nobody was shed");
@@ -257,8 +265,8 @@
             rig.ended(id, 0, server, Outcome::Ok);
         }
         let started = Some(rig.now);
-        let entries = (0..cold).map(|i| entry(i, Listed::InService, started)).collect();
-        rig.tell(Event::Servers(ListScope::Changes, entries));
+        let entries = (0..cold).map(|i| entry(i, EndpointStatus::InService, started)).collect();
+        rig.tell(Event::Servers(WatchScope::Incremental, entries));
         for _ in 0..8 {
             rig.pass(250 * MS);
             let (id, out) = rig.request(0, 3, 1, 1.0);
@@ -303,9 +311,9 @@
             rig.pass(100 * MS);
             let (id, server) = rig.sent(0);
             let inflight = Some(if server.0 == 0 { 12.0 } else { 1.0 });
-            let (report, took) = (Report { inflight, ..Report::default() }, Micros(50 * MS));
+            let (report, took) = (LoadReport { inflight, ..LoadReport::default() }, Micros(50 * MS));
             let (outcome, ended) = (Outcome::Ok, true);
-            let end = AttemptEnd { id, attempt: 0, server, outcome, took, ended, settled: None, report };
+            let end = AttemptEnded { id, attempt: 0, server, outcome, took, ended, settled: None, report };
             rig.tell(Event::AttemptEnded(end));
             to_full += u32::from(server.0 == 0);
         }
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -19,10 +19,10 @@
     for _ in 0..100 {
         rig.pass(10 * MS);
         let (id, server) = rig.sent(0);
-        let bad = server == ServerId(0);
+        let bad = server == EndpointId(0);
         hits += u32::from(bad);
         let out = rig.ended(id, 0, server, if bad { Outcome::ConnectFailed } else { Outcome::Ok });
-        assert!(!bad || sends(&out).iter().all(|s| s.1 == ServerId(1)));
+        assert!(!bad || sends(&out).iter().all(|s| s.1 == EndpointId(1)));
         sends(&out).iter().for_each(|(id, s)| drop(rig.ended(*id, 1, *s, Outcome::Ok)));
     }
     assert!((1..=3).contains(&hits), "{hits}");
@@ -30,7 +30,7 @@
     let tried = (0..10).any(|_| {
         let (id, server) = rig.sent(0);
         rig.ended(id, 0, server, Outcome::Ok);
-        server == ServerId(0)
+        server == EndpointId(0)
     });
     assert!(tried);
 }
@@ -106,7 +106,7 @@
     set.must_subscribe = true;
     let mut rig = Rig::new(set, 1);
     assert!(rig.done.contains(&Action::Subscribe));
-    rig.tell(Event::Servers(ListScope::Lost, Vec::new()));
+    rig.tell(Event::Servers(WatchScope::Failed, Vec::new()));
     assert!(rig.pass(S).contains(&Action::Subscribe));
 }
 
@@ -149,9 +149,9 @@
         let (id, out) = rig.request(0, 3, 1, 1.0);
         for (_, server) in sends(&out) {
             let took = Micros(600 * MS);
-            let (outcome, report) = (Outcome::Ok, Report::default());
+            let (outcome, report) = (Outcome::Ok, LoadReport::default());
             let end =
-                AttemptEnd { id, attempt: 0, server, outcome, took, ended: true, settled: None, report };
+                AttemptEnded { id, attempt: 0, server, outcome, took, ended: true, settled: None, report };
             rig.tell(Event::AttemptEnded(end));
         }
         rig.pass(300 * MS);
@@ -163,7 +163,7 @@
 #[test]
 fn a_server_taken_out_by_hand_gets_nothing_whatever_the_list_says() {
     let mut rig = Rig::new(settings(), 2);
-    let used = |rig: &mut Rig| -> Vec<ServerId> {
+    let used = |rig: &mut Rig| -> Vec<EndpointId> {
         let each = (0..8).map(|_| {
             let (id, server) = rig.sent(0);
             rig.ended(id, 0, server, Outcome::Ok);
@@ -171,15 +171,16 @@
         });
         each.collect()
     };
-    let (first, second) = (ServerId(0), ServerId(1));
+    let (first, second) = (EndpointId(0), EndpointId(1));
     assert!(used(&mut rig).contains(&first));
     (0..2).for_each(|_| drop(rig.tell(Event::Maintenance(first, true))));
     assert_eq!(rig.gateway.fleet(Micros(rig.now)), (2, 1));
     assert!(used(&mut rig).iter().all(|&s| s == second));
-    // Listed anew, and told to have restarted.
+    // EndpointStatus anew, and told to have restarted.
     for started in [None, Some(rig.now)] {
-        let entries = vec![entry(0, Listed::InService, started), entry(1, Listed::InService, None)];
-        rig.tell(Event::Servers(ListScope::Whole, entries));
+        let entries =
+            vec![entry(0, EndpointStatus::InService, started), entry(1, EndpointStatus::InService, None)];
+        rig.tell(Event::Servers(WatchScope::Complete, entries));
         assert!(used(&mut rig).iter().all(|&s| s == second));
         assert!(rig.gateway.is_out(first));
     }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -29,7 +29,7 @@
     gateway: usize,
     id: RequestId,
     attempt: usize,
-    server: ServerId,
+    server: EndpointId,
 }
 
 /// A fleet whose first servers start anew while it is under load.
@@ -65,8 +65,8 @@
     }
 
     /// The list as a gateway has it that knows of the start.
-    fn started(&self) -> Vec<ServerEntry> {
-        (0..self.cold).map(|i| entry(i, Listed::InService, Some(self.epoch + START))).collect()
+    fn started(&self) -> Vec<EndpointUpdate> {
+        (0..self.cold).map(|i| entry(i, EndpointStatus::InService, Some(self.epoch + START))).collect()
     }
 
     fn note(&mut self, gateway: usize, actions: &[Action]) {
@@ -97,7 +97,7 @@
             let told_at = self.told_at[gateway];
             if told_at <= self.clock && self.clock < told_at + STEP {
                 let started = self.started();
-                let led = self.rigs[gateway].tell(Event::Servers(ListScope::Changes, started));
+                let led = self.rigs[gateway].tell(Event::Servers(WatchScope::Incremental, started));
                 self.note(gateway, &led);
             }
         }
@@ -119,7 +119,7 @@
             let mut rig = Play::gateway(all as u32, gateway as u32, self.servers, u64::from(self.cold) + 77);
             rig.now = self.rigs[gateway].now;
             rig.next = self.rigs[gateway].next;
-            let led = rig.tell(Event::Servers(ListScope::Changes, self.started()));
+            let led = rig.tell(Event::Servers(WatchScope::Incremental, self.started()));
             self.rigs[gateway] = rig;
             self.out.retain(|out| out.gateway != gateway);
             self.told_at[gateway] = self.told_at[gateway].min(self.clock);
--- a/tests/window.rs
+++ b/tests/window.rs
@@ -173,7 +173,7 @@
 #[test]
 fn an_answer_to_a_call_never_made_changes_nothing() {
     let mut rig = Rig::new(settings(), 4);
-    assert!(rig.tell(Event::Counted(CountName(5), Outcome::Ok, 1.0)).is_empty());
+    assert!(rig.tell(Event::Counted(CounterKey(5), Outcome::Ok, 1.0)).is_empty());
 }
 
 #[test]
