--- a/src/proxy/control_plane/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -5,7 +5,7 @@
 
 use super::{Config, FleetConfig, SocketLimits};
 use crate::cluster::rollout::Rule;
-use crate::decision::api::{Class, Effect, Group, Plan};
+use crate::decision::api::{Class, Idempotency, DeduplicationScope, Plan};
 use crate::fixture;
 use std::fmt::{Debug, Write};
 
@@ -24,19 +24,19 @@
     }
 }
 
-fn effect(effect: Effect) -> &'static str {
+fn effect(effect: Idempotency) -> &'static str {
     match effect {
-        Effect::Safe => "pure",
-        Effect::Keyed => "token",
-        Effect::Unsafe => "side_effect",
+        Idempotency::Idempotent => "pure",
+        Idempotency::WithKey => "token",
+        Idempotency::NotIdempotent => "side_effect",
     }
 }
 
-fn key_scope(group: Group) -> &'static str {
+fn key_scope(group: DeduplicationScope) -> &'static str {
     match group {
-        Group::All => "all",
-        Group::Zone => "zone",
-        Group::Cell => "cell",
+        DeduplicationScope::All => "all",
+        DeduplicationScope::Zone => "zone",
+        DeduplicationScope::Cell => "cell",
     }
 }
 
