--- a/benches/request_cost.rs
+++ b/benches/request_cost.rs
@@ -2,8 +2,12 @@
 //! `cargo bench --bench request_cost`; the table stands in `docs/decisions/0010-fleet-size.md`.
 
 use divan::Bencher;
-use quota_gateway::decision::api::*;
-use quota_gateway::decision::gateway::Gateway;
+use quota_gateway::decision::Gateway;
+use quota_gateway::decision::{
+    Action, Arrival, AttemptEnded, CellId, Class, CustomerId, DeduplicationScope, EndpointId, EndpointStatus,
+    EndpointUpdate, Event, Idempotency, LabelId, LoadReport, Micros, Outcome, Plan, RequestId, Settings,
+    WatchScope, ZoneId,
+};
 
 const SIZES: [u32; 4] = [50, 200, 800, 3200];
 const GATEWAYS: u32 = 300;
@@ -15,37 +19,37 @@
 
 fn settings() -> Settings {
     let class = Class {
-        aim: Micros(800_000),
+        latency_objective: Micros(800_000),
         deadline: Micros(3 * SECOND),
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Idempotency::Idempotent,
-        group: DeduplicationScope::All,
-        window: Micros(SECOND),
-        stream: false,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.0,
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: Micros(SECOND),
+        streaming: false,
     };
     let plan = Plan {
         rate: 0.0,
         burst: 0.0,
-        open: 0.0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 1.0,
+        concurrency_quota: 0.0,
+        weight_factor: 1.0,
+        overage_weight_fraction: 0.0,
+        overage_cost_fraction: 1.0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
-        ceiling_slack: 0.0,
+        ceiling_overdraft: 0.0,
     };
     Settings {
         gateways: GATEWAYS,
-        me: 7,
+        gateway_number: 7,
         classes: vec![class],
         plans: vec![plan],
         max_attempts: 4,
-        most_units: 4.0,
-        cold_from: 0.3,
-        cold: Micros(10 * SECOND),
-        fall_multiple: 2.0,
-        tip_after: Micros(2 * SECOND),
+        max_request_units: 4.0,
+        slow_start_min_capacity: 0.3,
+        slow_start_window: Micros(10 * SECOND),
+        overload_multiple: 2.0,
+        overload_after: Micros(2 * SECOND),
         tick: Micros(4_000),
         ..Settings::default()
     }
@@ -53,12 +57,12 @@
 
 fn entries(servers: u32, started: Option<Micros>) -> Vec<EndpointUpdate> {
     let entry = |number: u32| EndpointUpdate {
-        server: EndpointId(u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+        endpoint: EndpointId(u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         zone: ZoneId(0),
         cell: CellId(u64::from(number / 8)),
-        listed: EndpointStatus::InService,
+        status: EndpointStatus::InService,
         weight: 1.0,
-        started: started.filter(|_| number.is_multiple_of(2)),
+        started_at: started.filter(|_| number.is_multiple_of(2)),
         label: LabelId::default(),
     };
     (0..servers).map(entry).collect()
@@ -78,7 +82,11 @@
         let mut gateway = Gateway::new(7, settings()).expect("sound settings");
         let mut out = Vec::new();
         let list = entries(servers, half_cold.then_some(now));
-        gateway.handle(now, Event::Servers(WatchScope::Complete, list), &mut out);
+        gateway.handle(
+            now,
+            Event::EndpointsChanged { scope: WatchScope::Complete, endpoints: list },
+            &mut out,
+        );
         Driven { gateway, now, next: 0, out }
     }
     /// One request and its answer; the clock stands still, so that what is cold stays cold.
@@ -88,15 +96,23 @@
         let deadline = self.now + Micros(3 * SECOND);
         let customer = CustomerId(self.next % 100);
         let arrival = Arrival { id, customer, deadline, units: 1.0, spread: 2, ..Arrival::default() };
-        self.gateway.handle(self.now, Event::Request(arrival), &mut self.out);
+        self.gateway.handle(self.now, Event::RequestArrived(arrival), &mut self.out);
         let sent = self.out.drain(..).find_map(|action| match action {
-            Action::Send(_, server, _) => Some(server),
+            Action::SendAttempt { endpoint: server, .. } => Some(server),
             _ => None,
         });
         if let Some(server) = sent {
-            let (outcome, took, report) = (Outcome::Ok, Micros(50_000), LoadReport::default());
-            let end =
-                AttemptEnded { id, attempt: 0, server, outcome, took, ended: true, settled: None, report };
+            let (outcome, took, report) = (Outcome::Success, Micros(50_000), LoadReport::default());
+            let end = AttemptEnded {
+                request: id,
+                attempt: 0,
+                endpoint: server,
+                outcome,
+                elapsed: took,
+                request_finished: true,
+                settled_units: None,
+                load: report,
+            };
             self.gateway.handle(self.now, Event::AttemptEnded(end), &mut self.out);
         }
         self.out.clear();
@@ -121,6 +137,10 @@
     let now = driven.now;
     let list = || entries(servers, None);
     bencher.with_inputs(list).bench_local_values(|list| {
-        driven.gateway.handle(now, Event::Servers(WatchScope::Complete, list), &mut driven.out);
+        driven.gateway.handle(
+            now,
+            Event::EndpointsChanged { scope: WatchScope::Complete, endpoints: list },
+            &mut driven.out,
+        );
     });
 }
--- a/src/cluster/ledger/mod.rs
+++ b/src/cluster/ledger/mod.rs
@@ -19,7 +19,7 @@
 pub use replica::{Entry, Holder, Refusals};
 
 use crate::cluster::Micros;
-use crate::decision::api::SettingsError;
+use crate::decision::SettingsError;
 
 /// A claimant counts a promise only if it came within this, and a holder drops a first write that was under way
 /// for longer. Ages of records are passed on with no more error than this.
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -17,7 +17,7 @@
 pub mod write_queue;
 mod write_queue_node;
 
-pub use crate::decision::api::{Micros, SettingsError};
+pub use crate::decision::{Micros, SettingsError};
 pub use datagram::{Stranger, LONGEST};
 pub use event::{Effect, Event, Notice, Traffic};
 pub use ledger_node::BEAT;
--- a/src/cluster/rollout/plan.rs
+++ b/src/cluster/rollout/plan.rs
@@ -1,6 +1,6 @@
 //! What people write of a rollout: rules of routing within their bounds, stages, and what is asked of them.
 
-use crate::decision::api::SettingsError;
+use crate::decision::SettingsError;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
--- a/src/cluster/write_queue/mod.rs
+++ b/src/cluster/write_queue/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::cluster::ledger::RecordId;
 use crate::cluster::Micros;
-use crate::decision::api::SettingsError;
+use crate::decision::SettingsError;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/src/decision/gateway.rs
+++ b/src/decision/gateway.rs
@@ -8,12 +8,12 @@
 mod routing;
 mod selection;
 
-pub use crate::decision::state::HandoverState;
+pub use crate::decision::HandoverState;
 pub(crate) use quota::Breaker;
-pub use routing::has_new;
+pub use routing::has_canary_rules;
 
-use crate::decision::api::*;
 use crate::decision::state::*;
+use crate::decision::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -155,22 +155,26 @@
         self.now = self.now.max(now);
         self.since = self.since.or(Some(self.now));
         match event {
-            Event::Servers(scope, entries) => self.on_servers(scope, entries),
-            Event::Request(arrival) => self.on_request(arrival),
-            Event::Timer(timer) => self.on_timer(timer),
-            Event::StreamStarted(id) => {
+            Event::EndpointsChanged { scope, endpoints: entries } => self.on_servers(scope, entries),
+            Event::RequestArrived(arrival) => self.on_request(arrival),
+            Event::TimerFired { timer } => self.on_timer(timer),
+            Event::StreamStarted { request: id } => {
                 self.requests.get_mut(&id).into_iter().for_each(|r| r.streaming = true);
             }
-            Event::AnswerBegun(id, attempt, took) => self.on_answer_begun(id, attempt, took),
-            Event::BodyEnded(id, deadline) => self.on_body_ended(id, deadline),
-            Event::ClientGone(id) => self.finish(id, None),
-            Event::Probed(..) => {}
-            Event::Counted(name, outcome, total) => self.on_counted(name, outcome, total),
+            Event::ResponseStarted { request: id, attempt, elapsed: took } => {
+                self.on_answer_begun(id, attempt, took)
+            }
+            Event::RequestBodyEnded { request: id, deadline } => self.on_body_ended(id, deadline),
+            Event::ClientDisconnected { request: id } => self.finish(id, None),
+            Event::EndpointProbed { .. } => {}
+            Event::CounterReplied { key: name, outcome, total } => self.on_counted(name, outcome, total),
             Event::AttemptEnded(end) => self.on_attempt(end),
-            Event::Maintenance(server, out) => self.on_maintenance(server, out),
-            Event::Alone => self.on_alone(),
-            Event::Lent(lent) => self.on_lent(lent),
-            Event::Routing(routing) => self.routing = routing,
+            Event::MaintenanceChanged { endpoint: server, in_maintenance: out } => {
+                self.on_maintenance(server, out)
+            }
+            Event::PeerProcessExited => self.on_alone(),
+            Event::QuotaLeaseChanged(lent) => self.on_lent(lent),
+            Event::RoutingChanged(routing) => self.routing = routing,
         }
         out.append(&mut self.out);
     }
@@ -179,7 +183,7 @@
         self.serial += 1;
         let id = TimerId(self.serial);
         self.timers.insert(id, timer);
-        self.out.push(Action::SetTimer(id, after));
+        self.out.push(Action::SetTimer { timer: id, after });
     }
 
     fn on_timer(&mut self, id: TimerId) {
@@ -203,7 +207,11 @@
     fn on_request(&mut self, a: Arrival) {
         let (id, now, customer, plan) = (a.id, self.now, a.customer, a.plan.0);
         if a.class.0 >= self.set.classes.len() || plan >= self.set.plans.len() {
-            return self.out.push(Action::Refuse(id, None, RejectionReason::UnknownClassOrPlan));
+            return self.out.push(Action::Reject {
+                request: id,
+                retry_after: None,
+                reason: RejectionReason::UnknownClassOrPlan,
+            });
         }
         self.retries = (self.retries + RETRY_SHARE).min(RETRY_SAVED);
         // Before the deadline by two ticks: a timer may come one late, and the answer takes one.
@@ -214,19 +222,19 @@
             // the customer came only now: with many gateways most see it for the first time.
             c.beyond.at = self.since.unwrap_or(now).max(now - FORGET);
         }
-        (c.plan, c.spread, c.first, c.used) = (plan, f64::from(a.spread.max(1)), a.first, now);
+        (c.plan, c.spread, c.first, c.used) = (plan, f64::from(a.spread.max(1)), a.first_gateway, now);
         // Where clients do not mark repeats: the like of what was refused here a moment ago.
         let alike = |r: &Refusal| r.class == a.class && r.units == a.units && now < r.at + REPEAT_SPAN;
-        let resent = a.resent || c.refused.as_ref().is_some_and(alike);
+        let resent = a.is_retry || c.refused.as_ref().is_some_and(alike);
         // What others sent of it and may have run bounds what may be sent here, as this gateway's own does.
         let before = |e: &PriorAttempt| Attempt {
-            server: e.server,
-            sent: e.sent,
+            server: e.endpoint,
+            sent: e.sent_at,
             may_have_run: true,
             ..Attempt::default()
         };
-        let (attempts, counted) = (a.earlier.iter().map(before).collect(), a.counted);
-        let a = Arrival { resent, ..a };
+        let (attempts, counted) = (a.prior_attempts.iter().map(before).collect(), a.already_counted);
+        let a = Arrival { is_retry: resent, ..a };
         let route = self.route_of(&a);
         self.requests.insert(id, Request { a, arrived: now, attempts, route, ..Request::default() });
         self.roll(customer);
@@ -240,7 +248,7 @@
     }
 
     fn worth(&self, r: &Request) -> f64 {
-        self.set.classes[r.a.class.0].worth * self.set.plans[r.a.plan.0].price
+        self.set.classes[r.a.class.0].priority_weight * self.set.plans[r.a.plan.0].weight_factor
     }
 
     /// Adaptive throttling before the servers: refuses by chance as many as came back late of late, those
@@ -257,7 +265,7 @@
 
     fn admit(&mut self, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id) else { return };
-        if self.set.plans[r.a.plan.0].open > 0.0 {
+        if self.set.plans[r.a.plan.0].concurrency_quota > 0.0 {
             r.holds_place = true;
             self.customers.get_mut(&r.a.customer).into_iter().for_each(|c| c.out += 1.0);
         }
@@ -270,8 +278,8 @@
         let wait = (self.set.retry_after && self.set.plans[r.a.plan.0].rate > 0.0)
             .then(|| self.span(r.a.customer, self.window_of(r.a.plan.0).0).1.min(self.set.max_retry_after));
         let answer = match self.may_refuse(r) {
-            true => Action::Refuse(id, wait, reason),
-            false => Action::Fail(id, reason),
+            true => Action::Reject { request: id, retry_after: wait, reason },
+            false => Action::Fail { request: id, reason },
         };
         if let Some(c) = self.customers.get_mut(&r.a.customer) {
             c.refused = Some(Refusal { class: r.a.class, units: r.a.units, at: self.now });
@@ -287,7 +295,7 @@
             self.out.extend(answer);
             let recall = self.set.may_cancel && !r.streaming;
             let still_out = r.attempts.iter().enumerate().filter(|(_, a)| a.out && recall);
-            self.out.extend(still_out.map(|(i, _)| Action::Cancel(id, i)));
+            self.out.extend(still_out.map(|(i, _)| Action::CancelAttempt { request: id, attempt: i }));
         }
         self.let_go(id);
     }
@@ -316,12 +324,12 @@
         if scope == WatchScope::Complete {
             self.servers.values_mut().for_each(|s| s.listed = None);
         }
-        let (now, cold, units) = (self.now, self.set.cold, self.set.most_units);
-        let changed: Vec<EndpointId> = entries.iter().map(|e| e.server).collect();
+        let (now, cold, units) = (self.now, self.set.slow_start_window, self.set.max_request_units);
+        let changed: Vec<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
         for e in entries {
             let new = || Server { limit: LIMIT_START, ..Server::default() };
-            let s = self.servers.entry(e.server).or_insert_with(new);
-            let started = e.started.filter(|&at| now < at + cold);
+            let s = self.servers.entry(e.endpoint).or_insert_with(new);
+            let started = e.started_at.filter(|&at| now < at + cold);
             if started.is_some_and(|started| s.cold_since.is_none_or(|at| at < started)) {
                 // A new life: nothing held against the old one counts, and it starts slowly.
                 *s = Server { out: s.out, maintained: s.maintained, ..new() };
@@ -330,11 +338,11 @@
             }
             s.cold_since = started.or(s.cold_since);
             if s.cold_since.is_some() {
-                self.cold.insert(e.server);
+                self.cold.insert(e.endpoint);
             }
             (s.zone, s.cell, s.label) = (e.zone, e.cell, e.label);
             s.weight = if e.weight > 0.0 { e.weight } else { 1.0 };
-            s.listed = Some(e.listed).filter(|&listed| listed != EndpointStatus::Removed);
+            s.listed = Some(e.status).filter(|&listed| listed != EndpointStatus::Removed);
         }
         match scope {
             WatchScope::Incremental => self.line_up_changed(&changed),
@@ -459,5 +467,6 @@
 
 /// The part of its capacity that a server has at least, so long after its start.
 fn warmed(set: &Settings, since: Micros) -> f64 {
-    set.cold_from + (1.0 - set.cold_from) * (since.secs() / set.cold.secs()).min(1.0)
+    set.slow_start_min_capacity
+        + (1.0 - set.slow_start_min_capacity) * (since.secs() / set.slow_start_window.secs()).min(1.0)
 }
--- a/src/decision/gateway/attempts.rs
+++ b/src/decision/gateway/attempts.rs
@@ -31,16 +31,22 @@
         // An attempt at a server that failed of late is given up while another could still meet the aim.
         // Guards against servers that fall silent. Not at others: there the work is long, it goes on all the
         // same, and its repeat comes on top at every gateway. Nor while attempts fail everywhere.
-        let again = class.effect != Idempotency::NotIdempotent
-            && !class.stream
-            && !r.a.upload
+        let again = class.idempotency != Idempotency::NotIdempotent
+            && !class.streaming
+            && !r.a.streaming_body
             && r.attempts.len() + 1 < most
-            && (class.effect == Idempotency::Idempotent || class.group == DeduplicationScope::All)
+            && (class.idempotency == Idempotency::Idempotent
+                || class.deduplication_scope == DeduplicationScope::All)
             && self.fail_share < CALM_SHARE
             && suspect;
-        let early = r.arrived + class.aim.times(r.route.give_up.unwrap_or(1.0 - SPARE_PART));
-        let until = if again && early > now + class.aim.times(SPARE_PART) { early } else { r.a.deadline };
-        let placed = !r.a.upload;
+        let early =
+            r.arrived + class.latency_objective.times(r.route.give_up_fraction.unwrap_or(1.0 - SPARE_PART));
+        let until = if again && early > now + class.latency_objective.times(SPARE_PART) {
+            early
+        } else {
+            r.a.deadline
+        };
+        let placed = !r.a.streaming_body;
         r.attempts.push(Attempt { server, sent: now, out: true, placed, may_have_run: false });
         r.held_since = None;
         r.counted = None;
@@ -51,7 +57,7 @@
         if placed {
             self.take_place(server);
         }
-        self.out.push(Action::Send(id, server, until));
+        self.out.push(Action::SendAttempt { request: id, endpoint: server, give_up_at: until });
     }
 
     fn take_place(&mut self, server: EndpointId) {
@@ -79,11 +85,11 @@
     pub(super) fn on_answer_begun(&mut self, id: RequestId, attempt: usize, took: Micros) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         r.streaming = true;
-        let aim = self.set.classes[r.a.class.0].aim;
+        let aim = self.set.classes[r.a.class.0].latency_objective;
         let Some(a) = r.attempts.get_mut(attempt).filter(|a| a.out && a.placed) else { return };
         a.placed = false;
         let server = a.server;
-        self.judge(server, Outcome::Ok, took, aim);
+        self.judge(server, Outcome::Success, took, aim);
         if !self.held.is_empty() {
             self.serve_held();
         }
@@ -97,7 +103,7 @@
         waiting.sort_by_key(|id| (std::cmp::Reverse((self.worth(&self.requests[id]) * 1e6) as u64), *id));
         for id in waiting {
             let r = &self.requests[&id];
-            let longest = self.set.classes[r.a.class.0].aim.times(HOLD_PART);
+            let longest = self.set.classes[r.a.class.0].latency_objective.times(HOLD_PART);
             let overdue = r.held_since.is_some_and(|at| now >= at + longest);
             if let Some(server) = self.pick(id) {
                 self.send(id, server);
@@ -111,27 +117,28 @@
     }
 
     pub(super) fn on_attempt(&mut self, end: AttemptEnded) {
-        let (id, outcome) = (end.id, end.outcome);
+        let (id, outcome) = (end.request, end.outcome);
         let Some(r) = self.requests.get_mut(&id) else { return };
         let named = r.attempts.get_mut(end.attempt);
-        let Some(a) = named.filter(|a| a.out && a.server == end.server) else { return };
+        let Some(a) = named.filter(|a| a.out && a.server == end.endpoint) else { return };
         a.out = false;
         a.may_have_run = !outcome.never_ran();
         let placed = std::mem::take(&mut a.placed);
-        let (aim, was_done, streaming) = (self.set.classes[r.a.class.0].aim, r.done, r.streaming);
-        r.done |= end.ended || outcome == Outcome::Ok;
+        let (aim, was_done, streaming) =
+            (self.set.classes[r.a.class.0].latency_objective, r.done, r.streaming);
+        r.done |= end.request_finished || outcome == Outcome::Success;
         let (answered, in_time) = (r.done, self.now < r.arrived + aim);
-        if let (Some(true_units), Outcome::Ok, false) = (end.settled, outcome, was_done) {
+        if let (Some(true_units), Outcome::Success, false) = (end.settled_units, outcome, was_done) {
             if let Some(c) = self.customers.get_mut(&r.a.customer) {
                 c.window.owed += true_units - r.a.units;
             }
         }
         if !placed && !streaming {
-            self.take_place(end.server); // An upload that ended early is judged like any other attempt.
+            self.take_place(end.endpoint); // An upload that ended early is judged like any other attempt.
         }
-        self.hear(end.server, end.report);
+        self.hear(end.endpoint, end.load);
         if placed || !streaming {
-            self.judge(end.server, outcome, end.took, aim);
+            self.judge(end.endpoint, outcome, end.elapsed, aim);
         }
         if answered {
             self.let_go(id);
@@ -164,17 +171,17 @@
             r.done || r.streaming || self.now >= r.a.deadline || r.attempts.len() >= self.most_attempts(r);
         let pushed =
             s.cold_since.is_some() && (s.cold_room.level <= 0.0 || self.role == ProcessRole::Predecessor);
-        let second = r.is_out() && !self.set.second_copies || r.a.upload && !r.attempts.is_empty();
+        let second = r.is_out() && !self.set.hedging || r.a.streaming_body && !r.attempts.is_empty();
         if over || pushed || second || !s.in_service() {
             return false;
         }
         let mut ran = r.attempts.iter().filter(|a| a.out || a.may_have_run);
-        match class.effect {
+        match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NotIdempotent => ran.next().is_none(),
             Idempotency::WithKey => ran.all(|a| {
                 self.in_window(class, a, self.set.connect_timeout)
-                    && self.servers.get(&a.server).is_some_and(|first| match class.group {
+                    && self.servers.get(&a.server).is_some_and(|first| match class.deduplication_scope {
                         DeduplicationScope::All => true,
                         DeduplicationScope::Zone => first.zone == s.zone,
                         DeduplicationScope::Cell => first.cell == s.cell,
@@ -186,7 +193,7 @@
     /// Repeats of this attempt are dropped still, also those that go out so much later: its window counts
     /// from the send, less a tick on the way.
     fn in_window(&self, class: &Class, a: &Attempt, later: Micros) -> bool {
-        self.now + later + self.set.tick + self.set.tick < a.sent + class.window
+        self.now + later + self.set.tick + self.set.tick < a.sent + class.deduplication_window
     }
 
     /// Whether trying again is harmless for the client.
@@ -194,11 +201,12 @@
         let class = &self.set.classes[r.a.class.0];
         let mut ran = r.attempts.iter().filter(|a| a.out || a.may_have_run);
         !r.streaming
-            && match class.effect {
+            && match class.idempotency {
                 Idempotency::Idempotent => true,
-                Idempotency::WithKey => {
-                    ran.all(|a| class.group == DeduplicationScope::All && self.in_window(class, a, Micros(0)))
-                }
+                Idempotency::WithKey => ran.all(|a| {
+                    class.deduplication_scope == DeduplicationScope::All
+                        && self.in_window(class, a, Micros(0))
+                }),
                 Idempotency::NotIdempotent => ran.next().is_none(),
             }
     }
--- a/src/decision/gateway/quota.rs
+++ b/src/decision/gateway/quota.rs
@@ -103,7 +103,7 @@
     /// The counter says nothing of this customer for a while: then the local bucket alone decides.
     pub(super) fn silent(&self, customer: CustomerId) -> bool {
         let own_open = self.customers.get(&customer).is_some_and(|c| c.breaker.opened.is_some());
-        !self.set.counter || self.breaker.opened.is_some() || own_open
+        !self.set.counter_enabled || self.breaker.opened.is_some() || own_open
     }
 
     /// Whether a request is to ask. Guards against a counter that our own calls drown, slow or near its
@@ -115,7 +115,7 @@
 
     fn may_call(&mut self, customer: CustomerId) -> bool {
         let Some(c) = self.customers.get_mut(&customer) else { return false };
-        let ready = self.set.counter && self.breaker.ready(self.now) && c.breaker.ready(self.now);
+        let ready = self.set.counter_enabled && self.breaker.ready(self.now) && c.breaker.ready(self.now);
         if ready {
             self.breaker.ask();
             c.breaker.ask();
@@ -126,7 +126,7 @@
     /// The ordinary path: one add on the customer's window before anything is sent on.
     pub(super) fn ask_window(&mut self, id: RequestId) {
         let Some(r) = self.requests.get(&id) else { return };
-        let (customer, units, resent) = (r.a.customer, r.a.units, r.a.resent);
+        let (customer, units, resent) = (r.a.customer, r.a.units, r.a.is_retry);
         let c = &self.customers[&customer];
         let total = c.window.known();
         if self.room(customer, total) < units && self.breaker.opened.is_none() && total > 0.0 {
@@ -143,7 +143,7 @@
     pub(super) fn ask_place(&mut self, id: RequestId) {
         let Some(r) = self.requests.get(&id) else { return };
         let customer = r.a.customer;
-        if self.set.plans[r.a.plan.0].open <= 0.0 {
+        if self.set.plans[r.a.plan.0].concurrency_quota <= 0.0 {
             self.admit(id);
         } else if self.asks(true) && self.may_call(customer) {
             self.call(Purpose::Open, customer, Some(id), 1.0);
@@ -171,7 +171,11 @@
         let call = Call { purpose, customer, span, request, amount, extra, probe };
         self.calls.entry(name).or_default().push_back(call);
         request.and_then(|id| self.requests.get_mut(&id)).into_iter().for_each(|r| r.asking += 1);
-        self.out.push(Action::Count(name, amount, (length + length).min(Micros(60_000_000))));
+        self.out.push(Action::IncrementCounter {
+            key: name,
+            amount,
+            lifetime: (length + length).min(Micros(60_000_000)),
+        });
     }
 
     /// Guards against one hot name that fills its part of the counter: failures of the same customer in a row
@@ -200,9 +204,9 @@
         if current {
             tally.posting -= call.extra;
         }
-        let added = matches!(outcome, Outcome::Ok | Outcome::Error);
+        let added = matches!(outcome, Outcome::Success | Outcome::ServerError);
         let mut heard = None;
-        if outcome == Outcome::Ok {
+        if outcome == Outcome::Success {
             if current {
                 tally.posted += call.amount;
                 // Guards against an emptied counter: a total below our own adds proves lost memory; our spend
@@ -216,7 +220,7 @@
             }
             heard = Some(total + if current { tally.owed + tally.posting } else { 0.0 });
             c.breaker.success(call.probe);
-            if c.spread * self.set.most_units <= self.set.plans[plan].burst {
+            if c.spread * self.set.max_request_units <= self.set.plans[plan].burst {
                 c.bucket = None;
             }
             self.ask = (self.ask * ASK_GROW).min(1.0).max(if call.probe { ASK_AGAIN } else { 0.0 });
@@ -268,7 +272,7 @@
         }
         let Some(r) = self.requests.get(&id) else { return };
         let (customer, units, plan) = (r.a.customer, r.a.units, r.a.plan.0);
-        let (resent, done, added) = (r.a.resent, r.done, r.counted.is_some());
+        let (resent, done, added) = (r.a.is_retry, r.done, r.counted.is_some());
         let ok = match heard {
             _ if done => return,
             // Under a ceiling what a counter forgot is paid off first.
@@ -307,7 +311,7 @@
     /// `beyond_take` stands before it and does start empty. Guards against refusing customers with few units,
     /// for whom a share that starts empty admits nothing for seconds.
     fn local_take(&mut self, customer: CustomerId, plan: usize, units: f64, added: bool) -> bool {
-        let (now, most_units, p) = (self.now, self.set.most_units, &self.set.plans[plan]);
+        let (now, most_units, p) = (self.now, self.set.max_request_units, &self.set.plans[plan]);
         let elder = self.role == ProcessRole::Predecessor;
         let Some(c) = self.customers.get(&customer).filter(|_| !elder) else { return false };
         let left = self.room(customer, c.window.known()).max(0.0);
@@ -338,20 +342,24 @@
     fn part_of(&self, customer: CustomerId) -> (f64, f64) {
         let Some(c) = self.customers.get(&customer) else { return (0.0, 0.0) };
         let Some(lent) = &self.lent else { return (1.0 / c.spread, 1.0 / c.spread) };
-        let least = (1.0 - lent.part) / c.spread;
-        if self.now >= lent.until {
+        let least = (1.0 - lent.fraction) / c.spread;
+        if self.now >= lent.valid_until {
             return (least / 2.0, least);
         }
         let all = self.set.gateways;
         let comes_through = |g: &&u32| (**g + all - c.first % all) % all < c.spread as u32;
-        let away = lent.away.iter().filter(|g| **g < all).filter(comes_through).count() as f64;
-        (least / 2.0, least + lent.part / (c.spread - away).max(1.0))
+        let away = lent.absent_gateways.iter().filter(|g| **g < all).filter(comes_through).count() as f64;
+        (least / 2.0, least + lent.fraction / (c.spread - away).max(1.0))
     }
 
     /// A share that lapsed, or whose parts changed, may have been less in between.
     pub(super) fn on_lent(&mut self, lent: QuotaLease) {
         let held = self.lent.as_ref();
-        let steady = held.is_some_and(|l| self.now < l.until && l.away == lent.away && l.part == lent.part);
+        let steady = held.is_some_and(|l| {
+            self.now < l.valid_until
+                && l.absent_gateways == lent.absent_gateways
+                && l.fraction == lent.fraction
+        });
         self.turn += u64::from(!steady);
         self.lent = Some(lent);
     }
@@ -361,9 +369,9 @@
         let (customer, plan, done) = (r.a.customer, &self.set.plans[r.a.plan.0], r.done);
         let Some(c) = self.customers.get(&customer) else { return };
         let ok = match heard {
-            Some(total) => total <= plan.open,
-            None if r.a.resent && !self.silent(customer) => false,
-            None => c.out < (plan.open / c.spread).floor().max(1.0),
+            Some(total) => total <= plan.concurrency_quota,
+            None if r.a.is_retry && !self.silent(customer) => false,
+            None => c.out < (plan.concurrency_quota / c.spread).floor().max(1.0),
         };
         match ok && !done {
             true => self.admit(id),
--- a/src/decision/gateway/selection.rs
+++ b/src/decision/gateway/selection.rs
@@ -30,7 +30,8 @@
     /// server where each gateway sees few requests. The golden ratio spreads the parts evenly, also those of
     /// gateways in a row, through which one customer comes.
     fn own_part_first(&self) -> impl Iterator<Item = EndpointId> + '_ {
-        let start = (f64::from(self.set.me) * 0.618_033_988_749_895).fract() * self.ring.len() as f64;
+        let start =
+            (f64::from(self.set.gateway_number) * 0.618_033_988_749_895).fract() * self.ring.len() as f64;
         let (before, first) = self.ring.split_at((start as usize).min(self.ring.len()));
         first.iter().chain(before).copied()
     }
@@ -92,7 +93,7 @@
 
     /// What a server says of its load is the one word on what the other gateways do to it.
     pub(super) fn hear(&mut self, server: EndpointId, report: LoadReport) {
-        if let Some(inflight) = report.inflight {
+        if let Some(inflight) = report.in_flight {
             self.inflight += SMOOTH * (inflight - self.inflight);
             self.servers.get_mut(&server).into_iter().for_each(|s| s.told = Some((inflight, self.now)));
         }
@@ -112,9 +113,9 @@
         self.out_now = (self.out_now - 1.0).max(0.0);
         // Guards against servers that hold too much and work worse for it, by overload or by a trouble of
         // their own: the bound gives way fast and comes back slowly. May hurt just after short stalls.
-        let answered = matches!(outcome, Outcome::Ok | Outcome::Cancelled);
+        let answered = matches!(outcome, Outcome::Success | Outcome::Cancelled);
         let late = |time: Micros| answered && time > aim.times(LATE_PART);
-        let turned = matches!(outcome, Outcome::Full | Outcome::Timeout);
+        let turned = matches!(outcome, Outcome::Rejected | Outcome::Timeout);
         let jammed = turned || late(took + Micros(2 * s.latency as u64));
         // Shedding goes by the answer alone: the usual time is that of all classes, and of a class with a
         // short aim every longer piece of work would speak for overload, at servers half idle.
@@ -122,15 +123,15 @@
         self.pass = if missed { self.pass * PASS_CUT } else { self.pass + PASS_GROW }.clamp(LEAST_PART, 1.0);
         if jammed {
             s.limit = (s.limit * LIMIT_CUT).max(LIMIT_LEAST);
-        } else if outcome == Outcome::Ok
+        } else if outcome == Outcome::Success
             && s.out + 1.0 >= (s.limit * scale).floor()
             && took < aim.times(GROW_PART)
         {
             s.limit += LIMIT_GROW;
         }
-        let bad = !matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::Moot) || took > aim;
+        let bad = !matches!(outcome, Outcome::Success | Outcome::Cancelled | Outcome::NotSent) || took > aim;
         self.fail_share += SMOOTH / 3.0 * (f64::from(u8::from(bad)) - self.fail_share);
-        if outcome == Outcome::Ok {
+        if outcome == Outcome::Success {
             let sample = took.0 as f64;
             for smooth in [&mut s.latency, &mut self.latency] {
                 *smooth = if *smooth == 0.0 { sample } else { *smooth + SMOOTH * (sample - *smooth) };
@@ -150,10 +151,10 @@
                 self.cold.insert(server);
             }
         }
-        if matches!(outcome, Outcome::Ok | Outcome::Cancelled | Outcome::Moot) {
+        if matches!(outcome, Outcome::Success | Outcome::Cancelled | Outcome::NotSent) {
             return;
         }
-        if outcome == Outcome::Full {
+        if outcome == Outcome::Rejected {
             s.ejected_until = s.ejected_until.max(now + REST);
             return;
         }
@@ -202,7 +203,7 @@
     }
 
     fn end_slow_starts(&mut self) {
-        let (now, servers, lasts) = (self.now, &mut self.servers, self.set.cold);
+        let (now, servers, lasts) = (self.now, &mut self.servers, self.set.slow_start_window);
         self.cold.retain(|id| {
             let Some(s) = servers.get_mut(id) else { return false };
             s.cold_since = s.cold_since.filter(|since| now < *since + lasts);
@@ -228,7 +229,7 @@
             let Some(s) = self.servers.get_mut(id) else { continue };
             let Some(since) = s.cold_since else { continue };
             let part = warmed(&self.set, now - since);
-            s.cold_room.rate = per_weight * s.weight * part * (self.set.fall_multiple / 2.0).min(1.0);
+            s.cold_room.rate = per_weight * s.weight * part * (self.set.overload_multiple / 2.0).min(1.0);
             s.cold_room.fill(now);
         }
     }
@@ -256,9 +257,10 @@
         for id in cold {
             let Some(s) = self.servers.get_mut(&id) else { continue };
             let Some(since) = s.cold_since else { continue };
-            let part = s.weight * warmed(&self.set, now - since) * (self.set.fall_multiple / 2.0).min(1.0);
+            let part =
+                s.weight * warmed(&self.set, now - since) * (self.set.overload_multiple / 2.0).min(1.0);
             let drawn = fresh && self.rng.f64() * base < part;
-            s.cold_room.level = if drawn { self.set.most_units } else { 0.0 };
+            s.cold_room.level = if drawn { self.set.max_request_units } else { 0.0 };
             self.drawn.extend(drawn.then_some(id));
         }
     }
--- a/src/decision/state.rs
+++ b/src/decision/state.rs
@@ -1,7 +1,7 @@
 //! What a gateway keeps in mind. Nothing here decides.
 
-use crate::decision::api::*;
 use crate::decision::gateway::Breaker;
+use crate::decision::*;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
--- /dev/null
+++ b/src/decision/time.rs
@@ -0,0 +1,38 @@
+//! Time as the decision module counts it.
+
+use serde::{Deserialize, Serialize};
+use std::ops::{Add, Sub};
+
+/// A point in time, or a span of time, in microseconds. Points are counted from a start that the caller chooses.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Micros(pub u64);
+
+impl Micros {
+    /// The span in seconds.
+    pub fn secs(self) -> f64 {
+        self.0 as f64 / 1e6
+    }
+
+    /// The span scaled by `factor`, never below zero.
+    pub fn times(self, factor: f64) -> Micros {
+        Micros((self.0 as f64 * factor).max(0.0) as u64)
+    }
+}
+
+impl Add for Micros {
+    type Output = Micros;
+
+    /// Stops at the largest number.
+    fn add(self, other: Micros) -> Micros {
+        Micros(self.0.saturating_add(other.0))
+    }
+}
+
+impl Sub for Micros {
+    type Output = Micros;
+
+    /// Stops at zero.
+    fn sub(self, other: Micros) -> Micros {
+        Micros(self.0.saturating_sub(other.0))
+    }
+}
--- a/src/proxy/admin/metrics.rs
+++ b/src/proxy/admin/metrics.rs
@@ -1,7 +1,7 @@
 //! What operators read of a gateway: plain counters, each raised where its event happens. Reading them looks
 //! at no request.
 
-use crate::decision::api::{ClassId, Outcome, RejectionReason};
+use crate::decision::{ClassId, Outcome, RejectionReason};
 use crate::proxy::control_plane::discovery::FailureKind;
 use std::cell::Cell;
 use std::fmt::Write;
--- a/src/proxy/cluster_transport/abandoned_requests.rs
+++ b/src/proxy/cluster_transport/abandoned_requests.rs
@@ -2,7 +2,7 @@
 //! that they ran and their answer is there for whoever asks later.
 
 use crate::cluster::ledger::{Finding, Orphan, RecordId};
-use crate::decision::api::Arrival;
+use crate::decision::Arrival;
 use crate::proxy::cluster_transport::ledger_request::{earlier, record_of};
 use crate::proxy::cluster_transport::serialized_request;
 use crate::proxy::cluster_transport::Peers;
@@ -86,8 +86,12 @@
             _ => return Gone::Elsewhere,
         };
         let deadline = front.clock.now() + asked.budget;
-        let of_before =
-            Arrival { resent: true, counted: true, earlier: earlier(sent), ..asked.arrival.clone() };
+        let of_before = Arrival {
+            is_retry: true,
+            already_counted: true,
+            prior_attempts: earlier(sent),
+            ..asked.arrival.clone()
+        };
         let with = Forward { work: Some(work.clone()), ..forward.again() };
         let answer = tokio::select! {
             biased;
--- a/src/proxy/cluster_transport/disk/fixture_tests.rs
+++ b/src/proxy/cluster_transport/disk/fixture_tests.rs
@@ -10,7 +10,7 @@
 use crate::cluster::{
     About, Effect, Event, Fleet, Machine, Notice, Put, Settings, BEAT, LEDGER, LONGEST, ROLLOUT,
 };
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use crate::proxy::cluster_transport::disk::{Disk, Word};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
--- a/src/proxy/cluster_transport/ledger_claim.rs
+++ b/src/proxy/cluster_transport/ledger_claim.rs
@@ -1,7 +1,7 @@
 //! One request's work at the ledger, from its claim to its end. The ledger decides; this waits for it, within bounds.
 
 use crate::cluster::ledger::{Change, ClaimId, Finding, ROUND};
-use crate::decision::api::{Micros, Outcome};
+use crate::decision::{Micros, Outcome};
 use crate::proxy::cluster_transport::Peers;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/src/proxy/cluster_transport/ledger_request.rs
+++ b/src/proxy/cluster_transport/ledger_request.rs
@@ -1,7 +1,7 @@
 //! A request of which the ledger keeps a record: begun here, joined, answered from its record, or taken over.
 
 use crate::cluster::ledger::{Finding, RecordId};
-use crate::decision::api::*;
+use crate::decision::{Arrival, EndpointId, Micros, PriorAttempt};
 use crate::proxy::cluster_transport::ledger_claim::{pause, Work};
 use crate::proxy::cluster_transport::Peers;
 use crate::proxy::downstream::request::carried;
@@ -28,7 +28,9 @@
 
 /// Attempts of owners before this one, as the module is told of them.
 pub fn earlier(sent: Vec<(u64, Micros)>) -> Vec<PriorAttempt> {
-    sent.into_iter().map(|(server, sent)| PriorAttempt { server: EndpointId(server), sent }).collect()
+    sent.into_iter()
+        .map(|(server, sent)| PriorAttempt { endpoint: EndpointId(server), sent_at: sent })
+        .collect()
 }
 
 /// Takes a request through the ledger to its answer, by its deadline. `request`: it is left with its record's holders,
@@ -41,14 +43,14 @@
     forward: impl Fn(Option<Rc<Work>>) -> Forward,
 ) -> Result<Answer, Malformed> {
     // Most come for the first time: they go ahead while the holders are asked.
-    let mut ahead = !arrival.resent;
+    let mut ahead = !arrival.is_retry;
     let mut looks = 0;
     loop {
         let Some(mut work) = peers.claim(id, digest, request.clone()) else {
             return Ok(carried(front, arrival, forward(None)).await);
         };
         let begin = |work: &Rc<Work>, earlier: Vec<PriorAttempt>, counted: bool| {
-            let arrival = Arrival { counted, earlier, ..arrival.clone() };
+            let arrival = Arrival { already_counted: counted, prior_attempts: earlier, ..arrival.clone() };
             carried(front, arrival, forward(Some(work.clone())))
         };
         if std::mem::take(&mut ahead) {
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -20,7 +20,7 @@
     Agreement, Effect, Errand, Event, Fleet, Micros, Notice, Report, Shares, Standing, Taken, BEAT, LONGEST,
     WAKE,
 };
-use crate::decision::api::QuotaLease;
+use crate::decision::QuotaLease;
 use crate::proxy::control_plane::config::FleetConfig;
 use crate::proxy::lifecycle::drain::{Duty, End};
 use crate::proxy::runtime::{tell, Clock, Inbox, Input};
@@ -266,7 +266,14 @@
                     }
                 }
                 Effect::Shares(Shares { until, away }) if self.config.lend > 0.0 => {
-                    tell(&self.inbox, Input::Lent(QuotaLease { part: self.config.lend, until, away }));
+                    tell(
+                        &self.inbox,
+                        Input::Lent(QuotaLease {
+                            fraction: self.config.lend,
+                            valid_until: until,
+                            absent_gateways: away,
+                        }),
+                    );
                 }
                 Effect::Shares(_) => {}
                 Effect::Routing(in_force) => tell(&self.inbox, Input::Routing(in_force)),
--- a/src/proxy/cluster_transport/outcome_recorder.rs
+++ b/src/proxy/cluster_transport/outcome_recorder.rs
@@ -2,7 +2,7 @@
 //! outside are answered.
 
 use crate::cluster::rollout::{Arm, Ended, Key};
-use crate::decision::api::{ClassId, Micros};
+use crate::decision::{ClassId, Micros};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 
--- a/src/proxy/cluster_transport/serialized_request.rs
+++ b/src/proxy/cluster_transport/serialized_request.rs
@@ -1,6 +1,6 @@
 //! A request as gateways keep it for each other: what a backend is sent, and no more.
 
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use crate::proxy::downstream::request_head::Asked;
 use crate::proxy::downstream::server::Front;
 use crate::proxy::upstream::forwarded_request::{Forward, Payload};
--- a/src/proxy/cluster_transport/write_queue_sender.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::ledger::{Finding, RecordId};
 use crate::cluster::write_queue::{Dot, End, Fate, State, Status, Write};
-use crate::decision::api::Arrival;
+use crate::decision::Arrival;
 use crate::proxy::cluster_transport::abandoned_requests::{go_on, Gone};
 use crate::proxy::cluster_transport::ledger_request::{record_of, recorded};
 use crate::proxy::cluster_transport::outcome_recorder::Arms;
@@ -62,7 +62,7 @@
         let id = RecordId { customer, key };
         let found = peers.claim(id, 0, None)?.found().await;
         let new = matches!(found, Finding::Clear { found: false, .. });
-        if !new && (asked.arrival.resent || !matches!(found, Finding::Unheld)) {
+        if !new && (asked.arrival.is_retry || !matches!(found, Finding::Unheld)) {
             return None;
         }
     }
--- a/src/proxy/control_plane/config.rs
+++ b/src/proxy/control_plane/config.rs
@@ -32,8 +32,8 @@
 }
 impl std::error::Error for ConfigError {}
 
-impl From<crate::decision::api::SettingsError> for ConfigError {
-    fn from(e: crate::decision::api::SettingsError) -> ConfigError {
+impl From<crate::decision::SettingsError> for ConfigError {
+    fn from(e: crate::decision::SettingsError) -> ConfigError {
         ConfigError(format!("settings: {e}"))
     }
 }
@@ -186,10 +186,12 @@
     fn check_seats(&self) -> Result<(), ConfigError> {
         let Some(fleet) = self.fleet.as_ref().filter(|f| !f.settings.seats.is_empty()) else { return Ok(()) };
         let (seats, set) = (&fleet.settings.seats, &self.site.settings);
-        if seats.len() != set.gateways as usize || seats.get(set.me as usize) != Some(&fleet.settings.name) {
+        if seats.len() != set.gateways as usize
+            || seats.get(set.gateway_number as usize) != Some(&fleet.settings.name)
+        {
             return Err(ConfigError(format!(
                 "seats: expected the names of all {} gateways by their numbers, this one's as number {}",
-                set.gateways, set.me
+                set.gateways, set.gateway_number
             )));
         }
         Ok(())
@@ -215,7 +217,7 @@
             fields.micros_or(name, default).map(|m| std::time::Duration::from_micros(m.0)).map_err(plain)
         };
         let missing = |what: &str| ConfigError(format!("{what}: expected an address, found nothing"));
-        if site.settings.counter && document.counter.is_none() {
+        if site.settings.counter_enabled && document.counter.is_none() {
             return Err(missing("counter"));
         }
         Ok(Config {
--- a/src/proxy/control_plane/counter.rs
+++ b/src/proxy/control_plane/counter.rs
@@ -1,6 +1,6 @@
 //! The shared counter: calls over a few connections, each made once, their answers told in order.
 
-use crate::decision::api::{CounterKey, Micros, Outcome};
+use crate::decision::{CounterKey, Micros, Outcome};
 use crate::proxy::downstream::request_body::Sending;
 use crate::proxy::lifecycle::permits::Share;
 use crate::proxy::log_rate_limit::Sparing;
@@ -97,7 +97,7 @@
                     let problem = problem.filter(|_| self.garbled.speaks(Instant::now()));
                     problem.into_iter().for_each(|problem| warn!(status = %response.status(), problem));
                     // Guards against taking what is left of a broken answer for the next call's.
-                    if counted.outcome != Outcome::Error && connection.is_usable() {
+                    if counted.outcome != Outcome::ServerError && connection.is_usable() {
                         connection.idle_since = Instant::now();
                         self.idle.borrow_mut().push(connection);
                     }
@@ -105,7 +105,7 @@
                 }
                 Err(CallError::NotSent) if reused => wrote.set(false),
                 Err(CallError::NotSent) => return Outcome::ConnectFailed.into(),
-                Err(CallError::Broken | CallError::Cut) => return Outcome::Reset.into(),
+                Err(CallError::Broken | CallError::Cut) => return Outcome::ConnectionReset.into(),
             }
         }
     }
@@ -141,14 +141,14 @@
         StatusCode::OK => {
             let text = std::str::from_utf8(body).unwrap_or("").trim();
             match text.parse::<f64>() {
-                Ok(total) if total.is_finite() => (Counted { outcome: Outcome::Ok, total }, None),
-                _ => (Outcome::Error.into(), Some("the counter answered 200 without a number")),
+                Ok(total) if total.is_finite() => (Counted { outcome: Outcome::Success, total }, None),
+                _ => (Outcome::ServerError.into(), Some("the counter answered 200 without a number")),
             }
         }
-        StatusCode::SERVICE_UNAVAILABLE => (Outcome::Full.into(), None),
+        StatusCode::SERVICE_UNAVAILABLE => (Outcome::Rejected.into(), None),
         // No such call: nothing was added.
-        StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND => (Outcome::Moot.into(), None),
-        _ => (Outcome::Error.into(), Some("the counter answered what it should not")),
+        StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND => (Outcome::NotSent.into(), None),
+        _ => (Outcome::ServerError.into(), Some("the counter answered what it should not")),
     }
 }
 
--- a/src/proxy/control_plane/discovery/mod.rs
+++ b/src/proxy/control_plane/discovery/mod.rs
@@ -15,7 +15,7 @@
 pub use call::FailureKind;
 pub use endpoint_list::{Member, MemberList, Phase, LONGEST_LIST, MOST_BACKENDS};
 
-use crate::decision::api::Settings;
+use crate::decision::Settings;
 use crate::proxy::admin::metrics::Figures;
 use crate::proxy::log_rate_limit::Sparing;
 use crate::proxy::runtime::{Inbox, Input};
--- a/src/proxy/downstream/request.rs
+++ b/src/proxy/downstream/request.rs
@@ -1,6 +1,6 @@
 //! One request of a client's, from its body to its answer: on its way through the driver, and at the ledger.
 
-use crate::decision::api::*;
+use crate::decision::{Arrival, Micros, RequestId};
 use crate::proxy::admin::metrics::{End, Ticket};
 use crate::proxy::cluster_transport::ledger_request::{record_of, recorded};
 use crate::proxy::cluster_transport::serialized_request::kept;
@@ -145,7 +145,8 @@
     let forward = Forward::new(head.method, uri, headers, body);
     let (reply, mut answer) = oneshot::channel();
     let (class, upload) = (asked.arrival.class, arrived.is_some());
-    let taken = Taken { arrival: Arrival { id, deadline, upload, ..asked.arrival }, forward, reply };
+    let taken =
+        Taken { arrival: Arrival { id, deadline, streaming_body: upload, ..asked.arrival }, forward, reply };
     let (mut watch, mut state) = (Watch { inbox: &front.inbox, id, answered: false }, front.duty.changes());
     // Without a driver the answer's sender is gone with the request.
     let _ = front.inbox.send(Input::Taken(Box::new(taken))).await;
--- a/src/proxy/downstream/request_head.rs
+++ b/src/proxy/downstream/request_head.rs
@@ -1,6 +1,6 @@
 //! What a request's head says of it, checked against the site.
 
-use crate::decision::api::*;
+use crate::decision::{Arrival, CustomerId, Idempotency, Micros};
 use crate::proxy::downstream::server::{Front, Malformed};
 use crate::proxy::upstream::forwarded_request::BUDGET;
 use hyper::header::{HeaderMap, HeaderName};
@@ -62,9 +62,9 @@
             plan: *plan,
             customer,
             spread,
-            first,
+            first_gateway: first,
             units,
-            resent: named("x-again") == Some("1"),
+            is_retry: named("x-again") == Some("1"),
             ..Arrival::default()
         };
         // No client waits longer than its class says.
--- a/src/proxy/downstream/server.rs
+++ b/src/proxy/downstream/server.rs
@@ -1,6 +1,6 @@
 //! Clients: taking their requests, answering them, and `/_health`.
 
-use crate::decision::api::*;
+use crate::decision::{ClassId, Idempotency, Micros, PlanId};
 use crate::proxy::admin::metrics::{Close, End, Figures, Ticket};
 use crate::proxy::cluster_transport::Peers;
 use crate::proxy::downstream::accept::Accepting;
--- a/src/proxy/lifecycle/handover.rs
+++ b/src/proxy/lifecycle/handover.rs
@@ -4,7 +4,7 @@
 //! Lines of JSON go both ways over that one connection. Nothing here keeps a process from serving: a peer that
 //! is dead, silent or garbled costs a moment, and then the process goes on alone.
 
-use crate::decision::state::HandoverState;
+use crate::decision::HandoverState;
 use crate::proxy::control_plane::discovery::{MemberList, MOST_BACKENDS};
 use crate::proxy::downstream::accept::Accepting;
 use crate::proxy::lifecycle::drain::Duty;
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -110,16 +110,16 @@
     let (accept_fd, folder) = (config.accept_fd, config.folder.clone());
     let classes = config.site.classes.iter().map(|(name, &i)| {
         let class = &config.site.settings.classes[i];
-        (name.clone(), (crate::decision::api::ClassId(i), class.effect, class.deadline))
+        (name.clone(), (crate::decision::ClassId(i), class.idempotency, class.deadline))
     });
     let classes = classes.collect();
     let plans =
-        config.site.plans.iter().map(|(name, &i)| (name.clone(), crate::decision::api::PlanId(i))).collect();
+        config.site.plans.iter().map(|(name, &i)| (name.clone(), crate::decision::PlanId(i))).collect();
     let tick = config.site.settings.tick;
     let pace = control_plane::discovery::Pace::of(&config.site.settings);
     let known = config.known_revision();
     let last_moment = tick + tick;
-    let (gateways, most_units) = (config.site.settings.gateways, config.site.settings.most_units);
+    let (gateways, most_units) = (config.site.settings.gateways, config.site.settings.max_request_units);
     let names = admin::rollout_calls::Names {
         classes: config.site.classes.keys().cloned().collect(),
         plans: config.site.plans.keys().cloned().collect(),
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -9,8 +9,11 @@
 
 use crate::cluster::rollout::{Arm, Ended as Judgement, Key, Rule};
 use crate::cluster::InForce;
-use crate::decision::api::*;
-use crate::decision::gateway::{has_new, Gateway};
+use crate::decision::{
+    has_canary_rules, Action, Arrival, AttemptEnded, CellId, ClassId, CounterKey, EndpointId, EndpointStatus,
+    EndpointUpdate, Event, Gateway, LoadReport, Micros, Outcome, PlanId, QuotaLease, RejectionReason,
+    RequestId, RouteRule, RoutingRules, TimerId, WatchScope,
+};
 use crate::proxy::admin::metrics::{Figures, Fleet, Unsent};
 use crate::proxy::cluster_transport::outcome_recorder::{Arms, Judged, Seen};
 use crate::proxy::control_plane::config::{Config, ConfigError};
@@ -121,7 +124,7 @@
         let (inbox, inputs) = mpsc::channel(INBOX);
         let (ordering, orders) = mpsc::channel(ORDERS);
         let counter =
-            counter.map(|a| Counter::new(a, duration(site.settings.count_timeout), sockets.counter));
+            counter.map(|a| Counter::new(a, duration(site.settings.counter_timeout), sockets.counter));
         let mut driver = Driver {
             gateway,
             clock,
@@ -159,7 +162,9 @@
         // Where shares are lent, this gateway's may be with others until it is known not to be.
         let part = fleet.map_or(0.0, |fleet| fleet.lend);
         if part > 0.0 {
-            driver.batch.push(Event::Lent(QuotaLease { part, ..QuotaLease::default() }));
+            driver
+                .batch
+                .push(Event::QuotaLeaseChanged(QuotaLease { fraction: part, ..QuotaLease::default() }));
         }
         // It may be old, but it is what there is until discovery speaks, which is waited for a little.
         if !known.members.is_empty() {
@@ -220,13 +225,13 @@
     fn turn(&mut self) {
         let now = self.clock.now();
         while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
-            self.batch.extend(self.timers.pop().map(|Reverse((_, id))| Event::Timer(id)));
+            self.batch.extend(self.timers.pop().map(|Reverse((_, id))| Event::TimerFired { timer: id }));
         }
         let mut actions = std::mem::take(&mut self.actions);
         for event in std::mem::take(&mut self.batch) {
             let ends = match &event {
-                Event::ClientGone(id) => Some(*id),
-                Event::AttemptEnded(end) => Some(end.id),
+                Event::ClientDisconnected { request: id } => Some(*id),
+                Event::AttemptEnded(end) => Some(end.request),
                 _ => None,
             };
             self.gateway.handle(now, event, &mut actions);
@@ -253,23 +258,23 @@
                     "taken"
                 );
                 // The module counts the attempts of earlier owners as well.
-                let before = arrival.earlier.iter().map(|_| Attempt { out: false, call_off: None });
+                let before = arrival.prior_attempts.iter().map(|_| Attempt { out: false, call_off: None });
                 let attempts: Vec<Attempt> = before.collect();
                 let judged = self.rolled.as_ref().map(|(key, routing)| Judged {
                     key: *key,
-                    arm: if has_new(routing, arrival.customer) { Arm::New } else { Arm::Old },
+                    arm: if has_canary_rules(routing, arrival.customer) { Arm::New } else { Arm::Old },
                     class: arrival.class,
                     came: self.clock.now(),
                     before: attempts.len(),
                 });
                 let open = Open { reply: Some(reply), forward: Rc::new(forward), attempts, judged };
                 self.requests.insert(arrival.id, open);
-                self.batch.push(Event::Request(arrival));
+                self.batch.push(Event::RequestArrived(arrival));
             }
             Input::Gone(id) => {
                 if self.requests.get_mut(&id).and_then(Open::take_reply).is_some() {
                     debug!(request = id.0, "the client left");
-                    self.batch.push(Event::ClientGone(id));
+                    self.batch.push(Event::ClientDisconnected { request: id });
                 }
             }
             Input::Members(list) => {
@@ -280,13 +285,19 @@
                 // Calls under way end where they were made.
                 self.counter = self.counter.take().map(|counter| Rc::new(counter.moved(address)));
             }
-            Input::Lent(lent) => self.batch.push(Event::Lent(lent)),
+            Input::Lent(lent) => self.batch.push(Event::QuotaLeaseChanged(lent)),
             Input::Routing(in_force) => self.routing(*in_force),
             Input::Counted(name, serial, counted) => {
                 let ready = self.order.answered(name, serial, counted);
-                self.batch.extend(ready.into_iter().map(|c| Event::Counted(name, c.outcome, c.total)));
+                self.batch.extend(ready.into_iter().map(|c| Event::CounterReplied {
+                    key: name,
+                    outcome: c.outcome,
+                    total: c.total,
+                }));
+            }
+            Input::Uploaded(id, deadline) => {
+                self.batch.push(Event::RequestBodyEnded { request: id, deadline })
             }
-            Input::Uploaded(id, deadline) => self.batch.push(Event::BodyEnded(id, deadline)),
             Input::Ended(id, attempt, server, ended, took) => {
                 let Some(open) = self.requests.get_mut(&id) else { return };
                 let unsent = ended.unsent;
@@ -296,7 +307,12 @@
                 let judged = open.judged.filter(|_| ended.body.is_some() && open.reply.is_some());
                 if let Some(judged) = judged {
                     let at = self.clock.now();
-                    let aim = self.site.settings.classes.get(judged.class.0).map_or(Micros(1), |c| c.aim);
+                    let aim = self
+                        .site
+                        .settings
+                        .classes
+                        .get(judged.class.0)
+                        .map_or(Micros(1), |c| c.latency_objective);
                     let part_of_aim = (at - judged.came).secs() / aim.secs().max(1e-6);
                     let ended = if part_of_aim <= 1.0 { Judgement::InTime } else { Judgement::Late };
                     self.arms.note(Seen { judged, at, ended, part_of_aim });
@@ -305,7 +321,7 @@
                     Some((Answered::Begun(mut download), reply)) => {
                         let inbox = self.inbox.clone();
                         download.tells(move |whole| tell(&inbox, Input::Passed(id, attempt, server, whole)));
-                        self.batch.push(Event::AnswerBegun(id, attempt, took));
+                        self.batch.push(Event::ResponseStarted { request: id, attempt, elapsed: took });
                         let _ = reply.send(Answer::Served(Giving::Download(download)));
                         return;
                     }
@@ -320,7 +336,7 @@
             }
             Input::Passed(id, attempt, server, whole) => {
                 self.attempt_over(id, attempt);
-                let outcome = if whole { Outcome::Ok } else { Outcome::Reset };
+                let outcome = if whole { Outcome::Success } else { Outcome::ConnectionReset };
                 self.ended(id, attempt, server, outcome, Micros(0), LoadReport::default());
             }
         }
@@ -338,9 +354,10 @@
             here.collect::<Vec<_>>().into_iter().map(|rule| Rc::new(route(&mut self.site, rule))).collect()
         };
         let salt = key.map_or(0, |key| key.id);
-        let routing = RoutingRules { old: routes(old.0), new: routes(new.0), share, salt };
+        let routing =
+            RoutingRules { baseline: routes(old.0), canary: routes(new.0), canary_share: share, salt };
         self.rolled = key.filter(|_| counts).map(|key| (key, routing.clone()));
-        self.batch.push(Event::Routing(routing));
+        self.batch.push(Event::RoutingChanged(routing));
     }
 
     fn tidy(&mut self, id: RequestId) {
@@ -356,11 +373,11 @@
     RouteRule {
         class: rule.class.and_then(|name| site.classes.get(&name).copied()).map(ClassId),
         plan: rule.plan.and_then(|name| site.plans.get(&name).copied()).map(PlanId),
-        zones: rule.zones.iter().map(|(zone, weight)| (site.zone(zone), part(*weight))).collect(),
-        labels: rule.labels.iter().map(|(label, weight)| (site.label(label), part(*weight))).collect(),
-        attempts: rule.attempts.map(usize::from),
-        give_up: rule.give_up.map(|percent| part(percent.into())),
-        cold: rule.cold.map(|percent| part(percent.into())),
+        zone_weights: rule.zones.iter().map(|(zone, weight)| (site.zone(zone), part(*weight))).collect(),
+        label_weights: rule.labels.iter().map(|(label, weight)| (site.label(label), part(*weight))).collect(),
+        max_attempts: rule.attempts.map(usize::from),
+        give_up_fraction: rule.give_up.map(|percent| part(percent.into())),
+        slow_start_fraction: rule.cold.map(|percent| part(percent.into())),
     }
 }
 
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -19,26 +19,39 @@
         report: LoadReport,
     ) {
         let ended = self.requests.get(&id).is_none_or(|open| open.reply.is_none());
-        let end = AttemptEnded { id, attempt, server, outcome, took, ended, settled: None, report };
+        let end = AttemptEnded {
+            request: id,
+            attempt,
+            endpoint: server,
+            outcome,
+            elapsed: took,
+            request_finished: ended,
+            settled_units: None,
+            load: report,
+        };
         self.batch.push(Event::AttemptEnded(end));
     }
 
     pub(super) fn act(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send(id, server, until) => self.send(now, id, server, until),
-            Action::Refuse(id, wait, reason) => self.turn_back(id, Answer::Refused(wait), reason),
-            Action::Fail(id, reason) => self.turn_back(id, Answer::Failed, reason),
-            Action::Cancel(id, attempt) => {
+            Action::SendAttempt { request: id, endpoint: server, give_up_at: until } => {
+                self.send(now, id, server, until)
+            }
+            Action::Reject { request: id, retry_after: wait, reason } => {
+                self.turn_back(id, Answer::Refused(wait), reason)
+            }
+            Action::Fail { request: id, reason } => self.turn_back(id, Answer::Failed, reason),
+            Action::CancelAttempt { request: id, attempt } => {
                 let attempt = self.requests.get_mut(&id).and_then(|open| open.attempts.get_mut(attempt));
                 if let Some(call_off) = attempt.and_then(|a| a.call_off.take()) {
                     // The attempt tells its end itself, once its connection is closed; it may have ended.
                     let _ = call_off.send(());
                 }
             }
-            Action::Count(name, amount, life) => self.count(name, amount, life),
-            Action::SetTimer(id, after) => self.timers.push(Reverse((now + after, id))),
+            Action::IncrementCounter { key: name, amount, lifetime: life } => self.count(name, amount, life),
+            Action::SetTimer { timer: id, after } => self.timers.push(Reverse((now + after, id))),
             // Probing is not allowed here, and the watch on the list never stops.
-            Action::Probe(_) | Action::Subscribe | Action::FetchList => {}
+            Action::ProbeEndpoint { .. } | Action::Subscribe | Action::FetchEndpoints => {}
         }
     }
 
@@ -71,7 +84,7 @@
         let Some(backend) = backend else {
             // The client went, or the list changed, after the module was told last.
             open.attempts.push(Attempt { out: false, call_off: None });
-            return self.ended(id, attempt, server, Outcome::Moot, Micros(0), LoadReport::default());
+            return self.ended(id, attempt, server, Outcome::NotSent, Micros(0), LoadReport::default());
         };
         debug!(request = id.0, attempt, backend = %backend.address, "attempt begins");
         let (call_off, called_off) = oneshot::channel();
@@ -88,9 +101,9 @@
             forward.work.iter().for_each(|work| work.ended(server.0, ended.outcome));
             forward.tries.iter().for_each(|tries| tries.ended(ended.outcome));
             match ended.outcome {
-                Outcome::Ok | Outcome::Error | Outcome::Full => arms.saw(true),
+                Outcome::Success | Outcome::ServerError | Outcome::Rejected => arms.saw(true),
                 Outcome::ConnectFailed | Outcome::Timeout => arms.saw(false),
-                Outcome::Reset | Outcome::Cancelled | Outcome::Moot => {}
+                Outcome::ConnectionReset | Outcome::Cancelled | Outcome::NotSent => {}
             }
             // An upload's time begins with its last byte.
             let since = ended.whole_at.map_or(now, |at| clock.at(at).max(now));
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -16,7 +16,7 @@
                 if let Some(server) = server {
                     // What stands open will be dead once the backend has restarted.
                     self.backends.get(&server).into_iter().for_each(|b| self.pool.forget(b.address));
-                    self.batch.push(Event::Maintenance(server, out));
+                    self.batch.push(Event::MaintenanceChanged { endpoint: server, in_maintenance: out });
                     self.turn();
                     // The other process still sends to backends as well.
                     let other = self.other.as_ref().filter(|_| !relayed);
@@ -43,7 +43,7 @@
             }
             Control::Alone(done) => {
                 self.share(None, 0);
-                self.batch.push(Event::Alone);
+                self.batch.push(Event::PeerProcessExited);
                 self.turn();
                 let _ = done.send(());
             }
@@ -101,12 +101,12 @@
                 }
             }
             entries.push(EndpointUpdate {
-                server,
+                endpoint: server,
                 zone: self.site.zone(&member.locality),
                 cell: CellId(member.cell),
-                listed,
+                status: listed,
                 weight: member.size,
-                started: self.start_of(server, member.up_since_ms),
+                started_at: self.start_of(server, member.up_since_ms),
                 label: self.site.label(&member.flavor),
             });
             if listed == EndpointStatus::Removed {
@@ -119,7 +119,7 @@
             }
         }
         if list.complete {
-            let told: HashSet<EndpointId> = entries.iter().map(|e| e.server).collect();
+            let told: HashSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
             self.starts.retain(|server, _| told.contains(server));
             self.backends.retain(|server, backend| {
                 let stays = told.contains(server);
@@ -134,7 +134,7 @@
             let open = self.backends.values().filter(|backend| backend.open.get());
             self.arms.backends(open.map(|backend| backend.address).collect());
         }
-        self.batch.push(Event::Servers(scope, entries));
+        self.batch.push(Event::EndpointsChanged { scope, endpoints: entries });
     }
 
     /// When a backend started, on this gateway's clock: reckoned once for each start, so that a step of the wall clock makes
--- a/src/proxy/runtime/tests.rs
+++ b/src/proxy/runtime/tests.rs
@@ -1,5 +1,6 @@
 //! The driver's table under what comes late, twice or from a client that has left.
 
+use crate::decision::CustomerId;
 use crate::proxy::runtime::*;
 use crate::proxy::upstream::forwarded_request::Payload;
 use bytes::Bytes;
@@ -50,13 +51,17 @@
         spread: 1,
         ..Arrival::default()
     };
-    driver.gateway.handle(now, Event::Request(arrival), &mut out);
+    driver.gateway.handle(now, Event::RequestArrived(arrival), &mut out);
     let name = out.iter().find_map(|action| match action {
-        Action::Count(name, ..) => Some(*name),
+        Action::IncrementCounter { key: name, .. } => Some(*name),
         _ => None,
     });
-    driver.gateway.handle(now, Event::Counted(name.expect("a call"), Outcome::Full, 0.0), &mut out);
-    out.iter().any(|action| matches!(action, Action::Send(..)))
+    driver.gateway.handle(
+        now,
+        Event::CounterReplied { key: name.expect("a call"), outcome: Outcome::Rejected, total: 0.0 },
+        &mut out,
+    );
+    out.iter().any(|action| matches!(action, Action::SendAttempt { .. }))
 }
 
 #[test]
@@ -80,7 +85,7 @@
     let later = |seconds: u64| elder.clock.now() + Micros(seconds * 1_000_000);
     let (back, after) = (later(60), later(70));
     elder.gateway.hand_over();
-    elder.gateway.handle(back, Event::Alone, &mut Vec::new());
+    elder.gateway.handle(back, Event::PeerProcessExited, &mut Vec::new());
     assert!(!goes_on_unheard_at(&mut elder, back, 1), "the younger process may have spent it");
     assert!(goes_on_unheard_at(&mut elder, after, 2), "nobody else can have spent what came in since");
 }
@@ -92,9 +97,10 @@
     let _answer = take(&mut driver, id);
     driver.take(Input::Gone(id));
     let now = driver.clock.now();
-    driver.act(now, Action::Send(id, server, now + Micros(1_000_000)));
+    driver
+        .act(now, Action::SendAttempt { request: id, endpoint: server, give_up_at: now + Micros(1_000_000) });
     let told = driver.batch.iter().any(|event| {
-        matches!(event, Event::AttemptEnded(end) if end.id == id && end.outcome == Outcome::Moot && end.ended)
+        matches!(event, Event::AttemptEnded(end) if end.request == id && end.outcome == Outcome::NotSent && end.request_finished)
     });
     assert!(told, "the module never hears of it: {:?}", driver.batch);
 }
--- a/src/proxy/upstream/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -1,6 +1,6 @@
 //! Attempts at backends: a pool of connections, and the outcome of each attempt by what was written.
 
-use crate::decision::api::{LoadReport, Outcome};
+use crate::decision::{LoadReport, Outcome};
 use crate::proxy::admin::metrics::{Figures, Unsent};
 use crate::proxy::downstream::response_body::{Answered, Download};
 use crate::proxy::lifecycle::permits::Share;
@@ -166,7 +166,7 @@
     /// The end of an attempt that the gateway itself keeps back.
     pub fn unsent(&self, why: Unsent) -> Ended {
         self.figures.unsent.raise(why);
-        Ended { unsent: Some(why), ..Outcome::Moot.into() }
+        Ended { unsent: Some(why), ..Outcome::NotSent.into() }
     }
 
     fn held(&self) -> usize {
@@ -256,12 +256,12 @@
                 // Guards against a pooled connection that was closed just before it was written to.
                 Err(CallError::NotSent) if reused => wrote.set(false),
                 Err(CallError::NotSent) => return Outcome::ConnectFailed.into(),
-                Err(CallError::Cut) => return Outcome::Moot.into(),
+                Err(CallError::Cut) => return Outcome::NotSent.into(),
                 Err(CallError::Broken) => {
                     if reused {
                         self.broke(idle);
                     }
-                    return Outcome::Reset.into();
+                    return Outcome::ConnectionReset.into();
                 }
             }
         }
@@ -282,7 +282,7 @@
             warn!(%address, "a load report makes no sense; what can't be read of it is passed over");
         }
         let mut body = response.into_body();
-        if outcome != Outcome::Ok {
+        if outcome != Outcome::Success {
             let read = connection.drive(Limited::new(body, MAX_BODY).collect()).await;
             if matches!(read, Some(Ok(_))) {
                 self.give_back(address, connection);
@@ -318,7 +318,7 @@
                     let body = Some(Answered::Whole(whole, room));
                     return Ended { body, report, ..outcome.into() };
                 }
-                Some(Some(Err(_))) | None => return Outcome::Reset.into(),
+                Some(Some(Err(_))) | None => return Outcome::ConnectionReset.into(),
             }
             if length > 0 && (room.is_none() || length > MAX_BODY) {
                 break;
@@ -367,9 +367,9 @@
 fn outcome_of<T>(response: &Response<T>) -> Outcome {
     let rejected = response.headers().get(REJECTED).is_some_and(|v| v.as_bytes() == b"1");
     match response.status() {
-        StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => Outcome::Full,
-        _ => Outcome::Error,
+        StatusCode::OK => Outcome::Success,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => Outcome::Rejected,
+        _ => Outcome::ServerError,
     }
 }
 
@@ -386,9 +386,9 @@
 
     #[test]
     fn a_load_report_is_read_as_far_as_it_makes_sense() {
-        let whole = LoadReport { inflight: Some(7.0), queue: Some(2.0), busy: Some(0.61) };
+        let whole = LoadReport { in_flight: Some(7.0), queued: Some(2.0), busy_fraction: Some(0.61) };
         assert_eq!(read("TEXT concurrent=7, depth=2, load_share=0.61, tps=3"), (whole, true));
-        let busy = LoadReport { busy: Some(0.5), ..LoadReport::default() };
+        let busy = LoadReport { busy_fraction: Some(0.5), ..LoadReport::default() };
         assert_eq!(read("TEXT concurrent=NaN,depth=-1, load_share=0.5"), (busy, false));
         assert_eq!(read("TEXT concurrent=, =, ,load_share=0.5=,"), (LoadReport::default(), false));
         assert_eq!(read("BINARY concurrent=7"), (LoadReport::default(), false));
--- a/src/proxy/upstream/forwarded_request.rs
+++ b/src/proxy/upstream/forwarded_request.rs
@@ -1,6 +1,6 @@
 //! A client's request as it goes on to backends, for as many attempts as it takes.
 
-use crate::decision::api::Outcome;
+use crate::decision::Outcome;
 use crate::proxy::cluster_transport::ledger_claim::Work;
 use crate::proxy::downstream::request_body::{Sending, Upload};
 use bytes::Bytes;
--- a/src/simulator/wire.rs
+++ b/src/simulator/wire.rs
@@ -1,7 +1,10 @@
 //! The text protocol of the simulator, to and from the types of `api.rs`. Nothing here decides.
 
-use crate::decision::api::*;
-use crate::decision::gateway::Gateway;
+use crate::decision::Gateway;
+use crate::decision::{
+    Action, Arrival, AttemptEnded, CellId, ClassId, CounterKey, CustomerId, EndpointId, EndpointStatus,
+    EndpointUpdate, Event, LabelId, LoadReport, Micros, Outcome, PlanId, RequestId, TimerId, WatchScope,
+};
 use crate::site_settings::{note, FieldError, Fields, Result, Site};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,14 +13,14 @@
 impl Fields<'_> {
     fn outcome(&self) -> Result<Outcome> {
         Ok(match self.text("how")? {
-            "200" => Outcome::Ok,
-            "500" => Outcome::Error,
-            "503" => Outcome::Full,
+            "200" => Outcome::Success,
+            "500" => Outcome::ServerError,
+            "503" => Outcome::Rejected,
             "504" => Outcome::Timeout,
             "502" => Outcome::ConnectFailed,
-            "598" => Outcome::Reset,
+            "598" => Outcome::ConnectionReset,
             "499" => Outcome::Cancelled,
-            "410" => Outcome::Moot,
+            "410" => Outcome::NotSent,
             _ => return self.fail("how", "one of 200 410 499 500 502 503 504 598"),
         })
     }
@@ -50,17 +53,17 @@
     }
     fn entry(&mut self, f: &Fields) -> Result<EndpointUpdate> {
         Ok(EndpointUpdate {
-            server: self.site.server(f.text("backend")?),
+            endpoint: self.site.server(f.text("backend")?),
             zone: self.site.zone(f.pairs.get("rack_zone").copied().unwrap_or("")),
             cell: CellId(f.whole_or("pod", 0)?),
-            listed: match f.text("status")? {
+            status: match f.text("status")? {
                 "in_service" => EndpointStatus::InService,
                 "terminating" => EndpointStatus::Draining,
                 "terminated" => EndpointStatus::Removed,
                 _ => return f.fail("status", "in_service, terminating or terminated"),
             },
             weight: f.real_or("heft", 1.0)?,
-            started: Some(f.micros_or("last_start", 0)?).filter(|s| s.0 > 0),
+            started_at: Some(f.micros_or("last_start", 0)?).filter(|s| s.0 > 0),
             label: LabelId::default(),
         })
     }
@@ -85,35 +88,41 @@
                 if units < 0.0 {
                     return f.fail("price_units", "a number of 0 or more");
                 }
-                Event::Request(Arrival {
+                Event::RequestArrived(Arrival {
                     id: RequestId(f.whole("ref")?),
                     class: ClassId(class),
                     plan: PlanId(plan),
                     customer: CustomerId(customer),
                     spread: f.real_or("doors", 1.0)?.clamp(1.0, 1e6) as u32,
-                    first: 0,
+                    first_gateway: 0,
                     deadline: f.read("drop_dead", "a clock time")?.map_or(now + longest, Micros),
                     units,
-                    resent: f.flag_or("resent", false)?,
+                    is_retry: f.flag_or("resent", false)?,
                     ..Arrival::default()
                 })
             }
-            "RING" => Event::Timer(TimerId(f.whole("ref")?)),
-            "FIRST_BYTE" => Event::StreamStarted(RequestId(f.whole("ref")?)),
-            "TIMED_OUT_CLIENT" => Event::ClientGone(RequestId(f.whole("ref")?)),
-            "PONG" => Event::Probed(self.site.server(f.text("backend")?), f.outcome()?, f.report()?),
-            "COUNT_RESULT" => {
-                Event::Counted(CounterKey(f.whole("book")?), f.outcome()?, f.real_or("result_value", 0.0)?)
-            }
+            "RING" => Event::TimerFired { timer: TimerId(f.whole("ref")?) },
+            "FIRST_BYTE" => Event::StreamStarted { request: RequestId(f.whole("ref")?) },
+            "TIMED_OUT_CLIENT" => Event::ClientDisconnected { request: RequestId(f.whole("ref")?) },
+            "PONG" => Event::EndpointProbed {
+                endpoint: self.site.server(f.text("backend")?),
+                outcome: f.outcome()?,
+                load: f.report()?,
+            },
+            "COUNT_RESULT" => Event::CounterReplied {
+                key: CounterKey(f.whole("book")?),
+                outcome: f.outcome()?,
+                total: f.real_or("result_value", 0.0)?,
+            },
             "OUTCOME" => Event::AttemptEnded(AttemptEnded {
-                id: RequestId(f.whole("ref")?),
+                request: RequestId(f.whole("ref")?),
                 attempt: f.whole_or("trial", 0)? as usize,
-                server: self.site.server(f.text("backend")?),
+                endpoint: self.site.server(f.text("backend")?),
                 outcome: f.outcome()?,
-                took: f.micros_or("took", 0)?,
-                ended: f.flag_or("ended", false)?,
-                settled: Some(f.real_or("settled", 0.0)?).filter(|s| *s > 0.0),
-                report: f.report()?,
+                elapsed: f.micros_or("took", 0)?,
+                request_finished: f.flag_or("ended", false)?,
+                settled_units: Some(f.real_or("settled", 0.0)?).filter(|s| *s > 0.0),
+                load: f.report()?,
             }),
             _ => return Ok(None),
         }))
@@ -122,20 +131,24 @@
         let name = |s: &EndpointId| self.site.servers.get(s).map_or("", String::as_str);
         // Writing to a String cannot fail.
         let _ = match action {
-            Action::Send(r, s, until) => {
+            Action::SendAttempt { request: r, endpoint: s, give_up_at: until } => {
                 writeln!(out, "ROUTE ref={} backend={} abandon_at={}", r.0, name(s), until.0)
             }
-            Action::Refuse(r, None, _) => writeln!(out, "REJECT ref={}", r.0),
-            Action::Refuse(r, Some(b), _) => writeln!(out, "REJECT ref={} backoff={}", r.0, b.0),
-            Action::Fail(r, _) => writeln!(out, "FINISH_ERROR ref={}", r.0),
-            Action::Cancel(r, a) => writeln!(out, "ABANDON ref={} trial={a}", r.0),
-            Action::Probe(s) => writeln!(out, "PROBE backend={}", name(s)),
-            Action::Count(n, amount, life) => {
+            Action::Reject { request: r, retry_after: None, .. } => writeln!(out, "REJECT ref={}", r.0),
+            Action::Reject { request: r, retry_after: Some(b), .. } => {
+                writeln!(out, "REJECT ref={} backoff={}", r.0, b.0)
+            }
+            Action::Fail { request: r, .. } => writeln!(out, "FINISH_ERROR ref={}", r.0),
+            Action::CancelAttempt { request: r, attempt: a } => {
+                writeln!(out, "ABANDON ref={} trial={a}", r.0)
+            }
+            Action::ProbeEndpoint { endpoint: s } => writeln!(out, "PROBE backend={}", name(s)),
+            Action::IncrementCounter { key: n, amount, lifetime: life } => {
                 writeln!(out, "ADD_AND_GET book={} amount={amount} lifetime={}", n.0, life.0)
             }
-            Action::SetTimer(t, after) => writeln!(out, "WAKE_ME ref={} in={}", t.0, after.0),
+            Action::SetTimer { timer: t, after } => writeln!(out, "WAKE_ME ref={} in={}", t.0, after.0),
             Action::Subscribe => writeln!(out, "LISTEN active=1"),
-            Action::FetchList => writeln!(out, "RELOAD"),
+            Action::FetchEndpoints => writeln!(out, "RELOAD"),
         };
     }
 }
@@ -244,7 +257,7 @@
     }
     fn close_list(&mut self) {
         if let (Some(list), Some(who)) = (self.list.take_if(|l| l.left == 0), self.current) {
-            self.tell(who, Event::Servers(list.scope, list.entries));
+            self.tell(who, Event::EndpointsChanged { scope: list.scope, endpoints: list.entries });
         }
     }
     fn tell(&mut self, who: u32, event: Event) {
--- a/src/site_settings.rs
+++ b/src/site_settings.rs
@@ -1,7 +1,9 @@
 //! Settings by their dotted names, and the names of what they list. The simulator's adapter and the real
 //! gateway both read them here: one finds them on a line, the other flattens its JSON to the same form.
 
-use crate::decision::api::*;
+use crate::decision::{
+    Class, DeduplicationScope, EndpointId, Idempotency, LabelId, LoadReport, Micros, Plan, Settings, ZoneId,
+};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Display;
 use std::str::FromStr;
@@ -108,24 +110,24 @@
             classes.insert(f.text(&key("name"))?.to_string(), i);
             let deadline = Micros(f.whole(&key("deadline"))?);
             class_list.push(Class {
-                aim: f.micros_or(&key("on_time"), deadline.0)?,
+                latency_objective: f.micros_or(&key("on_time"), deadline.0)?,
                 deadline,
-                worth: f.real_or(&key("credit"), 1.0)?,
-                late_worth: f.real_or(&key("late_share"), 0.0)?,
-                effect: match f.pairs.get(key("effect").as_str()) {
+                priority_weight: f.real_or(&key("credit"), 1.0)?,
+                late_weight_fraction: f.real_or(&key("late_share"), 0.0)?,
+                idempotency: match f.pairs.get(key("effect").as_str()) {
                     Some(&"pure") => Idempotency::Idempotent,
                     Some(&"token") => Idempotency::WithKey,
                     Some(&"side_effect") | None => Idempotency::NotIdempotent,
                     Some(_) => return f.fail(&key("effect"), "pure, token or side_effect"),
                 },
-                group: match f.pairs.get(key("key_scope").as_str()) {
+                deduplication_scope: match f.pairs.get(key("key_scope").as_str()) {
                     Some(&"all") => DeduplicationScope::All,
                     Some(&"zone") => DeduplicationScope::Zone,
                     Some(&"cell") | None => DeduplicationScope::Cell,
                     Some(_) => return f.fail(&key("key_scope"), "all, zone or cell"),
                 },
-                window: f.micros_or(&key("window"), 0)?,
-                stream: f.flag_or(&key("streaming"), false)?,
+                deduplication_window: f.micros_or(&key("window"), 0)?,
+                streaming: f.flag_or(&key("streaming"), false)?,
             });
         }
         let (mut plans, mut plan_list) = (HashMap::new(), Vec::new());
@@ -136,13 +138,13 @@
             plan_list.push(Plan {
                 rate: real("per_second", 0.0)?,
                 burst: real("peak_units", 0.0)?,
-                open: real("open", 0.0)?,
-                price: real("price", 1.0)?,
-                over_worth: real("extra_worth", 0.0)?,
-                over_cost: real("excess_cost", 0.0)?,
+                concurrency_quota: real("open", 0.0)?,
+                weight_factor: real("price", 1.0)?,
+                overage_weight_fraction: real("extra_worth", 0.0)?,
+                overage_cost_fraction: real("excess_cost", 0.0)?,
                 ceiling_rate: real("ceiling_rate", 0.0)?,
                 ceiling_burst: real("cap_depth", 0.0)?,
-                ceiling_slack: real("tolerance", 0.0)?,
+                ceiling_overdraft: real("tolerance", 0.0)?,
             });
         }
         let mut zones = HashMap::new();
@@ -153,26 +155,26 @@
         let zone = zone_id(&mut zones, f.pairs.get("zone").copied().unwrap_or(""));
         let settings = Settings {
             gateways: f.whole_or("balancers", 1)?.min(u32::MAX.into()) as u32,
-            me: f.whole_or("my_number", 0)?.min(u32::MAX.into()) as u32,
+            gateway_number: f.whole_or("my_number", 0)?.min(u32::MAX.into()) as u32,
             zone,
             classes: class_list,
             plans: plan_list,
             max_attempts: f.whole_or("bounds.max_attempts", 1)? as usize,
-            second_copies: f.flag_or("bounds.second_copies", false)?,
+            hedging: f.flag_or("bounds.second_copies", false)?,
             may_cancel: f.flag_or("bounds.may_cancel", false)?,
-            probes: f.flag_or("bounds.probing", false)?,
+            health_checks: f.flag_or("bounds.probing", false)?,
             retry_after: f.flag_or("bounds.retry_after", false)?,
             max_retry_after: f.micros_or("bounds.max_retry_after", 0)?,
-            counter: f.flag_or("specifics.counter", false)?,
-            count_timeout: f.micros_or("specifics.count_limit", 0)?,
-            most_units: f.real_or("specifics.units_top", 1.0)?,
+            counter_enabled: f.flag_or("specifics.counter", false)?,
+            counter_timeout: f.micros_or("specifics.count_limit", 0)?,
+            max_request_units: f.real_or("specifics.units_top", 1.0)?,
             must_subscribe: f.pairs.get("membership_mode") == Some(&"subscribe"),
             connect_timeout: f.micros_or("bounds.dial_timeout", 250_000)?,
             answer_slack: f.micros_or("rules.answer_slack", 0)?,
-            cold_from: f.real_or("rules.cold_from", 1.0)?,
-            cold: f.micros_or("rules.cold", 0)?,
-            fall_multiple: f.real_or("rules.fall_multiple", 1.0)?,
-            tip_after: f.micros_or("rules.tip_after", 0)?,
+            slow_start_min_capacity: f.real_or("rules.cold_from", 1.0)?,
+            slow_start_window: f.micros_or("rules.cold", 0)?,
+            overload_multiple: f.real_or("rules.fall_multiple", 1.0)?,
+            overload_after: f.micros_or("rules.tip_after", 0)?,
             tick: f.micros_or("tick", 0)?,
         };
         Ok(Site { settings, classes, plans, zones, labels: HashMap::new(), servers: HashMap::new() })
@@ -214,9 +216,9 @@
 /// Puts a value of a load report in its place; those that say nothing here are passed over.
 pub(crate) fn note(report: &mut LoadReport, name: &str, value: f64) {
     let place = match name {
-        "concurrent" => &mut report.inflight,
-        "depth" => &mut report.queue,
-        "load_share" => &mut report.busy,
+        "concurrent" => &mut report.in_flight,
+        "depth" => &mut report.queued,
+        "load_share" => &mut report.busy_fraction,
         _ => return,
     };
     *place = Some(value).filter(|v| v.is_finite() && *v >= 0.0);
--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -2,7 +2,7 @@
 #[path = "sockets/world/mod.rs"]
 mod world;
 
-use quota_gateway::decision::api::Outcome;
+use quota_gateway::decision::Outcome;
 use quota_gateway::proxy::control_plane::config::SocketLimits;
 use quota_gateway::proxy::memory_budget::Memory;
 use quota_gateway::proxy::upstream::backend::{Backend, Ended, Pool};
@@ -42,7 +42,7 @@
     let (pool, backend) = (pool(8, LONG), backend(&stub));
     backend.open.set(false);
     let ended = on_runtime(attempt(&pool, &backend, LONG));
-    assert_eq!(ended.outcome, Outcome::Moot);
+    assert_eq!(ended.outcome, Outcome::NotSent);
     stub.wait_for("the connection's end", |log| log.opened == 1 && log.closed == 1);
     assert_eq!(stub.requests().len(), 0, "nothing was written");
 }
@@ -56,8 +56,8 @@
     });
     let (pool, backend) = (pool(8, LONG), backend(&stub));
     on_runtime(async {
-        assert_eq!(attempt(&pool, &backend, LONG).await.outcome, Outcome::Ok);
-        assert_eq!(attempt(&pool, &backend, LONG).await.outcome, Outcome::Reset);
+        assert_eq!(attempt(&pool, &backend, LONG).await.outcome, Outcome::Success);
+        assert_eq!(attempt(&pool, &backend, LONG).await.outcome, Outcome::ConnectionReset);
     });
     let seen = stub.requests();
     assert_eq!(seen.len(), 2, "it is not sent again");
@@ -74,7 +74,7 @@
     let (pool, backend) = (pool(8, LONG), backend(&stub));
     let idle = Duration::from_millis(400);
     on_runtime(async {
-        for outcome in [Outcome::Ok, Outcome::Reset, Outcome::Ok, Outcome::Ok] {
+        for outcome in [Outcome::Success, Outcome::ConnectionReset, Outcome::Success, Outcome::Success] {
             assert_eq!(attempt(&pool, &backend, LONG).await.outcome, outcome);
             tokio::time::sleep(idle).await;
         }
@@ -118,7 +118,7 @@
     let stub = Stub::start(|_| http("200 OK", "ok"));
     let (pool, backend) = (pool(8, Duration::from_millis(40)), backend(&stub));
     on_runtime(async {
-        assert_eq!(attempt(&pool, &backend, LONG).await.outcome, Outcome::Ok);
+        assert_eq!(attempt(&pool, &backend, LONG).await.outcome, Outcome::Success);
         tokio::time::sleep(Duration::from_millis(25)).await;
         pool.retire();
     });
@@ -132,12 +132,12 @@
     let (to_busy, to_other) = (backend(&busy), backend(&other));
     on_runtime(async {
         // An idle connection gives way to one that is needed.
-        assert_eq!(attempt(&pool, &to_other, LONG).await.outcome, Outcome::Ok);
+        assert_eq!(attempt(&pool, &to_other, LONG).await.outcome, Outcome::Success);
         let (first, second) = tokio::join!(
             attempt(&pool, &to_busy, Duration::from_millis(50)),
             attempt(&pool, &to_other, LONG)
         );
-        assert_eq!((first.outcome, second.outcome), (Outcome::Timeout, Outcome::Moot));
+        assert_eq!((first.outcome, second.outcome), (Outcome::Timeout, Outcome::NotSent));
     });
     other.wait_for("the idle connection's end", |log| log.closed == 1);
     assert_eq!(other.requests().len(), 1);
@@ -153,7 +153,7 @@
         // Nothing says how long it is, and no more comes: it has begun all the same.
         let ended = attempt(&pool, &backend, LONG).await;
         let begun = ended.begun_at.expect("it has begun");
-        assert_eq!(ended.outcome, Outcome::Ok);
+        assert_eq!(ended.outcome, Outcome::Success);
         assert!(ended.whole_at.is_some_and(|whole| whole <= begun) && begun < Instant::now());
     });
 }
--- a/tests/breaker.rs
+++ b/tests/breaker.rs
@@ -1,14 +1,14 @@
 //! The breaker over the counter: each transition, and the breaks foreseen for it.
 mod common;
 use common::*;
-use quota_gateway::decision::api::*;
+use quota_gateway::decision::{Event, Outcome};
 
 /// Makes one window call for a customer and lets it fail; says whether a call was made.
 fn failing(rig: &mut Rig, customer: u64) -> bool {
     let (_, out) = rig.request(0, 0, customer, 1.0);
     let made = counts(&out);
     for (name, _) in &made {
-        rig.tell(Event::Counted(*name, Outcome::Full, 0.0));
+        rig.tell(Event::CounterReplied { key: *name, outcome: Outcome::Rejected, total: 0.0 });
     }
     !made.is_empty()
 }
@@ -50,7 +50,7 @@
     let probe = adds(&out);
     assert_eq!(probe.len(), 1, "half-open: one probe");
     assert!(counts(&rig.request(0, 0, 6, 1.0).1).is_empty(), "while the probe is out nobody else asks");
-    rig.tell(Event::Counted(probe[0].0, Outcome::Ok, 1.0));
+    rig.tell(Event::CounterReplied { key: probe[0].0, outcome: Outcome::Success, total: 1.0 });
     let asked = (10..30).filter(|c| !adds(&rig.request(0, 0, *c, 1.0).1).is_empty()).count();
     assert!(asked > 0, "closed again");
 }
@@ -72,7 +72,9 @@
     let mut rig = Rig::new(settings(), 4);
     let calls: Vec<_> = (1..=3).flat_map(|c| counts(&rig.request(0, 0, c, 1.0).1)).collect();
     rig.pass(80 * MS);
-    calls.iter().for_each(|(name, _)| drop(rig.tell(Event::Counted(*name, Outcome::Timeout, 0.0))));
+    calls.iter().for_each(|(name, _)| {
+        drop(rig.tell(Event::CounterReplied { key: *name, outcome: Outcome::Timeout, total: 0.0 }))
+    });
     assert!(counts(&rig.request(0, 0, 4, 1.0).1).is_empty());
 }
 
@@ -97,8 +99,8 @@
         for (name, amount) in counts(&out) {
             // Two failures, one answer, and again: three in a row never come.
             calls += u32::from(amount != 0.0);
-            let outcome = if amount == 0.0 || calls % 3 == 0 { Outcome::Ok } else { Outcome::Full };
-            rig.tell(Event::Counted(name, outcome, amount));
+            let outcome = if amount == 0.0 || calls % 3 == 0 { Outcome::Success } else { Outcome::Rejected };
+            rig.tell(Event::CounterReplied { key: name, outcome, total: amount });
         }
     }
     let asked = (0..200).filter(|c| !adds(&rig.request(0, 0, 1_000 + c, 1.0).1).is_empty()).count();
@@ -116,7 +118,7 @@
     let (_, out) = rig.request(0, 0, 1, 1.0);
     let probe = adds(&out);
     assert_eq!(probe.len(), 1);
-    rig.tell(Event::Counted(probe[0].0, Outcome::Full, 0.0));
+    rig.tell(Event::CounterReplied { key: probe[0].0, outcome: Outcome::Rejected, total: 0.0 });
     rig.pass(5 * S);
     assert!(failing(&mut rig, 9), "the probe was given back");
 }
--- a/tests/counter.rs
+++ b/tests/counter.rs
@@ -2,7 +2,7 @@
 #[path = "sockets/world/mod.rs"]
 mod world;
 
-use quota_gateway::decision::api::{CounterKey, Micros, Outcome};
+use quota_gateway::decision::{CounterKey, Micros, Outcome};
 use quota_gateway::proxy::control_plane::counter::{Counted, Counter, Order};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
@@ -19,7 +19,7 @@
     let stub = Stub::start(|_| http("200 OK", "38.5\n"));
     let counter = Counter::new(stub.address, Duration::from_secs(5), 2);
     let counted = on_runtime(add(&counter, 9041552));
-    assert_eq!(counted, Counted { outcome: Outcome::Ok, total: 38.5 });
+    assert_eq!(counted, Counted { outcome: Outcome::Success, total: 38.5 });
     assert_eq!(stub.requests()[0].line, "POST /v1/count/9041552?add=-2.5&ttl_ms=4000 HTTP/1.1");
 }
 
@@ -30,10 +30,10 @@
     let refused = Counter::new(gone, Duration::from_secs(5), 2);
     assert_eq!(on_runtime(add(&refused, 1)).outcome, Outcome::ConnectFailed);
     let cases: [(fn() -> Reply, Outcome); 5] = [
-        (|| http("503 Full", ""), Outcome::Full),
-        (|| http("404 Nothing", ""), Outcome::Moot),
-        (|| http("200 OK", "NaN"), Outcome::Error),
-        (|| Reply::RawThenClose(String::new()), Outcome::Reset),
+        (|| http("503 Full", ""), Outcome::Rejected),
+        (|| http("404 Nothing", ""), Outcome::NotSent),
+        (|| http("200 OK", "NaN"), Outcome::ServerError),
+        (|| Reply::RawThenClose(String::new()), Outcome::ConnectionReset),
         (|| Reply::Silence, Outcome::Timeout),
     ];
     for (reply, outcome) in cases {
@@ -59,7 +59,7 @@
     on_runtime(async {
         assert_eq!(add(&counter, 1).await.outcome, Outcome::Timeout);
         for _ in 0..4 {
-            assert_eq!(add(&counter, 1).await, Counted { outcome: Outcome::Ok, total: 2.0 });
+            assert_eq!(add(&counter, 1).await, Counted { outcome: Outcome::Success, total: 2.0 });
         }
     });
 }
@@ -76,7 +76,7 @@
 
 #[test]
 fn answers_for_one_name_come_in_the_order_of_their_calls() {
-    let told = |total| Counted { outcome: Outcome::Ok, total };
+    let told = |total| Counted { outcome: Outcome::Success, total };
     let mut order = Order::default();
     let (a, b) = (CounterKey(1), CounterKey(2));
     let (first, second, other) = (order.made(a), order.made(a), order.made(b));
--- a/tests/decision_fixtures/main.rs
+++ b/tests/decision_fixtures/main.rs
@@ -199,8 +199,7 @@
     assert_eq!(states.len(), 2, "two processes handed over");
     let mut written = String::new();
     for state in states {
-        let read: quota_gateway::decision::gateway::HandoverState =
-            serde_json::from_str(state).expect("a state");
+        let read: quota_gateway::decision::HandoverState = serde_json::from_str(state).expect("a state");
         written.push_str(&serde_json::to_string(&read).expect("a text"));
         written.push('\n');
     }
--- a/tests/decision_fixtures/module.rs
+++ b/tests/decision_fixtures/module.rs
@@ -6,8 +6,13 @@
     AttemptLine, EndpointLine, How, LoadLine, Model, Response, Scenario, Scope, Status, Stimulus, CLASSES,
     MS, PLANS, TICK,
 };
-use quota_gateway::decision::api::*;
-use quota_gateway::decision::gateway::{has_new, Gateway};
+use quota_gateway::decision::{has_canary_rules, Gateway};
+use quota_gateway::decision::{
+    Action, Arrival, AttemptEnded, CellId, Class, ClassId, CounterKey, CustomerId, DeduplicationScope,
+    EndpointId, EndpointStatus, EndpointUpdate, Event, Idempotency, LabelId, LoadReport, Micros, Outcome,
+    Plan, PlanId, PriorAttempt, QuotaLease, RejectionReason, RequestId, RouteRule, RoutingRules, Settings,
+    TimerId, WatchScope, ZoneId,
+};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::rc::Rc;
@@ -74,57 +79,57 @@
 
 fn start(scenario: &Scenario, number: u32) -> Gateway {
     let classes = CLASSES.iter().map(|c| Class {
-        aim: Micros(c.on_time),
+        latency_objective: Micros(c.on_time),
         deadline: Micros(c.deadline),
-        worth: c.credit,
-        late_worth: c.late_share,
-        effect: match c.effect {
+        priority_weight: c.credit,
+        late_weight_fraction: c.late_share,
+        idempotency: match c.effect {
             "pure" => Idempotency::Idempotent,
             "token" => Idempotency::WithKey,
             _ => Idempotency::NotIdempotent,
         },
-        group: match c.key_scope {
+        deduplication_scope: match c.key_scope {
             "all" => DeduplicationScope::All,
             "zone" => DeduplicationScope::Zone,
             _ => DeduplicationScope::Cell,
         },
-        window: Micros(c.window),
-        stream: c.streaming,
+        deduplication_window: Micros(c.window),
+        streaming: c.streaming,
     });
     let plans = PLANS.iter().map(|p| Plan {
         rate: p.per_second,
         burst: p.peak_units,
-        open: p.open,
-        price: p.price,
-        over_worth: p.extra_worth,
-        over_cost: p.excess_cost,
+        concurrency_quota: p.open,
+        weight_factor: p.price,
+        overage_weight_fraction: p.extra_worth,
+        overage_cost_fraction: p.excess_cost,
         ceiling_rate: p.ceiling_rate,
         ceiling_burst: p.cap_depth,
-        ceiling_slack: p.tolerance,
+        ceiling_overdraft: p.tolerance,
     });
     // Two processes of one gateway have one number.
     let settings = Settings {
         gateways: scenario.gateways,
-        me: number % 100,
+        gateway_number: number % 100,
         zone: ZoneId(number % 3),
         classes: classes.collect(),
         plans: plans.collect(),
         max_attempts: 4,
-        second_copies: scenario.second_copies,
+        hedging: scenario.second_copies,
         may_cancel: scenario.may_cancel,
-        probes: true,
+        health_checks: true,
         retry_after: scenario.retry_after,
         max_retry_after: Micros(2_000 * MS),
-        counter: scenario.counter,
-        count_timeout: Micros(80 * MS),
-        most_units: 4.0,
+        counter_enabled: scenario.counter,
+        counter_timeout: Micros(80 * MS),
+        max_request_units: 4.0,
         must_subscribe: scenario.must_subscribe,
         connect_timeout: Micros(500 * MS),
         answer_slack: Micros(8 * MS),
-        cold_from: 0.2,
-        cold: Micros(6_000 * MS),
-        fall_multiple: 1.8,
-        tip_after: Micros(1_000 * MS),
+        slow_start_min_capacity: 0.2,
+        slow_start_window: Micros(6_000 * MS),
+        overload_multiple: 1.8,
+        overload_after: Micros(1_000 * MS),
         tick: Micros(TICK),
     };
     Gateway::new(scenario.seed * 1_000 + u64::from(number), settings).expect("sound settings")
@@ -138,156 +143,169 @@
                 Scope::Complete => WatchScope::Complete,
                 Scope::Failed => WatchScope::Failed,
             };
-            Event::Servers(scope, endpoints.iter().map(entry_of).collect())
+            Event::EndpointsChanged { scope, endpoints: endpoints.iter().map(entry_of).collect() }
         }
         Stimulus::Arrival(a) => {
             let prior = |&(endpoint, sent): &(u64, u64)| PriorAttempt {
-                server: EndpointId(endpoint),
-                sent: Micros(sent),
+                endpoint: EndpointId(endpoint),
+                sent_at: Micros(sent),
             };
-            Event::Request(Arrival {
+            Event::RequestArrived(Arrival {
                 id: RequestId(a.request),
                 class: ClassId(a.class),
                 plan: PlanId(a.plan),
                 customer: CustomerId(a.customer),
                 spread: a.spread,
-                first: a.first,
+                first_gateway: a.first,
                 deadline: Micros(a.deadline),
                 units: a.units,
-                resent: a.resent,
-                upload: a.upload,
-                earlier: a.prior.iter().map(prior).collect(),
-                counted: a.counted,
+                is_retry: a.resent,
+                streaming_body: a.upload,
+                prior_attempts: a.prior.iter().map(prior).collect(),
+                already_counted: a.counted,
             })
         }
-        Stimulus::Timer { timer } => Event::Timer(TimerId(timer)),
-        Stimulus::StreamStarted { request } => Event::StreamStarted(RequestId(request)),
+        Stimulus::Timer { timer } => Event::TimerFired { timer: TimerId(timer) },
+        Stimulus::StreamStarted { request } => Event::StreamStarted { request: RequestId(request) },
         Stimulus::ResponseStarted { request, attempt, elapsed } => {
-            Event::AnswerBegun(RequestId(request), attempt, Micros(elapsed))
+            Event::ResponseStarted { request: RequestId(request), attempt, elapsed: Micros(elapsed) }
         }
         Stimulus::RequestBodyEnded { request, deadline } => {
-            Event::BodyEnded(RequestId(request), Micros(deadline))
-        }
-        Stimulus::ClientDisconnected { request } => Event::ClientGone(RequestId(request)),
-        Stimulus::Pong { endpoint, how, load } => {
-            Event::Probed(EndpointId(endpoint), outcome_of(how), report_of(&load))
+            Event::RequestBodyEnded { request: RequestId(request), deadline: Micros(deadline) }
         }
+        Stimulus::ClientDisconnected { request } => Event::ClientDisconnected { request: RequestId(request) },
+        Stimulus::Pong { endpoint, how, load } => Event::EndpointProbed {
+            endpoint: EndpointId(endpoint),
+            outcome: outcome_of(how),
+            load: report_of(&load),
+        },
         Stimulus::CounterReplied { key, how, total } => {
-            Event::Counted(CounterKey(key), outcome_of(how), total)
+            Event::CounterReplied { key: CounterKey(key), outcome: outcome_of(how), total }
         }
         Stimulus::AttemptEnded(end) => Event::AttemptEnded(attempt_of(&end)),
-        Stimulus::Maintenance { endpoint, active } => Event::Maintenance(EndpointId(endpoint), active),
-        Stimulus::PeerProcessExited => Event::Alone,
-        Stimulus::QuotaLease { fraction, until, absent } => {
-            Event::Lent(QuotaLease { part: fraction, until: Micros(until), away: absent })
+        Stimulus::Maintenance { endpoint, active } => {
+            Event::MaintenanceChanged { endpoint: EndpointId(endpoint), in_maintenance: active }
         }
-        Stimulus::Routing { variant, share } => Event::Routing(routing_of(variant, share)),
+        Stimulus::PeerProcessExited => Event::PeerProcessExited,
+        Stimulus::QuotaLease { fraction, until, absent } => Event::QuotaLeaseChanged(QuotaLease {
+            fraction: fraction,
+            valid_until: Micros(until),
+            absent_gateways: absent,
+        }),
+        Stimulus::Routing { variant, share } => Event::RoutingChanged(routing_of(variant, share)),
         Stimulus::Start | Stimulus::Stop | Stimulus::HandOver { .. } => unreachable!("no event of a gateway"),
     }
 }
 
 fn entry_of(line: &EndpointLine) -> EndpointUpdate {
     EndpointUpdate {
-        server: EndpointId(line.endpoint),
+        endpoint: EndpointId(line.endpoint),
         zone: ZoneId(line.zone),
         cell: CellId(line.cell),
-        listed: match line.status {
+        status: match line.status {
             Status::InService => EndpointStatus::InService,
             Status::Draining => EndpointStatus::Draining,
             Status::Removed => EndpointStatus::Removed,
         },
         weight: line.weight,
-        started: Some(Micros(line.started)).filter(|s| s.0 > 0),
+        started_at: Some(Micros(line.started)).filter(|s| s.0 > 0),
         label: LabelId(line.label),
     }
 }
 
 fn attempt_of(end: &AttemptLine) -> AttemptEnded {
     AttemptEnded {
-        id: RequestId(end.request),
+        request: RequestId(end.request),
         attempt: end.attempt,
-        server: EndpointId(end.endpoint),
+        endpoint: EndpointId(end.endpoint),
         outcome: outcome_of(end.how),
-        took: Micros(end.elapsed),
-        ended: end.final_answer,
-        settled: Some(end.settled).filter(|s| *s > 0.0),
-        report: report_of(&end.load),
+        elapsed: Micros(end.elapsed),
+        request_finished: end.final_answer,
+        settled_units: Some(end.settled).filter(|s| *s > 0.0),
+        load: report_of(&end.load),
     }
 }
 
 fn outcome_of(how: How) -> Outcome {
     match how {
-        How::Success => Outcome::Ok,
-        How::ServerError => Outcome::Error,
-        How::Rejected => Outcome::Full,
+        How::Success => Outcome::Success,
+        How::ServerError => Outcome::ServerError,
+        How::Rejected => Outcome::Rejected,
         How::Timeout => Outcome::Timeout,
         How::ConnectFailed => Outcome::ConnectFailed,
-        How::ConnectionReset => Outcome::Reset,
+        How::ConnectionReset => Outcome::ConnectionReset,
         How::Cancelled => Outcome::Cancelled,
-        How::NotSent => Outcome::Moot,
+        How::NotSent => Outcome::NotSent,
     }
 }
 
 fn report_of(load: &LoadLine) -> LoadReport {
-    LoadReport { inflight: load.in_flight, queue: load.queued, busy: load.busy }
+    LoadReport { in_flight: load.in_flight, queued: load.queued, busy_fraction: load.busy }
 }
 
 /// Rules of routing: none, by zone and label, or with bounds on attempts, time and cold endpoints.
 fn routing_of(variant: usize, share: u16) -> RoutingRules {
     let by_zone = Rc::new(RouteRule {
         class: Some(ClassId(0)),
-        zones: vec![(ZoneId(0), 0.5), (ZoneId(2), 3.0)],
-        labels: vec![(LabelId(1), 0.25)],
+        zone_weights: vec![(ZoneId(0), 0.5), (ZoneId(2), 3.0)],
+        label_weights: vec![(LabelId(1), 0.25)],
         ..RouteRule::default()
     });
     let bounded = Rc::new(RouteRule {
         plan: Some(PlanId(3)),
-        attempts: Some(2),
-        give_up: Some(0.4),
-        cold: Some(0.5),
+        max_attempts: Some(2),
+        give_up_fraction: Some(0.4),
+        slow_start_fraction: Some(0.5),
         ..RouteRule::default()
     });
-    let rest = Rc::new(RouteRule { attempts: Some(9), cold: Some(0.25), ..RouteRule::default() });
+    let rest =
+        Rc::new(RouteRule { max_attempts: Some(9), slow_start_fraction: Some(0.25), ..RouteRule::default() });
     let (old, new) = match variant {
         0 => (Vec::new(), Vec::new()),
         1 => (vec![by_zone.clone()], vec![bounded, rest]),
         _ => (vec![bounded, by_zone], vec![rest]),
     };
-    RoutingRules { old, new, share, salt: 17 }
+    RoutingRules { baseline: old, canary: new, canary_share: share, salt: 17 }
 }
 
 fn response_of(action: &Action) -> Response {
     match action {
-        Action::Send(request, endpoint, until) => {
+        Action::SendAttempt { request, endpoint, give_up_at: until } => {
             Response::Send { request: request.0, endpoint: endpoint.0, give_up_at: until.0 }
         }
-        Action::Refuse(request, wait, _) => {
+        Action::Reject { request, retry_after: wait, .. } => {
             Response::Reject { request: request.0, retry_after: wait.map(|w| w.0) }
         }
-        Action::Fail(request, _) => Response::Fail { request: request.0 },
-        Action::Cancel(request, attempt) => Response::Cancel { request: request.0, attempt: *attempt },
-        Action::Count(name, amount, _) => Response::Count { key: name.0, amount: *amount },
-        Action::SetTimer(timer, after) => Response::SetTimer { timer: timer.0, after: after.0 },
+        Action::Fail { request, .. } => Response::Fail { request: request.0 },
+        Action::CancelAttempt { request, attempt } => {
+            Response::Cancel { request: request.0, attempt: *attempt }
+        }
+        Action::IncrementCounter { key: name, amount, .. } => {
+            Response::Count { key: name.0, amount: *amount }
+        }
+        Action::SetTimer { timer, after } => Response::SetTimer { timer: timer.0, after: after.0 },
         Action::Subscribe => Response::Subscribe,
-        Action::Probe(_) | Action::FetchList => panic!("{action:?} is never asked for"),
+        Action::ProbeEndpoint { .. } | Action::FetchEndpoints => panic!("{action:?} is never asked for"),
     }
 }
 
 /// The words of an action in the trace, with all that it holds.
 fn words_of_action(action: &Action) -> String {
     match action {
-        Action::Send(request, endpoint, until) => {
+        Action::SendAttempt { request, endpoint, give_up_at: until } => {
             format!("send {} to {} until {}", request.0, endpoint.0, until.0)
         }
-        Action::Refuse(request, wait, reason) => {
+        Action::Reject { request, retry_after: wait, reason } => {
             format!("reject {} after {:?} for {}", request.0, wait.map(|w| w.0), key_of(*reason))
         }
-        Action::Fail(request, reason) => format!("fail {} for {}", request.0, key_of(*reason)),
-        Action::Cancel(request, attempt) => format!("cancel {} {attempt}", request.0),
-        Action::Count(name, amount, life) => format!("count {} {amount} for {}", name.0, life.0),
-        Action::SetTimer(timer, after) => format!("timer {} after {}", timer.0, after.0),
+        Action::Fail { request, reason } => format!("fail {} for {}", request.0, key_of(*reason)),
+        Action::CancelAttempt { request, attempt } => format!("cancel {} {attempt}", request.0),
+        Action::IncrementCounter { key: name, amount, lifetime: life } => {
+            format!("count {} {amount} for {}", name.0, life.0)
+        }
+        Action::SetTimer { timer, after } => format!("timer {} after {}", timer.0, after.0),
         Action::Subscribe => "subscribe".into(),
-        Action::Probe(_) | Action::FetchList => panic!("{action:?} is never asked for"),
+        Action::ProbeEndpoint { .. } | Action::FetchEndpoints => panic!("{action:?} is never asked for"),
     }
 }
 
@@ -321,6 +339,6 @@
         let maintained: Vec<u64> = (0..40).filter(|e| gateway.is_out(EndpointId(*e))).collect();
         let _ = writeln!(trace, "{number} knows {known} avoids {avoided} maintains {maintained:?}");
     }
-    let canary = |c: &u64| has_new(&routing_of(1, 5_000), CustomerId(*c));
+    let canary = |c: &u64| has_canary_rules(&routing_of(1, 5_000), CustomerId(*c));
     let _ = writeln!(trace, "new rules {:?}", (0..12).filter(canary).collect::<Vec<u64>>());
 }
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -2,7 +2,9 @@
 //! is served must not fall with the number of servers.
 mod common;
 use common::*;
-use quota_gateway::decision::api::*;
+use quota_gateway::decision::{
+    Action, AttemptEnded, EndpointId, Event, LoadReport, Micros, Outcome, RequestId, Settings, TimerId,
+};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
@@ -56,8 +58,9 @@
         let busy = f64::from(GATEWAYS) * TRAFFIC * WORK / S as f64;
         let servers = (busy / LOAD / slots as f64).ceil() as usize;
         let gateway = |me: u32| {
-            let mut set = Settings { gateways: GATEWAYS, me, most_units: 1.0, ..settings() };
-            set.classes[0].aim = Micros(AIM);
+            let mut set =
+                Settings { gateways: GATEWAYS, gateway_number: me, max_request_units: 1.0, ..settings() };
+            set.classes[0].latency_objective = Micros(AIM);
             Rig::seeded(seed << 16 | u64::from(me), set, servers as u32)
         };
         let rigs: Vec<Rig> = (0..GATEWAYS).map(gateway).collect();
@@ -98,7 +101,7 @@
     fn carry_out(&mut self, gateway: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send(id, server, _) => {
+                Action::SendAttempt { request: id, endpoint: server, .. } => {
                     *self.attempts.entry((gateway, id)).or_insert(0) += 1;
                     let server = server.0 as usize;
                     let machine = &mut self.machines[server];
@@ -110,7 +113,9 @@
                         self.at(self.clock + MS, Happening::Turned { gateway, id, server });
                     }
                 }
-                Action::SetTimer(id, after) => self.at(self.clock + after.0, Happening::Timer(gateway, id)),
+                Action::SetTimer { timer: id, after } => {
+                    self.at(self.clock + after.0, Happening::Timer(gateway, id))
+                }
                 _ => {}
             }
         }
@@ -124,12 +129,20 @@
     }
     fn ended(&mut self, gateway: usize, id: RequestId, server: usize, outcome: Outcome, took: u64) {
         let held = self.machines[server].busy + self.machines[server].waiting.len();
-        let report = LoadReport { inflight: Some(held as f64), ..LoadReport::default() };
+        let report = LoadReport { in_flight: Some(held as f64), ..LoadReport::default() };
         let attempt = self.attempts.get(&(gateway, id)).map_or(0, |n| n - 1);
-        let ended = outcome == Outcome::Ok;
+        let ended = outcome == Outcome::Success;
         let server = EndpointId(server as u64);
-        let end =
-            AttemptEnded { id, attempt, server, outcome, took: Micros(took), ended, settled: None, report };
+        let end = AttemptEnded {
+            request: id,
+            attempt,
+            endpoint: server,
+            outcome,
+            elapsed: Micros(took),
+            request_finished: ended,
+            settled_units: None,
+            load: report,
+        };
         self.tell(gateway, Event::AttemptEnded(end));
     }
     /// The part of the requests that is answered within the aim.
@@ -148,9 +161,9 @@
                     }
                     self.carry_out(gateway, out);
                 }
-                Happening::Timer(gateway, id) => self.tell(gateway, Event::Timer(id)),
+                Happening::Timer(gateway, id) => self.tell(gateway, Event::TimerFired { timer: id }),
                 Happening::Turned { gateway, id, server } => {
-                    self.ended(gateway, id, server, Outcome::Full, MS)
+                    self.ended(gateway, id, server, Outcome::Rejected, MS)
                 }
                 Happening::Done { gateway, id, server, sent } => {
                     self.machines[server].busy -= 1;
@@ -159,7 +172,7 @@
                     }
                     let came = self.arrived.remove(&(gateway, id));
                     self.in_time += usize::from(came.is_some_and(|came| at - came <= AIM));
-                    self.ended(gateway, id, server, Outcome::Ok, at - sent);
+                    self.ended(gateway, id, server, Outcome::Success, at - sent);
                 }
             }
         }
--- a/tests/lent.rs
+++ b/tests/lent.rs
@@ -1,7 +1,11 @@
 //! Shares that follow the living: what the gateways let on by themselves, together, while the counter is down.
 
-use quota_gateway::decision::api::*;
-use quota_gateway::decision::gateway::Gateway;
+use quota_gateway::decision::Gateway;
+use quota_gateway::decision::{
+    Action, Arrival, AttemptEnded, CellId, Class, DeduplicationScope, EndpointId, EndpointStatus,
+    EndpointUpdate, Event, Idempotency, LabelId, LoadReport, Micros, Outcome, Plan, QuotaLease, RequestId,
+    Settings, WatchScope, ZoneId,
+};
 
 const GATEWAYS: u32 = 4;
 const RATE: f64 = 40.0;
@@ -9,51 +13,55 @@
 
 fn gateway(me: u32) -> Gateway {
     let class = Class {
-        aim: SECOND,
+        latency_objective: SECOND,
         deadline: Micros(4_000_000),
-        worth: 1.0,
-        late_worth: 0.5,
-        effect: Idempotency::Idempotent,
-        group: DeduplicationScope::All,
-        window: Micros(0),
-        stream: false,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.5,
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: Micros(0),
+        streaming: false,
     };
     let plan = Plan {
         rate: RATE,
         burst: 40.0,
-        open: 0.0,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 0.0,
+        concurrency_quota: 0.0,
+        weight_factor: 1.0,
+        overage_weight_fraction: 0.0,
+        overage_cost_fraction: 0.0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
-        ceiling_slack: 0.0,
+        ceiling_overdraft: 0.0,
     };
     let set = Settings {
         gateways: GATEWAYS,
-        me,
+        gateway_number: me,
         classes: vec![class],
         plans: vec![plan],
         max_attempts: 3,
-        counter: true,
-        most_units: 1.0,
+        counter_enabled: true,
+        max_request_units: 1.0,
         tick: Micros(4_000),
-        cold_from: 1.0,
-        fall_multiple: 2.0,
+        slow_start_min_capacity: 1.0,
+        overload_multiple: 2.0,
         ..Settings::default()
     };
     let mut new = Gateway::new(u64::from(me), set).expect("sound settings");
     let entry = |n| EndpointUpdate {
-        server: EndpointId(n),
+        endpoint: EndpointId(n),
         zone: ZoneId(0),
         cell: CellId(0),
-        listed: EndpointStatus::InService,
+        status: EndpointStatus::InService,
         weight: 1.0,
-        started: None,
+        started_at: None,
         label: LabelId::default(),
     };
     let servers = (0..20).map(entry).collect();
-    new.handle(SECOND, Event::Servers(WatchScope::Complete, servers), &mut Vec::new());
+    new.handle(
+        SECOND,
+        Event::EndpointsChanged { scope: WatchScope::Complete, endpoints: servers },
+        &mut Vec::new(),
+    );
     new
 }
 
@@ -67,23 +75,27 @@
         let id = RequestId(*serial);
         let arrival =
             Arrival { id, spread, units: 1.0, deadline: now + Micros(4_000_000), ..Arrival::default() };
-        let mut events = vec![Event::Request(arrival)];
+        let mut events = vec![Event::RequestArrived(arrival)];
         while let Some(event) = events.pop() {
             gateway.handle(now, event, &mut out);
             for action in out.drain(..) {
                 match action {
-                    Action::Count(name, ..) => events.push(Event::Counted(name, Outcome::Full, 0.0)),
-                    Action::Send(id, server, _) => {
+                    Action::IncrementCounter { key: name, .. } => events.push(Event::CounterReplied {
+                        key: name,
+                        outcome: Outcome::Rejected,
+                        total: 0.0,
+                    }),
+                    Action::SendAttempt { request: id, endpoint: server, .. } => {
                         sent += 1.0;
                         events.push(Event::AttemptEnded(AttemptEnded {
-                            id,
+                            request: id,
                             attempt: 0,
-                            server,
-                            outcome: Outcome::Ok,
-                            took: Micros(1_000),
-                            ended: true,
-                            settled: None,
-                            report: LoadReport::default(),
+                            endpoint: server,
+                            outcome: Outcome::Success,
+                            elapsed: Micros(1_000),
+                            request_finished: true,
+                            settled_units: None,
+                            load: LoadReport::default(),
                         }));
                     }
                     _ => {}
@@ -100,7 +112,9 @@
     for &me in who {
         let (mut gateway, mut serial) = (gateway(me), 0);
         let tell = |gateway: &mut Gateway, at: Micros| {
-            lent(me).into_iter().for_each(|l| gateway.handle(at, Event::Lent(l), &mut Vec::new()));
+            lent(me)
+                .into_iter()
+                .for_each(|l| gateway.handle(at, Event::QuotaLeaseChanged(l), &mut Vec::new()));
         };
         tell(&mut gateway, SECOND);
         play(&mut gateway, Micros(2_000_000), 60, spread, &mut serial);
@@ -112,8 +126,12 @@
 
 #[test]
 fn the_living_use_what_the_dead_lend_and_all_together_never_more_than_the_quota() {
-    let whole = |away: &[u32]| QuotaLease { part: 1.0, until: Micros(u64::MAX), away: away.to_vec() };
-    let alone = || QuotaLease { part: 1.0, ..QuotaLease::default() };
+    let whole = |away: &[u32]| QuotaLease {
+        fraction: 1.0,
+        valid_until: Micros(u64::MAX),
+        absent_gateways: away.to_vec(),
+    };
+    let alone = || QuotaLease { fraction: 1.0, ..QuotaLease::default() };
     let near = |found: f64, wanted: f64| assert!((found - wanted).abs() < 0.03, "{found}, not {wanted}");
     // One of four is dead: fixed shares leave a quarter of the quota unused, of which half can be lent, as the
     // other half of a share goes by what each was seen to carry.
@@ -124,6 +142,7 @@
     // A customer that does not come through the dead one has nothing to be lent.
     near(parts(|_| Some(whole(&[3])), &[0, 1], 2), 1.0);
     // A share that ran out is not used on.
-    let over = |_| Some(QuotaLease { part: 1.0, until: Micros(30_000_000), away: vec![3] });
+    let over =
+        |_| Some(QuotaLease { fraction: 1.0, valid_until: Micros(30_000_000), absent_gateways: vec![3] });
     near(parts(over, &[0, 1, 2], 4), 0.375);
 }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,8 +1,11 @@
 //! Rules of routing weigh what may be chosen anyway: they change nothing where nobody has them, and allow nothing.
 mod common;
 use common::*;
-use quota_gateway::decision::api::*;
-use quota_gateway::decision::gateway::has_new;
+use quota_gateway::decision::has_canary_rules;
+use quota_gateway::decision::{
+    Action, ClassId, CustomerId, EndpointId, EndpointStatus, Event, LabelId, Outcome, PlanId, RequestId,
+    RouteRule, RoutingRules, WatchScope, ZoneId,
+};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -14,11 +17,11 @@
     Rc::new(RouteRule {
         class: rng.bool().then(|| ClassId(rng.usize(0..4))),
         plan: rng.bool().then(|| PlanId(rng.usize(0..4))),
-        zones: zones.into_iter().map(|(n, w)| (ZoneId(n), w)).collect(),
-        labels: labels.into_iter().map(|(n, w)| (LabelId(n), w)).collect(),
-        attempts: rng.bool().then(|| rng.usize(1..9)),
-        give_up: rng.bool().then(|| 0.3 + 0.4 * rng.f64()),
-        cold: rng.bool().then(|| rng.f64()),
+        zone_weights: zones.into_iter().map(|(n, w)| (ZoneId(n), w)).collect(),
+        label_weights: labels.into_iter().map(|(n, w)| (LabelId(n), w)).collect(),
+        max_attempts: rng.bool().then(|| rng.usize(1..9)),
+        give_up_fraction: rng.bool().then(|| 0.3 + 0.4 * rng.f64()),
+        slow_start_fraction: rng.bool().then(|| rng.f64()),
     })
 }
 
@@ -31,7 +34,7 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut rig = Rig::seeded(seed, settings(), 0);
     let mut listed: BTreeMap<u32, (EndpointStatus, u64)> = BTreeMap::new();
-    routing.into_iter().for_each(|routing| drop(rig.tell(Event::Routing(routing))));
+    routing.into_iter().for_each(|routing| drop(rig.tell(Event::RoutingChanged(routing))));
     let (mut out, mut tries) = (Vec::new(), BTreeMap::new());
     for _ in 0..300 {
         let before = rig.done.len();
@@ -48,13 +51,14 @@
                 let mut line = entry(i, state, started);
                 (line.zone, line.label) = (ZoneId(i % 3), LabelId(i % 2));
                 listed.insert(i, (state, rig.now));
-                rig.tell(Event::Servers(WatchScope::Incremental, vec![line]));
+                rig.tell(Event::EndpointsChanged { scope: WatchScope::Incremental, endpoints: vec![line] });
             }
             1..=4 => drop(rig.request(rng.usize(0..4), 3, rng.u64(0..40), 1.0)),
             5..=7 if !out.is_empty() => {
                 let (id, attempt, server): (RequestId, usize, EndpointId) =
                     out.swap_remove(rng.usize(0..out.len()));
-                let outcome = [Outcome::Ok, Outcome::Error, Outcome::Full, Outcome::Timeout][rng.usize(0..4)];
+                let outcome = [Outcome::Success, Outcome::ServerError, Outcome::Rejected, Outcome::Timeout]
+                    [rng.usize(0..4)];
                 rig.ended(id, attempt, server, outcome);
             }
             _ => drop(rig.pass(rng.u64(1..300) * MS)),
@@ -74,7 +78,8 @@
 fn rules_that_nobody_has_change_nothing() {
     for seed in 0..60 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let unused = RoutingRules { new: routes(&mut rng), share: 0, salt: seed, ..RoutingRules::default() };
+        let unused =
+            RoutingRules { canary: routes(&mut rng), canary_share: 0, salt: seed, ..RoutingRules::default() };
         assert_eq!(life(seed, None).0, life(seed, Some(unused)).0, "seed {seed}");
     }
 }
@@ -85,7 +90,8 @@
     for seed in 0..120 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (old, new) = (routes(&mut rng), routes(&mut rng));
-        let routing = RoutingRules { old, new, share: rng.u16(0..=10_000), salt: seed };
+        let routing =
+            RoutingRules { baseline: old, canary: new, canary_share: rng.u16(0..=10_000), salt: seed };
         let (plain, _) = life(seed, None);
         let (done, tries) = life(seed, Some(routing));
         assert!(tries.values().all(|n| *n <= settings().max_attempts), "seed {seed}: {tries:?}");
@@ -103,22 +109,26 @@
         line.label = LabelId(i % 2);
         line
     });
-    rig.tell(Event::Servers(WatchScope::Complete, lines.collect()));
-    let route = RouteRule { labels: vec![(LabelId(1), 0.05)], attempts: Some(1), ..RouteRule::default() };
-    rig.tell(Event::Routing(RoutingRules { old: vec![Rc::new(route)], ..RoutingRules::default() }));
+    rig.tell(Event::EndpointsChanged { scope: WatchScope::Complete, endpoints: lines.collect() });
+    let route =
+        RouteRule { label_weights: vec![(LabelId(1), 0.05)], max_attempts: Some(1), ..RouteRule::default() };
+    rig.tell(Event::RoutingChanged(RoutingRules {
+        baseline: vec![Rc::new(route)],
+        ..RoutingRules::default()
+    }));
     for _ in 0..40 {
         let (id, server) = rig.sent(0);
         assert_eq!(server.0 % 2, 0, "the other label weighs a twentieth");
-        assert!(sends(&rig.ended(id, 0, server, Outcome::Error)).is_empty(), "one attempt");
+        assert!(sends(&rig.ended(id, 0, server, Outcome::ServerError)).is_empty(), "one attempt");
         rig.pass(2 * S);
     }
 }
 
 #[test]
 fn customers_are_dealt_out_alike_everywhere_and_stay_as_the_share_grows() {
-    let part = |salt: u64, share: u16| RoutingRules { share, salt, ..RoutingRules::default() };
+    let part = |salt: u64, share: u16| RoutingRules { canary_share: share, salt, ..RoutingRules::default() };
     let dealt = |routing: &RoutingRules| -> Vec<bool> {
-        (0..20_000).map(|customer| has_new(routing, CustomerId(customer))).collect()
+        (0..20_000).map(|customer| has_canary_rules(routing, CustomerId(customer))).collect()
     };
     let mut firsts = vec![0; 20_000];
     for salt in 0..20 {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,10 +1,16 @@
 //! The five rules, each by the guard that keeps it.
 mod common;
 use common::*;
-use quota_gateway::decision::api::*;
+use quota_gateway::decision::{
+    Action, EndpointId, EndpointStatus, Event, Micros, Outcome, RequestId, Settings, WatchScope,
+};
 
 fn finals(done: &[Action], id: RequestId) -> usize {
-    done.iter().filter(|a| matches!(a, Action::Refuse(r, ..) | Action::Fail(r, _) if *r == id)).count()
+    done.iter()
+        .filter(
+            |a| matches!(a, Action::Reject { request: r, .. } | Action::Fail { request: r, .. } if *r == id),
+        )
+        .count()
 }
 
 #[test]
@@ -29,17 +35,17 @@
 fn nothing_is_sent_after_the_end() {
     let mut rig = Rig::new(settings(), 4);
     let (id, server) = rig.sent(0);
-    rig.tell(Event::ClientGone(id));
-    let out = rig.ended(id, 0, server, Outcome::Error);
+    rig.tell(Event::ClientDisconnected { request: id });
+    let out = rig.ended(id, 0, server, Outcome::ServerError);
     assert!(sends(&out).is_empty() && finals(&out, id) == 0);
-    assert!(sends(&rig.ended(id, 0, server, Outcome::Error)).is_empty(), "a repeated outcome");
+    assert!(sends(&rig.ended(id, 0, server, Outcome::ServerError)).is_empty(), "a repeated outcome");
 }
 
 #[test]
 fn an_unsafe_request_that_may_have_run_fails() {
     let mut rig = Rig::new(settings(), 4);
     let (id, server) = rig.sent(2);
-    let out = rig.ended(id, 0, server, Outcome::Error);
+    let out = rig.ended(id, 0, server, Outcome::ServerError);
     assert!(failed(&out, id) && sends(&out).is_empty());
 }
 
@@ -57,7 +63,7 @@
     for _ in 0..20 {
         let mut rig = Rig::new(settings(), 8);
         let (id, server) = rig.sent(1);
-        let out = rig.ended(id, 0, server, Outcome::Error);
+        let out = rig.ended(id, 0, server, Outcome::ServerError);
         assert_eq!(sends(&out)[0].1 .0 / 2, server.0 / 2);
     }
 }
@@ -65,11 +71,11 @@
 #[test]
 fn a_keyed_request_is_not_repeated_after_its_window_and_not_refused() {
     let mut set = settings();
-    set.classes[1].window = Micros(100 * MS);
+    set.classes[1].deduplication_window = Micros(100 * MS);
     let mut rig = Rig::new(set, 8);
     let (id, server) = rig.sent(1);
     rig.pass(100 * MS);
-    let out = rig.ended(id, 0, server, Outcome::Error);
+    let out = rig.ended(id, 0, server, Outcome::ServerError);
     assert!(failed(&out, id) && sends(&out).is_empty());
 }
 
@@ -77,13 +83,13 @@
 fn a_keyed_repeat_leaves_time_for_its_connection_to_come_up() {
     let connect_timeout = 250 * MS;
     let set = Settings { connect_timeout: Micros(connect_timeout), ..settings() };
-    let window = set.classes[3].window.0;
+    let window = set.classes[3].deduplication_window.0;
     let mut repeated = 0;
     for failed_after in (0..window).step_by(10 * MS as usize) {
         let mut rig = Rig::new(set.clone(), 4);
         let (id, server) = rig.sent(3);
         rig.pass(failed_after);
-        let out = rig.ended(id, 0, server, Outcome::Error);
+        let out = rig.ended(id, 0, server, Outcome::ServerError);
         if !sends(&out).is_empty() {
             repeated += 1;
             let latest_write = failed_after + connect_timeout;
@@ -98,20 +104,26 @@
     let mut rig = Rig::new(settings(), 1);
     let (id, _) = rig.sent(0);
     let out = rig.pass(3 * S);
-    assert!(refused(&out, id) && out.contains(&Action::Cancel(id, 0)));
+    assert!(refused(&out, id) && out.contains(&Action::CancelAttempt { request: id, attempt: 0 }));
 }
 
 #[test]
 fn nothing_goes_to_a_server_that_drains_or_is_gone() {
     for listed in [EndpointStatus::Draining, EndpointStatus::Removed] {
         let mut rig = Rig::new(settings(), 2);
-        rig.tell(Event::Servers(WatchScope::Incremental, vec![entry(0, listed, None)]));
+        rig.tell(Event::EndpointsChanged {
+            scope: WatchScope::Incremental,
+            endpoints: vec![entry(0, listed, None)],
+        });
         for _ in 0..50 {
             let (_, server) = rig.sent(0);
             assert_eq!(server, EndpointId(1));
-            rig.ended(RequestId(rig.next - 1), 0, server, Outcome::Ok);
+            rig.ended(RequestId(rig.next - 1), 0, server, Outcome::Success);
         }
-        rig.tell(Event::Servers(WatchScope::Complete, vec![entry(0, EndpointStatus::InService, None)]));
+        rig.tell(Event::EndpointsChanged {
+            scope: WatchScope::Complete,
+            endpoints: vec![entry(0, EndpointStatus::InService, None)],
+        });
         for _ in 0..2 {
             assert_eq!(rig.sent(0).1, EndpointId(0), "a server missing from a whole list is gone");
         }
@@ -121,7 +133,10 @@
 #[test]
 fn all_draining_means_refusal_in_time() {
     let mut rig = Rig::new(settings(), 1);
-    rig.tell(Event::Servers(WatchScope::Incremental, vec![entry(0, EndpointStatus::Draining, None)]));
+    rig.tell(Event::EndpointsChanged {
+        scope: WatchScope::Incremental,
+        endpoints: vec![entry(0, EndpointStatus::Draining, None)],
+    });
     let (id, out) = rig.request(0, 3, 1, 1.0);
     assert!(sends(&out).is_empty());
     rig.pass(3 * S);
@@ -136,7 +151,7 @@
         let (id, out) = rig.request(0, 3, 1, 1.0);
         for (_, server) in sends(&out) {
             got[server.0 as usize] += 1;
-            rig.ended(id, 0, server, Outcome::Ok);
+            rig.ended(id, 0, server, Outcome::Success);
         }
     }
     got
@@ -147,10 +162,10 @@
     let mut rig = Rig::new(settings(), 4);
     flow(&mut rig);
     let (now, cold) = (rig.now, 3);
-    rig.tell(Event::Servers(
-        WatchScope::Incremental,
-        vec![entry(cold, EndpointStatus::InService, Some(now))],
-    ));
+    rig.tell(Event::EndpointsChanged {
+        scope: WatchScope::Incremental,
+        endpoints: vec![entry(cold, EndpointStatus::InService, Some(now))],
+    });
     let got = flow(&mut rig);
     let warm = got[..3].iter().sum::<u32>() / 3;
     // From a fifth to three fifths of its capacity over these seconds.
@@ -165,10 +180,10 @@
         rig.pass(10 * MS);
         let (id, server) = rig.sent(0);
         let up = rig.now > 1_010 * S;
-        let outcome = if server == EndpointId(0) && !up { Outcome::ConnectFailed } else { Outcome::Ok };
+        let outcome = if server == EndpointId(0) && !up { Outcome::ConnectFailed } else { Outcome::Success };
         let out = rig.ended(id, 0, server, outcome);
         for (id, server) in sends(&out) {
-            rig.ended(id, 1, server, Outcome::Ok);
+            rig.ended(id, 1, server, Outcome::Success);
         }
         if up && server == EndpointId(0) {
             break;
@@ -189,9 +204,9 @@
 fn ceiling_low_with(answer: impl Fn(u64, f64) -> Option<f64>, busy: impl Fn(usize, u64) -> bool) -> f64 {
     let mut totals = std::collections::BTreeMap::new();
     let mut set = settings();
-    set.plans[1].over_worth = 0.5;
+    set.plans[1].overage_weight_fraction = 0.5;
     (set.plans[1].ceiling_rate, set.plans[1].ceiling_burst) = (18.0, 36.0);
-    set.plans[1].over_cost = 0.0;
+    set.plans[1].overage_cost_fraction = 0.0;
     let mut rigs = [Rig::new(set.clone(), 8), Rig::new(set, 8)];
     let (mut level, mut lowest, mut call) = (36.0f64, 36.0f64, 0);
     for step in 0..3_000 {
@@ -207,19 +222,19 @@
                 let mut next = Vec::new();
                 for (name, amount) in counts(&pending) {
                     call += 1;
-                    let (mut outcome, mut heard) = (Outcome::Full, 0.0);
+                    let (mut outcome, mut heard) = (Outcome::Rejected, 0.0);
                     if let Some(kept) = answer(call, amount) {
                         totals.values_mut().for_each(|t| *t *= kept);
                         let total = totals.entry(name).or_insert(0.0);
                         *total += amount;
-                        (outcome, heard) = (Outcome::Ok, *total);
+                        (outcome, heard) = (Outcome::Success, *total);
                     }
-                    next.extend(rig.tell(Event::Counted(name, outcome, heard)));
+                    next.extend(rig.tell(Event::CounterReplied { key: name, outcome, total: heard }));
                 }
                 for (_, server) in sends(&pending) {
                     level -= 1.0;
                     lowest = lowest.min(level);
-                    next.extend(rig.ended(id, 0, server, Outcome::Ok));
+                    next.extend(rig.ended(id, 0, server, Outcome::Success));
                 }
                 pending = next;
             }
@@ -276,21 +291,21 @@
         rig.pass(200 * MS);
         let (id, out) = rig.request(0, 3, 1, 1.0);
         let sent = sends(&out);
-        sent.iter().for_each(|(_, server)| drop(rig.ended(id, 0, *server, Outcome::Ok)));
+        sent.iter().for_each(|(_, server)| drop(rig.ended(id, 0, *server, Outcome::Success)));
         sent.iter().any(|(_, server)| *server == EndpointId(3))
     };
     let mut rigs: Vec<Rig> = (0..gateways)
         .map(|me| {
-            let set = Settings { gateways, me, most_units: 1.0, ..settings() };
+            let set = Settings { gateways, gateway_number: me, max_request_units: 1.0, ..settings() };
             let mut rig = Rig::seeded(u64::from(me), set, servers);
             for _ in 0..20 {
                 step(&mut rig);
             }
             let now = rig.now;
-            rig.tell(Event::Servers(
-                WatchScope::Incremental,
-                vec![entry(3, EndpointStatus::InService, Some(now))],
-            ));
+            rig.tell(Event::EndpointsChanged {
+                scope: WatchScope::Incremental,
+                endpoints: vec![entry(3, EndpointStatus::InService, Some(now))],
+            });
             rig
         })
         .collect();
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,11 +1,14 @@
 //! What holds where hundreds of gateways see a request or two a second each.
 mod common;
 use common::*;
-use quota_gateway::decision::api::*;
+use quota_gateway::decision::{
+    Action, Arrival, AttemptEnded, ClassId, CustomerId, EndpointId, EndpointStatus, Event, LoadReport,
+    Micros, Outcome, PlanId, RequestId, Settings, WatchScope,
+};
 use std::collections::BTreeMap;
 
 fn one_of(gateways: u32, me: u32, servers: u32) -> Rig {
-    Rig::seeded(u64::from(me), Settings { gateways, me, ..settings() }, servers)
+    Rig::seeded(u64::from(me), Settings { gateways, gateway_number: me, ..settings() }, servers)
 }
 
 /// A request of a customer that comes through many gateways.
@@ -20,14 +23,14 @@
         plan,
         customer,
         spread: 200,
-        first: 0,
+        first_gateway: 0,
         deadline,
         units: 2.0,
-        resent,
-        upload: false,
+        is_retry: resent,
+        streaming_body: false,
         ..Arrival::default()
     };
-    (id, rig.tell(Event::Request(arrival)))
+    (id, rig.tell(Event::RequestArrived(arrival)))
 }
 
 #[test]
@@ -39,7 +42,7 @@
         for _ in 0..100 {
             rig.pass(500 * MS);
             let (id, server) = rig.sent(0);
-            rig.ended(id, 0, server, Outcome::Ok);
+            rig.ended(id, 0, server, Outcome::Success);
             *used.entry(server).or_insert(0) += 1;
         }
         assert!(used.len() <= 12, "gateway {me} used {} of 50", used.len());
@@ -61,16 +64,16 @@
             refusals += u32::from(refused(&out, id));
             for (_, server) in sends(&out) {
                 rig.pass(took);
-                let (outcome, report, took) = (Outcome::Ok, LoadReport::default(), Micros(took));
+                let (outcome, report, took) = (Outcome::Success, LoadReport::default(), Micros(took));
                 let end = AttemptEnded {
-                    id,
+                    request: id,
                     attempt: 0,
-                    server,
+                    endpoint: server,
                     outcome,
-                    took,
-                    ended: true,
-                    settled: None,
-                    report,
+                    elapsed: took,
+                    request_finished: true,
+                    settled_units: None,
+                    load: report,
                 };
                 rig.tell(Event::AttemptEnded(end));
             }
@@ -83,8 +86,8 @@
 
 #[test]
 fn work_of_a_class_with_a_long_aim_does_not_make_one_with_a_short_aim_shed() {
-    let mut set = Settings { gateways: 200, me: 3, ..settings() };
-    set.classes[0].aim = Micros(250 * MS);
+    let mut set = Settings { gateways: 200, gateway_number: 3, ..settings() };
+    set.classes[0].latency_objective = Micros(250 * MS);
     let mut rig = Rig::seeded(3, set, 50);
     let mut refusals = 0;
     for i in 0..300 {
@@ -95,9 +98,17 @@
         refusals += u32::from(refused(&out, id));
         for (_, server) in sends(&out) {
             rig.pass(took);
-            let (outcome, report, took) = (Outcome::Ok, LoadReport::default(), Micros(took));
-            let end =
-                AttemptEnded { id, attempt: 0, server, outcome, took, ended: true, settled: None, report };
+            let (outcome, report, took) = (Outcome::Success, LoadReport::default(), Micros(took));
+            let end = AttemptEnded {
+                request: id,
+                attempt: 0,
+                endpoint: server,
+                outcome,
+                elapsed: took,
+                request_finished: true,
+                settled_units: None,
+                load: report,
+            };
             rig.tell(Event::AttemptEnded(end));
         }
     }
@@ -106,28 +117,34 @@
 
 /// Until when an attempt that was just sent is waited for, after its request's arrival now.
 fn patience(rig: &Rig, out: &[Action]) -> u64 {
-    let until = out.iter().find_map(|a| if let Action::Send(_, _, until) = a { Some(until.0) } else { None });
+    let until = out.iter().find_map(|a| {
+        if let Action::SendAttempt { give_up_at: until, .. } = a {
+            Some(until.0)
+        } else {
+            None
+        }
+    });
     until.expect("it is sent on") - rig.now
 }
 
 #[test]
 fn long_work_is_waited_for_and_only_a_server_that_failed_of_late_is_given_up_early() {
     for gateways in [2, 300] {
-        let mut rig = Rig::seeded(3, Settings { gateways, me: 1, ..settings() }, 1);
+        let mut rig = Rig::seeded(3, Settings { gateways, gateway_number: 1, ..settings() }, 1);
         for _ in 0..10 {
             rig.pass(100 * MS);
             let (id, out) = rig.request(0, 3, 1, 1.0);
             assert_eq!(patience(&rig, &out), 3 * S, "a sound server has all of the client's time");
-            rig.ended(id, 0, EndpointId(0), Outcome::Ok);
+            rig.ended(id, 0, EndpointId(0), Outcome::Success);
         }
         let (id, server) = rig.sent(0);
-        let out = rig.ended(id, 0, server, Outcome::Error);
+        let out = rig.ended(id, 0, server, Outcome::ServerError);
         let again = patience(&rig, &out);
         assert!((400 * MS..800 * MS).contains(&again), "{again}: another could still meet the aim");
-        rig.ended(id, 1, server, Outcome::Ok);
+        rig.ended(id, 1, server, Outcome::Success);
         for _ in 0..10 {
             let (id, server) = rig.sent(0);
-            rig.ended(id, 0, server, Outcome::Ok);
+            rig.ended(id, 0, server, Outcome::Success);
         }
         let (_, out) = rig.request(0, 3, 1, 1.0);
         assert_eq!(patience(&rig, &out), 3 * S, "it answers again");
@@ -142,20 +159,33 @@
             rig.pass(2 * S);
             let (id, out) = wide(&mut rig, false);
             // Shed before anything is asked of the counter.
-            if let [Action::Refuse(_, advice, _)] =
-                out.iter().filter(|a| matches!(a, Action::Refuse(..))).collect::<Vec<_>>()[..]
+            if let [Action::Reject { retry_after: advice, .. }] =
+                out.iter().filter(|a| matches!(a, Action::Reject { .. })).collect::<Vec<_>>()[..]
             {
                 assert!(adds(&out).is_empty() && advice.is_some(), "{out:?}");
                 return;
             }
-            let out = rig.tell(Event::Counted(adds(&out)[0].0, Outcome::Ok, 2.0));
+            let out = rig.tell(Event::CounterReplied {
+                key: adds(&out)[0].0,
+                outcome: Outcome::Success,
+                total: 2.0,
+            });
             if let Some(&(_, server)) = sends(&out).first() {
                 break (id, server);
             }
         };
         rig.pass(700 * MS);
-        let (outcome, report, took) = (Outcome::Ok, LoadReport::default(), Micros(700 * MS));
-        let end = AttemptEnded { id, attempt: 0, server, outcome, took, ended: true, settled: None, report };
+        let (outcome, report, took) = (Outcome::Success, LoadReport::default(), Micros(700 * MS));
+        let end = AttemptEnded {
+            request: id,
+            attempt: 0,
+            endpoint: server,
+            outcome,
+            elapsed: took,
+            request_finished: true,
+            settled_units: None,
+            load: report,
+        };
         rig.tell(Event::AttemptEnded(end));
     }
     panic!("nobody was shed");
@@ -171,12 +201,12 @@
         let (id, mut out) = wide(&mut rig, resent);
         // Every third call is turned away, so the breaker stays closed.
         for (name, _) in counts(&out) {
-            let outcome = if i % 3 == 0 { Outcome::Full } else { Outcome::Ok };
-            out.extend(rig.tell(Event::Counted(name, outcome, 2.0)));
+            let outcome = if i % 3 == 0 { Outcome::Rejected } else { Outcome::Success };
+            out.extend(rig.tell(Event::CounterReplied { key: name, outcome, total: 2.0 }));
         }
         let guessed = i % 3 == 0 && !sends(&out).is_empty();
         went[usize::from(resent)] += u32::from(guessed);
-        sends(&out).iter().for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
+        sends(&out).iter().for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Success)));
     }
     assert!(went[0] > 10, "first tries: {went:?}");
     assert_eq!(went[1], 0, "repeats");
@@ -187,7 +217,8 @@
     let mut rig = one_of(200, 3, 50);
     rig.pass(300 * MS);
     let (id, out) = wide(&mut rig, false);
-    let out = rig.tell(Event::Counted(counts(&out)[0].0, Outcome::Full, 0.0));
+    let out =
+        rig.tell(Event::CounterReplied { key: counts(&out)[0].0, outcome: Outcome::Rejected, total: 0.0 });
     assert_eq!(sends(&out).first().map(|s| s.0), Some(id));
 }
 
@@ -205,13 +236,17 @@
             let deadline = Micros(rig.now + 3 * S);
             let (plan, customer) = (PlanId(1), CustomerId(9));
             let a = Arrival { id, plan, customer, spread: 200, deadline, units: 1.0, ..Arrival::default() };
-            let mut out = rig.tell(Event::Request(a));
+            let mut out = rig.tell(Event::RequestArrived(a));
             for (name, _) in counts(&out) {
-                out.extend(rig.tell(Event::Counted(name, Outcome::Full, 0.0)));
+                out.extend(rig.tell(Event::CounterReplied {
+                    key: name,
+                    outcome: Outcome::Rejected,
+                    total: 0.0,
+                }));
             }
             level -= sends(&out).len() as f64;
             lowest = lowest.min(level);
-            sends(&out).iter().for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
+            sends(&out).iter().for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Success)));
         }
     }
     assert!(lowest >= -4.0, "{lowest}");
@@ -229,13 +264,17 @@
             let deadline = Micros(rig.now + 3 * S);
             let (plan, customer) = (PlanId(1), CustomerId(9));
             let a = Arrival { id, plan, customer, spread: 7, deadline, units: 1.0, ..Arrival::default() };
-            let mut out = rig.tell(Event::Request(a));
+            let mut out = rig.tell(Event::RequestArrived(a));
             for (name, _) in counts(&out) {
-                out.extend(rig.tell(Event::Counted(name, Outcome::Full, 0.0)));
+                out.extend(rig.tell(Event::CounterReplied {
+                    key: name,
+                    outcome: Outcome::Rejected,
+                    total: 0.0,
+                }));
             }
             for (id, server) in sends(&out) {
                 units += 1.0;
-                rig.ended(id, 0, server, Outcome::Ok);
+                rig.ended(id, 0, server, Outcome::Success);
             }
         }
     }
@@ -262,17 +301,17 @@
         for _ in 0..if new_gateways { 0 } else { 20 } {
             rig.pass(250 * MS);
             let (id, server) = rig.sent(0);
-            rig.ended(id, 0, server, Outcome::Ok);
+            rig.ended(id, 0, server, Outcome::Success);
         }
         let started = Some(rig.now);
         let entries = (0..cold).map(|i| entry(i, EndpointStatus::InService, started)).collect();
-        rig.tell(Event::Servers(WatchScope::Incremental, entries));
+        rig.tell(Event::EndpointsChanged { scope: WatchScope::Incremental, endpoints: entries });
         for _ in 0..8 {
             rig.pass(250 * MS);
             let (id, out) = rig.request(0, 3, 1, 1.0);
             for (_, server) in sends(&out) {
                 sent[server.0 as usize] += 1;
-                rig.ended(id, 0, server, Outcome::Ok);
+                rig.ended(id, 0, server, Outcome::Success);
             }
         }
     }
@@ -311,9 +350,19 @@
             rig.pass(100 * MS);
             let (id, server) = rig.sent(0);
             let inflight = Some(if server.0 == 0 { 12.0 } else { 1.0 });
-            let (report, took) = (LoadReport { inflight, ..LoadReport::default() }, Micros(50 * MS));
-            let (outcome, ended) = (Outcome::Ok, true);
-            let end = AttemptEnded { id, attempt: 0, server, outcome, took, ended, settled: None, report };
+            let (report, took) =
+                (LoadReport { in_flight: inflight, ..LoadReport::default() }, Micros(50 * MS));
+            let (outcome, ended) = (Outcome::Success, true);
+            let end = AttemptEnded {
+                request: id,
+                attempt: 0,
+                endpoint: server,
+                outcome,
+                elapsed: took,
+                request_finished: ended,
+                settled_units: None,
+                load: report,
+            };
             rig.tell(Event::AttemptEnded(end));
             to_full += u32::from(server.0 == 0);
         }
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -1,7 +1,10 @@
 //! Choice of a server, health, further attempts and what waits.
 mod common;
 use common::*;
-use quota_gateway::decision::api::*;
+use quota_gateway::decision::{
+    Action, AttemptEnded, EndpointId, EndpointStatus, Event, LoadReport, Micros, Outcome, Settings,
+    WatchScope,
+};
 
 #[test]
 fn work_spreads_by_what_is_out() {
@@ -21,15 +24,15 @@
         let (id, server) = rig.sent(0);
         let bad = server == EndpointId(0);
         hits += u32::from(bad);
-        let out = rig.ended(id, 0, server, if bad { Outcome::ConnectFailed } else { Outcome::Ok });
+        let out = rig.ended(id, 0, server, if bad { Outcome::ConnectFailed } else { Outcome::Success });
         assert!(!bad || sends(&out).iter().all(|s| s.1 == EndpointId(1)));
-        sends(&out).iter().for_each(|(id, s)| drop(rig.ended(*id, 1, *s, Outcome::Ok)));
+        sends(&out).iter().for_each(|(id, s)| drop(rig.ended(*id, 1, *s, Outcome::Success)));
     }
     assert!((1..=3).contains(&hits), "{hits}");
     rig.pass(9 * S);
     let tried = (0..10).any(|_| {
         let (id, server) = rig.sent(0);
-        rig.ended(id, 0, server, Outcome::Ok);
+        rig.ended(id, 0, server, Outcome::Success);
         server == EndpointId(0)
     });
     assert!(tried);
@@ -44,9 +47,9 @@
         for (_, server) in sends(&out) {
             rig.pass(20 * MS);
             // Every server alike: one answer in three.
-            let outcome = if i % 3 == 0 { Outcome::Ok } else { Outcome::Timeout };
+            let outcome = if i % 3 == 0 { Outcome::Success } else { Outcome::Timeout };
             let out = rig.ended(id, 0, server, outcome);
-            sends(&out).iter().for_each(|(id, s)| drop(rig.ended(*id, 1, *s, Outcome::Ok)));
+            sends(&out).iter().for_each(|(id, s)| drop(rig.ended(*id, 1, *s, Outcome::Success)));
             if i >= 150 {
                 last.push(server);
             }
@@ -68,7 +71,7 @@
         first += out.len();
         while let Some((_, server)) = out.first().copied() {
             tries += 1;
-            out = sends(&rig.ended(id, attempt, server, Outcome::Error));
+            out = sends(&rig.ended(id, attempt, server, Outcome::ServerError));
             attempt += 1;
         }
     }
@@ -89,13 +92,13 @@
 #[test]
 fn a_held_request_goes_when_a_server_is_free_and_the_dearest_first() {
     let mut set = settings();
-    set.classes[3].worth = 5.0;
+    set.classes[3].priority_weight = 5.0;
     let mut rig = Rig::new(set, 1);
     let (first, server) = rig.sent(0);
     rig.sent(0);
     let (cheap, _) = rig.request(0, 3, 1, 1.0);
     let (dear, _) = rig.request(3, 3, 1, 1.0);
-    let out = rig.ended(first, 0, server, Outcome::Ok);
+    let out = rig.ended(first, 0, server, Outcome::Success);
     assert_eq!(sends(&out), [(dear, server)]);
     assert_ne!(cheap, dear);
 }
@@ -106,7 +109,7 @@
     set.must_subscribe = true;
     let mut rig = Rig::new(set, 1);
     assert!(rig.done.contains(&Action::Subscribe));
-    rig.tell(Event::Servers(WatchScope::Failed, Vec::new()));
+    rig.tell(Event::EndpointsChanged { scope: WatchScope::Failed, endpoints: Vec::new() });
     assert!(rig.pass(S).contains(&Action::Subscribe));
 }
 
@@ -118,8 +121,12 @@
             rig.pass(7 * MS);
             let (id, out) = rig.request((i % 4) as usize, (i % 3) as usize, i % 5, 1.0);
             for (name, _) in counts(&out) {
-                let out = rig.tell(Event::Counted(name, Outcome::Ok, (i % 17) as f64));
-                sends(&out).iter().for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
+                let out = rig.tell(Event::CounterReplied {
+                    key: name,
+                    outcome: Outcome::Success,
+                    total: (i % 17) as f64,
+                });
+                sends(&out).iter().for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Success)));
             }
         }
         rig.done
@@ -132,12 +139,12 @@
     let bad = |change: fn(&mut Settings)| {
         let mut set = settings();
         change(&mut set);
-        quota_gateway::decision::gateway::Gateway::new(1, set).is_err()
+        quota_gateway::decision::Gateway::new(1, set).is_err()
     };
     assert!(bad(|s| s.gateways = 0));
-    assert!(bad(|s| s.me = 2));
+    assert!(bad(|s| s.gateway_number = 2));
     assert!(bad(|s| s.plans[0].rate = -1.0));
-    assert!(bad(|s| s.plans[0].price = f64::NAN));
+    assert!(bad(|s| s.plans[0].weight_factor = f64::NAN));
     assert!(bad(|s| s.plans[0].burst = 0.0));
     assert!(!bad(|_| ()));
 }
@@ -149,9 +156,17 @@
         let (id, out) = rig.request(0, 3, 1, 1.0);
         for (_, server) in sends(&out) {
             let took = Micros(600 * MS);
-            let (outcome, report) = (Outcome::Ok, LoadReport::default());
-            let end =
-                AttemptEnded { id, attempt: 0, server, outcome, took, ended: true, settled: None, report };
+            let (outcome, report) = (Outcome::Success, LoadReport::default());
+            let end = AttemptEnded {
+                request: id,
+                attempt: 0,
+                endpoint: server,
+                outcome,
+                elapsed: took,
+                request_finished: true,
+                settled_units: None,
+                load: report,
+            };
             rig.tell(Event::AttemptEnded(end));
         }
         rig.pass(300 * MS);
@@ -166,26 +181,26 @@
     let used = |rig: &mut Rig| -> Vec<EndpointId> {
         let each = (0..8).map(|_| {
             let (id, server) = rig.sent(0);
-            rig.ended(id, 0, server, Outcome::Ok);
+            rig.ended(id, 0, server, Outcome::Success);
             server
         });
         each.collect()
     };
     let (first, second) = (EndpointId(0), EndpointId(1));
     assert!(used(&mut rig).contains(&first));
-    (0..2).for_each(|_| drop(rig.tell(Event::Maintenance(first, true))));
+    (0..2).for_each(|_| drop(rig.tell(Event::MaintenanceChanged { endpoint: first, in_maintenance: true })));
     assert_eq!(rig.gateway.fleet(Micros(rig.now)), (2, 1));
     assert!(used(&mut rig).iter().all(|&s| s == second));
     // EndpointStatus anew, and told to have restarted.
     for started in [None, Some(rig.now)] {
         let entries =
             vec![entry(0, EndpointStatus::InService, started), entry(1, EndpointStatus::InService, None)];
-        rig.tell(Event::Servers(WatchScope::Complete, entries));
+        rig.tell(Event::EndpointsChanged { scope: WatchScope::Complete, endpoints: entries });
         assert!(used(&mut rig).iter().all(|&s| s == second));
         assert!(rig.gateway.is_out(first));
     }
     // A single call back undoes both, and it comes back cold: it is sent little at first.
-    rig.tell(Event::Maintenance(first, false));
+    rig.tell(Event::MaintenanceChanged { endpoint: first, in_maintenance: false });
     assert_eq!(rig.gateway.fleet(Micros(rig.now)), (2, 0));
     let mut share = 0;
     for _ in 0..100 {
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,7 +1,9 @@
 //! What all gateways together send to servers in slow start: the sum over the fleet, at any number of gateways.
 mod common;
 use common::*;
-use quota_gateway::decision::api::*;
+use quota_gateway::decision::{
+    Action, EndpointId, EndpointStatus, EndpointUpdate, Event, Outcome, RequestId, Settings, WatchScope,
+};
 use std::collections::{BTreeMap, VecDeque};
 
 const STEP: u64 = 10 * MS;
@@ -60,7 +62,7 @@
     }
 
     fn gateway(gateways: u32, me: u32, servers: u32, seed: u64) -> Rig {
-        let set = Settings { gateways, me, most_units: 1.0, ..settings() };
+        let set = Settings { gateways, gateway_number: me, max_request_units: 1.0, ..settings() };
         Rig::seeded(seed << 16 | u64::from(me), set, servers)
     }
 
@@ -90,14 +92,15 @@
         self.clock += STEP;
         while self.out.front().is_some_and(|out| out.until <= self.clock) {
             let Some(Out { gateway, id, attempt, server, .. }) = self.out.pop_front() else { return };
-            let led = self.rigs[gateway].ended(id, attempt, server, Outcome::Ok);
+            let led = self.rigs[gateway].ended(id, attempt, server, Outcome::Success);
             self.note(gateway, &led);
         }
         for gateway in 0..self.rigs.len() {
             let told_at = self.told_at[gateway];
             if told_at <= self.clock && self.clock < told_at + STEP {
                 let started = self.started();
-                let led = self.rigs[gateway].tell(Event::Servers(WatchScope::Incremental, started));
+                let led = self.rigs[gateway]
+                    .tell(Event::EndpointsChanged { scope: WatchScope::Incremental, endpoints: started });
                 self.note(gateway, &led);
             }
         }
@@ -119,7 +122,8 @@
             let mut rig = Play::gateway(all as u32, gateway as u32, self.servers, u64::from(self.cold) + 77);
             rig.now = self.rigs[gateway].now;
             rig.next = self.rigs[gateway].next;
-            let led = rig.tell(Event::Servers(WatchScope::Incremental, self.started()));
+            let led = rig
+                .tell(Event::EndpointsChanged { scope: WatchScope::Incremental, endpoints: self.started() });
             self.rigs[gateway] = rig;
             self.out.retain(|out| out.gateway != gateway);
             self.told_at[gateway] = self.told_at[gateway].min(self.clock);
@@ -133,10 +137,11 @@
         let mut worst = f64::MIN;
         for got in &self.got {
             for (first, &from) in got.iter().enumerate() {
-                let within = got[first..].iter().take_while(|&&at| at < from + set.tip_after.0).count();
-                let warmed = (from.saturating_sub(START)) as f64 / set.cold.0 as f64;
-                let present = CAPACITY * (set.cold_from + (1.0 - set.cold_from) * warmed.min(1.0));
-                let allowed = set.fall_multiple * present * set.tip_after.secs();
+                let within = got[first..].iter().take_while(|&&at| at < from + set.overload_after.0).count();
+                let warmed = (from.saturating_sub(START)) as f64 / set.slow_start_window.0 as f64;
+                let present = CAPACITY
+                    * (set.slow_start_min_capacity + (1.0 - set.slow_start_min_capacity) * warmed.min(1.0));
+                let allowed = set.overload_multiple * present * set.overload_after.secs();
                 let most = allowed + 2.0 * allowed.sqrt() + 2.0;
                 worst = worst.max(within as f64 - most);
             }
--- a/tests/window.rs
+++ b/tests/window.rs
@@ -1,7 +1,7 @@
 //! The window count: its edges, refusals, late answers, lost adds, and the local bucket.
 mod common;
 use common::*;
-use quota_gateway::decision::api::*;
+use quota_gateway::decision::{Action, CounterKey, Event, Outcome, RequestId};
 
 /// One request whose call is answered with this total.
 fn with_total(rig: &mut Rig, units: f64, total: f64) -> (RequestId, Vec<Action>) {
@@ -9,7 +9,7 @@
     let add = adds(&out);
     assert_eq!(add.len(), 1, "one add before sending on");
     assert!(sends(&out).is_empty(), "nothing is sent on before the answer");
-    (id, rig.tell(Event::Counted(add[0].0, Outcome::Ok, total)))
+    (id, rig.tell(Event::CounterReplied { key: add[0].0, outcome: Outcome::Success, total }))
 }
 
 #[test]
@@ -17,7 +17,7 @@
     let mut rig = Rig::new(settings(), 4);
     let (id, out) = rig.request(0, 0, 1, 3.0);
     assert_eq!(adds(&out).iter().map(|a| a.1).collect::<Vec<_>>(), [3.0]);
-    let out = rig.tell(Event::Counted(adds(&out)[0].0, Outcome::Ok, 3.0));
+    let out = rig.tell(Event::CounterReplied { key: adds(&out)[0].0, outcome: Outcome::Success, total: 3.0 });
     assert_eq!(sends(&out)[0].0, id);
 }
 
@@ -33,8 +33,8 @@
     let mut rig = Rig::new(settings(), 4);
     // Far beyond what any store can hold: twice the burst and more.
     let (id, out) = with_total(&mut rig, 4.0, 43.0);
-    let Some(Action::Refuse(_, Some(wait), _)) =
-        out.iter().find(|a| matches!(a, Action::Refuse(r, ..) if *r == id))
+    let Some(Action::Reject { retry_after: Some(wait), .. }) =
+        out.iter().find(|a| matches!(a, Action::Reject { request: r, .. } if *r == id))
     else {
         panic!("refused with advice: {out:?}");
     };
@@ -56,7 +56,7 @@
 fn a_new_window_asks_again_under_a_new_name() {
     let mut rig = Rig::new(settings(), 4);
     let first = adds(&rig.request(0, 0, 1, 2.0).1)[0].0;
-    rig.tell(Event::Counted(first, Outcome::Ok, 43.0));
+    rig.tell(Event::CounterReplied { key: first, outcome: Outcome::Success, total: 43.0 });
     rig.pass(2 * S);
     let (_, out) = rig.request(0, 0, 1, 2.0);
     assert_eq!(adds(&out).len(), 1);
@@ -71,8 +71,12 @@
         let (_, out) = rig.request(0, 0, 1, 1.0);
         told.set(told.get() + 1.0);
         let add = adds(&out);
-        let (id, server) = sends(&rig.tell(Event::Counted(add[0].0, Outcome::Ok, told.get())))[0];
-        rig.ended(id, 0, server, Outcome::Ok);
+        let (id, server) = sends(&rig.tell(Event::CounterReplied {
+            key: add[0].0,
+            outcome: Outcome::Success,
+            total: told.get(),
+        }))[0];
+        rig.ended(id, 0, server, Outcome::Success);
         add[0].0
     };
     // To the first quarter second of a window; the one before leaves the store full.
@@ -88,7 +92,7 @@
     let (id, out) = with_total(&mut rig, 4.0, 9.0);
     assert!(refused(&out, id), "a plain window would hold twenty: {out:?}");
     let back = adds(&out);
-    rig.tell(Event::Counted(back[0].0, Outcome::Ok, 3.0));
+    rig.tell(Event::CounterReplied { key: back[0].0, outcome: Outcome::Success, total: 3.0 });
     let (_, out) = with_total(&mut rig, 2.0, 5.0);
     assert_eq!(sends(&out).len(), 1, "what is there goes on");
 }
@@ -96,7 +100,7 @@
 #[test]
 fn gateways_agree_on_the_name() {
     let mut other = settings();
-    other.me = 1;
+    other.gateway_number = 1;
     let (mut a, mut b) = (Rig::new(settings(), 4), Rig::new(other, 2));
     assert_eq!(adds(&a.request(0, 0, 1, 2.0).1)[0].0, adds(&b.request(0, 0, 1, 2.0).1)[0].0);
 }
@@ -117,7 +121,8 @@
     with_total(&mut rig, 1.0, 40.0);
     rig.pass(2 * S); // A full window before: nothing is left over.
     let (id, out) = rig.request(0, 0, 1, 4.0);
-    let out = rig.tell(Event::Counted(adds(&out)[0].0, Outcome::Ok, 22.0));
+    let out =
+        rig.tell(Event::CounterReplied { key: adds(&out)[0].0, outcome: Outcome::Success, total: 22.0 });
     assert!(refused(&out, id), "{out:?}");
     assert_eq!(adds(&out).iter().map(|a| a.1).collect::<Vec<_>>(), [-4.0]);
 }
@@ -127,7 +132,8 @@
     let mut rig = Rig::new(settings(), 4);
     let (_, out) = rig.request(0, 0, 1, 2.0);
     // Turned away: nothing was added, the local bucket lets it go on.
-    let out = rig.tell(Event::Counted(adds(&out)[0].0, Outcome::Full, 0.0));
+    let out =
+        rig.tell(Event::CounterReplied { key: adds(&out)[0].0, outcome: Outcome::Rejected, total: 0.0 });
     assert_eq!(sends(&out).len(), 1);
     let next = (0..50).find_map(|_| adds(&rig.request(0, 0, 1, 1.0).1).first().map(|a| a.1));
     assert!(next.expect("somebody asks") >= 3.0, "its own unit and what went on unheard");
@@ -136,7 +142,7 @@
 #[test]
 fn without_a_counter_the_share_decides() {
     let mut set = settings();
-    set.counter = false;
+    set.counter_enabled = false;
     let mut rig = Rig::new(set, 8);
     let mut through = 0;
     for _ in 0..400 {
@@ -145,7 +151,7 @@
         assert!(counts(&out).is_empty());
         if let Some((_, server)) = sends(&out).first() {
             through += 1;
-            rig.ended(id, 0, *server, Outcome::Ok);
+            rig.ended(id, 0, *server, Outcome::Success);
         }
     }
     // 40 s at a share of 5 units a second, and at most one burst's share on top.
@@ -158,14 +164,14 @@
     let (id, out) = rig.request(0, 2, 1, 1.0);
     let (name, one) = adds(&out)[0];
     assert_eq!(one, 1.0);
-    let out = rig.tell(Event::Counted(name, Outcome::Ok, 1.0));
+    let out = rig.tell(Event::CounterReplied { key: name, outcome: Outcome::Success, total: 1.0 });
     let server = sends(&out)[0].1;
-    let out = rig.ended(id, 0, server, Outcome::Ok);
+    let out = rig.ended(id, 0, server, Outcome::Success);
     assert_eq!(adds(&out), [(name, -1.0)]);
-    rig.tell(Event::Counted(name, Outcome::Ok, 0.0));
+    rig.tell(Event::CounterReplied { key: name, outcome: Outcome::Success, total: 0.0 });
     let (id, out) = rig.request(0, 2, 1, 1.0);
     assert_eq!(adds(&out), [(name, 1.0)]);
-    let out = rig.tell(Event::Counted(name, Outcome::Ok, 3.0));
+    let out = rig.tell(Event::CounterReplied { key: name, outcome: Outcome::Success, total: 3.0 });
     assert!(refused(&out, id), "two are out elsewhere");
     assert_eq!(adds(&out), [(name, -1.0)], "and the place goes back");
 }
@@ -173,7 +179,9 @@
 #[test]
 fn an_answer_to_a_call_never_made_changes_nothing() {
     let mut rig = Rig::new(settings(), 4);
-    assert!(rig.tell(Event::Counted(CounterKey(5), Outcome::Ok, 1.0)).is_empty());
+    assert!(rig
+        .tell(Event::CounterReplied { key: CounterKey(5), outcome: Outcome::Success, total: 1.0 })
+        .is_empty());
 }
 
 #[test]
@@ -186,8 +194,8 @@
             let (id, out) = rig.request(0, 0, 1, 4.0);
             for (name, amount) in counts(&out) {
                 let total = if amount > 0.0 { 4.0 + others } else { 0.0 };
-                let out = rig.tell(Event::Counted(name, Outcome::Ok, total));
-                sends(&out).iter().for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
+                let out = rig.tell(Event::CounterReplied { key: name, outcome: Outcome::Success, total });
+                sends(&out).iter().for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Success)));
             }
         }
         let mut passed = 0;
@@ -195,10 +203,14 @@
             rig.pass(100 * MS);
             let (id, mut out) = rig.request(0, 0, 1, 1.0);
             for (name, _) in counts(&out.clone()) {
-                out.extend(rig.tell(Event::Counted(name, Outcome::Full, 0.0)));
+                out.extend(rig.tell(Event::CounterReplied {
+                    key: name,
+                    outcome: Outcome::Rejected,
+                    total: 0.0,
+                }));
             }
             passed += sends(&out).len();
-            sends(&out).iter().for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Ok)));
+            sends(&out).iter().for_each(|(_, s)| drop(rig.ended(id, 0, *s, Outcome::Success)));
         }
         passed
     };
@@ -222,7 +234,8 @@
 fn an_answer_without_a_number_was_added_and_is_not_added_again() {
     let mut rig = Rig::new(settings(), 4);
     let (_, out) = rig.request(0, 0, 1, 2.0);
-    let out = rig.tell(Event::Counted(adds(&out)[0].0, Outcome::Error, 0.0));
+    let out =
+        rig.tell(Event::CounterReplied { key: adds(&out)[0].0, outcome: Outcome::ServerError, total: 0.0 });
     assert_eq!(sends(&out).len(), 1, "the local bucket lets it go on");
     let next = (0..50).find_map(|_| adds(&rig.request(0, 0, 1, 1.0).1).first().map(|a| a.1));
     // Those that went unasked in between are owed; the two units are not.
