--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -17,28 +17,30 @@
 pub mod write_queue;
 mod write_queue_node;
 
-pub use crate::decision::api::{Micros, SettingsError};
-pub use datagram::{Stranger, LONGEST};
-pub use event::{Effect, Event, Notice, Traffic};
-pub use ledger_node::BEAT;
-pub use membership::identity::{is_name, About, Identity, LEDGER, LONGEST_NAME, ROLLOUT};
-pub use membership::local_health::WAKE;
-pub use membership::swim::{Record, Standing, MOST_MEMBERS};
-pub use quota_lease::seat_lease::{Shares, WAIT};
-pub use quota_lease::view::MOST_SEATS;
+pub use crate::decision::{Micros, SettingsError};
+pub use datagram::{DatagramError, MAX_DATAGRAM_BYTES};
+pub use event::{ClusterNotice, Effect, Event, TrafficCounters};
+pub use ledger_node::LEDGER_TICK_INTERVAL;
+pub use membership::identity::{
+    is_valid_name, Identity, MemberMetadata, CAPABILITY_LEDGER, CAPABILITY_ROLLOUT, MAX_NAME_BYTES,
+};
+pub use membership::local_health::TICK_INTERVAL;
+pub use membership::swim::{MemberRecord, MemberState, MAX_MEMBERS};
+pub use quota_lease::seat_lease::{QuotaShares, WAIT};
+pub use quota_lease::view::MAX_SEATS;
 pub use quota_lease::view_gossip::VALID;
 pub use quota_lease::{Agreement, ViewReport};
-pub use report::{MemberReport, Report};
+pub use report::{ClusterReport, MemberReport};
 pub use rollout_node::{InForce, Taken};
 pub use settings::Settings;
 pub use storage::durability_gate::{Machine, Put};
 pub use write_queue_node::{Branch, Errand};
 
-use datagram::Head;
+use datagram::Payload;
 use ledger::Desk;
 use membership::ring_probe::{Ring, Turn};
 use membership::swim::{Outgoing, Swim};
-use quota_lease::Lending;
+use quota_lease::QuotaLeases;
 use rollout::Steward;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -70,13 +72,13 @@
 }
 
 /// The fleet as one gateway knows it.
-pub struct Fleet {
+pub struct ClusterNode {
     settings: Settings,
-    tag: u32,
+    cluster_tag: u32,
     swim: Swim,
     rng: fastrand::Rng,
     now: Micros,
-    traffic: Traffic,
+    traffic: TrafficCounters,
     /// When absent gateways are called next, and after how long again.
     call_at: Option<Micros>,
     call_step: Micros,
@@ -84,14 +86,14 @@
     yielded: Option<u64>,
     /// Names that two processes may send under.
     rivals: BTreeMap<String, Rivals>,
-    told: BTreeMap<std::rc::Rc<str>, Standing>,
+    told: BTreeMap<std::rc::Rc<str>, MemberState>,
     farewells: u32,
     left: bool,
     /// Where members were heard last.
     heard_at: BTreeMap<std::rc::Rc<str>, SocketAddr>,
     ring: Ring,
     /// The seats, where the settings name them.
-    lending: Option<Lending>,
+    quota_leases: Option<QuotaLeases>,
     /// The ledger, where the settings want one.
     desk: Option<Desk>,
     /// The part in rollouts, where the settings want one, and when it is due.
@@ -103,24 +105,29 @@
     keeping: Option<Keeping>,
 }
 
-impl Fleet {
+impl ClusterNode {
     /// A gateway that knows nobody yet. `unix` is the wall clock's time, which is used for nothing but the
     /// incarnation; `now`, here and everywhere, is of a clock that never goes back.
-    pub fn new(settings: Settings, now: Micros, unix: Micros, seed: u64) -> Result<Fleet, SettingsError> {
+    pub fn new(
+        settings: Settings,
+        now: Micros,
+        unix: Micros,
+        seed: u64,
+    ) -> Result<ClusterNode, SettingsError> {
         settings.check()?;
         let mut rng = fastrand::Rng::with_seed(seed);
-        let own = Identity::born(&settings.name, settings.about.clone(), unix, rng.u64(..));
-        let swim = Swim::new(own, rng.u64(..), settings.period, LONGEST - datagram::OVERHEAD);
+        let own = Identity::born(&settings.name, settings.metadata.clone(), unix, rng.u64(..));
+        let swim = Swim::new(own, rng.u64(..), settings.period, MAX_DATAGRAM_BYTES - datagram::OVERHEAD);
         // Guards against hundreds of gateways that start together and knock in step.
         let call_at = Some(now + Micros(rng.u64(0..FIRST_CALL.0)));
-        let lending = Lending::new(&settings.seats, &settings.name, now, rng.u64(..));
+        let lending = QuotaLeases::new(&settings.seats, &settings.name, now, rng.u64(..));
         let desk = lending.as_ref().zip(settings.ledger).map(|(lending, terms)| {
             let (own, seats) = lending.seat();
-            Desk::new(terms, own as u16, seats, lending.list(), rng.u64(..), now)
+            Desk::new(terms, own as u16, seats, lending.seat_list(), rng.u64(..), now)
         });
         let steward = lending.as_ref().zip(settings.rules.clone()).map(|(lending, base)| {
             let (own, seats) = lending.seat();
-            Steward::new(own as u16, seats, settings.about.zone.clone(), base, rng.u64(..), now)
+            Steward::new(own as u16, seats, settings.metadata.zone.clone(), base, rng.u64(..), now)
         });
         let branch = lending.as_ref().zip(settings.branch.clone()).map(|(lending, terms)| {
             Branch::new(write_queue::Clerk::new(lending.seat().0 as u16, terms, rng.u64(..), now), now)
@@ -131,13 +138,13 @@
             desk.iter_mut().for_each(|desk| desk.holder_mut().await_disk());
             branch.iter_mut().for_each(Branch::await_disk);
         }
-        Ok(Fleet {
-            tag: datagram::tag(&settings.fleet),
+        Ok(ClusterNode {
+            cluster_tag: datagram::cluster_tag(&settings.fleet),
             settings,
             swim,
             rng,
             now,
-            traffic: Traffic::default(),
+            traffic: TrafficCounters::default(),
             call_at,
             call_step: FIRST_CALL,
             yielded: None,
@@ -147,7 +154,7 @@
             left: false,
             heard_at: BTreeMap::new(),
             ring: Ring::default(),
-            lending,
+            quota_leases: lending,
             desk,
             steward,
             rolls_at: now,
@@ -161,10 +168,10 @@
         self.now = self.now.max(now);
         let mut sends = Vec::new();
         match event {
-            Event::Datagram(from, bytes) => self.datagram(from, bytes, &mut sends, out),
-            Event::Wake if self.yielded.is_none() => self.wake(&mut sends, out),
-            Event::Wake => {}
-            Event::Beat => {
+            Event::Datagram { from, bytes } => self.datagram(from, bytes, &mut sends, out),
+            Event::Tick if self.yielded.is_none() => self.wake(&mut sends, out),
+            Event::Tick => {}
+            Event::LedgerTick => {
                 self.beat(out);
                 self.roll(out);
                 self.tend(out);
@@ -174,13 +181,13 @@
                 self.swim.leave(&mut sends);
             }
             Event::Leave => {}
-            Event::Peers(peers) => {
+            Event::PeerAddressesChanged { addresses: peers } => {
                 self.settings.peers = peers;
                 (self.call_at, self.call_step) = (Some(self.now), FIRST_CALL);
             }
-            Event::DiskRead(puts) => self.remember(puts, out),
-            Event::DiskHolds(batch) => self.disk_holds(batch, out),
-            Event::DiskFailed => self.disk_failed(out),
+            Event::StorageLoaded { writes: puts } => self.remember(puts, out),
+            Event::StorageSynced { batch } => self.disk_holds(batch, out),
+            Event::StorageFailed => self.disk_failed(out),
         }
         self.send(sends, out);
     }
@@ -190,19 +197,19 @@
         self.swim.own()
     }
     /// All others that are known, by name.
-    pub fn records(&self) -> impl Iterator<Item = &Record> {
+    pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.swim.records().values()
     }
     /// How many take part, this one among them.
     pub fn present(&self) -> usize {
-        1 + self.records().filter(|r| r.standing.is_present()).count()
+        1 + self.records().filter(|r| r.state.is_present()).count()
     }
     /// Whether its disk holds what it says, and how many words wait for that; none: it has no disk.
     pub fn disk(&self) -> Option<(bool, usize)> {
         self.keeping.as_ref().map(|keeping| (keeping.way().works(), keeping.way().waits()))
     }
     /// Datagrams, bytes and what was dropped.
-    pub fn traffic(&self) -> &Traffic {
+    pub fn traffic(&self) -> &TrafficCounters {
         &self.traffic
     }
     /// The other process that this one has yielded to.
@@ -237,7 +244,7 @@
             Turn::Quiet => {}
             Turn::Knock(to, token) => {
                 let addresses: Vec<SocketAddr> = self.addresses(&to).collect();
-                if let Some(frame) = datagram::write(self.tag, &Head::Knock { token }, &[]) {
+                if let Some(frame) = datagram::encode(self.cluster_tag, &Payload::RingProbe { token }, &[]) {
                     addresses.into_iter().for_each(|at| self.send_frame(at, frame.clone(), out));
                 }
             }
@@ -247,17 +254,18 @@
 
     /// Says what this member knows of the seats, asks another for its words, and tells what follows.
     fn lend(&mut self, out: &mut Vec<Effect>) {
-        let Some(lending) = self.lending.as_mut() else { return };
+        let Some(lending) = self.quota_leases.as_mut() else { return };
         let own = self.swim.own().incarnation;
         lending.update(self.now, own, self.swim.records());
-        out.extend(lending.news(self.now, own).map(Effect::Shares));
-        let (list, token) = (lending.list(), lending.ask(self.now, self.rng.u64(..)));
-        let present = self.swim.records().values().filter(|r| r.standing.is_present());
+        out.extend(lending.news(self.now, own).map(Effect::QuotaSharesChanged));
+        let (list, token) = (lending.seat_list(), lending.ask(self.now, self.rng.u64(..)));
+        let present = self.swim.records().values().filter(|r| r.state.is_present());
         let present: Vec<&Identity> = present.map(|r| &r.identity).collect();
         let Some((token, to)) = token.zip(self.rng.choice(present)) else { return };
-        if let (Some(to), Some(frame)) =
-            (self.addresses(to).next(), datagram::write(self.tag, &Head::Ask { list, token }, &[]))
-        {
+        if let (Some(to), Some(frame)) = (
+            self.addresses(to).next(),
+            datagram::encode(self.cluster_tag, &Payload::ViewRequest { seat_list: list, token }, &[]),
+        ) {
             self.send_frame(to, frame, out);
         }
     }
@@ -269,12 +277,12 @@
         list: u64,
         token: u64,
         out: &mut Vec<Effect>,
-    ) -> Result<(), Stranger> {
+    ) -> Result<(), DatagramError> {
         let now = self.now;
-        let Some(lending) = self.lending.as_mut() else { return Ok(()) };
+        let Some(lending) = self.quota_leases.as_mut() else { return Ok(()) };
         let Some(table) = lending.answer(list, now) else { return Ok(()) };
-        let head = Head::Words { list: lending.list(), token, table };
-        if let Some(frame) = datagram::write(self.tag, &head, &[]) {
+        let head = Payload::ViewReply { seat_list: lending.seat_list(), token, table };
+        if let Some(frame) = datagram::encode(self.cluster_tag, &head, &[]) {
             self.send_frame(to, frame, out);
         }
         Ok(())
@@ -283,46 +291,58 @@
     fn send_frame(&mut self, to: SocketAddr, frame: Vec<u8>, out: &mut Vec<Effect>) {
         self.traffic.sent += 1;
         self.traffic.sent_bytes += frame.len() as u64;
-        out.push(Effect::Send(to, frame));
+        out.push(Effect::Send { to, bytes: frame });
     }
 
     fn datagram(&mut self, from: SocketAddr, bytes: &[u8], sends: &mut Vec<Outgoing>, out: &mut Vec<Effect>) {
-        let taken = datagram::read(self.tag, bytes).and_then(|(head, rest)| {
+        let taken = datagram::decode(self.cluster_tag, bytes).and_then(|(head, rest)| {
             // One that leaves has work to hand over, and records of others.
             if self.yielded.is_some()
-                || self.left && !matches!(head, Head::Ledger { .. } | Head::Branch { .. })
+                || self.left && !matches!(head, Payload::Ledger { .. } | Payload::WriteQueue { .. })
             {
                 return Ok(());
             }
-            let (on_record, live, doubt) = match head {
-                Head::Ledger { list, seat, message } => return self.books_hear(list, seat, message, out),
-                Head::Rollout { list, seat, message } => return self.rolling_hear(list, seat, message, out),
-                Head::Branch { list, seat, message } => return self.filing_hear(list, seat, message, out),
-                Head::Swim { on_record, live, doubt } => (on_record, live, doubt),
-                Head::Knock { token } => {
-                    if let Some(frame) = datagram::write(self.tag, &Head::Here { token }, &[]) {
+            let (known_incarnation, is_present, suspicion) = match head {
+                Payload::Ledger { seat_list: list, seat, message } => {
+                    return self.books_hear(list, seat, message, out)
+                }
+                Payload::Rollout { seat_list: list, seat, message } => {
+                    return self.rolling_hear(list, seat, message, out)
+                }
+                Payload::WriteQueue { seat_list: list, seat, message } => {
+                    return self.filing_hear(list, seat, message, out)
+                }
+                Payload::Swim { known_incarnation, is_present, suspicion } => {
+                    (known_incarnation, is_present, suspicion)
+                }
+                Payload::RingProbe { token } => {
+                    if let Some(frame) =
+                        datagram::encode(self.cluster_tag, &Payload::RingProbeReply { token }, &[])
+                    {
                         self.send_frame(from, frame, out);
                     }
                     return Ok(());
                 }
                 // One that comes late, or twice, says nothing new.
-                Head::Here { token } => {
+                Payload::RingProbeReply { token } => {
                     self.ring.here(token);
                     return Ok(());
                 }
-                Head::Ask { list, token } => return self.answer(from, list, token, out),
-                Head::Words { list, token, table } => {
-                    let learnt = self.lending.as_mut().is_some_and(|l| l.learn(list, token, &table));
-                    return if learnt { Ok(()) } else { Err(Stranger::Refused) };
+                Payload::ViewRequest { seat_list: list, token } => {
+                    return self.answer(from, list, token, out)
+                }
+                Payload::ViewReply { seat_list: list, token, table } => {
+                    let learnt = self.quota_leases.as_mut().is_some_and(|l| l.learn(list, token, &table));
+                    return if learnt { Ok(()) } else { Err(DatagramError::Rejected) };
                 }
             };
-            if on_record > self.own().incarnation {
-                return self.meet(on_record, live, sends, out);
+            if known_incarnation > self.own().incarnation {
+                return self.meet(known_incarnation, is_present, sends, out);
             }
-            if let Some(number) = doubt.filter(|_| on_record == self.own().incarnation) {
+            if let Some(number) = suspicion.filter(|_| known_incarnation == self.own().incarnation) {
                 self.swim.doubted(number, sends);
             }
-            self.swim.datagram(self.now, rest, sends).map_err(|_| Stranger::Refused)
+            self.swim.datagram(self.now, rest, sends).map_err(|_| DatagramError::Rejected)
         });
         if let Some(sender) = self.swim.sender() {
             self.hear_at(&sender, from);
@@ -339,10 +359,13 @@
     }
 
     fn send(&mut self, sends: Vec<Outgoing>, out: &mut Vec<Effect>) {
-        for Outgoing { to, message, doubt } in sends {
-            let (on_record, live) = self.swim.on_record(&to.name);
-            let Some(frame) = datagram::write(self.tag, &Head::Swim { on_record, live, doubt }, &message)
-            else {
+        for Outgoing { to, message, doubt: suspicion } in sends {
+            let (known_incarnation, is_present) = self.swim.on_record(&to.name);
+            let Some(frame) = datagram::encode(
+                self.cluster_tag,
+                &Payload::Swim { known_incarnation, is_present, suspicion },
+                &message,
+            ) else {
                 continue;
             };
             let addresses: Vec<SocketAddr> = self.addresses(&to).collect();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,3 +7,7 @@
 pub mod proxy;
 pub mod simulator;
 mod site_settings;
+
+#[cfg(test)]
+#[path = "../tests/common/fixture.rs"]
+mod fixture;
--- a/src/proxy/cluster_transport/gauges.rs
+++ b/src/proxy/cluster_transport/gauges.rs
@@ -5,7 +5,7 @@
 impl Peers {
     /// What operators read, as JSON; none while another process stands for the gateway.
     pub fn report(&self) -> Option<String> {
-        let report: Report = self.fleet.borrow().as_ref()?.report();
+        let report: ClusterReport = self.fleet.borrow().as_ref()?.report();
         serde_json::to_string_pretty(&report).ok()
     }
 
@@ -13,16 +13,16 @@
     pub fn gauges(&self) -> String {
         let mut text = String::new();
         let fleet = self.fleet.borrow();
-        let Some(report) = fleet.as_ref().map(Fleet::report) else { return text };
-        let standing = |s: Standing| report.members.iter().filter(|m| m.state == s).count() as u64;
+        let Some(report) = fleet.as_ref().map(ClusterNode::report) else { return text };
+        let standing = |s: MemberState| report.members.iter().filter(|m| m.state == s).count() as u64;
         let mut line = |name: &str, value: u64| {
             // Writing to a string never fails.
             let _ = writeln!(text, "edge_node.fleet.{name}={value}");
         };
         line("present", report.present as u64);
-        line("suspect", standing(Standing::Suspect));
-        line("down", standing(Standing::Down));
-        line("left", standing(Standing::Left));
+        line("suspect", standing(MemberState::Suspect));
+        line("down", standing(MemberState::Down));
+        line("left", standing(MemberState::Left));
         line("yielded", u64::from(report.yielded_to.is_some()));
         if let Some(view) = &report.view {
             line("view.number", view.number);
@@ -32,7 +32,7 @@
             line("share.for_ms", view.share_for_ms);
             line("share.away", view.away.len() as u64);
         }
-        if let Some(desk) = fleet.as_ref().and_then(Fleet::desk) {
+        if let Some(desk) = fleet.as_ref().and_then(ClusterNode::desk) {
             let (t, holder) = (&desk.tallies, desk.holder());
             line("ledger.votes", u64::from(holder.votes(self.clock.now())));
             line("ledger.records", holder.len() as u64);
@@ -54,7 +54,7 @@
             line("ledger.refused.late", holder.refusals.late);
             line("ledger.refused.unfit", holder.refusals.unfit);
         }
-        if let Some(clerk) = fleet.as_ref().and_then(Fleet::branch).map(|b| b.clerk()) {
+        if let Some(clerk) = fleet.as_ref().and_then(ClusterNode::branch).map(|b| b.clerk()) {
             line("branch.cut", u64::from(clerk.is_cut()));
             line("branch.votes", u64::from(clerk.votes()));
             line("branch.waiting", clerk.shelf().open() as u64);
@@ -76,7 +76,7 @@
             line("rollout.refused", of(|r| r.refused));
             line("rollout.uncounted", self.arms.dropped());
         }
-        if let Some((works, waits)) = fleet.as_ref().and_then(Fleet::disk) {
+        if let Some((works, waits)) = fleet.as_ref().and_then(ClusterNode::disk) {
             line("disk.works", u64::from(works));
             line("disk.waits", waits as u64);
         }
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -16,7 +16,7 @@
                 if let Some(server) = server {
                     // What stands open will be dead once the backend has restarted.
                     self.backends.get(&server).into_iter().for_each(|b| self.pool.forget(b.address));
-                    self.batch.push(Event::Maintenance(server, out));
+                    self.batch.push(Event::MaintenanceChanged { endpoint: server, in_maintenance: out });
                     self.turn();
                     // The other process still sends to backends as well.
                     let other = self.other.as_ref().filter(|_| !relayed);
@@ -43,7 +43,7 @@
             }
             Control::Alone(done) => {
                 self.share(None, 0);
-                self.batch.push(Event::Alone);
+                self.batch.push(Event::PeerProcessExited);
                 self.turn();
                 let _ = done.send(());
             }
@@ -59,7 +59,7 @@
     }
 
     pub(super) fn members(&mut self, list: MemberList) {
-        let scope = if list.complete { ListScope::Whole } else { ListScope::Changes };
+        let scope = if list.complete { WatchScope::Complete } else { WatchScope::Incremental };
         if list.members.is_empty() && !list.complete {
             self.revision = list.revision;
             return;
@@ -78,9 +78,9 @@
         for member in list.members {
             let server = self.site.server(&member.id);
             let listed = match member.phase {
-                Phase::Ready => Listed::InService,
-                Phase::Draining => Listed::Draining,
-                Phase::Gone => Listed::Gone,
+                Phase::Ready => EndpointStatus::InService,
+                Phase::Draining => EndpointStatus::Draining,
+                Phase::Gone => EndpointStatus::Removed,
             };
             let before = self.listed.get(&server).map(|member| member.phase);
             if before != Some(member.phase) {
@@ -89,7 +89,7 @@
             let backend = Backend {
                 address: member.host_port,
                 up_since_ms: member.up_since_ms,
-                open: Cell::new(listed == Listed::InService),
+                open: Cell::new(listed == EndpointStatus::InService),
             };
             if let Some(old) = self.backends.get(&server) {
                 let same = old.address == backend.address && old.up_since_ms == backend.up_since_ms;
@@ -100,16 +100,16 @@
                     old.open.set(false);
                 }
             }
-            entries.push(ServerEntry {
-                server,
+            entries.push(EndpointUpdate {
+                endpoint: server,
                 zone: self.site.zone(&member.locality),
                 cell: CellId(member.cell),
-                listed,
+                status: listed,
                 weight: member.size,
-                started: self.start_of(server, member.up_since_ms),
+                started_at: self.start_of(server, member.up_since_ms),
                 label: self.site.label(&member.flavor),
             });
-            if listed == Listed::Gone {
+            if listed == EndpointStatus::Removed {
                 self.starts.remove(&server);
                 self.backends.remove(&server);
                 self.listed.remove(&server);
@@ -119,7 +119,7 @@
             }
         }
         if list.complete {
-            let told: HashSet<ServerId> = entries.iter().map(|e| e.server).collect();
+            let told: HashSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
             self.starts.retain(|server, _| told.contains(server));
             self.backends.retain(|server, backend| {
                 let stays = told.contains(server);
@@ -134,12 +134,12 @@
             let open = self.backends.values().filter(|backend| backend.open.get());
             self.arms.backends(open.map(|backend| backend.address).collect());
         }
-        self.batch.push(Event::Servers(scope, entries));
+        self.batch.push(Event::EndpointsChanged { scope, endpoints: entries });
     }
 
     /// When a backend started, on this gateway's clock: reckoned once for each start, so that a step of the wall clock makes
     /// no new one of it.
-    fn start_of(&mut self, server: ServerId, up_since_ms: u64) -> Option<Micros> {
+    fn start_of(&mut self, server: EndpointId, up_since_ms: u64) -> Option<Micros> {
         if up_since_ms == 0 {
             return None;
         }
--- a/src/proxy/upstream/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -1,6 +1,6 @@
 //! Attempts at backends: a pool of connections, and the outcome of each attempt by what was written.
 
-use crate::decision::api::{Outcome, Report};
+use crate::decision::{LoadReport, Outcome};
 use crate::proxy::admin::metrics::{Figures, Unsent};
 use crate::proxy::downstream::response_body::{Answered, Download};
 use crate::proxy::lifecycle::permits::Share;
@@ -56,14 +56,21 @@
     /// When the first bytes of a long answer came.
     pub begun_at: Option<Instant>,
     /// What the backend said of its load.
-    pub report: Report,
+    pub report: LoadReport,
     /// Why nothing was written, where the gateway itself kept it back.
     pub unsent: Option<Unsent>,
 }
 
 impl From<Outcome> for Ended {
     fn from(outcome: Outcome) -> Ended {
-        Ended { outcome, body: None, whole_at: None, begun_at: None, report: Report::default(), unsent: None }
+        Ended {
+            outcome,
+            body: None,
+            whole_at: None,
+            begun_at: None,
+            report: LoadReport::default(),
+            unsent: None,
+        }
     }
 }
 
@@ -159,7 +166,7 @@
     /// The end of an attempt that the gateway itself keeps back.
     pub fn unsent(&self, why: Unsent) -> Ended {
         self.figures.unsent.raise(why);
-        Ended { unsent: Some(why), ..Outcome::Moot.into() }
+        Ended { unsent: Some(why), ..Outcome::NotSent.into() }
     }
 
     fn held(&self) -> usize {
@@ -249,12 +256,12 @@
                 // Guards against a pooled connection that was closed just before it was written to.
                 Err(CallError::NotSent) if reused => wrote.set(false),
                 Err(CallError::NotSent) => return Outcome::ConnectFailed.into(),
-                Err(CallError::Cut) => return Outcome::Moot.into(),
+                Err(CallError::Cut) => return Outcome::NotSent.into(),
                 Err(CallError::Broken) => {
                     if reused {
                         self.broke(idle);
                     }
-                    return Outcome::Reset.into();
+                    return Outcome::ConnectionReset.into();
                 }
             }
         }
@@ -275,7 +282,7 @@
             warn!(%address, "a load report makes no sense; what can't be read of it is passed over");
         }
         let mut body = response.into_body();
-        if outcome != Outcome::Ok {
+        if outcome != Outcome::Success {
             let read = connection.drive(Limited::new(body, MAX_BODY).collect()).await;
             if matches!(read, Some(Ok(_))) {
                 self.give_back(address, connection);
@@ -311,7 +318,7 @@
                     let body = Some(Answered::Whole(whole, room));
                     return Ended { body, report, ..outcome.into() };
                 }
-                Some(Some(Err(_))) | None => return Outcome::Reset.into(),
+                Some(Some(Err(_))) | None => return Outcome::ConnectionReset.into(),
             }
             if length > 0 && (room.is_none() || length > MAX_BODY) {
                 break;
@@ -339,8 +346,8 @@
 
 /// What a backend says of its load: `TEXT name=number, name=number`. What can't be read is passed over.
 /// Also tells whether all of it could be read.
-fn report_of(headers: &HeaderMap) -> (Report, bool) {
-    let mut report = Report::default();
+fn report_of(headers: &HeaderMap) -> (LoadReport, bool) {
+    let mut report = LoadReport::default();
     let Some(header) = headers.get(LOAD_REPORT) else { return (report, true) };
     let Some(text) = header.to_str().ok().and_then(|text| text.strip_prefix("TEXT ")) else {
         return (report, false);
@@ -360,9 +367,9 @@
 fn outcome_of<T>(response: &Response<T>) -> Outcome {
     let rejected = response.headers().get(REJECTED).is_some_and(|v| v.as_bytes() == b"1");
     match response.status() {
-        StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => Outcome::Full,
-        _ => Outcome::Error,
+        StatusCode::OK => Outcome::Success,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => Outcome::Rejected,
+        _ => Outcome::ServerError,
     }
 }
 
@@ -371,7 +378,7 @@
     use super::*;
     use hyper::header::HeaderValue;
 
-    fn read(text: &str) -> (Report, bool) {
+    fn read(text: &str) -> (LoadReport, bool) {
         let mut headers = HeaderMap::new();
         headers.insert(LOAD_REPORT, HeaderValue::from_str(text).expect("a header"));
         report_of(&headers)
@@ -379,12 +386,12 @@
 
     #[test]
     fn a_load_report_is_read_as_far_as_it_makes_sense() {
-        let whole = Report { inflight: Some(7.0), queue: Some(2.0), busy: Some(0.61) };
+        let whole = LoadReport { in_flight: Some(7.0), queued: Some(2.0), busy_fraction: Some(0.61) };
         assert_eq!(read("TEXT concurrent=7, depth=2, load_share=0.61, tps=3"), (whole, true));
-        let busy = Report { busy: Some(0.5), ..Report::default() };
+        let busy = LoadReport { busy_fraction: Some(0.5), ..LoadReport::default() };
         assert_eq!(read("TEXT concurrent=NaN,depth=-1, load_share=0.5"), (busy, false));
-        assert_eq!(read("TEXT concurrent=, =, ,load_share=0.5=,"), (Report::default(), false));
-        assert_eq!(read("BINARY concurrent=7"), (Report::default(), false));
-        assert_eq!(report_of(&HeaderMap::new()), (Report::default(), true), "none is none");
+        assert_eq!(read("TEXT concurrent=, =, ,load_share=0.5=,"), (LoadReport::default(), false));
+        assert_eq!(read("BINARY concurrent=7"), (LoadReport::default(), false));
+        assert_eq!(report_of(&HeaderMap::new()), (LoadReport::default(), true), "none is none");
     }
 }
