--- a/src/decision/endpoint.rs
+++ b/src/decision/endpoint.rs
@@ -46,6 +46,15 @@
     Failed,
 }
 
+/// How many endpoints are listed, and how many of them are excluded.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct EndpointCounts {
+    /// Listed, whatever their status.
+    pub known: usize,
+    /// In maintenance, draining or ejected.
+    pub excluded: usize,
+}
+
 /// The load that an endpoint reported with a response, as far as it did.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
--- a/src/decision/gateway.rs
+++ b/src/decision/gateway.rs
@@ -394,10 +394,13 @@
         self.line_up();
     }
 
-    /// How many servers are listed, and how many of them are avoided: taken out by hand, draining or ejected.
-    pub fn fleet(&self, now: Micros) -> (usize, usize) {
+    /// How many endpoints are listed, and how many of them are excluded.
+    pub fn endpoint_counts(&self, now: Micros) -> EndpointCounts {
         let listed = || self.servers.values().filter(|s| s.listed.is_some());
-        (listed().count(), listed().filter(|s| !s.in_service() || now < s.ejected_until).count())
+        EndpointCounts {
+            known: listed().count(),
+            excluded: listed().filter(|s| !s.in_service() || now < s.ejected_until).count(),
+        }
     }
 
     /// The other process of this gateway is gone. An elder that is alone again after all starts with empty
--- a/src/decision/gateway/attempts.rs
+++ b/src/decision/gateway/attempts.rs
@@ -154,7 +154,7 @@
     }
 
     /// Whether an operator took this server out.
-    pub fn is_out(&self, server: EndpointId) -> bool {
+    pub fn is_in_maintenance(&self, server: EndpointId) -> bool {
         self.servers.get(&server).is_some_and(|s| s.maintained)
     }
 
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -13,7 +13,7 @@
 mod time;
 
 pub use action::{Action, RejectionReason};
-pub use endpoint::{EndpointStatus, EndpointUpdate, LoadReport, WatchScope};
+pub use endpoint::{EndpointCounts, EndpointStatus, EndpointUpdate, LoadReport, WatchScope};
 pub use event::{Arrival, AttemptEnded, Event, Outcome, PriorAttempt};
 pub use gateway::{has_canary_rules, Gateway};
 pub use ids::{
--- a/src/proxy/control_plane/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -5,7 +5,7 @@
 
 use super::{Config, FleetConfig, SocketLimits};
 use crate::cluster::rollout::Rule;
-use crate::decision::api::{Class, Effect, Group, Plan};
+use crate::decision::{Class, DeduplicationScope, Idempotency, Plan};
 use crate::fixture;
 use std::fmt::{Debug, Write};
 
@@ -24,33 +24,33 @@
     }
 }
 
-fn effect(effect: Effect) -> &'static str {
+fn effect(effect: Idempotency) -> &'static str {
     match effect {
-        Effect::Safe => "pure",
-        Effect::Keyed => "token",
-        Effect::Unsafe => "side_effect",
+        Idempotency::Idempotent => "pure",
+        Idempotency::WithKey => "token",
+        Idempotency::NotIdempotent => "side_effect",
     }
 }
 
-fn key_scope(group: Group) -> &'static str {
+fn key_scope(group: DeduplicationScope) -> &'static str {
     match group {
-        Group::All => "all",
-        Group::Zone => "zone",
-        Group::Cell => "cell",
+        DeduplicationScope::All => "all",
+        DeduplicationScope::Zone => "zone",
+        DeduplicationScope::Cell => "cell",
     }
 }
 
 fn put_class(out: &mut Listing, at: usize, name: &str, class: &Class) {
     let key = |key: &str| format!("settings.classes.{at}.{key}");
     out.put(&key("name"), name);
-    out.put(&key("effect"), effect(class.effect));
+    out.put(&key("effect"), effect(class.idempotency));
     out.put(&key("deadline"), class.deadline.0);
-    out.put(&key("on_time"), class.aim.0);
-    out.put(&key("credit"), class.worth);
-    out.put(&key("late_share"), class.late_worth);
-    out.put(&key("key_scope"), key_scope(class.group));
-    out.put(&key("window"), class.window.0);
-    out.put(&key("streaming"), class.stream);
+    out.put(&key("on_time"), class.latency_objective.0);
+    out.put(&key("credit"), class.priority_weight);
+    out.put(&key("late_share"), class.late_weight_fraction);
+    out.put(&key("key_scope"), key_scope(class.deduplication_scope));
+    out.put(&key("window"), class.deduplication_window.0);
+    out.put(&key("streaming"), class.streaming);
 }
 
 fn put_plan(out: &mut Listing, at: usize, name: &str, plan: &Plan) {
@@ -58,13 +58,13 @@
     out.put(&key("name"), name);
     out.put(&key("per_second"), plan.rate);
     out.put(&key("peak_units"), plan.burst);
-    out.put(&key("open"), plan.open);
-    out.put(&key("price"), plan.price);
-    out.put(&key("extra_worth"), plan.over_worth);
-    out.put(&key("excess_cost"), plan.over_cost);
+    out.put(&key("open"), plan.concurrency_quota);
+    out.put(&key("price"), plan.weight_factor);
+    out.put(&key("extra_worth"), plan.overage_weight_fraction);
+    out.put(&key("excess_cost"), plan.overage_cost_fraction);
     out.put(&key("ceiling_rate"), plan.ceiling_rate);
     out.put(&key("cap_depth"), plan.ceiling_burst);
-    out.put(&key("tolerance"), plan.ceiling_slack);
+    out.put(&key("tolerance"), plan.ceiling_overdraft);
 }
 
 fn name_of(names: &std::collections::HashMap<String, usize>, at: usize) -> &str {
@@ -105,7 +105,7 @@
     put_known(&mut out, &config);
     let settings = config.site.settings.clone();
     out.put("settings.balancers", settings.gateways);
-    out.put("settings.my_number", settings.me);
+    out.put("settings.my_number", settings.gateway_number);
     out.put("settings.zone", settings.zone.0);
     for zone in ["north", "south", "west", ""] {
         out.put(&format!("settings.zones, number of '{zone}'"), config.site.zone(zone).0);
@@ -113,21 +113,21 @@
     out.put("settings.tick", settings.tick.0);
     out.put("settings.membership_mode is subscribe", settings.must_subscribe);
     out.put("settings.bounds.max_attempts", settings.max_attempts);
-    out.put("settings.bounds.second_copies", settings.second_copies);
+    out.put("settings.bounds.second_copies", settings.hedging);
     out.put("settings.bounds.may_cancel", settings.may_cancel);
-    out.put("settings.bounds.probing", settings.probes);
+    out.put("settings.bounds.probing", settings.health_checks);
     out.put("settings.bounds.retry_after", settings.retry_after);
     out.put("settings.bounds.max_retry_after", settings.max_retry_after.0);
     out.put("settings.bounds.dial_timeout", settings.connect_timeout.0);
     out.put("settings.bounds.conn_idle", config.conn_idle.as_micros());
-    out.put("settings.specifics.counter", settings.counter);
-    out.put("settings.specifics.count_limit", settings.count_timeout.0);
-    out.put("settings.specifics.units_top", settings.most_units);
+    out.put("settings.specifics.counter", settings.counter_enabled);
+    out.put("settings.specifics.count_limit", settings.counter_timeout.0);
+    out.put("settings.specifics.units_top", settings.max_request_units);
     out.put("settings.rules.answer_slack", settings.answer_slack.0);
-    out.put("settings.rules.cold_from", settings.cold_from);
-    out.put("settings.rules.cold", settings.cold.0);
-    out.put("settings.rules.fall_multiple", settings.fall_multiple);
-    out.put("settings.rules.tip_after", settings.tip_after.0);
+    out.put("settings.rules.cold_from", settings.slow_start_min_capacity);
+    out.put("settings.rules.cold", settings.slow_start_window.0);
+    out.put("settings.rules.fall_multiple", settings.overload_multiple);
+    out.put("settings.rules.tip_after", settings.overload_after.0);
     for (at, class) in settings.classes.iter().enumerate() {
         put_class(&mut out, at, name_of(&config.site.classes, at), class);
     }
--- a/src/proxy/lifecycle/handover/tests.rs
+++ b/src/proxy/lifecycle/handover/tests.rs
@@ -3,8 +3,8 @@
 //! The files are in `tests/fixtures/control`. An older build may be at the other end, so they never change.
 
 use super::{Line, Word};
-use crate::decision::api::ClassId;
 use crate::decision::gateway::Gateway;
+use crate::decision::ClassId;
 use crate::fixture;
 use crate::proxy::control_plane::config::Config;
 use tokio::net::UnixStream;
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -10,9 +10,9 @@
 use crate::cluster::rollout::{Arm, Ended as Judgement, Key, Rule};
 use crate::cluster::InForce;
 use crate::decision::{
-    has_canary_rules, Action, Arrival, AttemptEnded, CellId, ClassId, CounterKey, EndpointId, EndpointStatus,
-    EndpointUpdate, Event, Gateway, LoadReport, Micros, Outcome, PlanId, QuotaLease, RejectionReason,
-    RequestId, RouteRule, RoutingRules, TimerId, WatchScope,
+    has_canary_rules, Action, Arrival, AttemptEnded, CellId, ClassId, CounterKey, EndpointCounts, EndpointId,
+    EndpointStatus, EndpointUpdate, Event, Gateway, LoadReport, Micros, Outcome, PlanId, QuotaLease,
+    RejectionReason, RequestId, RouteRule, RoutingRules, TimerId, WatchScope,
 };
 use crate::proxy::admin::metrics::{Figures, Fleet, Unsent};
 use crate::proxy::cluster_transport::outcome_recorder::{Arms, Judged, Seen};
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -6,13 +6,14 @@
     pub(super) fn obey(&mut self, order: Control) {
         match order {
             Control::Fleet(reply) => {
-                let (known, excluded) = self.gateway.fleet(self.clock.now());
+                let EndpointCounts { known, excluded } = self.gateway.endpoint_counts(self.clock.now());
                 // An operator who has left needs no answer.
                 let _ = reply.send(Fleet { known, excluded });
             }
             Control::Maintain { id, out, relayed, done } => {
                 let server = self.site.seen(&id);
-                let server = server.filter(|s| self.backends.contains_key(s) || self.gateway.is_out(*s));
+                let server =
+                    server.filter(|s| self.backends.contains_key(s) || self.gateway.is_in_maintenance(*s));
                 if let Some(server) = server {
                     // What stands open will be dead once the backend has restarted.
                     self.backends.get(&server).into_iter().for_each(|b| self.pool.forget(b.address));
--- a/tests/decision_fixtures/module.rs
+++ b/tests/decision_fixtures/module.rs
@@ -188,7 +188,7 @@
         }
         Stimulus::PeerProcessExited => Event::PeerProcessExited,
         Stimulus::QuotaLease { fraction, until, absent } => Event::QuotaLeaseChanged(QuotaLease {
-            fraction: fraction,
+            fraction,
             valid_until: Micros(until),
             absent_gateways: absent,
         }),
@@ -335,8 +335,9 @@
 /// What a gateway says of itself: endpoints known and avoided, those in maintenance, who has new rules.
 fn write_views(trace: &mut String, gateways: &BTreeMap<u32, Gateway>, now: u64) {
     for (number, gateway) in gateways {
-        let (known, avoided) = gateway.fleet(Micros(now));
-        let maintained: Vec<u64> = (0..40).filter(|e| gateway.is_out(EndpointId(*e))).collect();
+        let counts = gateway.endpoint_counts(Micros(now));
+        let (known, avoided) = (counts.known, counts.excluded);
+        let maintained: Vec<u64> = (0..40).filter(|e| gateway.is_in_maintenance(EndpointId(*e))).collect();
         let _ = writeln!(trace, "{number} knows {known} avoids {avoided} maintains {maintained:?}");
     }
     let canary = |c: &u64| has_canary_rules(&routing_of(1, 5_000), CustomerId(*c));
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -2,8 +2,8 @@
 mod common;
 use common::*;
 use quota_gateway::decision::{
-    Action, AttemptEnded, EndpointId, EndpointStatus, Event, LoadReport, Micros, Outcome, Settings,
-    WatchScope,
+    Action, AttemptEnded, EndpointCounts, EndpointId, EndpointStatus, Event, LoadReport, Micros, Outcome,
+    Settings, WatchScope,
 };
 
 #[test]
@@ -189,7 +189,7 @@
     let (first, second) = (EndpointId(0), EndpointId(1));
     assert!(used(&mut rig).contains(&first));
     (0..2).for_each(|_| drop(rig.tell(Event::MaintenanceChanged { endpoint: first, in_maintenance: true })));
-    assert_eq!(rig.gateway.fleet(Micros(rig.now)), (2, 1));
+    assert_eq!(rig.gateway.endpoint_counts(Micros(rig.now)), EndpointCounts { known: 2, excluded: 1 });
     assert!(used(&mut rig).iter().all(|&s| s == second));
     // EndpointStatus anew, and told to have restarted.
     for started in [None, Some(rig.now)] {
@@ -197,11 +197,11 @@
             vec![entry(0, EndpointStatus::InService, started), entry(1, EndpointStatus::InService, None)];
         rig.tell(Event::EndpointsChanged { scope: WatchScope::Complete, endpoints: entries });
         assert!(used(&mut rig).iter().all(|&s| s == second));
-        assert!(rig.gateway.is_out(first));
+        assert!(rig.gateway.is_in_maintenance(first));
     }
     // A single call back undoes both, and it comes back cold: it is sent little at first.
     rig.tell(Event::MaintenanceChanged { endpoint: first, in_maintenance: false });
-    assert_eq!(rig.gateway.fleet(Micros(rig.now)), (2, 0));
+    assert_eq!(rig.gateway.endpoint_counts(Micros(rig.now)), EndpointCounts { known: 2, excluded: 0 });
     let mut share = 0;
     for _ in 0..100 {
         rig.pass(10 * MS);
--- a/tests/stats_keys.rs
+++ b/tests/stats_keys.rs
@@ -1,6 +1,6 @@
 //! `/stats` as `tests/fixtures/stats-counters.txt` holds it: every counter of a process under its own key, in its place.
 
-use quota_gateway::decision::api::{ClassId, Outcome, RefusalReason};
+use quota_gateway::decision::{ClassId, Outcome, RejectionReason};
 use quota_gateway::proxy::admin::metrics::{Close, End, Figures, Fleet, Unsent};
 use quota_gateway::proxy::control_plane::discovery::FailureKind;
 use std::path::Path;
@@ -37,7 +37,7 @@
     raise(FailureKind::VARIANTS, 11, |kind| figures.discovery.failed(kind));
     raise(Outcome::VARIANTS, 21, |kind| figures.outcomes.raise(kind));
     raise(Unsent::VARIANTS, 31, |kind| figures.unsent.raise(kind));
-    raise(RefusalReason::VARIANTS, 41, |kind| figures.refusals.raise(kind));
+    raise(RejectionReason::VARIANTS, 41, |kind| figures.refusals.raise(kind));
     raise(Close::VARIANTS, 51, |kind| figures.closes.raise(kind));
     let text = figures.text(Fleet { known: 61, excluded: 62 });
     // The only value that the clock decides.
