--- a/src/proxy/admin/metrics.rs
+++ b/src/proxy/admin/metrics.rs
@@ -12,7 +12,7 @@
 
 /// How a request ended, as its client sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum RequestResult {
     /// A backend's answer, whole.
     Served,
     /// Trying again is harmless.
@@ -23,7 +23,7 @@
 
 /// What discovery lists, as the module sees it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Fleet {
+pub struct EndpointCounts {
     /// Backends listed.
     pub known: usize,
     /// Those of them that the gateway avoids now.
@@ -40,7 +40,7 @@
 /// Why an attempt was not written to its backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, IntoStaticStr, VariantArray)]
 #[strum(serialize_all = "snake_case")]
-pub enum Unsent {
+pub enum NotSentReason {
     /// The backend drains or is gone.
     Drained,
     /// The client has its answer or has left.
@@ -60,7 +60,7 @@
 /// Why the gateway closed a client's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, IntoStaticStr, VariantArray)]
 #[strum(serialize_all = "snake_case")]
-pub enum Close {
+pub enum ConnectionCloseReason {
     /// After an answer, as one of the two sides wished.
     Ended,
     /// It broke, or what came over it was no HTTP.
@@ -72,18 +72,18 @@
 }
 
 /// One counter for each of an enum's variants.
-pub struct Counts<Kind: VariantArray + 'static> {
+pub struct CounterSet<Kind: VariantArray + 'static> {
     counts: Vec<Cell<u64>>,
     kind: PhantomData<Kind>,
 }
 
-impl<Kind: VariantArray> Default for Counts<Kind> {
-    fn default() -> Counts<Kind> {
-        Counts { counts: Kind::VARIANTS.iter().map(|_| Cell::new(0)).collect(), kind: PhantomData }
+impl<Kind: VariantArray> Default for CounterSet<Kind> {
+    fn default() -> CounterSet<Kind> {
+        CounterSet { counts: Kind::VARIANTS.iter().map(|_| Cell::new(0)).collect(), kind: PhantomData }
     }
 }
 
-impl<Kind: VariantArray + PartialEq + Copy + Into<&'static str>> Counts<Kind> {
+impl<Kind: VariantArray + PartialEq + Copy + Into<&'static str>> CounterSet<Kind> {
     /// Counts one.
     pub fn raise(&self, kind: Kind) {
         let place = Kind::VARIANTS.iter().position(|variant| *variant == kind);
@@ -96,16 +96,16 @@
 
 /// What came of the calls to discovery.
 #[derive(Default)]
-pub struct DiscoveryFigures {
+pub struct DiscoveryMetrics {
     calls: Cell<u64>,
-    failures: Counts<FailureKind>,
+    failures: CounterSet<FailureKind>,
     lists: Cell<u64>,
     bytes: Cell<u64>,
     revision: Cell<u64>,
     last_list: Cell<Option<Instant>>,
 }
 
-impl DiscoveryFigures {
+impl DiscoveryMetrics {
     /// A call was made.
     pub fn called(&self) {
         raise(&self.calls);
@@ -137,37 +137,37 @@
 
 /// The counters of one process; all start at 0.
 #[derive(Default)]
-pub struct Figures {
+pub struct Metrics {
     classes: Vec<Class>,
     in_flight: Cell<u64>,
     attempts: Cell<u64>,
     /// What came of the calls to discovery.
-    pub discovery: DiscoveryFigures,
+    pub discovery: DiscoveryMetrics,
     /// How attempts ended.
-    pub outcomes: Counts<Outcome>,
+    pub outcomes: CounterSet<Outcome>,
     /// Why attempts were not written.
-    pub unsent: Counts<Unsent>,
+    pub unsent: CounterSet<NotSentReason>,
     /// Why the module refused or failed requests.
-    pub refusals: Counts<RefusalReason>,
+    pub refusals: CounterSet<RefusalReason>,
     /// Why clients' connections were closed.
-    pub closes: Counts<Close>,
+    pub closes: CounterSet<ConnectionCloseReason>,
 }
 
 fn raise(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
-impl Figures {
+impl Metrics {
     /// Counters for these classes, in the order of their ids.
-    pub fn new(classes: impl IntoIterator<Item = String>) -> Figures {
+    pub fn new(classes: impl IntoIterator<Item = String>) -> Metrics {
         let class = |name| Class { name, served: Cell::new(0), refused: Cell::new(0), failed: Cell::new(0) };
-        Figures { classes: classes.into_iter().map(class).collect(), ..Figures::default() }
+        Metrics { classes: classes.into_iter().map(class).collect(), ..Metrics::default() }
     }
 
     /// A request was taken; it counts as in flight for as long as its ticket lives.
-    pub fn taken(self: &Rc<Figures>, class: ClassId) -> Ticket {
+    pub fn taken(self: &Rc<Metrics>, class: ClassId) -> InFlightRequest {
         raise(&self.in_flight);
-        Ticket { figures: self.clone(), class, end: None }
+        InFlightRequest { figures: self.clone(), class, end: None }
     }
 
     /// An attempt was written whole to a backend.
@@ -176,7 +176,7 @@
     }
 
     /// The figures, one a line.
-    pub fn text(&self, fleet: Fleet) -> String {
+    pub fn text(&self, fleet: EndpointCounts) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: u64| {
             // Writing to a string never fails.
@@ -210,28 +210,28 @@
 }
 
 /// One request in flight. Dropped without an end, its client left, and it counts nowhere.
-pub struct Ticket {
-    figures: Rc<Figures>,
+pub struct InFlightRequest {
+    figures: Rc<Metrics>,
     class: ClassId,
-    end: Option<End>,
+    end: Option<RequestResult>,
 }
 
-impl Ticket {
+impl InFlightRequest {
     /// How the request ends once this ticket is dropped.
-    pub fn ends(&mut self, end: End) {
+    pub fn ends(&mut self, end: RequestResult) {
         self.end = Some(end);
     }
 }
 
-impl Drop for Ticket {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        let Ticket { figures, class, end } = self;
+        let InFlightRequest { figures, class, end } = self;
         figures.in_flight.set(figures.in_flight.get().saturating_sub(1));
         if let (Some(end), Some(class)) = (end, figures.classes.get(class.0)) {
             raise(match end {
-                End::Served => &class.served,
-                End::Refused => &class.refused,
-                End::Failed => &class.failed,
+                RequestResult::Served => &class.served,
+                RequestResult::Refused => &class.refused,
+                RequestResult::Failed => &class.failed,
             });
         }
     }
@@ -243,16 +243,16 @@
 
     #[test]
     fn requests_count_as_in_flight_until_they_end_and_then_by_their_end() {
-        let figures = Rc::new(Figures::new(["look".to_string(), "buy".to_string()]));
+        let figures = Rc::new(Metrics::new(["look".to_string(), "buy".to_string()]));
         let (mut served, mut refused, left) =
             (figures.taken(ClassId(0)), figures.taken(ClassId(1)), figures.taken(ClassId(1)));
-        served.ends(End::Served);
-        refused.ends(End::Failed);
-        refused.ends(End::Refused);
-        assert!(figures.text(Fleet::default()).contains("edge_node.in_flight=3\n"));
+        served.ends(RequestResult::Served);
+        refused.ends(RequestResult::Failed);
+        refused.ends(RequestResult::Refused);
+        assert!(figures.text(EndpointCounts::default()).contains("edge_node.in_flight=3\n"));
         drop((served, refused, left));
         figures.attempt();
-        let text = figures.text(Fleet { known: 4, excluded: 1 });
+        let text = figures.text(EndpointCounts { known: 4, excluded: 1 });
         let told: Vec<&str> = text.lines().take(10).collect();
         assert_eq!(
             told,
@@ -273,14 +273,14 @@
 
     #[test]
     fn every_reason_has_a_line_that_counts_its_events() {
-        let figures = Figures::default();
+        let figures = Metrics::default();
         figures.discovery.failed(FailureKind::TooLong);
         figures.discovery.listed(7, 41);
-        figures.unsent.raise(Unsent::Drained);
+        figures.unsent.raise(NotSentReason::Drained);
         figures.outcomes.raise(Outcome::ConnectFailed);
         figures.refusals.raise(RefusalReason::QuotaFull);
-        figures.closes.raise(Close::Quiet);
-        let text = figures.text(Fleet::default());
+        figures.closes.raise(ConnectionCloseReason::Quiet);
+        let text = figures.text(EndpointCounts::default());
         for line in [
             "discovery.failed.too_long=1",
             "discovery.failed.broken=0",
--- a/src/proxy/admin/mod.rs
+++ b/src/proxy/admin/mod.rs
@@ -16,8 +16,8 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use metrics::Figures;
-use rollout_calls::{Names, Said};
+use metrics::Metrics;
+use rollout_calls::{KnownNames, Said};
 use std::collections::VecDeque;
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -38,21 +38,21 @@
 const MAX_HEAD: usize = 8 * 1024;
 
 /// What the calls need.
-pub struct Desk {
+pub struct AdminContext {
     /// The way to the driver that waits behind no request.
     pub orders: Orders,
     /// The counters.
-    pub figures: Rc<Figures>,
+    pub figures: Rc<Metrics>,
     /// Whether the gateway serves, drains or ends.
     pub duty: Rc<Duty>,
     /// The fleet, where the gateway has one.
     pub peers: Option<Rc<Peers>>,
     /// The names that rules of routing may use.
-    pub names: Names,
+    pub names: KnownNames,
 }
 
 /// Answers operators for ever.
-pub async fn serve(listener: TcpListener, desk: Rc<Desk>) {
+pub async fn serve(listener: TcpListener, desk: Rc<AdminContext>) {
     let mut callers: VecDeque<AbortHandle> = VecDeque::with_capacity(CALLERS);
     let mut accepting = Accepting::default();
     loop {
@@ -72,7 +72,7 @@
     }
 }
 
-async fn call(stream: TcpStream, desk: Rc<Desk>) {
+async fn call(stream: TcpStream, desk: Rc<AdminContext>) {
     let service = service_fn(|request| {
         let desk = desk.clone();
         async move { Ok::<_, Infallible>(answer(request, &desk).await) }
@@ -90,7 +90,7 @@
     }
 }
 
-async fn answer(request: Request<Incoming>, desk: &Desk) -> Response<Full<Bytes>> {
+async fn answer(request: Request<Incoming>, desk: &AdminContext) -> Response<Full<Bytes>> {
     let whole = request.uri().path().to_string();
     let path: Vec<&str> = whole.split('/').skip(1).collect();
     let reading = matches!(*request.method(), Method::GET | Method::HEAD);
@@ -144,7 +144,7 @@
 /// A call for a rollout of rules.
 async fn rolled(
     peers: &Rc<Peers>,
-    desk: &Desk,
+    desk: &AdminContext,
     reading: bool,
     posting: bool,
     order: &str,
@@ -172,7 +172,7 @@
 }
 
 /// Asks the driver, who answers between two turns.
-async fn ask<T>(desk: &Desk, order: impl FnOnce(oneshot::Sender<T>) -> Control) -> Option<T> {
+async fn ask<T>(desk: &AdminContext, order: impl FnOnce(oneshot::Sender<T>) -> Control) -> Option<T> {
     let (reply, answer) = oneshot::channel();
     let asking = async {
         desk.orders.send(order(reply)).await.ok()?;
--- a/src/proxy/admin/rollout_calls.rs
+++ b/src/proxy/admin/rollout_calls.rs
@@ -22,14 +22,14 @@
 
 /// The names that rules may use.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct KnownNames {
     /// Classes of requests.
     pub classes: BTreeSet<String>,
     /// Plans of customers.
     pub plans: BTreeSet<String>,
 }
 
-impl Names {
+impl KnownNames {
     /// Whether the rules name classes and plans of this site alone.
     pub fn check(&self, rules: &Rules) -> Result<(), String> {
         let known = |what: &str, name: &Option<String>, names: &BTreeSet<String>| match name {
@@ -48,7 +48,7 @@
 }
 
 /// Begins a rollout of the rules in this text.
-pub async fn start(peers: &Rc<Peers>, names: &Names, body: Incoming) -> Said {
+pub async fn start(peers: &Rc<Peers>, names: &KnownNames, body: Incoming) -> Said {
     let Ok(Ok(body)) = timeout(BEGIN, Limited::new(body, LONGEST).collect()).await else {
         return said(StatusCode::PAYLOAD_TOO_LARGE, "expected a text of up to 8192 bytes at once\n");
     };
--- a/src/proxy/control_plane/discovery/mod.rs
+++ b/src/proxy/control_plane/discovery/mod.rs
@@ -16,7 +16,7 @@
 pub use endpoint_list::{Member, MemberList, Phase, LONGEST_LIST, MOST_BACKENDS};
 
 use crate::decision::api::Settings;
-use crate::proxy::admin::metrics::Figures;
+use crate::proxy::admin::metrics::Metrics;
 use crate::proxy::log_rate_limit::Sparing;
 use crate::proxy::runtime::{Inbox, Input};
 use crate::proxy::upstream::connection::Connection;
@@ -94,12 +94,12 @@
     /// Failures since the last list, and when one was last logged.
     failures: u32,
     logged: Sparing,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
 }
 
 /// Brings the list up to date, from the version that the driver holds if there is one, then watches it for ever,
 /// telling the driver what is new.
-pub async fn watch(address: SocketAddr, held: Option<u64>, pace: Pace, inbox: Inbox, figures: Rc<Figures>) {
+pub async fn watch(address: SocketAddr, held: Option<u64>, pace: Pace, inbox: Inbox, figures: Rc<Metrics>) {
     let mut watch = Watch {
         address,
         pace,
--- a/src/proxy/downstream/request.rs
+++ b/src/proxy/downstream/request.rs
@@ -1,7 +1,7 @@
 //! One request of a client's, from its body to its answer: on its way through the driver, and at the ledger.
 
 use crate::decision::api::*;
-use crate::proxy::admin::metrics::{End, Ticket};
+use crate::proxy::admin::metrics::{InFlightRequest, RequestResult};
 use crate::proxy::cluster_transport::ledger_request::{record_of, recorded};
 use crate::proxy::cluster_transport::serialized_request::kept;
 use crate::proxy::cluster_transport::write_queue_sender::accepted;
@@ -124,7 +124,7 @@
             let place = HeaderValue::from_str(&format!("{WRITES}{dot}")).ok();
             place.into_iter().for_each(|at| drop(response.headers_mut().insert(header::LOCATION, at)));
             let mut ticket = ticket.unwrap_or_else(|| front.figures.taken(asked.arrival.class));
-            ticket.ends(End::Served);
+            ticket.ends(RequestResult::Served);
             response.body_mut().ticket = Some(ticket);
             return Ok(response);
         }
@@ -205,22 +205,26 @@
 }
 
 /// The answer as its client gets it.
-fn answered(answer: Answer, mut ticket: Ticket) -> Response<Body> {
+fn answered(answer: Answer, mut ticket: InFlightRequest) -> Response<Body> {
     let mut response = match answer {
         Answer::Served(body) => {
             // A long answer is served once its last byte is passed on.
-            ticket.ends(if matches!(body, Giving::Whole(..)) { End::Served } else { End::Failed });
+            ticket.ends(if matches!(body, Giving::Whole(..)) {
+                RequestResult::Served
+            } else {
+                RequestResult::Failed
+            });
             giving(StatusCode::OK, body)
         }
         Answer::Refused(wait) => {
-            ticket.ends(End::Refused);
+            ticket.ends(RequestResult::Refused);
             let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "refused\n");
             let wait = wait.and_then(|w| HeaderValue::from_str(&format!("{:.3}", w.secs())).ok());
             wait.into_iter().for_each(|w| drop(response.headers_mut().insert(header::RETRY_AFTER, w)));
             response
         }
         Answer::Failed => {
-            ticket.ends(End::Failed);
+            ticket.ends(RequestResult::Failed);
             plain(StatusCode::BAD_GATEWAY, "failed\n")
         }
     };
--- a/src/proxy/downstream/server.rs
+++ b/src/proxy/downstream/server.rs
@@ -1,7 +1,7 @@
 //! Clients: taking their requests, answering them, and `/_health`.
 
 use crate::decision::api::*;
-use crate::proxy::admin::metrics::{Close, End, Figures, Ticket};
+use crate::proxy::admin::metrics::{ConnectionCloseReason, InFlightRequest, Metrics, RequestResult};
 use crate::proxy::cluster_transport::Peers;
 use crate::proxy::downstream::accept::Accepting;
 use crate::proxy::downstream::close::{end_after_answer, ended_by_client};
@@ -55,7 +55,7 @@
     /// Whether the gateway serves, drains or ends.
     pub duty: Rc<Duty>,
     /// The counters for operators.
-    pub figures: Rc<Figures>,
+    pub figures: Rc<Metrics>,
     /// The places for connections.
     pub places: Rc<Share>,
     /// The budget for what is kept whole, and for buffers.
@@ -178,18 +178,18 @@
     let why = tokio::select! {
         biased;
         done = connection => match done {
-            Ok(()) => Close::Ended,
+            Ok(()) => ConnectionCloseReason::Ended,
             Err(error) => {
                 debug!(%error, "a client's connection broke");
-                Close::Broken
+                ConnectionCloseReason::Broken
             }
         },
-        () = peer.closed() => Close::Quiet,
-        () = ended_by_client(&stream) => Close::LeftUnread,
+        () = peer.closed() => ConnectionCloseReason::Quiet,
+        () = ended_by_client(&stream) => ConnectionCloseReason::LeftUnread,
     };
     debug!(?why, client = ?stream.peer_addr().ok(), "a client's connection is closed");
     front.figures.closes.raise(why);
-    let had_last_answer = matches!(why, Close::Ended | Close::Broken);
+    let had_last_answer = matches!(why, ConnectionCloseReason::Ended | ConnectionCloseReason::Broken);
     // Where no answer can be under way there is nothing to guard: bytes that cross the close are left unread, and the
     // reset tells the client that it may send them once more.
     if had_last_answer && front.places.free() > 0 {
@@ -201,7 +201,7 @@
 pub struct Body {
     giving: Giving,
     /// While it lives its request is in flight.
-    pub ticket: Option<Ticket>,
+    pub ticket: Option<InFlightRequest>,
     _busy: Option<Busy>,
 }
 
@@ -215,7 +215,7 @@
         let next = Pin::new(&mut self.giving).poll_frame(cx);
         // Until its last byte is passed on, a long answer may yet fail.
         if matches!(&self.giving, Giving::Download(download) if download.is_whole()) {
-            self.ticket.iter_mut().for_each(|ticket| ticket.ends(End::Served));
+            self.ticket.iter_mut().for_each(|ticket| ticket.ends(RequestResult::Served));
         }
         next
     }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -10,8 +10,8 @@
 pub mod runtime;
 mod tcp_io;
 pub mod upstream;
-use admin::metrics::Figures;
-use admin::Desk;
+use admin::metrics::Metrics;
+use admin::AdminContext;
 use cluster_transport::outcome_recorder::Arms;
 use cluster_transport::Peers;
 use control_plane::config::{Config, ConfigError, Services};
@@ -63,7 +63,7 @@
     mut held: Option<u64>,
     pace: control_plane::discovery::Pace,
     inbox: Inbox,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
 ) {
     loop {
         let discovery = services.borrow_and_update().discovery;
@@ -105,7 +105,7 @@
     let duty = Rc::new(Duty::default());
     let mut names: Vec<(&String, usize)> = config.site.classes.iter().map(|(name, &i)| (name, i)).collect();
     names.sort_by_key(|(_, i)| *i);
-    let figures = Rc::new(Figures::new(names.into_iter().map(|(name, _)| name.clone())));
+    let figures = Rc::new(Metrics::new(names.into_iter().map(|(name, _)| name.clone())));
     let (listen, ops, sockets) = (config.listen, config.ops, config.sockets);
     let (accept_fd, folder) = (config.accept_fd, config.folder.clone());
     let classes = config.site.classes.iter().map(|(name, &i)| {
@@ -120,7 +120,7 @@
     let known = config.known_revision();
     let last_moment = tick + tick;
     let (gateways, most_units) = (config.site.settings.gateways, config.site.settings.most_units);
-    let names = admin::rollout_calls::Names {
+    let names = admin::rollout_calls::KnownNames {
         classes: config.site.classes.keys().cloned().collect(),
         plans: config.site.plans.keys().cloned().collect(),
     };
@@ -180,7 +180,7 @@
         let ops = listener.local_addr().map_err(|e| RunError::Listen(ops, e))?;
         info!(%ops, "operators");
         let (orders, figures, duty) = (orders.clone(), figures.clone(), duty.clone());
-        let desk = Desk { orders, figures, duty, peers: peers.clone(), names };
+        let desk = AdminContext { orders, figures, duty, peers: peers.clone(), names };
         tokio::task::spawn_local(admin::serve(listener, Rc::new(desk)));
     }
     info!(name, %address, "listening");
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -11,7 +11,7 @@
 use crate::cluster::InForce;
 use crate::decision::api::*;
 use crate::decision::gateway::{has_new, Gateway};
-use crate::proxy::admin::metrics::{Figures, Fleet, Unsent};
+use crate::proxy::admin::metrics::{EndpointCounts, Metrics, NotSentReason};
 use crate::proxy::cluster_transport::outcome_recorder::{Arms, Judged, Seen};
 use crate::proxy::control_plane::config::{Config, ConfigError};
 use crate::proxy::control_plane::counter::{Counted, Counter, Order};
@@ -97,7 +97,7 @@
     actions: Vec<Action>,
     /// Told once the list of backends is in hand.
     duty: Rc<Duty>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     /// When the list known from before is taken for it.
     ready_at: Option<Instant>,
     /// The rollout that runs, and how it deals the customers out.
@@ -112,7 +112,7 @@
         config: Config,
         clock: Clock,
         duty: Rc<Duty>,
-        figures: Rc<Figures>,
+        figures: Rc<Metrics>,
         memory: Rc<Memory>,
     ) -> Result<(Driver, Orders), ConfigError> {
         let Config { site, counter, sockets, seed, known, conn_idle, fleet, .. } = config;
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -82,7 +82,7 @@
         forward.tries.iter().for_each(|tries| tries.begins());
         tokio::task::spawn_local(async move {
             let ended = match &forward.work {
-                Some(work) if !work.before_send(server.0).await => pool.unsent(Unsent::NotOwner),
+                Some(work) if !work.before_send(server.0).await => pool.unsent(NotSentReason::NotOwner),
                 _ => pool.attempt(&backend, &forward, until, called_off).await,
             };
             forward.work.iter().for_each(|work| work.ended(server.0, ended.outcome));
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -8,7 +8,7 @@
             Control::Fleet(reply) => {
                 let (known, excluded) = self.gateway.fleet(self.clock.now());
                 // An operator who has left needs no answer.
-                let _ = reply.send(Fleet { known, excluded });
+                let _ = reply.send(EndpointCounts { known, excluded });
             }
             Control::Maintain { id, out, relayed, done } => {
                 let server = self.site.seen(&id);
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -11,7 +11,7 @@
 /// What operators ask of the driver.
 pub enum Control {
     /// How many backends there are.
-    Fleet(oneshot::Sender<Fleet>),
+    Fleet(oneshot::Sender<EndpointCounts>),
     /// Take a backend out, or put it back.
     Maintain {
         /// Its name at discovery.
--- a/src/proxy/upstream/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -1,7 +1,7 @@
 //! Attempts at backends: a pool of connections, and the outcome of each attempt by what was written.
 
 use crate::decision::api::{Outcome, Report};
-use crate::proxy::admin::metrics::{Figures, Unsent};
+use crate::proxy::admin::metrics::{Metrics, NotSentReason};
 use crate::proxy::downstream::response_body::{Answered, Download};
 use crate::proxy::lifecycle::permits::Share;
 use crate::proxy::log_rate_limit::Sparing;
@@ -58,7 +58,7 @@
     /// What the backend said of its load.
     pub report: Report,
     /// Why nothing was written, where the gateway itself kept it back.
-    pub unsent: Option<Unsent>,
+    pub unsent: Option<NotSentReason>,
 }
 
 impl From<Outcome> for Ended {
@@ -76,7 +76,7 @@
     /// connections broke earlier.
     longest_idle: Cell<Duration>,
     idle_limit: Duration,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     memory: Rc<Memory>,
     garbled: Sparing,
 }
@@ -87,7 +87,7 @@
         connections: usize,
         dial_timeout: Duration,
         conn_idle: Duration,
-        figures: Rc<Figures>,
+        figures: Rc<Metrics>,
         memory: Rc<Memory>,
     ) -> Pool {
         // Guards against writing to a connection that its backend is about to close: half the time is left.
@@ -157,7 +157,7 @@
     }
 
     /// The end of an attempt that the gateway itself keeps back.
-    pub fn unsent(&self, why: Unsent) -> Ended {
+    pub fn unsent(&self, why: NotSentReason) -> Ended {
         self.figures.unsent.raise(why);
         Ended { unsent: Some(why), ..Outcome::Moot.into() }
     }
@@ -176,7 +176,7 @@
         called_off: oneshot::Receiver<()>,
     ) -> Ended {
         // Guards the limit on descriptors: an attempt without a place was never sent.
-        let Some(place) = self.places.try_take() else { return self.unsent(Unsent::NoPlace) };
+        let Some(place) = self.places.try_take() else { return self.unsent(NotSentReason::NoPlace) };
         while self.held() > self.places.free() {
             self.evict();
         }
@@ -215,7 +215,9 @@
                     let opening = Connection::open(backend.address, self.memory.buffer());
                     match timeout(self.dial_timeout, opening).await {
                         Ok(Ok(connection)) => (connection, false),
-                        Ok(Err(error)) if is_own_shortage(&error) => return self.unsent(Unsent::Shortage),
+                        Ok(Err(error)) if is_own_shortage(&error) => {
+                            return self.unsent(NotSentReason::Shortage)
+                        }
                         _ => return Outcome::ConnectFailed.into(),
                     }
                 }
@@ -223,21 +225,21 @@
             // Guards against sending to a backend that began to drain while the connection came up, and for a client
             // that left meanwhile, also where attempts must not be called off.
             if !backend.open.get() {
-                return self.unsent(Unsent::Drained);
+                return self.unsent(NotSentReason::Drained);
             }
             if !request.wanted.get() {
-                return self.unsent(Unsent::Unwanted);
+                return self.unsent(NotSentReason::Unwanted);
             }
             // Guards against an owner that was paused and has been taken over meanwhile.
             if request.work.as_ref().is_some_and(|work| !work.may_act()) {
-                return self.unsent(Unsent::NotOwner);
+                return self.unsent(NotSentReason::NotOwner);
             }
             // Guards against writing in the moment in which the time is up.
             if Instant::now() >= until {
-                return self.unsent(Unsent::OutOfTime);
+                return self.unsent(NotSentReason::OutOfTime);
             }
             let idle = connection.idle_since.elapsed();
-            let Some(call) = request.request(until) else { return self.unsent(Unsent::BodySpent) };
+            let Some(call) = request.request(until) else { return self.unsent(NotSentReason::BodySpent) };
             // From here on the attempt may have run, for all that a caller who stops waiting can know.
             wrote.set(true);
             let whole = || {
--- a/tests/stats_keys.rs
+++ b/tests/stats_keys.rs
@@ -1,7 +1,9 @@
 //! `/stats` as `tests/fixtures/stats-counters.txt` holds it: every counter of a process under its own key, in its place.
 
 use quota_gateway::decision::api::{ClassId, Outcome, RefusalReason};
-use quota_gateway::proxy::admin::metrics::{Close, End, Figures, Fleet, Unsent};
+use quota_gateway::proxy::admin::metrics::{
+    ConnectionCloseReason, EndpointCounts, Metrics, NotSentReason, RequestResult,
+};
 use quota_gateway::proxy::control_plane::discovery::FailureKind;
 use std::path::Path;
 use std::rc::Rc;
@@ -20,9 +22,11 @@
 
 #[test]
 fn every_counter_has_its_key_place_and_value_in_the_stats() {
-    let figures = Rc::new(Figures::new(["look".to_string(), "buy".to_string()]));
+    let figures = Rc::new(Metrics::new(["look".to_string(), "buy".to_string()]));
     for (class, ends) in [(0, [3, 4, 5]), (1, [6, 7, 8])] {
-        for (end, count) in [End::Served, End::Refused, End::Failed].into_iter().zip(ends) {
+        for (end, count) in
+            [RequestResult::Served, RequestResult::Refused, RequestResult::Failed].into_iter().zip(ends)
+        {
             for _ in 0..count {
                 figures.taken(ClassId(class)).ends(end);
             }
@@ -36,10 +40,10 @@
     }
     raise(FailureKind::VARIANTS, 11, |kind| figures.discovery.failed(kind));
     raise(Outcome::VARIANTS, 21, |kind| figures.outcomes.raise(kind));
-    raise(Unsent::VARIANTS, 31, |kind| figures.unsent.raise(kind));
+    raise(NotSentReason::VARIANTS, 31, |kind| figures.unsent.raise(kind));
     raise(RefusalReason::VARIANTS, 41, |kind| figures.refusals.raise(kind));
-    raise(Close::VARIANTS, 51, |kind| figures.closes.raise(kind));
-    let text = figures.text(Fleet { known: 61, excluded: 62 });
+    raise(ConnectionCloseReason::VARIANTS, 51, |kind| figures.closes.raise(kind));
+    let text = figures.text(EndpointCounts { known: 61, excluded: 62 });
     // The only value that the clock decides.
     let line = |line: &str| match line.split_once("last_list_ms_ago=") {
         Some((before, ago)) => {
