--- a/src/proxy/admin/mod.rs
+++ b/src/proxy/admin/mod.rs
@@ -5,7 +5,7 @@
 pub mod metrics;
 pub mod rollout_calls;
 use crate::proxy::cluster_transport::Peers;
-use crate::proxy::downstream::accept::Accepting;
+use crate::proxy::downstream::accept::AcceptBackoff;
 use crate::proxy::lifecycle::drain::Duty;
 use crate::proxy::runtime::{Control, Orders};
 use bytes::Bytes;
@@ -54,7 +54,7 @@
 /// Answers operators for ever.
 pub async fn serve(listener: TcpListener, desk: Rc<AdminContext>) {
     let mut callers: VecDeque<AbortHandle> = VecDeque::with_capacity(CALLERS);
-    let mut accepting = Accepting::default();
+    let mut accepting = AcceptBackoff::default();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
--- a/src/proxy/cluster_transport/abandoned_requests.rs
+++ b/src/proxy/cluster_transport/abandoned_requests.rs
@@ -7,10 +7,10 @@
 use crate::proxy::cluster_transport::serialized_request;
 use crate::proxy::cluster_transport::Peers;
 use crate::proxy::downstream::request::carried;
-use crate::proxy::downstream::request_head::Asked;
-use crate::proxy::downstream::server::Front;
+use crate::proxy::downstream::request_head::RequestHead;
+use crate::proxy::downstream::server::ProxyContext;
 use crate::proxy::runtime::Answer;
-use crate::proxy::upstream::forwarded_request::{Forward, Payload};
+use crate::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 const AGAIN: Duration = Duration::from_millis(200);
 
 /// Finishes what is offered, for as long as the gateway lives.
-pub async fn finish_all(front: Rc<Front>, peers: Rc<Peers>, mut orphans: mpsc::Receiver<Orphan>) {
+pub async fn finish_all(front: Rc<ProxyContext>, peers: Rc<Peers>, mut orphans: mpsc::Receiver<Orphan>) {
     let places = Arc::new(Semaphore::new(AT_ONCE));
     while let Some(orphan) = orphans.recv().await {
         let Ok(place) = places.clone().try_acquire_owned() else { continue };
@@ -56,11 +56,13 @@
     Refused,
 }
 
-async fn finish(front: &Front, peers: &Rc<Peers>, orphan: &Orphan) -> Gone {
+async fn finish(front: &ProxyContext, peers: &Rc<Peers>, orphan: &Orphan) -> Gone {
     let Some((asked, forward)) = serialized_request::request(front, &orphan.request) else {
         return Gone::Refused;
     };
-    let (Some(key), Payload::Whole(body)) = (asked.key, &forward.body) else { return Gone::Refused };
+    let (Some(key), RequestPayload::Buffered(body)) = (asked.key, &forward.body) else {
+        return Gone::Refused;
+    };
     let of = record_of(&asked, key, &forward, body);
     let fits = of == (orphan.id, orphan.digest) && peers.finishes(front.class_name(asked.arrival.class));
     match fits {
@@ -72,11 +74,11 @@
 /// Goes on with work that was begun before and may have run, here or at a gateway that is gone, as if its client came
 /// again: as far as its record and its class allow.
 pub async fn go_on(
-    front: &Front,
+    front: &ProxyContext,
     peers: &Rc<Peers>,
     (id, digest): (RecordId, u64),
-    asked: &Asked,
-    forward: &Forward,
+    asked: &RequestHead,
+    forward: &ForwardedRequest,
 ) -> Gone {
     for tried in 0..TRIES {
         let Some(work) = peers.claim(id, digest, None) else { return Gone::Elsewhere };
@@ -88,7 +90,7 @@
         let deadline = front.clock.now() + asked.budget;
         let of_before =
             Arrival { resent: true, counted: true, earlier: earlier(sent), ..asked.arrival.clone() };
-        let with = Forward { work: Some(work.clone()), ..forward.again() };
+        let with = ForwardedRequest { work: Some(work.clone()), ..forward.again() };
         let answer = tokio::select! {
             biased;
             () = work.lost() => return Gone::Elsewhere,
--- a/src/proxy/cluster_transport/ledger_request.rs
+++ b/src/proxy/cluster_transport/ledger_request.rs
@@ -5,11 +5,11 @@
 use crate::proxy::cluster_transport::ledger_claim::{pause, Work};
 use crate::proxy::cluster_transport::Peers;
 use crate::proxy::downstream::request::carried;
-use crate::proxy::downstream::request_head::Asked;
-use crate::proxy::downstream::response_body::Giving;
-use crate::proxy::downstream::server::{Front, Malformed};
+use crate::proxy::downstream::request_head::RequestHead;
+use crate::proxy::downstream::response_body::ResponseBody;
+use crate::proxy::downstream::server::{ProxyContext, RequestError};
 use crate::proxy::runtime::Answer;
-use crate::proxy::upstream::forwarded_request::Forward;
+use crate::proxy::upstream::forwarded_request::ForwardedRequest;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::StatusCode;
@@ -18,7 +18,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// The record of a request, and what stands for what its client sent.
-pub fn record_of(asked: &Asked, key: u64, forward: &Forward, body: &[u8]) -> (RecordId, u64) {
+pub fn record_of(asked: &RequestHead, key: u64, forward: &ForwardedRequest, body: &[u8]) -> (RecordId, u64) {
     let mut digest = Xxh3::new();
     digest.update(forward.method.as_str().as_bytes());
     digest.update(forward.uri.to_string().as_bytes());
@@ -34,12 +34,12 @@
 /// Takes a request through the ledger to its answer, by its deadline. `request`: it is left with its record's holders,
 /// to be finished whoever dies.
 pub async fn recorded(
-    front: &Front,
+    front: &ProxyContext,
     peers: &Rc<Peers>,
     ((id, digest), request): ((RecordId, u64), Option<Vec<u8>>),
     arrival: Arrival,
-    forward: impl Fn(Option<Rc<Work>>) -> Forward,
-) -> Result<Answer, Malformed> {
+    forward: impl Fn(Option<Rc<Work>>) -> ForwardedRequest,
+) -> Result<Answer, RequestError> {
     // Most come for the first time: they go ahead while the holders are asked.
     let mut ahead = !arrival.resent;
     let mut looks = 0;
@@ -65,11 +65,11 @@
         }
         match work.found().await {
             Finding::Answered(body) => {
-                return Ok(Answer::Served(Giving::Whole(Full::new(Bytes::from(body)), None)))
+                return Ok(Answer::Served(ResponseBody::Buffered(Full::new(Bytes::from(body)), None)))
             }
             Finding::Mistake => {
                 let problem = "the key stands for another request\n";
-                return Err(Malformed(StatusCode::UNPROCESSABLE_ENTITY, problem));
+                return Err(RequestError(StatusCode::UNPROCESSABLE_ENTITY, problem));
             }
             Finding::Running(left) => {
                 let now = front.clock.now();
--- a/src/proxy/cluster_transport/serialized_request.rs
+++ b/src/proxy/cluster_transport/serialized_request.rs
@@ -1,9 +1,9 @@
 //! A request as gateways keep it for each other: what a backend is sent, and no more.
 
 use crate::decision::api::Micros;
-use crate::proxy::downstream::request_head::Asked;
-use crate::proxy::downstream::server::Front;
-use crate::proxy::upstream::forwarded_request::{Forward, Payload};
+use crate::proxy::downstream::request_head::RequestHead;
+use crate::proxy::downstream::server::ProxyContext;
+use crate::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::{HeaderMap, Method, Uri};
@@ -30,15 +30,15 @@
 }
 
 /// The request of these bytes, with all the time of its class: nobody waits for it.
-pub fn request(front: &Front, bytes: &[u8]) -> Option<(Asked, Forward)> {
+pub fn request(front: &ProxyContext, bytes: &[u8]) -> Option<(RequestHead, ForwardedRequest)> {
     let kept: Kept = postcard::from_bytes(bytes).ok()?;
     let mut headers = HeaderMap::new();
     for (name, value) in &kept.headers {
         headers.append(HeaderName::from_bytes(name.as_bytes()).ok()?, HeaderValue::from_bytes(value).ok()?);
     }
     let (method, uri): (Method, Uri) = (kept.method.parse().ok()?, kept.uri.parse().ok()?);
-    let mut asked = Asked::read(&method, uri.query(), &headers, front).ok()?;
+    let mut asked = RequestHead::read(&method, uri.query(), &headers, front).ok()?;
     asked.budget = front.longest(asked.arrival.class).max(Micros(1));
-    let body = Payload::Whole(Bytes::from(kept.body));
-    Some((asked, Forward::new(method, uri, headers, body)))
+    let body = RequestPayload::Buffered(Bytes::from(kept.body));
+    Some((asked, ForwardedRequest::new(method, uri, headers, body)))
 }
--- a/src/proxy/cluster_transport/write_queue_sender.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -9,10 +9,10 @@
 use crate::proxy::cluster_transport::serialized_request;
 use crate::proxy::cluster_transport::Peers;
 use crate::proxy::downstream::request::carried;
-use crate::proxy::downstream::request_head::Asked;
-use crate::proxy::downstream::server::Front;
+use crate::proxy::downstream::request_head::RequestHead;
+use crate::proxy::downstream::server::ProxyContext;
 use crate::proxy::runtime::Answer;
-use crate::proxy::upstream::forwarded_request::{Forward, Payload, Tries};
+use crate::proxy::upstream::forwarded_request::{AttemptTracker, ForwardedRequest, RequestPayload};
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use std::rc::Rc;
@@ -46,7 +46,7 @@
 /// none where it goes its usual way.
 pub async fn accepted(
     peers: &Rc<Peers>,
-    asked: &Asked,
+    asked: &RequestHead,
     class: &str,
     uri: &Uri,
     headers: &HeaderMap,
@@ -88,7 +88,7 @@
 }
 
 /// Sends writes on for as long as the gateway lives.
-pub async fn send_on(front: Rc<Front>, peers: Rc<Peers>, mut orders: mpsc::Receiver<Order>) {
+pub async fn send_on(front: Rc<ProxyContext>, peers: Rc<Peers>, mut orders: mpsc::Receiver<Order>) {
     while let Some(order) = orders.recv().await {
         let (front, peers) = (front.clone(), peers.clone());
         tokio::task::spawn_local(async move {
@@ -99,19 +99,19 @@
     }
 }
 
-async fn sent(front: &Front, peers: &Rc<Peers>, order: &Order) -> Fate {
+async fn sent(front: &ProxyContext, peers: &Rc<Peers>, order: &Order) -> Fate {
     let Some((asked, forward)) = serialized_request::request(front, &order.write.payload) else {
         return Fate::Answered(400);
     };
     let record = match (asked.key, &forward.body) {
-        (Some(key), Payload::Whole(body)) => Some(record_of(&asked, key, &forward, body)),
+        (Some(key), RequestPayload::Buffered(body)) => Some(record_of(&asked, key, &forward, body)),
         _ => None,
     };
-    let tries = Tries::that_ran(order.before);
+    let tries = AttemptTracker::that_ran(order.before);
     if !order.before {
         let deadline = front.clock.now() + asked.budget;
         let arrival = Arrival { deadline, ..asked.arrival.clone() };
-        let with = |work| Forward { work, tries: Some(tries.clone()), ..forward.again() };
+        let with = |work| ForwardedRequest { work, tries: Some(tries.clone()), ..forward.again() };
         let answer = match record {
             Some(record) => recorded(front, peers, (record, None), arrival, with).await,
             None => Ok(carried(front, arrival, with(None)).await),
--- a/src/proxy/control_plane/counter.rs
+++ b/src/proxy/control_plane/counter.rs
@@ -1,9 +1,9 @@
 //! The shared counter: calls over a few connections, each made once, their answers told in order.
 
 use crate::decision::api::{CountName, Micros, Outcome};
-use crate::proxy::downstream::request_body::Sending;
+use crate::proxy::downstream::request_body::OutboundBody;
 use crate::proxy::lifecycle::permits::Share;
-use crate::proxy::log_rate_limit::Sparing;
+use crate::proxy::log_rate_limit::LogRateLimiter;
 use crate::proxy::upstream::connection::{CallError, Connection};
 use bytes::Bytes;
 use hyper::{header, Method, Request, StatusCode};
@@ -42,7 +42,7 @@
     connections: usize,
     idle: RefCell<Vec<Connection>>,
     lines: Share,
-    garbled: Sparing,
+    garbled: LogRateLimiter,
 }
 
 impl Counter {
@@ -55,7 +55,7 @@
             connections,
             idle: RefCell::default(),
             lines,
-            garbled: Sparing::default(),
+            garbled: LogRateLimiter::default(),
         }
     }
 
@@ -120,9 +120,9 @@
         None
     }
 
-    fn request(&self, name: CountName, amount: f64, life: Micros) -> Request<Sending> {
+    fn request(&self, name: CountName, amount: f64, life: Micros) -> Request<OutboundBody> {
         let life_ms = (life.0 / 1000).max(1);
-        let mut request = Request::new(Sending::empty());
+        let mut request = Request::new(OutboundBody::empty());
         *request.method_mut() = Method::POST;
         // Digits and signs alone: always a valid URI.
         if let Ok(uri) = format!("/v1/count/{}?add={amount}&ttl_ms={life_ms}", name.0).parse() {
--- a/src/proxy/control_plane/discovery/call.rs
+++ b/src/proxy/control_plane/discovery/call.rs
@@ -1,7 +1,7 @@
 //! One call to discovery: the whole list, or the changes since a version.
 
 use crate::proxy::control_plane::discovery::endpoint_list::{MemberList, LONGEST_LIST};
-use crate::proxy::downstream::request_body::Sending;
+use crate::proxy::downstream::request_body::OutboundBody;
 use crate::proxy::upstream::connection::{CallError, Connection};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -117,7 +117,7 @@
 }
 
 impl Call {
-    fn request(&self) -> Option<Request<Sending>> {
+    fn request(&self) -> Option<Request<OutboundBody>> {
         let path = match self.since {
             None => "/catalog/members".to_string(),
             Some(revision) => {
@@ -126,7 +126,7 @@
                 format!("/catalog/members?from={revision}&hold_ms={hold_ms}")
             }
         };
-        let mut request = Request::new(Sending::empty());
+        let mut request = Request::new(OutboundBody::empty());
         *request.uri_mut() = path.parse().ok()?;
         let host = self.address.to_string().parse().ok()?;
         request.headers_mut().insert(header::HOST, host);
--- a/src/proxy/control_plane/discovery/mod.rs
+++ b/src/proxy/control_plane/discovery/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::decision::api::Settings;
 use crate::proxy::admin::metrics::Metrics;
-use crate::proxy::log_rate_limit::Sparing;
+use crate::proxy::log_rate_limit::LogRateLimiter;
 use crate::proxy::runtime::{Inbox, Input};
 use crate::proxy::upstream::connection::Connection;
 use call::{Answer, Call, CallFailure, Progress};
@@ -93,7 +93,7 @@
     failing: Option<FailureKind>,
     /// Failures since the last list, and when one was last logged.
     failures: u32,
-    logged: Sparing,
+    logged: LogRateLimiter,
     figures: Rc<Metrics>,
 }
 
@@ -107,7 +107,7 @@
         answered: false,
         failing: None,
         failures: 0,
-        logged: Sparing::default(),
+        logged: LogRateLimiter::default(),
         figures,
     };
     let mut resting = None;
--- a/src/proxy/downstream/accept.rs
+++ b/src/proxy/downstream/accept.rs
@@ -1,7 +1,7 @@
 //! What an accept that failed means: some errors are of one connection alone and say nothing of the next, others last for a
 //! while (accept(2), "Error handling").
 
-use crate::proxy::log_rate_limit::Sparing;
+use crate::proxy::log_rate_limit::LogRateLimiter;
 use rustix::io::Errno;
 use std::io;
 use std::time::Duration;
@@ -31,13 +31,13 @@
 
 /// The accepts of one listener.
 #[derive(Default)]
-pub struct Accepting {
+pub struct AcceptBackoff {
     in_a_row: u32,
     failures: u64,
-    logged: Sparing,
+    logged: LogRateLimiter,
 }
 
-impl Accepting {
+impl AcceptBackoff {
     /// An accept brought a connection.
     pub fn succeeded(&mut self) {
         self.in_a_row = 0;
--- a/src/proxy/downstream/idle_connections.rs
+++ b/src/proxy/downstream/idle_connections.rs
@@ -83,7 +83,7 @@
 type Quiet = BTreeMap<(Instant, u64), Rc<Peer>>;
 
 /// All connections without an open request, those quiet for longest first.
-pub struct Crowd {
+pub struct IdleConnections {
     duty: Rc<Duty>,
     last: Cell<u64>,
     silent: RefCell<Quiet>,
@@ -91,15 +91,15 @@
     idle: RefCell<Quiet>,
 }
 
-impl Crowd {
+impl IdleConnections {
     /// Nobody yet.
-    pub fn new(duty: Rc<Duty>) -> Crowd {
+    pub fn new(duty: Rc<Duty>) -> IdleConnections {
         let (silent, heads, idle) = Default::default();
-        Crowd { duty, last: Cell::new(0), silent, heads, idle }
+        IdleConnections { duty, last: Cell::new(0), silent, heads, idle }
     }
 
     /// A connection was accepted.
-    pub fn welcome(self: &Rc<Crowd>, stream: Rc<TcpStream>) -> (Rc<Peer>, Socket) {
+    pub fn welcome(self: &Rc<IdleConnections>, stream: Rc<TcpStream>) -> (Rc<Peer>, Socket) {
         let now = Instant::now();
         self.last.set(self.last.get() + 1);
         let peer = Rc::new(Peer {
@@ -153,13 +153,13 @@
     }
 
     /// A request came whole as far as its head; the connection is busy until the guard is dropped.
-    pub fn busy(self: &Rc<Crowd>, peer: &Rc<Peer>) -> Busy {
+    pub fn busy(self: &Rc<IdleConnections>, peer: &Rc<Peer>) -> OpenRequestGuard {
         if peer.phase.get() == Phase::Idle {
             // Its head had come behind the request before.
             peer.due.set(Instant::now() + HEAD_TIME);
         }
         self.turn(peer, Phase::Busy);
-        Busy { crowd: self.clone(), peer: peer.clone() }
+        OpenRequestGuard { crowd: self.clone(), peer: peer.clone() }
     }
 
     /// Closes the connections whose time is up.
@@ -189,12 +189,12 @@
 }
 
 /// Keeps a connection from counting as idle while its request is open.
-pub struct Busy {
-    crowd: Rc<Crowd>,
+pub struct OpenRequestGuard {
+    crowd: Rc<IdleConnections>,
     peer: Rc<Peer>,
 }
 
-impl Busy {
+impl OpenRequestGuard {
     /// For how long the request's body may keep the gateway waiting, beside what its length allows.
     pub fn patience(&self) -> Duration {
         let left = self.peer.due.get().saturating_duration_since(Instant::now());
@@ -202,7 +202,7 @@
     }
 }
 
-impl Drop for Busy {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.crowd.turn(&self.peer, Phase::Idle);
     }
@@ -212,7 +212,7 @@
 pub struct Socket {
     stream: Rc<TcpStream>,
     peer: Rc<Peer>,
-    crowd: Rc<Crowd>,
+    crowd: Rc<IdleConnections>,
     /// Runs while the client takes nothing.
     stall: Option<Pin<Box<Sleep>>>,
 }
--- a/src/proxy/downstream/request.rs
+++ b/src/proxy/downstream/request.rs
@@ -5,15 +5,17 @@
 use crate::proxy::cluster_transport::ledger_request::{record_of, recorded};
 use crate::proxy::cluster_transport::serialized_request::kept;
 use crate::proxy::cluster_transport::write_queue_sender::accepted;
-use crate::proxy::downstream::request_body::{slowest, Arrived, BodyError, Intake, Upload, LONGEST};
-use crate::proxy::downstream::request_head::Asked;
-use crate::proxy::downstream::response_body::Giving;
-use crate::proxy::downstream::server::{giving, plain, Body, Front, Malformed, WRITES};
+use crate::proxy::downstream::request_body::{
+    slowest, BodyError, RequestBodyReader, RequestBodyResult, StreamedRequestBody, LONGEST,
+};
+use crate::proxy::downstream::request_head::RequestHead;
+use crate::proxy::downstream::response_body::ResponseBody;
+use crate::proxy::downstream::server::{giving, plain, Body, ProxyContext, RequestError, WRITES};
 use crate::proxy::lifecycle::drain;
-use crate::proxy::memory_budget::Memory;
+use crate::proxy::memory_budget::MemoryBudget;
 use crate::proxy::runtime::{tell, Answer, Inbox, Input, Taken};
 use crate::proxy::upstream::connection::MAX_BODY;
-use crate::proxy::upstream::forwarded_request::{strip_hop_by_hop, Forward, Payload};
+use crate::proxy::upstream::forwarded_request::{strip_hop_by_hop, ForwardedRequest, RequestPayload};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
@@ -38,14 +40,16 @@
     }
 }
 
-impl From<BodyError> for Malformed {
-    fn from(error: BodyError) -> Malformed {
+impl From<BodyError> for RequestError {
+    fn from(error: BodyError) -> RequestError {
         match error {
             BodyError::TooLong => {
-                Malformed(StatusCode::PAYLOAD_TOO_LARGE, "the body is longer than 32 MiB\n")
+                RequestError(StatusCode::PAYLOAD_TOO_LARGE, "the body is longer than 32 MiB\n")
             }
-            BodyError::TooSlow => Malformed(StatusCode::REQUEST_TIMEOUT, "the body did not come in time\n"),
-            BodyError::Broken => Malformed(StatusCode::BAD_REQUEST, "the body broke off\n"),
+            BodyError::TooSlow => {
+                RequestError(StatusCode::REQUEST_TIMEOUT, "the body did not come in time\n")
+            }
+            BodyError::Broken => RequestError(StatusCode::BAD_REQUEST, "the body broke off\n"),
         }
     }
 }
@@ -54,9 +58,9 @@
 async fn body(
     body: Incoming,
     patience: Duration,
-    memory: &Memory,
-) -> Result<(Received, Option<OwnedSemaphorePermit>), Malformed> {
-    let mut intake = Intake::new(body, patience);
+    memory: &MemoryBudget,
+) -> Result<(Received, Option<OwnedSemaphorePermit>), RequestError> {
+    let mut intake = RequestBodyReader::new(body, patience);
     let announced = intake.announced();
     if announced.is_some_and(|length| length > LONGEST) {
         return Err(BodyError::TooLong.into());
@@ -65,21 +69,21 @@
     let room = if length <= MAX_BODY { memory.hold(length) } else { None };
     let most = if room.is_some() { MAX_BODY } else { 0 };
     if room.is_none() && announced.is_some() {
-        let (upload, arrived) = Upload::new(Bytes::new(), intake);
+        let (upload, arrived) = StreamedRequestBody::new(Bytes::new(), intake);
         return Ok((Received::Begun(Box::new(upload), arrived), None));
     }
     let (begun, ended) = intake.gather(most).await?;
     if ended {
         return Ok((Received::Whole(begun), room));
     }
-    let (upload, arrived) = Upload::new(begun, intake);
+    let (upload, arrived) = StreamedRequestBody::new(begun, intake);
     Ok((Received::Begun(Box::new(upload), arrived), room))
 }
 
 /// A body as far as it has been read.
 enum Received {
     Whole(Bytes),
-    Begun(Box<Upload>, oneshot::Receiver<Arrived>),
+    Begun(Box<StreamedRequestBody>, oneshot::Receiver<RequestBodyResult>),
 }
 
 /// Takes a request and returns its answer. Beside what the length of its body allows, the client may keep the gateway
@@ -87,10 +91,10 @@
 pub async fn take(
     request: Request<Incoming>,
     patience: Duration,
-    front: &Front,
-) -> Result<Response<Body>, Malformed> {
+    front: &ProxyContext,
+) -> Result<Response<Body>, RequestError> {
     let (head, incoming) = request.into_parts();
-    let asked = Asked::read(&head.method, head.uri.query(), &head.headers, front)?;
+    let asked = RequestHead::read(&head.method, head.uri.query(), &head.headers, front)?;
     let (received, _room) = body(incoming, patience, &front.memory).await?;
     let id = RequestId(front.last.replace(front.last.get() + 1) + 1);
     let mut ticket = None;
@@ -98,18 +102,18 @@
     let mut deadline = front.clock.now() + asked.budget;
     let (body, mut arrived) = match received {
         Received::Whole(body) if head.method == Method::GET && !body.is_empty() => {
-            return Err(Malformed(StatusCode::BAD_REQUEST, "a GET carries no body\n"));
+            return Err(RequestError(StatusCode::BAD_REQUEST, "a GET carries no body\n"));
         }
         Received::Whole(body) => {
             ticket = Some(front.figures.taken(asked.arrival.class));
-            (Payload::Whole(body), None)
+            (RequestPayload::Buffered(body), None)
         }
         Received::Begun(..) if head.method == Method::GET => {
-            return Err(Malformed(StatusCode::BAD_REQUEST, "a GET carries no body\n"));
+            return Err(RequestError(StatusCode::BAD_REQUEST, "a GET carries no body\n"));
         }
         Received::Begun(upload, arrived) => {
             deadline = deadline + Micros(slowest(patience, LONGEST).as_micros() as u64);
-            (Payload::Upload(RefCell::new(Some(upload))), Some(arrived))
+            (RequestPayload::Streamed(RefCell::new(Some(upload))), Some(arrived))
         }
     };
     let mut headers = head.headers;
@@ -117,7 +121,9 @@
     // A client may name the whole address; a backend is asked for the path.
     let path = head.uri.into_parts().path_and_query;
     let uri = path.map_or_else(|| Uri::from_static("/"), Uri::from);
-    if let (Payload::Whole(whole), Some(peers), true) = (&body, &front.peers, head.method == Method::POST) {
+    if let (RequestPayload::Buffered(whole), Some(peers), true) =
+        (&body, &front.peers, head.method == Method::POST)
+    {
         let class = front.class_name(asked.arrival.class);
         if let Some(dot) = accepted(peers, &asked, class, &uri, &headers, whole).await {
             let mut response = plain(StatusCode::ACCEPTED, "accepted\n");
@@ -129,10 +135,13 @@
             return Ok(response);
         }
     }
-    if let (Payload::Whole(whole), Some(peers), Some(key)) = (&body, &front.peers, asked.key) {
+    if let (RequestPayload::Buffered(whole), Some(peers), Some(key)) = (&body, &front.peers, asked.key) {
         let forward = |work| {
             let (method, uri, headers) = (head.method.clone(), uri.clone(), headers.clone());
-            Forward { work, ..Forward::new(method, uri, headers, Payload::Whole(whole.clone())) }
+            ForwardedRequest {
+                work,
+                ..ForwardedRequest::new(method, uri, headers, RequestPayload::Buffered(whole.clone()))
+            }
         };
         let of = record_of(&asked, key, &forward(None), whole);
         let arrival = Arrival { deadline, ..asked.arrival };
@@ -142,7 +151,7 @@
         let answer = recorded(front, peers, (of, request), arrival, forward).await?;
         return Ok(answered(answer, ticket.unwrap_or_else(|| front.figures.taken(class))));
     }
-    let forward = Forward::new(head.method, uri, headers, body);
+    let forward = ForwardedRequest::new(head.method, uri, headers, body);
     let (reply, mut answer) = oneshot::channel();
     let (class, upload) = (asked.arrival.class, arrived.is_some());
     let taken = Taken { arrival: Arrival { id, deadline, upload, ..asked.arrival }, forward, reply };
@@ -165,13 +174,13 @@
             how = arriving => {
                 arrived = None;
                 match how {
-                    Ok(Arrived::Whole) => {
+                    Ok(RequestBodyResult::Whole) => {
                         ticket = Some(front.figures.taken(class));
                         let deadline = front.clock.now() + asked.budget;
                         let _ = front.inbox.send(Input::Uploaded(id, deadline)).await;
                     }
-                    Ok(Arrived::Broken(error)) => return Err(error.into()),
-                    Ok(Arrived::Left(rest)) => drop(tokio::task::spawn_local(rest.drain())),
+                    Ok(RequestBodyResult::Broken(error)) => return Err(error.into()),
+                    Ok(RequestBodyResult::Left(rest)) => drop(tokio::task::spawn_local(rest.drain())),
                     Err(_) => {}
                 }
             }
@@ -180,14 +189,14 @@
         }
     };
     // A client that is answered early may still finish its body, and then reads the answer.
-    if let Some(Ok(Arrived::Left(rest))) = arrived.as_mut().map(|arrived| arrived.try_recv()) {
+    if let Some(Ok(RequestBodyResult::Left(rest))) = arrived.as_mut().map(|arrived| arrived.try_recv()) {
         tokio::task::spawn_local(rest.drain());
     }
     Ok(answered(answer, ticket.unwrap_or_else(|| front.figures.taken(class))))
 }
 
 /// Takes a request that is whole through the driver to its answer.
-pub async fn carried(front: &Front, arrival: Arrival, forward: Forward) -> Answer {
+pub async fn carried(front: &ProxyContext, arrival: Arrival, forward: ForwardedRequest) -> Answer {
     let id = RequestId(front.last.replace(front.last.get() + 1) + 1);
     let (reply, answer) = oneshot::channel();
     let taken = Taken { arrival: Arrival { id, ..arrival }, forward, reply };
@@ -209,7 +218,7 @@
     let mut response = match answer {
         Answer::Served(body) => {
             // A long answer is served once its last byte is passed on.
-            ticket.ends(if matches!(body, Giving::Whole(..)) {
+            ticket.ends(if matches!(body, ResponseBody::Buffered(..)) {
                 RequestResult::Served
             } else {
                 RequestResult::Failed
--- a/src/proxy/downstream/request_body.rs
+++ b/src/proxy/downstream/request_body.rs
@@ -47,7 +47,7 @@
 }
 
 /// A client's body as it comes.
-pub struct Intake {
+pub struct RequestBodyReader {
     body: Incoming,
     received: usize,
     /// For how long it may be waited for, beside what its bytes take.
@@ -58,11 +58,11 @@
     timer: Pin<Box<Sleep>>,
 }
 
-impl Intake {
+impl RequestBodyReader {
     /// Nothing has been read.
-    pub fn new(body: Incoming, patience: Duration) -> Intake {
+    pub fn new(body: Incoming, patience: Duration) -> RequestBodyReader {
         let (waited, timer) = (Duration::ZERO, Box::pin(sleep(Duration::ZERO)));
-        Intake { body, received: 0, patience, waited, waiting_since: None, timer }
+        RequestBodyReader { body, received: 0, patience, waited, waiting_since: None, timer }
     }
 
     /// How long it is, where the client has said.
@@ -122,7 +122,7 @@
 
 /// How far a body has come that is on its way to a backend.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Progress {
+pub enum BodyProgress {
     /// More is to come.
     #[default]
     Coming,
@@ -133,36 +133,42 @@
 }
 
 /// What became of a body that was passed on as it came.
-pub enum Arrived {
+pub enum RequestBodyResult {
     /// Its last byte has come.
     Whole,
     /// It does not come to its end.
     Broken(BodyError),
     /// Nobody reads it any more.
-    Left(Intake),
+    Left(RequestBodyReader),
 }
 
 /// A body that is passed on as it comes. It can be sent once.
-pub struct Upload {
+pub struct StreamedRequestBody {
     begun: Option<Bytes>,
-    rest: Option<Intake>,
+    rest: Option<RequestBodyReader>,
     left: Option<usize>,
-    tell: Option<oneshot::Sender<Arrived>>,
+    tell: Option<oneshot::Sender<RequestBodyResult>>,
     /// For the connection that it goes out on.
-    progress: Rc<Cell<Progress>>,
+    progress: Rc<Cell<BodyProgress>>,
 }
 
-impl Upload {
+impl StreamedRequestBody {
     /// What has been read, and what is to come.
-    pub fn new(begun: Bytes, rest: Intake) -> (Upload, oneshot::Receiver<Arrived>) {
+    pub fn new(
+        begun: Bytes,
+        rest: RequestBodyReader,
+    ) -> (StreamedRequestBody, oneshot::Receiver<RequestBodyResult>) {
         let (tell, told) = oneshot::channel();
         // What has not been read yet, as far as the client has said.
         let left = rest.announced().map(|n| n + begun.len());
         let begun = Some(begun).filter(|b| !b.is_empty());
-        (Upload { begun, rest: Some(rest), left, tell: Some(tell), progress: Rc::default() }, told)
+        (
+            StreamedRequestBody { begun, rest: Some(rest), left, tell: Some(tell), progress: Rc::default() },
+            told,
+        )
     }
 
-    fn over(&mut self, how: Arrived) {
+    fn over(&mut self, how: RequestBodyResult) {
         if let Some(tell) = self.tell.take() {
             // Who asked may have had its answer.
             let _ = tell.send(how);
@@ -172,55 +178,55 @@
     fn passed(&mut self, piece: &Bytes) {
         self.left = self.left.map(|left| left.saturating_sub(piece.len()));
         if self.left == Some(0) {
-            self.progress.set(Progress::Ended);
+            self.progress.set(BodyProgress::Ended);
             self.rest = None;
-            self.over(Arrived::Whole);
+            self.over(RequestBodyResult::Whole);
         }
     }
 }
 
-impl Drop for Upload {
+impl Drop for StreamedRequestBody {
     fn drop(&mut self) {
         if let Some(rest) = self.rest.take() {
-            self.over(Arrived::Left(rest));
+            self.over(RequestBodyResult::Left(rest));
         }
     }
 }
 
 /// The body of a call to a backend, the counter or discovery.
-pub enum Sending {
+pub enum OutboundBody {
     /// All of it is here.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// It is still coming from a client.
-    Upload(Box<Upload>),
+    Streamed(Box<StreamedRequestBody>),
 }
 
-impl Sending {
+impl OutboundBody {
     /// No body.
-    pub fn empty() -> Sending {
-        Sending::Whole(Full::new(Bytes::new()))
+    pub fn empty() -> OutboundBody {
+        OutboundBody::Buffered(Full::new(Bytes::new()))
     }
 
     /// How far it has come, now and later.
-    pub fn progress(&self) -> Rc<Cell<Progress>> {
+    pub fn progress(&self) -> Rc<Cell<BodyProgress>> {
         match self {
-            Sending::Whole(_) => Rc::new(Cell::new(Progress::Ended)),
-            Sending::Upload(upload) => upload.progress.clone(),
+            OutboundBody::Buffered(_) => Rc::new(Cell::new(BodyProgress::Ended)),
+            OutboundBody::Streamed(upload) => upload.progress.clone(),
         }
     }
 }
 
-impl Body for Sending {
+impl Body for OutboundBody {
     type Data = Bytes;
     type Error = BodyError;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let upload = match self.get_mut() {
-            Sending::Whole(whole) => {
+            OutboundBody::Buffered(whole) => {
                 let never = |e: Infallible| match e {};
                 return Pin::new(whole).poll_frame(cx).map(|f| f.map(|f| f.map_err(never)));
             }
-            Sending::Upload(upload) => upload,
+            OutboundBody::Streamed(upload) => upload,
         };
         let piece = match (upload.begun.take(), &mut upload.rest) {
             (Some(begun), _) => Some(Ok(begun)),
@@ -233,15 +239,15 @@
                 Some(Ok(Frame::data(piece)))
             }
             Some(Err(error)) => {
-                upload.progress.set(Progress::Broken);
+                upload.progress.set(BodyProgress::Broken);
                 upload.rest = None;
-                upload.over(Arrived::Broken(error));
+                upload.over(RequestBodyResult::Broken(error));
                 Some(Err(error))
             }
             None => {
-                upload.progress.set(Progress::Ended);
+                upload.progress.set(BodyProgress::Ended);
                 upload.rest = None;
-                upload.over(Arrived::Whole);
+                upload.over(RequestBodyResult::Whole);
                 None
             }
         })
@@ -249,15 +255,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Sending::Whole(whole) => whole.is_end_stream(),
-            Sending::Upload(upload) => upload.begun.is_none() && upload.rest.is_none(),
+            OutboundBody::Buffered(whole) => whole.is_end_stream(),
+            OutboundBody::Streamed(upload) => upload.begun.is_none() && upload.rest.is_none(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Sending::Whole(whole) => whole.size_hint(),
-            Sending::Upload(upload) => {
+            OutboundBody::Buffered(whole) => whole.size_hint(),
+            OutboundBody::Streamed(upload) => {
                 upload.left.map_or_else(SizeHint::default, |left| SizeHint::with_exact(left as u64))
             }
         }
--- a/src/proxy/downstream/request_head.rs
+++ b/src/proxy/downstream/request_head.rs
@@ -1,14 +1,14 @@
 //! What a request's head says of it, checked against the site.
 
 use crate::decision::api::*;
-use crate::proxy::downstream::server::{Front, Malformed};
+use crate::proxy::downstream::server::{ProxyContext, RequestError};
 use crate::proxy::upstream::forwarded_request::BUDGET;
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{Method, StatusCode};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// What a request's head says of it.
-pub struct Asked {
+pub struct RequestHead {
     /// What the module is told.
     pub arrival: Arrival,
     /// How long its client waits.
@@ -17,15 +17,15 @@
     pub key: Option<u64>,
 }
 
-impl Asked {
+impl RequestHead {
     /// Reads a head.
     pub fn read(
         method: &Method,
         query: Option<&str>,
         headers: &HeaderMap,
-        front: &Front,
-    ) -> Result<Asked, Malformed> {
-        let bad = |problem| Malformed(StatusCode::BAD_REQUEST, problem);
+        front: &ProxyContext,
+    ) -> Result<RequestHead, RequestError> {
+        let bad = |problem| RequestError(StatusCode::BAD_REQUEST, problem);
         let text = |name: HeaderName| headers.get(name).and_then(|v| v.to_str().ok());
         let named = |name| text(HeaderName::from_static(name));
         let (class, effect, longest) = named("x-call-class")
@@ -52,7 +52,7 @@
             Effect::Unsafe => (Method::POST, false),
         };
         if *method != wanted {
-            return Err(Malformed(StatusCode::METHOD_NOT_ALLOWED, "not this class's method\n"));
+            return Err(RequestError(StatusCode::METHOD_NOT_ALLOWED, "not this class's method\n"));
         }
         if keyed && headers.get("idempotency-key").is_none_or(|key| key.is_empty()) {
             return Err(bad("Idempotency-Key: expected a key\n"));
@@ -71,7 +71,7 @@
         let budget = Micros(budget.saturating_mul(1000)).min(*longest);
         let key = headers.get("idempotency-key").filter(|_| *effect != Effect::Safe);
         let key = key.map(|key| xxh3_64_with_seed(key.as_bytes(), class.0 as u64));
-        Ok(Asked { arrival, budget, key })
+        Ok(RequestHead { arrival, budget, key })
     }
 }
 
--- a/src/proxy/downstream/response_body.rs
+++ b/src/proxy/downstream/response_body.rs
@@ -1,6 +1,6 @@
 //! Answers on their way to clients: kept whole while they are short, passed on as they come where they are not.
 
-use crate::proxy::upstream::backend::Pool;
+use crate::proxy::upstream::backend::ConnectionPool;
 use crate::proxy::upstream::connection::Connection;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -21,30 +21,30 @@
 
 /// A backend's answer broke off after its first bytes had gone to the client.
 #[derive(Debug)]
-pub struct BrokeOff;
+pub struct ResponseBodyError;
 
-impl std::fmt::Display for BrokeOff {
+impl std::fmt::Display for ResponseBodyError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the backend's answer broke off")
     }
 }
-impl std::error::Error for BrokeOff {}
+impl std::error::Error for ResponseBodyError {}
 
 /// The body of a backend's answer.
-pub enum Answered {
+pub enum UpstreamResponseBody {
     /// All of it, and what it holds of the memory.
-    Whole(Bytes, Option<OwnedSemaphorePermit>),
+    Buffered(Bytes, Option<OwnedSemaphorePermit>),
     /// Its beginning, and the rest as it comes.
-    Begun(Box<Download>),
+    Streamed(Box<StreamedResponseBody>),
 }
 
 /// An answer that is passed on as it comes, pulled by whoever reads it. Dropped before its end it closes its
 /// connection.
-pub struct Download {
+pub struct StreamedResponseBody {
     begun: VecDeque<Bytes>,
     rest: Incoming,
     connection: Option<Connection>,
-    pool: Rc<Pool>,
+    pool: Rc<ConnectionPool>,
     address: SocketAddr,
     _place: OwnedSemaphorePermit,
     stall: Pin<Box<Sleep>>,
@@ -52,18 +52,28 @@
     tell: Option<Box<dyn FnOnce(bool)>>,
 }
 
-impl Download {
+impl StreamedResponseBody {
     /// What has come of an answer, and where the rest comes from.
     pub fn new(
         begun: VecDeque<Bytes>,
         rest: Incoming,
         connection: Connection,
-        pool: Rc<Pool>,
+        pool: Rc<ConnectionPool>,
         address: SocketAddr,
         place: OwnedSemaphorePermit,
-    ) -> Download {
+    ) -> StreamedResponseBody {
         let (connection, stall) = (Some(connection), Box::pin(sleep(STALL_TIME)));
-        Download { begun, rest, connection, pool, address, _place: place, stall, whole: false, tell: None }
+        StreamedResponseBody {
+            begun,
+            rest,
+            connection,
+            pool,
+            address,
+            _place: place,
+            stall,
+            whole: false,
+            tell: None,
+        }
     }
 
     /// Calls this at the end, with whether the answer came whole.
@@ -84,20 +94,20 @@
     }
 }
 
-impl Drop for Download {
+impl Drop for StreamedResponseBody {
     fn drop(&mut self) {
         self.tell.take().into_iter().for_each(|tell| tell(self.whole));
     }
 }
 
-impl Body for Download {
+impl Body for StreamedResponseBody {
     type Data = Bytes;
-    type Error = BrokeOff;
+    type Error = ResponseBodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokeOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
         if let Some(piece) = self.begun.pop_front() {
             if self.begun.is_empty() && self.rest.is_end_stream() {
                 self.end();
@@ -119,14 +129,14 @@
                         return Poll::Ready(Some(Ok(frame)));
                     }
                 }
-                Poll::Ready(Some(Err(_))) => return Poll::Ready(Some(Err(BrokeOff))),
+                Poll::Ready(Some(Err(_))) => return Poll::Ready(Some(Err(ResponseBodyError))),
                 Poll::Ready(None) => {
                     me.end();
                     return Poll::Ready(None);
                 }
-                Poll::Pending if connection.is_closed() => return Poll::Ready(Some(Err(BrokeOff))),
+                Poll::Pending if connection.is_closed() => return Poll::Ready(Some(Err(ResponseBodyError))),
                 Poll::Pending => {
-                    return me.stall.as_mut().poll(cx).map(|()| Some(Err(BrokeOff)));
+                    return me.stall.as_mut().poll(cx).map(|()| Some(Err(ResponseBodyError)));
                 }
             }
         }
@@ -147,36 +157,39 @@
 }
 
 /// The body of an answer to a client.
-pub enum Giving {
+pub enum ResponseBody {
     /// All of it is here; what it holds of the memory is free once it is written.
-    Whole(Full<Bytes>, Option<OwnedSemaphorePermit>),
+    Buffered(Full<Bytes>, Option<OwnedSemaphorePermit>),
     /// It is still coming from a backend.
-    Download(Box<Download>),
+    Streamed(Box<StreamedResponseBody>),
 }
 
-impl Body for Giving {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = BrokeOff;
+    type Error = ResponseBodyError;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, BrokeOff>>> {
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
         match self.get_mut() {
-            Giving::Whole(whole, _) => {
+            ResponseBody::Buffered(whole, _) => {
                 let never = |e: Infallible| match e {};
                 Pin::new(whole).poll_frame(cx).map(|f| f.map(|f| f.map_err(never)))
             }
-            Giving::Download(download) => Pin::new(download.as_mut()).poll_frame(cx),
+            ResponseBody::Streamed(download) => Pin::new(download.as_mut()).poll_frame(cx),
         }
     }
     fn is_end_stream(&self) -> bool {
         match self {
-            Giving::Whole(whole, _) => whole.is_end_stream(),
-            Giving::Download(download) => download.is_end_stream(),
+            ResponseBody::Buffered(whole, _) => whole.is_end_stream(),
+            ResponseBody::Streamed(download) => download.is_end_stream(),
         }
     }
     fn size_hint(&self) -> SizeHint {
         match self {
-            Giving::Whole(whole, _) => whole.size_hint(),
-            Giving::Download(download) => download.size_hint(),
+            ResponseBody::Buffered(whole, _) => whole.size_hint(),
+            ResponseBody::Streamed(download) => download.size_hint(),
         }
     }
 }
--- a/src/proxy/downstream/server.rs
+++ b/src/proxy/downstream/server.rs
@@ -3,14 +3,14 @@
 use crate::decision::api::*;
 use crate::proxy::admin::metrics::{ConnectionCloseReason, InFlightRequest, Metrics, RequestResult};
 use crate::proxy::cluster_transport::Peers;
-use crate::proxy::downstream::accept::Accepting;
+use crate::proxy::downstream::accept::AcceptBackoff;
 use crate::proxy::downstream::close::{end_after_answer, ended_by_client};
-use crate::proxy::downstream::idle_connections::{Busy, Crowd, SWEEP_EVERY};
+use crate::proxy::downstream::idle_connections::{IdleConnections, OpenRequestGuard, SWEEP_EVERY};
 use crate::proxy::downstream::request::take;
-use crate::proxy::downstream::response_body::{BrokeOff, Giving};
+use crate::proxy::downstream::response_body::{ResponseBody, ResponseBodyError};
 use crate::proxy::lifecycle::drain::{self, Duty};
 use crate::proxy::lifecycle::permits::Share;
-use crate::proxy::memory_budget::Memory;
+use crate::proxy::memory_budget::MemoryBudget;
 use crate::proxy::runtime::{duration, Clock, Inbox};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -47,7 +47,7 @@
 const LAST_ANSWER: Duration = Duration::from_secs(60);
 
 /// What all connections of clients share.
-pub struct Front {
+pub struct ProxyContext {
     /// The way to the driver.
     pub inbox: Inbox,
     /// The module's clock.
@@ -59,7 +59,7 @@
     /// The places for connections.
     pub places: Rc<Share>,
     /// The budget for what is kept whole, and for buffers.
-    pub memory: Rc<Memory>,
+    pub memory: Rc<MemoryBudget>,
     /// The names of classes, with what they may do and the longest wait.
     pub classes: HashMap<String, (ClassId, Effect, Micros)>,
     /// The names of plans.
@@ -76,7 +76,7 @@
     pub peers: Option<Rc<Peers>>,
 }
 
-impl Front {
+impl ProxyContext {
     /// A class's name.
     pub fn class_name(&self, class: ClassId) -> &str {
         self.classes.iter().find(|(_, (id, ..))| *id == class).map_or("", |(name, _)| name.as_str())
@@ -93,16 +93,16 @@
 }
 
 /// Takes clients until SIGTERM, answers what was taken, and returns.
-pub async fn serve(listener: TcpListener, front: Rc<Front>, mut elsewhere: watch::Receiver<usize>) {
+pub async fn serve(listener: TcpListener, front: Rc<ProxyContext>, mut elsewhere: watch::Receiver<usize>) {
     let places = front.places.clone();
-    let crowd = Rc::new(Crowd::new(front.duty.clone()));
+    let crowd = Rc::new(IdleConnections::new(front.duty.clone()));
     let mut state = front.duty.changes();
     let stops = || front.duty.state().end > drain::End::Open;
     let ending = || front.duty.state().end == drain::End::Ending;
     let ending_at = |last_call: Option<Instant>| last_call.unwrap_or_else(Instant::now) + front.last_wait();
     let mut last_call = stops().then(Instant::now);
     let mut sweep = interval(SWEEP_EVERY);
-    let mut accepting = Accepting::default();
+    let mut accepting = AcceptBackoff::default();
     // Accepted, without a place yet.
     let mut waiting: Option<TcpStream> = None;
     loop {
@@ -160,7 +160,7 @@
     }
 }
 
-async fn connection(stream: TcpStream, front: Rc<Front>, crowd: Rc<Crowd>) {
+async fn connection(stream: TcpStream, front: Rc<ProxyContext>, crowd: Rc<IdleConnections>) {
     // Without it answers may come late, which is no reason to hang up. A client that is gone is noticed anyway.
     if let Err(error) = stream.set_nodelay(true) {
         debug!(%error, "a client's connection stays without TCP_NODELAY");
@@ -199,22 +199,22 @@
 
 /// An answer's body. While it lasts, its request is in flight and its connection busy.
 pub struct Body {
-    giving: Giving,
+    giving: ResponseBody,
     /// While it lives its request is in flight.
     pub ticket: Option<InFlightRequest>,
-    _busy: Option<Busy>,
+    _busy: Option<OpenRequestGuard>,
 }
 
 impl hyper::body::Body for Body {
     type Data = Bytes;
-    type Error = BrokeOff;
+    type Error = ResponseBodyError;
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokeOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
         let next = Pin::new(&mut self.giving).poll_frame(cx);
         // Until its last byte is passed on, a long answer may yet fail.
-        if matches!(&self.giving, Giving::Download(download) if download.is_whole()) {
+        if matches!(&self.giving, ResponseBody::Streamed(download) if download.is_whole()) {
             self.ticket.iter_mut().for_each(|ticket| ticket.ends(RequestResult::Served));
         }
         next
@@ -231,7 +231,7 @@
 pub const WRITES: &str = "/writes/";
 
 /// What became of a write.
-fn written(front: &Front, method: &Method, path: &str) -> Response<Body> {
+fn written(front: &ProxyContext, method: &Method, path: &str) -> Response<Body> {
     let peers = front.peers.as_ref().filter(|peers| peers.is_of_branch());
     let Some(peers) = peers else { return plain(StatusCode::NOT_FOUND, "no such path\n") };
     if *method != Method::GET {
@@ -241,10 +241,10 @@
     let Some(dot) = dot else { return plain(StatusCode::NOT_FOUND, "no such path\n") };
     let (known, words) = crate::proxy::cluster_transport::write_queue_sender::told(peers.write_status(dot));
     let status = if known { StatusCode::OK } else { StatusCode::NOT_FOUND };
-    giving(status, Giving::Whole(Full::new(Bytes::from(words)), None))
+    giving(status, ResponseBody::Buffered(Full::new(Bytes::from(words)), None))
 }
 
-async fn respond(request: Request<Incoming>, front: &Front, busy: Busy) -> Response<Body> {
+async fn respond(request: Request<Incoming>, front: &ProxyContext, busy: OpenRequestGuard) -> Response<Body> {
     let mut response = match request.uri().path() {
         "/_health" => match front.duty.healthy() {
             true => plain(StatusCode::OK, "ready\n"),
@@ -253,7 +253,7 @@
         path if path.starts_with(WRITES) => written(front, request.method(), path),
         "/api" => match take(request, busy.patience(), front).await {
             Ok(answer) => answer,
-            Err(Malformed(status, problem)) => plain(status, problem),
+            Err(RequestError(status, problem)) => plain(status, problem),
         },
         _ => plain(StatusCode::NOT_FOUND, "no such path\n"),
     };
@@ -266,7 +266,7 @@
 }
 
 /// An answer with that status.
-pub fn giving(status: StatusCode, giving: Giving) -> Response<Body> {
+pub fn giving(status: StatusCode, giving: ResponseBody) -> Response<Body> {
     let mut response = Response::new(Body { giving, ticket: None, _busy: None });
     *response.status_mut() = status;
     response
@@ -274,11 +274,11 @@
 
 /// A short answer in plain text.
 pub fn plain(status: StatusCode, text: &'static str) -> Response<Body> {
-    giving(status, Giving::Whole(Full::new(Bytes::from_static(text.as_bytes())), None))
+    giving(status, ResponseBody::Buffered(Full::new(Bytes::from_static(text.as_bytes())), None))
 }
 
 /// What a peer is told whose request is none.
-pub struct Malformed(pub StatusCode, pub &'static str);
+pub struct RequestError(pub StatusCode, pub &'static str);
 
 #[cfg(test)]
 mod tests {
@@ -289,15 +289,15 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::sync::mpsc;
 
-    fn front(duty: Rc<Duty>) -> Front {
+    fn front(duty: Rc<Duty>) -> ProxyContext {
         let (inbox, _) = mpsc::channel(1);
-        Front {
+        ProxyContext {
             inbox,
             clock: Clock::start(),
             duty,
             figures: Rc::default(),
             places: Rc::new(Share::new(4)),
-            memory: Rc::new(Memory::new(32.0, SocketLimits { clients: 4, backends: 4, counter: 1 })),
+            memory: Rc::new(MemoryBudget::new(32.0, SocketLimits { clients: 4, backends: 4, counter: 1 })),
             classes: HashMap::new(),
             plans: HashMap::new(),
             gateways: 1,
@@ -322,7 +322,7 @@
             let duty = Rc::new(Duty::default());
             duty.listed();
             duty.serve();
-            let crowd = Rc::new(Crowd::new(duty.clone()));
+            let crowd = Rc::new(IdleConnections::new(duty.clone()));
             tokio::task::spawn_local(connection(stream, Rc::new(front(duty)), crowd));
             let mut client = tokio::net::UnixStream::from_std(theirs).expect("a stream");
             client.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").await.expect("taken");
--- a/src/proxy/lifecycle/handover.rs
+++ b/src/proxy/lifecycle/handover.rs
@@ -6,7 +6,7 @@
 
 use crate::decision::state::Estate;
 use crate::proxy::control_plane::discovery::{MemberList, MOST_BACKENDS};
-use crate::proxy::downstream::accept::Accepting;
+use crate::proxy::downstream::accept::AcceptBackoff;
 use crate::proxy::lifecycle::drain::Duty;
 use crate::proxy::runtime::{Control, Orders};
 use serde::{Deserialize, Serialize};
@@ -210,7 +210,7 @@
                 Ok(listener) => listener,
                 Err(error) => return warn!(%error, path = %self.path.display(), "no process can take over"),
             };
-            let mut accepting = Accepting::default();
+            let mut accepting = AcceptBackoff::default();
             loop {
                 let stream = match listener.accept().await {
                     Ok((stream, _)) => stream,
--- a/src/proxy/log_rate_limit.rs
+++ b/src/proxy/log_rate_limit.rs
@@ -9,11 +9,11 @@
 
 /// Whether a line of one kind is to be logged.
 #[derive(Debug, Default)]
-pub struct Sparing {
+pub struct LogRateLimiter {
     last: Cell<Option<Instant>>,
 }
 
-impl Sparing {
+impl LogRateLimiter {
     /// Whether it is time to log it again; then it counts as logged.
     pub fn speaks(&self, now: Instant) -> bool {
         let speaks = self.last.get().is_none_or(|last| now >= last + SILENCE);
@@ -30,7 +30,7 @@
 
     #[test]
     fn a_flood_makes_one_line_in_ten_seconds() {
-        let (sparing, start) = (Sparing::default(), Instant::now());
+        let (sparing, start) = (LogRateLimiter::default(), Instant::now());
         let lines = (0..250).filter(|i| sparing.speaks(start + Duration::from_millis(100 * i))).count();
         assert_eq!(lines, 3, "at 0, 10 and 20 s");
     }
--- a/src/proxy/memory_budget.rs
+++ b/src/proxy/memory_budget.rs
@@ -16,19 +16,19 @@
 const PIECE: usize = 1024;
 
 /// The budget.
-pub struct Memory {
+pub struct MemoryBudget {
     whole: Share,
     buffer: usize,
 }
 
-impl Memory {
+impl MemoryBudget {
     /// What a machine with so much memory has for so many connections.
-    pub fn new(megabytes: f64, sockets: SocketLimits) -> Memory {
+    pub fn new(megabytes: f64, sockets: SocketLimits) -> MemoryBudget {
         let bytes = megabytes.clamp(1.0, 1e6) * 1e6;
         // A transfer holds up to three buffers: read, on the way, to be written.
         let buffers = 3 * (sockets.clients + sockets.backends);
         let buffer = ((bytes * BUFFERS) as usize / buffers).clamp(LEAST_BUFFER, MOST_BUFFER);
-        Memory { whole: Share::new((bytes * WHOLE) as usize / PIECE), buffer }
+        MemoryBudget { whole: Share::new((bytes * WHOLE) as usize / PIECE), buffer }
     }
 
     /// How long a connection's buffer may grow.
@@ -54,7 +54,7 @@
     #[test]
     fn what_is_kept_whole_stays_within_its_part() {
         let sockets = SocketLimits { clients: 64, backends: 32, counter: 4 };
-        let memory = Memory::new(16.0, sockets);
+        let memory = MemoryBudget::new(16.0, sockets);
         let held: Vec<_> = std::iter::from_fn(|| memory.hold(64 * 1024)).collect();
         assert!((30..=47).contains(&held.len()), "{}", held.len());
         drop(held);
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -15,11 +15,11 @@
 use cluster_transport::outcome_recorder::Arms;
 use cluster_transport::Peers;
 use control_plane::config::{Config, ConfigError, Services};
-use downstream::server::Front;
+use downstream::server::ProxyContext;
 use lifecycle::drain::{Duty, End};
 use lifecycle::handover::Succession;
 use lifecycle::permits::Share;
-use memory_budget::Memory;
+use memory_budget::MemoryBudget;
 use runtime::{Clock, Driver, Inbox, Input};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -139,7 +139,7 @@
             (terms.patience, terms.stop) = (longest + last_moment, stops);
         }
     }
-    let memory = Rc::new(Memory::new(config.memory_mb, config.sockets));
+    let memory = Rc::new(MemoryBudget::new(config.memory_mb, config.sockets));
     let unknown = |class: &&String| !names.classes.contains(*class);
     if let Some(class) = fleet.as_ref().and_then(|fleet| fleet.finish.iter().find(unknown)) {
         return Err(RunError::Config(ConfigError::of(format!("ledger.finish: there is no class '{class}'"))));
@@ -201,7 +201,7 @@
         let held = Rc::new(move || places.taken());
         Rc::new(Succession::new(folder, address, orders, duty.clone(), held, elsewhere))
     });
-    let front = Front {
+    let front = ProxyContext {
         inbox,
         clock,
         duty: duty.clone(),
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -16,12 +16,12 @@
 use crate::proxy::control_plane::config::{Config, ConfigError};
 use crate::proxy::control_plane::counter::{Counted, Counter, Order};
 use crate::proxy::control_plane::discovery::{Member, MemberList, Phase};
-use crate::proxy::downstream::response_body::{Answered, Giving};
+use crate::proxy::downstream::response_body::{ResponseBody, UpstreamResponseBody};
 use crate::proxy::lifecycle::drain::Duty;
 use crate::proxy::lifecycle::handover::{Will, Word};
-use crate::proxy::memory_budget::Memory;
-use crate::proxy::upstream::backend::{Backend, Ended, Pool};
-use crate::proxy::upstream::forwarded_request::Forward;
+use crate::proxy::memory_budget::MemoryBudget;
+use crate::proxy::upstream::backend::{AttemptResult, Backend, ConnectionPool};
+use crate::proxy::upstream::forwarded_request::ForwardedRequest;
 use crate::site_settings::Site;
 use http_body_util::Full;
 use std::cell::Cell;
@@ -47,7 +47,7 @@
 /// A request in the table: until it has its answer and nothing of it is out.
 struct Open {
     reply: Option<oneshot::Sender<Answer>>,
-    forward: Rc<Forward>,
+    forward: Rc<ForwardedRequest>,
     attempts: Vec<Attempt>,
     /// How it ends is counted for a rollout.
     judged: Option<Judged>,
@@ -79,8 +79,8 @@
     inbox: Inbox,
     inputs: mpsc::Receiver<Input>,
     orders: mpsc::Receiver<Control>,
-    pool: Rc<Pool>,
-    memory: Rc<Memory>,
+    pool: Rc<ConnectionPool>,
+    memory: Rc<MemoryBudget>,
     counter: Option<Rc<Counter>>,
     order: Order,
     backends: HashMap<ServerId, Rc<Backend>>,
@@ -113,7 +113,7 @@
         clock: Clock,
         duty: Rc<Duty>,
         figures: Rc<Metrics>,
-        memory: Rc<Memory>,
+        memory: Rc<MemoryBudget>,
     ) -> Result<(Driver, Orders), ConfigError> {
         let Config { site, counter, sockets, seed, known, conn_idle, fleet, .. } = config;
         let gateway = Gateway::new(seed, site.settings.clone()).map_err(ConfigError::from)?;
@@ -131,7 +131,7 @@
             inbox,
             inputs,
             orders,
-            pool: Rc::new(Pool::new(
+            pool: Rc::new(ConnectionPool::new(
                 sockets.backends,
                 connect_timeout,
                 conn_idle,
@@ -302,16 +302,16 @@
                     self.arms.note(Seen { judged, at, ended, part_of_aim });
                 }
                 match ended.body.and_then(|body| Some((body, open.take_reply()?))) {
-                    Some((Answered::Begun(mut download), reply)) => {
+                    Some((UpstreamResponseBody::Streamed(mut download), reply)) => {
                         let inbox = self.inbox.clone();
                         download.tells(move |whole| tell(&inbox, Input::Passed(id, attempt, server, whole)));
                         self.batch.push(Event::AnswerBegun(id, attempt, took));
-                        let _ = reply.send(Answer::Served(Giving::Download(download)));
+                        let _ = reply.send(Answer::Served(ResponseBody::Streamed(download)));
                         return;
                     }
-                    Some((Answered::Whole(bytes, room), reply)) => {
+                    Some((UpstreamResponseBody::Buffered(bytes, room), reply)) => {
                         open.forward.work.iter().for_each(|work| work.answered(&bytes));
-                        let _ = reply.send(Answer::Served(Giving::Whole(Full::new(bytes), room)));
+                        let _ = reply.send(Answer::Served(ResponseBody::Buffered(Full::new(bytes), room)));
                     }
                     None => {}
                 }
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -46,7 +46,7 @@
 /// The final answer to a client.
 pub enum Answer {
     /// A backend's 200, whole or as it comes.
-    Served(Giving),
+    Served(ResponseBody),
     /// Refused: trying again is harmless, best after this time.
     Refused(Option<Micros>),
     /// Failed, with no promise.
@@ -58,7 +58,7 @@
     /// What the module is told of it. Its id is new, whatever the client called it.
     pub arrival: Arrival,
     /// What goes on to backends.
-    pub forward: Forward,
+    pub forward: ForwardedRequest,
     /// Where the answer goes.
     pub reply: oneshot::Sender<Answer>,
 }
@@ -82,7 +82,7 @@
     /// A call to the counter ended.
     Counted(CountName, u64, Counted),
     /// An attempt ended: its request, number and backend, how, and how long it was out.
-    Ended(RequestId, usize, ServerId, Ended, Micros),
+    Ended(RequestId, usize, ServerId, AttemptResult, Micros),
     /// A long answer that had begun ended: its request, attempt and backend, and whether it was whole.
     Passed(RequestId, usize, ServerId, bool),
 }
--- a/src/proxy/runtime/tests.rs
+++ b/src/proxy/runtime/tests.rs
@@ -1,7 +1,7 @@
 //! The driver's table under what comes late, twice or from a client that has left.
 
 use crate::proxy::runtime::*;
-use crate::proxy::upstream::forwarded_request::Payload;
+use crate::proxy::upstream::forwarded_request::RequestPayload;
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 
@@ -19,7 +19,7 @@
 
 fn driver_of(config: &str) -> Driver {
     let config = Config::parse(config, None, None).expect("a configuration");
-    let memory = Rc::new(Memory::new(config.memory_mb, config.sockets));
+    let memory = Rc::new(MemoryBudget::new(config.memory_mb, config.sockets));
     Driver::new(config, Clock::start(), Rc::default(), Rc::default(), memory).expect("settings").0
 }
 
@@ -27,8 +27,8 @@
     let (reply, answer) = oneshot::channel();
     let deadline = driver.clock.now() + Micros(4_000_000);
     let arrival = Arrival { id, deadline, units: 1.0, spread: 1, ..Arrival::default() };
-    let body = Payload::Whole(Bytes::new());
-    let forward = Forward::new(Method::GET, Uri::from_static("/api"), HeaderMap::new(), body);
+    let body = RequestPayload::Buffered(Bytes::new());
+    let forward = ForwardedRequest::new(Method::GET, Uri::from_static("/api"), HeaderMap::new(), body);
     driver.take(Input::Taken(Box::new(Taken { arrival, forward, reply })));
     answer
 }
--- a/src/proxy/upstream/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -2,12 +2,12 @@
 
 use crate::decision::api::{Outcome, Report};
 use crate::proxy::admin::metrics::{Metrics, NotSentReason};
-use crate::proxy::downstream::response_body::{Answered, Download};
+use crate::proxy::downstream::response_body::{StreamedResponseBody, UpstreamResponseBody};
 use crate::proxy::lifecycle::permits::Share;
-use crate::proxy::log_rate_limit::Sparing;
-use crate::proxy::memory_budget::Memory;
+use crate::proxy::log_rate_limit::LogRateLimiter;
+use crate::proxy::memory_budget::MemoryBudget;
 use crate::proxy::upstream::connection::{CallError, Connection, MAX_BODY};
-use crate::proxy::upstream::forwarded_request::{Forward, Payload};
+use crate::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
 use crate::site_settings::note;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -46,11 +46,11 @@
 }
 
 /// How an attempt ended, or that its answer has begun.
-pub struct Ended {
+pub struct AttemptResult {
     /// The outcome.
     pub outcome: Outcome,
     /// A 200's body.
-    pub body: Option<Answered>,
+    pub body: Option<UpstreamResponseBody>,
     /// When the backend had all of the request, if it had.
     pub whole_at: Option<Instant>,
     /// When the first bytes of a long answer came.
@@ -61,14 +61,21 @@
     pub unsent: Option<NotSentReason>,
 }
 
-impl From<Outcome> for Ended {
-    fn from(outcome: Outcome) -> Ended {
-        Ended { outcome, body: None, whole_at: None, begun_at: None, report: Report::default(), unsent: None }
+impl From<Outcome> for AttemptResult {
+    fn from(outcome: Outcome) -> AttemptResult {
+        AttemptResult {
+            outcome,
+            body: None,
+            whole_at: None,
+            begun_at: None,
+            report: Report::default(),
+            unsent: None,
+        }
     }
 }
 
 /// The connections to all backends.
-pub struct Pool {
+pub struct ConnectionPool {
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
     places: Share,
     dial_timeout: Duration,
@@ -77,24 +84,24 @@
     longest_idle: Cell<Duration>,
     idle_limit: Duration,
     figures: Rc<Metrics>,
-    memory: Rc<Memory>,
-    garbled: Sparing,
+    memory: Rc<MemoryBudget>,
+    garbled: LogRateLimiter,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// A pool that holds at most so many connections, those in use included.
     pub fn new(
         connections: usize,
         dial_timeout: Duration,
         conn_idle: Duration,
         figures: Rc<Metrics>,
-        memory: Rc<Memory>,
-    ) -> Pool {
+        memory: Rc<MemoryBudget>,
+    ) -> ConnectionPool {
         // Guards against writing to a connection that its backend is about to close: half the time is left.
         let idle_limit = conn_idle / 2;
         let (idle, places) = (RefCell::default(), Share::new(connections));
-        let (longest_idle, garbled) = (Cell::new(idle_limit), Sparing::default());
-        Pool { idle, places, dial_timeout, longest_idle, idle_limit, figures, memory, garbled }
+        let (longest_idle, garbled) = (Cell::new(idle_limit), LogRateLimiter::default());
+        ConnectionPool { idle, places, dial_timeout, longest_idle, idle_limit, figures, memory, garbled }
     }
 
     /// The connection used last is taken first, so that those not needed age and are retired.
@@ -157,9 +164,9 @@
     }
 
     /// The end of an attempt that the gateway itself keeps back.
-    pub fn unsent(&self, why: NotSentReason) -> Ended {
+    pub fn unsent(&self, why: NotSentReason) -> AttemptResult {
         self.figures.unsent.raise(why);
-        Ended { unsent: Some(why), ..Outcome::Moot.into() }
+        AttemptResult { unsent: Some(why), ..Outcome::Moot.into() }
     }
 
     fn held(&self) -> usize {
@@ -169,12 +176,12 @@
     /// Makes one attempt and returns how it ended, its connection closed or back in the pool, or that a long
     /// answer has begun. It ends or begins by `until`, or when called off.
     pub async fn attempt(
-        self: &Rc<Pool>,
+        self: &Rc<ConnectionPool>,
         backend: &Backend,
-        request: &Forward,
+        request: &ForwardedRequest,
         until: Instant,
         called_off: oneshot::Receiver<()>,
-    ) -> Ended {
+    ) -> AttemptResult {
         // Guards the limit on descriptors: an attempt without a place was never sent.
         let Some(place) = self.places.try_take() else { return self.unsent(NotSentReason::NoPlace) };
         while self.held() > self.places.free() {
@@ -191,23 +198,23 @@
                 false => Outcome::ConnectFailed.into(),
             },
         };
-        Ended { whole_at: whole_at.get(), ..ended }
+        AttemptResult { whole_at: whole_at.get(), ..ended }
     }
 
     async fn exchange(
-        self: &Rc<Pool>,
+        self: &Rc<ConnectionPool>,
         backend: &Backend,
-        request: &Forward,
+        request: &ForwardedRequest,
         until: Instant,
         place: OwnedSemaphorePermit,
         wrote: &Cell<bool>,
         whole_at: &Cell<Option<Instant>>,
-    ) -> Ended {
+    ) -> AttemptResult {
         loop {
             // What can be sent once goes out on a connection that has not stood idle.
             let kept = match request.body {
-                Payload::Whole(_) => self.take(backend.address),
-                Payload::Upload(_) => None,
+                RequestPayload::Buffered(_) => self.take(backend.address),
+                RequestPayload::Streamed(_) => None,
             };
             let (mut connection, reused) = match kept {
                 Some(connection) => (connection, true),
@@ -265,12 +272,12 @@
     /// Reads an answer: whole where it is short and there is room, so that a broken one can be tried again;
     /// else until it has begun.
     async fn read(
-        self: &Rc<Pool>,
+        self: &Rc<ConnectionPool>,
         address: SocketAddr,
         response: Response<Incoming>,
         mut connection: Connection,
         place: OwnedSemaphorePermit,
-    ) -> Ended {
+    ) -> AttemptResult {
         let outcome = outcome_of(&response);
         let (report, whole) = report_of(response.headers());
         if !whole && self.garbled.speaks(Instant::now()) {
@@ -282,7 +289,7 @@
             if matches!(read, Some(Ok(_))) {
                 self.give_back(address, connection);
             }
-            return Ended { report, ..outcome.into() };
+            return AttemptResult { report, ..outcome.into() };
         }
         let announced = body.size_hint().exact().map(|n| usize::try_from(n).unwrap_or(usize::MAX));
         let short = announced.unwrap_or(MAX_BODY) <= MAX_BODY;
@@ -310,8 +317,8 @@
                         1 => begun.pop_front().unwrap_or_default(),
                         _ => Bytes::from(begun.make_contiguous().concat()),
                     };
-                    let body = Some(Answered::Whole(whole, room));
-                    return Ended { body, report, ..outcome.into() };
+                    let body = Some(UpstreamResponseBody::Buffered(whole, room));
+                    return AttemptResult { body, report, ..outcome.into() };
                 }
                 Some(Some(Err(_))) | None => return Outcome::Reset.into(),
             }
@@ -319,9 +326,9 @@
                 break;
             }
         }
-        let download = Download::new(begun, body, connection, self.clone(), address, place);
-        let body = Some(Answered::Begun(Box::new(download)));
-        Ended { body, begun_at, report, ..outcome.into() }
+        let download = StreamedResponseBody::new(begun, body, connection, self.clone(), address, place);
+        let body = Some(UpstreamResponseBody::Streamed(Box::new(download)));
+        AttemptResult { body, begun_at, report, ..outcome.into() }
     }
 }
 
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -1,7 +1,7 @@
 //! One HTTP/1.1 connection to a backend, the counter or discovery. It never sends anything by itself: a call
 //! is written once, and the caller learns whether any of it was.
 
-use crate::proxy::downstream::request_body::{Progress, Sending};
+use crate::proxy::downstream::request_body::{BodyProgress, OutboundBody};
 use crate::proxy::tcp_io;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -47,7 +47,7 @@
     stream: TcpStream,
     written: Rc<Cell<Written>>,
     /// How much of the present call's body is in the protocol machine's buffer.
-    progress: Rc<RefCell<Rc<Cell<Progress>>>>,
+    progress: Rc<RefCell<Rc<Cell<BodyProgress>>>>,
 }
 
 impl Metered {
@@ -84,7 +84,7 @@
     }
     /// The protocol machine flushes the socket when its own buffer is empty.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        if self.written.get() == Written::Part && self.progress.borrow().get() == Progress::Ended {
+        if self.written.get() == Written::Part && self.progress.borrow().get() == BodyProgress::Ended {
             self.written.set(Written::Whole);
         }
         Pin::new(&mut self.stream).poll_flush(cx)
@@ -96,10 +96,10 @@
 
 /// A connection and its protocol machine. Dropping it closes the socket at once, whatever is under way.
 pub struct Connection {
-    sender: http1::SendRequest<Sending>,
-    machine: Pin<Box<http1::Connection<TokioIo<Metered>, Sending>>>,
+    sender: http1::SendRequest<OutboundBody>,
+    machine: Pin<Box<http1::Connection<TokioIo<Metered>, OutboundBody>>>,
     written: Rc<Cell<Written>>,
-    progress: Rc<RefCell<Rc<Cell<Progress>>>>,
+    progress: Rc<RefCell<Rc<Cell<BodyProgress>>>>,
     closed: bool,
     /// When it was last given back unused.
     pub idle_since: Instant,
@@ -163,7 +163,7 @@
     /// an error the connection is of no further use.
     pub async fn begin(
         &mut self,
-        request: Request<Sending>,
+        request: Request<OutboundBody>,
         whole: impl FnOnce(),
     ) -> Result<Response<Incoming>, CallError> {
         self.written.set(Written::Nothing);
@@ -179,15 +179,15 @@
         });
         let head = self.drive(sending).await.and_then(Result::ok);
         head.ok_or(match (self.written.get(), self.progress.borrow().get()) {
-            (Written::Nothing | Written::Part, Progress::Broken) => CallError::Cut,
+            (Written::Nothing | Written::Part, BodyProgress::Broken) => CallError::Cut,
             // Nobody begins with half a body.
-            (Written::Nothing, _) | (Written::Part, Progress::Coming) => CallError::NotSent,
+            (Written::Nothing, _) | (Written::Part, BodyProgress::Coming) => CallError::NotSent,
             _ => CallError::Broken,
         })
     }
 
     /// Makes one call and reads the whole answer.
-    pub async fn call(&mut self, request: Request<Sending>) -> Result<Response<Bytes>, CallError> {
+    pub async fn call(&mut self, request: Request<OutboundBody>) -> Result<Response<Bytes>, CallError> {
         let (head, body) = self.begin(request, || {}).await?.into_parts();
         let body = self.drive(Limited::new(body, MAX_BODY).collect()).await;
         let body = body.and_then(Result::ok).ok_or(CallError::Broken)?.to_bytes();
--- a/src/proxy/upstream/forwarded_request.rs
+++ b/src/proxy/upstream/forwarded_request.rs
@@ -2,7 +2,7 @@
 
 use crate::decision::api::Outcome;
 use crate::proxy::cluster_transport::ledger_claim::Work;
-use crate::proxy::downstream::request_body::{Sending, Upload};
+use crate::proxy::downstream::request_body::{OutboundBody, StreamedRequestBody};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -17,7 +17,7 @@
 pub const BUDGET: HeaderName = HeaderName::from_static("x-budget-ms");
 
 /// A client's request as it goes on to backends.
-pub struct Forward {
+pub struct ForwardedRequest {
     /// Its method.
     pub method: Method,
     /// Path and query.
@@ -25,49 +25,49 @@
     /// Its headers, without those that hold for the client's connection alone.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: Payload,
+    pub body: RequestPayload,
     /// Cleared once the request has its answer or its client has left: from then on nothing of it is sent.
     pub wanted: Cell<bool>,
     /// Told of each attempt, where somebody has to know whether one may have run.
-    pub tries: Option<Rc<Tries>>,
+    pub tries: Option<Rc<AttemptTracker>>,
     /// Its work at the ledger, where a record is kept of it.
     pub work: Option<Rc<Work>>,
 }
 
-impl Forward {
+impl ForwardedRequest {
     /// A request as its client sent it, which nobody has to know of.
-    pub fn new(method: Method, uri: Uri, headers: HeaderMap, body: Payload) -> Forward {
-        Forward { method, uri, headers, body, wanted: Cell::new(true), tries: None, work: None }
+    pub fn new(method: Method, uri: Uri, headers: HeaderMap, body: RequestPayload) -> ForwardedRequest {
+        ForwardedRequest { method, uri, headers, body, wanted: Cell::new(true), tries: None, work: None }
     }
     /// The client's id of the request, for logs.
     pub fn call_id(&self) -> Option<&str> {
         self.headers.get("x-call-id").and_then(|id| id.to_str().ok())
     }
     /// The same once more, for a body that is here whole; nothing of one that is still coming.
-    pub fn again(&self) -> Forward {
+    pub fn again(&self) -> ForwardedRequest {
         let body = match &self.body {
-            Payload::Whole(whole) => whole.clone(),
-            Payload::Upload(_) => Bytes::new(),
+            RequestPayload::Buffered(whole) => whole.clone(),
+            RequestPayload::Streamed(_) => Bytes::new(),
         };
         let (method, uri, headers) = (self.method.clone(), self.uri.clone(), self.headers.clone());
-        let forward = Forward::new(method, uri, headers, Payload::Whole(body));
-        Forward { tries: self.tries.clone(), work: self.work.clone(), ..forward }
+        let forward = ForwardedRequest::new(method, uri, headers, RequestPayload::Buffered(body));
+        ForwardedRequest { tries: self.tries.clone(), work: self.work.clone(), ..forward }
     }
 }
 
 /// Attempts of one request that may have run. An answer may come before the end of an attempt that is called off: what is
 /// out may have run as well.
 #[derive(Debug, Default)]
-pub struct Tries {
+pub struct AttemptTracker {
     out: Cell<usize>,
     ran: Cell<bool>,
     over: Notify,
 }
 
-impl Tries {
+impl AttemptTracker {
     /// Such that have run already, for all that is known.
-    pub fn that_ran(ran: bool) -> Rc<Tries> {
-        Rc::new(Tries { ran: Cell::new(ran), ..Tries::default() })
+    pub fn that_ran(ran: bool) -> Rc<AttemptTracker> {
+        Rc::new(AttemptTracker { ran: Cell::new(ran), ..AttemptTracker::default() })
     }
     /// One is about to be sent.
     pub fn begins(&self) {
@@ -92,26 +92,26 @@
 }
 
 /// The body of a request that goes on to backends.
-pub enum Payload {
+pub enum RequestPayload {
     /// All of it is here, for as many attempts as it takes.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// It is still coming, for one attempt.
-    Upload(RefCell<Option<Box<Upload>>>),
+    Streamed(RefCell<Option<Box<StreamedRequestBody>>>),
 }
 
-impl Forward {
+impl ForwardedRequest {
     /// The call to a backend; none if the body has gone to another.
-    pub fn request(&self, until: Instant) -> Option<Request<Sending>> {
+    pub fn request(&self, until: Instant) -> Option<Request<OutboundBody>> {
         let body = match &self.body {
-            Payload::Whole(body) => Sending::Whole(Full::new(body.clone())),
-            Payload::Upload(upload) => Sending::Upload(upload.take()?),
+            RequestPayload::Buffered(body) => OutboundBody::Buffered(Full::new(body.clone())),
+            RequestPayload::Streamed(upload) => OutboundBody::Streamed(upload.take()?),
         };
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
         // The time of an upload begins with its last byte; until then the client's own word stands.
-        if matches!(self.body, Payload::Whole(_)) {
+        if matches!(self.body, RequestPayload::Buffered(_)) {
             let left = until.saturating_duration_since(Instant::now()).as_millis() as u64;
             request.headers_mut().insert(BUDGET, HeaderValue::from(left));
         }
--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -4,9 +4,9 @@
 
 use quota_gateway::decision::api::Outcome;
 use quota_gateway::proxy::control_plane::config::SocketLimits;
-use quota_gateway::proxy::memory_budget::Memory;
-use quota_gateway::proxy::upstream::backend::{Backend, Ended, Pool};
-use quota_gateway::proxy::upstream::forwarded_request::{Forward, Payload};
+use quota_gateway::proxy::memory_budget::MemoryBudget;
+use quota_gateway::proxy::upstream::backend::{AttemptResult, Backend, ConnectionPool};
+use quota_gateway::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,18 +20,18 @@
     Backend { address: stub.address, up_since_ms: 0, open: Cell::new(true) }
 }
 
-fn pool(connections: usize, idle: Duration) -> Rc<Pool> {
-    let memory = Memory::new(192.0, SocketLimits { clients: 8, backends: connections, counter: 1 });
-    Rc::new(Pool::new(connections, LONG, idle, Rc::default(), Rc::new(memory)))
+fn pool(connections: usize, idle: Duration) -> Rc<ConnectionPool> {
+    let memory = MemoryBudget::new(192.0, SocketLimits { clients: 8, backends: connections, counter: 1 });
+    Rc::new(ConnectionPool::new(connections, LONG, idle, Rc::default(), Rc::new(memory)))
 }
 
-fn post() -> Forward {
+fn post() -> ForwardedRequest {
     let (method, uri) = (hyper::Method::POST, "/api?customer=1".parse().expect("a path"));
-    Forward::new(method, uri, hyper::HeaderMap::new(), Payload::Whole("hello".into()))
+    ForwardedRequest::new(method, uri, hyper::HeaderMap::new(), RequestPayload::Buffered("hello".into()))
 }
 
 /// An attempt that may take so long and is never called off.
-async fn attempt(pool: &Rc<Pool>, backend: &Backend, limit: Duration) -> Ended {
+async fn attempt(pool: &Rc<ConnectionPool>, backend: &Backend, limit: Duration) -> AttemptResult {
     let (_call_off, called_off) = oneshot::channel();
     pool.attempt(backend, &post(), Instant::now() + limit, called_off).await
 }
