--- a/src/proxy/admin/mod.rs
+++ b/src/proxy/admin/mod.rs
@@ -4,7 +4,7 @@
 
 pub mod metrics;
 pub mod rollout_calls;
-use crate::proxy::cluster_transport::Peers;
+use crate::proxy::cluster_transport::ClusterTransport;
 use crate::proxy::downstream::accept::AcceptBackoff;
 use crate::proxy::lifecycle::drain::Duty;
 use crate::proxy::runtime::{Control, Orders};
@@ -46,7 +46,7 @@
     /// Whether the gateway serves, drains or ends.
     pub duty: Rc<Duty>,
     /// The fleet, where the gateway has one.
-    pub peers: Option<Rc<Peers>>,
+    pub peers: Option<Rc<ClusterTransport>>,
     /// The names that rules of routing may use.
     pub names: KnownNames,
 }
@@ -143,7 +143,7 @@
 
 /// A call for a rollout of rules.
 async fn rolled(
-    peers: &Rc<Peers>,
+    peers: &Rc<ClusterTransport>,
     desk: &AdminContext,
     reading: bool,
     posting: bool,
--- a/src/proxy/admin/rollout_calls.rs
+++ b/src/proxy/admin/rollout_calls.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::rollout::{Rules, Start};
 use crate::cluster::Taken;
-use crate::proxy::cluster_transport::Peers;
+use crate::proxy::cluster_transport::ClusterTransport;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -48,7 +48,7 @@
 }
 
 /// Begins a rollout of the rules in this text.
-pub async fn start(peers: &Rc<Peers>, names: &KnownNames, body: Incoming) -> Said {
+pub async fn start(peers: &Rc<ClusterTransport>, names: &KnownNames, body: Incoming) -> Said {
     let Ok(Ok(body)) = timeout(BEGIN, Limited::new(body, LONGEST).collect()).await else {
         return said(StatusCode::PAYLOAD_TOO_LARGE, "expected a text of up to 8192 bytes at once\n");
     };
--- a/src/proxy/cluster_transport/abandoned_requests.rs
+++ b/src/proxy/cluster_transport/abandoned_requests.rs
@@ -5,7 +5,7 @@
 use crate::decision::api::Arrival;
 use crate::proxy::cluster_transport::ledger_request::{earlier, record_of};
 use crate::proxy::cluster_transport::serialized_request;
-use crate::proxy::cluster_transport::Peers;
+use crate::proxy::cluster_transport::ClusterTransport;
 use crate::proxy::downstream::request::carried;
 use crate::proxy::downstream::request_head::RequestHead;
 use crate::proxy::downstream::server::ProxyContext;
@@ -25,16 +25,20 @@
 const AGAIN: Duration = Duration::from_millis(200);
 
 /// Finishes what is offered, for as long as the gateway lives.
-pub async fn finish_all(front: Rc<ProxyContext>, peers: Rc<Peers>, mut orphans: mpsc::Receiver<Orphan>) {
+pub async fn finish_all(
+    front: Rc<ProxyContext>,
+    peers: Rc<ClusterTransport>,
+    mut orphans: mpsc::Receiver<Orphan>,
+) {
     let places = Arc::new(Semaphore::new(AT_ONCE));
     while let Some(orphan) = orphans.recv().await {
         let Ok(place) = places.clone().try_acquire_owned() else { continue };
         let (front, peers) = (front.clone(), peers.clone());
         tokio::task::spawn_local(async move {
             match finish(&front, &peers, &orphan).await {
-                Gone::Answered => {}
+                AbandonedOutcome::Answered => {}
                 gone => {
-                    peers.finished(gone == Gone::Finished);
+                    peers.finished(gone == AbandonedOutcome::Finished);
                     info!(customer = orphan.id.customer, ?gone, "a request whose gateway is gone");
                 }
             }
@@ -45,7 +49,7 @@
 
 /// What became of work that was begun before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Gone {
+pub enum AbandonedOutcome {
     /// It has its answer, from here.
     Finished,
     /// It had one already.
@@ -56,18 +60,18 @@
     Refused,
 }
 
-async fn finish(front: &ProxyContext, peers: &Rc<Peers>, orphan: &Orphan) -> Gone {
+async fn finish(front: &ProxyContext, peers: &Rc<ClusterTransport>, orphan: &Orphan) -> AbandonedOutcome {
     let Some((asked, forward)) = serialized_request::request(front, &orphan.request) else {
-        return Gone::Refused;
+        return AbandonedOutcome::Refused;
     };
     let (Some(key), RequestPayload::Buffered(body)) = (asked.key, &forward.body) else {
-        return Gone::Refused;
+        return AbandonedOutcome::Refused;
     };
     let of = record_of(&asked, key, &forward, body);
     let fits = of == (orphan.id, orphan.digest) && peers.finishes(front.class_name(asked.arrival.class));
     match fits {
         true => go_on(front, peers, of, &asked, &forward).await,
-        false => Gone::Refused,
+        false => AbandonedOutcome::Refused,
     }
 }
 
@@ -75,17 +79,17 @@
 /// again: as far as its record and its class allow.
 pub async fn go_on(
     front: &ProxyContext,
-    peers: &Rc<Peers>,
+    peers: &Rc<ClusterTransport>,
     (id, digest): (RecordId, u64),
     asked: &RequestHead,
     forward: &ForwardedRequest,
-) -> Gone {
+) -> AbandonedOutcome {
     for tried in 0..TRIES {
-        let Some(work) = peers.claim(id, digest, None) else { return Gone::Elsewhere };
+        let Some(work) = peers.claim(id, digest, None) else { return AbandonedOutcome::Elsewhere };
         let sent = match work.found().await {
             Finding::Clear { found: true, sent } => sent,
-            Finding::Answered(_) => return Gone::Answered,
-            _ => return Gone::Elsewhere,
+            Finding::Answered(_) => return AbandonedOutcome::Answered,
+            _ => return AbandonedOutcome::Elsewhere,
         };
         let deadline = front.clock.now() + asked.budget;
         let of_before =
@@ -93,19 +97,19 @@
         let with = ForwardedRequest { work: Some(work.clone()), ..forward.again() };
         let answer = tokio::select! {
             biased;
-            () = work.lost() => return Gone::Elsewhere,
+            () = work.lost() => return AbandonedOutcome::Elsewhere,
             answer = carried(front, Arrival { deadline, ..of_before }, with) => answer,
         };
         match answer {
-            Answer::Served(_) => return Gone::Finished,
+            Answer::Served(_) => return AbandonedOutcome::Finished,
             Answer::Refused(wait) => {
                 let told = wait.map_or(Duration::ZERO, crate::proxy::runtime::duration);
                 drop(work);
                 sleep((AGAIN * 2u32.pow(tried)).max(told.min(AGAIN * 8))).await;
             }
             // The module gives it up: it may not run again, or no server is left.
-            Answer::Failed => return Gone::Refused,
+            Answer::Failed => return AbandonedOutcome::Refused,
         }
     }
-    Gone::Refused
+    AbandonedOutcome::Refused
 }
--- a/src/proxy/cluster_transport/claims.rs
+++ b/src/proxy/cluster_transport/claims.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::cluster_transport::*;
 
-impl Peers {
+impl ClusterTransport {
     /// Whether a ledger of work is kept.
     pub fn keeps_ledger(&self) -> bool {
         self.config.settings.ledger.is_some()
@@ -20,7 +20,12 @@
 
     /// Claims a request's record; none where this process takes no part, or too much is claimed. The request is left
     /// with the record's holders.
-    pub fn claim(self: &Rc<Peers>, id: RecordId, digest: u64, request: Option<Vec<u8>>) -> Option<Rc<Work>> {
+    pub fn claim(
+        self: &Rc<ClusterTransport>,
+        id: RecordId,
+        digest: u64,
+        request: Option<Vec<u8>>,
+    ) -> Option<Rc<LedgerClaim>> {
         let mut effects = Vec::new();
         let claim = {
             let mut fleet = self.fleet.borrow_mut();
@@ -29,10 +34,10 @@
             request.into_iter().for_each(|request| fleet.bring(claim, request));
             claim
         };
-        let slot = Rc::new(Slot::default());
+        let slot = Rc::new(ClaimProgress::default());
         self.slots.borrow_mut().insert(claim, slot.clone());
         self.perform(effects);
-        Some(Rc::new(Work::new(self.clone(), claim, self.era.get(), slot, self.config.ledger_wait)))
+        Some(Rc::new(LedgerClaim::new(self.clone(), claim, self.era.get(), slot, self.config.ledger_wait)))
     }
 
     /// Does something with a claim, if it is of the part that this process takes now.
--- a/src/proxy/cluster_transport/gauges.rs
+++ b/src/proxy/cluster_transport/gauges.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::cluster_transport::*;
 
-impl Peers {
+impl ClusterTransport {
     /// What operators read, as JSON; none while another process stands for the gateway.
     pub fn report(&self) -> Option<String> {
         let report: Report = self.fleet.borrow().as_ref()?.report();
--- a/src/proxy/cluster_transport/ledger_claim.rs
+++ b/src/proxy/cluster_transport/ledger_claim.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::ledger::{Change, ClaimId, Finding, ROUND};
 use crate::decision::api::{Micros, Outcome};
-use crate::proxy::cluster_transport::Peers;
+use crate::proxy::cluster_transport::ClusterTransport;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 
 /// What a claim found out so far.
 #[derive(Default)]
-pub struct Slot {
+pub struct ClaimProgress {
     /// The first finding, and after it the loss of the record.
     finding: RefCell<Option<Finding>>,
     confirmed: Cell<u32>,
     changed: Notify,
 }
 
-impl Slot {
+impl ClaimProgress {
     /// The claim found out something.
     pub fn tell(&self, finding: Finding) {
         match finding {
@@ -32,7 +32,7 @@
     }
 
     /// Waits until `ready` says something.
-    async fn wait<T>(&self, ready: impl Fn(&Slot) -> Option<T>) -> T {
+    async fn wait<T>(&self, ready: impl Fn(&ClaimProgress) -> Option<T>) -> T {
         loop {
             let changed = self.changed.notified();
             if let Some(value) = ready(self) {
@@ -44,38 +44,44 @@
 }
 
 /// A request's work. Once it is dropped, others may go on with it.
-pub struct Work {
-    peers: Rc<Peers>,
+pub struct LedgerClaim {
+    peers: Rc<ClusterTransport>,
     claim: ClaimId,
     /// Of which of this process's fleet parts the claim is.
     era: u64,
-    slot: Rc<Slot>,
+    slot: Rc<ClaimProgress>,
     bound: Duration,
     /// It goes on without a record.
     alone: Cell<bool>,
     answered: Cell<bool>,
 }
 
-impl Work {
+impl LedgerClaim {
     /// The work of a claim that was just made; it waits for no longer than `bound` each time.
-    pub fn new(peers: Rc<Peers>, claim: ClaimId, era: u64, slot: Rc<Slot>, bound: Duration) -> Work {
-        Work { peers, claim, era, slot, bound, alone: Cell::new(false), answered: Cell::new(false) }
+    pub fn new(
+        peers: Rc<ClusterTransport>,
+        claim: ClaimId,
+        era: u64,
+        slot: Rc<ClaimProgress>,
+        bound: Duration,
+    ) -> LedgerClaim {
+        LedgerClaim { peers, claim, era, slot, bound, alone: Cell::new(false), answered: Cell::new(false) }
     }
 
-    fn first(slot: &Slot) -> Option<Finding> {
+    fn first(slot: &ClaimProgress) -> Option<Finding> {
         slot.finding.borrow().clone()
     }
 
     /// What the record says. Holders that are slow are as good as none.
     pub async fn found(&self) -> Finding {
-        self.within(Work::first).await.unwrap_or_else(|| {
+        self.within(LedgerClaim::first).await.unwrap_or_else(|| {
             self.goes_alone();
             Finding::Unheld
         })
     }
 
     /// Waits for the holders, no longer than the bound; after a part of it further ones are asked.
-    async fn within<T>(&self, ready: impl Fn(&Slot) -> Option<T>) -> Option<T> {
+    async fn within<T>(&self, ready: impl Fn(&ClaimProgress) -> Option<T>) -> Option<T> {
         let began = Instant::now();
         match timeout_at(began + (self.bound * 2 / 5).min(HURRY), self.slot.wait(&ready)).await {
             Ok(value) => Some(value),
@@ -88,7 +94,7 @@
 
     /// Ends when the work is another's, or was begun before: then the record has to be looked at first.
     pub async fn overtaken(&self) {
-        let others = |slot: &Slot| match &*slot.finding.borrow() {
+        let others = |slot: &ClaimProgress| match &*slot.finding.borrow() {
             None | Some(Finding::Unheld | Finding::Clear { found: false, .. }) => None,
             Some(_) => Some(()),
         };
@@ -104,7 +110,8 @@
 
     /// Ends when another took the record over.
     pub async fn lost(&self) {
-        let lost = |slot: &Slot| matches!(&*slot.finding.borrow(), Some(Finding::Lost)).then_some(());
+        let lost =
+            |slot: &ClaimProgress| matches!(&*slot.finding.borrow(), Some(Finding::Lost)).then_some(());
         self.slot.wait(lost).await;
     }
 
@@ -131,7 +138,7 @@
             // Held back for too long, or more attempts than a record tells of.
             return self.may_act();
         };
-        let confirmed = |slot: &Slot| match &*slot.finding.borrow() {
+        let confirmed = |slot: &ClaimProgress| match &*slot.finding.borrow() {
             Some(Finding::Lost) => Some(false),
             _ => (slot.confirmed.get() >= number).then_some(true),
         };
@@ -164,7 +171,7 @@
     }
 }
 
-impl Drop for Work {
+impl Drop for LedgerClaim {
     fn drop(&mut self) {
         if !self.answered.get() {
             self.peers.let_go(self.era, self.claim, None);
--- a/src/proxy/cluster_transport/ledger_request.rs
+++ b/src/proxy/cluster_transport/ledger_request.rs
@@ -2,8 +2,8 @@
 
 use crate::cluster::ledger::{Finding, RecordId};
 use crate::decision::api::*;
-use crate::proxy::cluster_transport::ledger_claim::{pause, Work};
-use crate::proxy::cluster_transport::Peers;
+use crate::proxy::cluster_transport::ledger_claim::{pause, LedgerClaim};
+use crate::proxy::cluster_transport::ClusterTransport;
 use crate::proxy::downstream::request::carried;
 use crate::proxy::downstream::request_head::RequestHead;
 use crate::proxy::downstream::response_body::ResponseBody;
@@ -35,10 +35,10 @@
 /// to be finished whoever dies.
 pub async fn recorded(
     front: &ProxyContext,
-    peers: &Rc<Peers>,
+    peers: &Rc<ClusterTransport>,
     ((id, digest), request): ((RecordId, u64), Option<Vec<u8>>),
     arrival: Arrival,
-    forward: impl Fn(Option<Rc<Work>>) -> ForwardedRequest,
+    forward: impl Fn(Option<Rc<LedgerClaim>>) -> ForwardedRequest,
 ) -> Result<Answer, RequestError> {
     // Most come for the first time: they go ahead while the holders are asked.
     let mut ahead = !arrival.resent;
@@ -47,7 +47,7 @@
         let Some(mut work) = peers.claim(id, digest, request.clone()) else {
             return Ok(carried(front, arrival, forward(None)).await);
         };
-        let begin = |work: &Rc<Work>, earlier: Vec<Earlier>, counted: bool| {
+        let begin = |work: &Rc<LedgerClaim>, earlier: Vec<Earlier>, counted: bool| {
             let arrival = Arrival { counted, earlier, ..arrival.clone() };
             carried(front, arrival, forward(Some(work.clone())))
         };
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -27,8 +27,8 @@
 use crate::proxy::lifecycle::drain::{Duty, End};
 use crate::proxy::runtime::{tell, Clock, Inbox, Input};
 use disk::{Disk, Word};
-use ledger_claim::{Slot, Work};
-use outcome_recorder::Arms;
+use ledger_claim::{ClaimProgress, LedgerClaim};
+use outcome_recorder::OutcomeRecorder;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -40,7 +40,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{sleep, sleep_until, Instant};
 use tracing::{info, warn};
-use write_queue_sender::Order;
+use write_queue_sender::QueuedWrite;
 
 /// Datagrams that are read in one `REFILL`: 20,000 a second. What a flood sends beyond that the kernel drops.
 const BUDGET: u32 = 200;
@@ -51,7 +51,7 @@
 const OPEN_AGAIN: Duration = Duration::from_millis(200);
 
 /// The gateway's place in its fleet.
-pub struct Peers {
+pub struct ClusterTransport {
     config: FleetConfig,
     clock: Clock,
     duty: Rc<Duty>,
@@ -62,15 +62,15 @@
     /// The socket, while this process takes part.
     socket: RefCell<Option<Rc<UdpSocket>>>,
     /// Work at the ledger, by its claim, and how often this process has begun to take part.
-    slots: RefCell<HashMap<ClaimId, Rc<Slot>>>,
+    slots: RefCell<HashMap<ClaimId, Rc<ClaimProgress>>>,
     era: Cell<u64>,
     /// How requests ended under a rollout.
-    arms: Rc<Arms>,
+    arms: Rc<OutcomeRecorder>,
     /// Who waits for a rollout to begin.
     begins: RefCell<Option<oneshot::Sender<Option<Key>>>>,
     /// Who waits for a write to be accepted, and the way to whoever sends writes on.
     accepts: RefCell<HashMap<Dot, Vec<oneshot::Sender<bool>>>>,
-    writes: mpsc::Sender<Order>,
+    writes: mpsc::Sender<QueuedWrite>,
     /// The gateway's disk, where it has one, while this process takes part.
     disk: RefCell<Option<Disk>>,
     /// The way to whoever finishes requests of gateways that are gone; how many were, and how many could not be.
@@ -78,17 +78,17 @@
     finished: (Cell<u64>, Cell<u64>),
 }
 
-impl Peers {
+impl ClusterTransport {
     /// For a gateway whose configuration names a fleet.
     pub fn new(
         config: FleetConfig,
         clock: Clock,
         duty: Rc<Duty>,
         inbox: Inbox,
-        arms: Rc<Arms>,
-        (writes, orphans): (mpsc::Sender<Order>, mpsc::Sender<Orphan>),
-    ) -> Rc<Peers> {
-        Rc::new(Peers {
+        arms: Rc<OutcomeRecorder>,
+        (writes, orphans): (mpsc::Sender<QueuedWrite>, mpsc::Sender<Orphan>),
+    ) -> Rc<ClusterTransport> {
+        Rc::new(ClusterTransport {
             config,
             clock,
             duty,
@@ -121,7 +121,7 @@
     /// Takes part for as long as this process stands for the gateway, for ever. `opened` is the socket where it
     /// is open already; a process that takes another's place opens it once that one has let go.
     pub async fn run(
-        self: Rc<Peers>,
+        self: Rc<ClusterTransport>,
         mut opened: Option<UdpSocket>,
         mut elsewhere: watch::Receiver<BTreeMap<String, SocketAddr>>,
     ) {
--- a/src/proxy/cluster_transport/outcome_recorder.rs
+++ b/src/proxy/cluster_transport/outcome_recorder.rs
@@ -11,7 +11,7 @@
 
 /// A request that goes by the rules of a rollout.
 #[derive(Debug, Clone, Copy)]
-pub struct Judged {
+pub struct RolloutRequest {
     /// Of which rollout.
     pub key: Key,
     /// Which rules.
@@ -26,9 +26,9 @@
 
 /// One end.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen {
+pub struct RolloutOutcome {
     /// The request.
-    pub judged: Judged,
+    pub judged: RolloutRequest,
     /// When it ended.
     pub at: Micros,
     /// How.
@@ -39,8 +39,8 @@
 
 /// The ends that wait.
 #[derive(Default)]
-pub struct Arms {
-    seen: RefCell<Vec<Seen>>,
+pub struct OutcomeRecorder {
+    seen: RefCell<Vec<RolloutOutcome>>,
     dropped: Cell<u64>,
     /// The last attempts, oldest first: answered or not.
     answers: RefCell<Vec<bool>>,
@@ -51,9 +51,9 @@
     watched: Cell<bool>,
 }
 
-impl Arms {
+impl OutcomeRecorder {
     /// A request ended.
-    pub fn note(&self, seen: Seen) {
+    pub fn note(&self, seen: RolloutOutcome) {
         let mut waiting = self.seen.borrow_mut();
         match waiting.len() < MOST {
             true => waiting.push(seen),
@@ -96,7 +96,7 @@
         self.cut.set(cut);
     }
     /// Takes all that wait.
-    pub fn take(&self) -> Vec<Seen> {
+    pub fn take(&self) -> Vec<RolloutOutcome> {
         std::mem::take(&mut *self.seen.borrow_mut())
     }
     /// How many found no room.
--- a/src/proxy/cluster_transport/rollouts.rs
+++ b/src/proxy/cluster_transport/rollouts.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::cluster_transport::*;
 
-impl Peers {
+impl ClusterTransport {
     /// Whether rules of routing may be rolled out.
     pub fn keeps_rules(&self) -> bool {
         self.config.settings.rules.is_some()
--- a/src/proxy/cluster_transport/tests.rs
+++ b/src/proxy/cluster_transport/tests.rs
@@ -1,8 +1,8 @@
 //! The cluster's lines of `/stats` as `tests/fixtures/stats-gauges.txt` holds them.
 
-use super::Peers;
+use super::ClusterTransport;
 use crate::cluster::Fleet;
-use crate::proxy::cluster_transport::outcome_recorder::Arms;
+use crate::proxy::cluster_transport::outcome_recorder::OutcomeRecorder;
 use crate::proxy::control_plane::config::FleetConfig;
 use crate::proxy::lifecycle::drain::Duty;
 use crate::proxy::runtime::Clock;
@@ -18,8 +18,8 @@
     let config = FleetConfig::parse(FILE, "a").expect("sound");
     let (inbox, _inputs) = mpsc::channel(1);
     let ((writes, _w), (orphans, _o)) = (mpsc::channel(1), mpsc::channel(1));
-    let (duty, arms) = (Rc::new(Duty::default()), Rc::new(Arms::default()));
-    let peers = Peers::new(config, Clock::start(), duty, inbox, arms, (writes, orphans));
+    let (duty, arms) = (Rc::new(Duty::default()), Rc::new(OutcomeRecorder::default()));
+    let peers = ClusterTransport::new(config, Clock::start(), duty, inbox, arms, (writes, orphans));
     assert_eq!(peers.gauges(), "", "nothing while another process stands for the gateway");
     *peers.fleet.borrow_mut() = Some(Fleet::with_distinct_counts());
     peers.unsent.set(61);
--- a/src/proxy/cluster_transport/write_queue_sender.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -3,11 +3,11 @@
 use crate::cluster::ledger::{Finding, RecordId};
 use crate::cluster::write_queue::{Dot, End, Fate, State, Status, Write};
 use crate::decision::api::Arrival;
-use crate::proxy::cluster_transport::abandoned_requests::{go_on, Gone};
+use crate::proxy::cluster_transport::abandoned_requests::{go_on, AbandonedOutcome};
 use crate::proxy::cluster_transport::ledger_request::{record_of, recorded};
-use crate::proxy::cluster_transport::outcome_recorder::Arms;
+use crate::proxy::cluster_transport::outcome_recorder::OutcomeRecorder;
 use crate::proxy::cluster_transport::serialized_request;
-use crate::proxy::cluster_transport::Peers;
+use crate::proxy::cluster_transport::ClusterTransport;
 use crate::proxy::downstream::request::carried;
 use crate::proxy::downstream::request_head::RequestHead;
 use crate::proxy::downstream::server::ProxyContext;
@@ -33,7 +33,7 @@
 const ACCEPT: Duration = Duration::from_millis(600);
 
 /// A write that is to be sent on.
-pub struct Order {
+pub struct QueuedWrite {
     /// The write.
     pub write: Box<Write>,
     /// Which try.
@@ -45,7 +45,7 @@
 /// Accepts a request as a write of the branch, where it is cut off or others that it comes after wait. Its name, or
 /// none where it goes its usual way.
 pub async fn accepted(
-    peers: &Rc<Peers>,
+    peers: &Rc<ClusterTransport>,
     asked: &RequestHead,
     class: &str,
     uri: &Uri,
@@ -88,7 +88,11 @@
 }
 
 /// Sends writes on for as long as the gateway lives.
-pub async fn send_on(front: Rc<ProxyContext>, peers: Rc<Peers>, mut orders: mpsc::Receiver<Order>) {
+pub async fn send_on(
+    front: Rc<ProxyContext>,
+    peers: Rc<ClusterTransport>,
+    mut orders: mpsc::Receiver<QueuedWrite>,
+) {
     while let Some(order) = orders.recv().await {
         let (front, peers) = (front.clone(), peers.clone());
         tokio::task::spawn_local(async move {
@@ -99,7 +103,7 @@
     }
 }
 
-async fn sent(front: &ProxyContext, peers: &Rc<Peers>, order: &Order) -> Fate {
+async fn sent(front: &ProxyContext, peers: &Rc<ClusterTransport>, order: &QueuedWrite) -> Fate {
     let Some((asked, forward)) = serialized_request::request(front, &order.write.payload) else {
         return Fate::Answered(400);
     };
@@ -129,15 +133,15 @@
     // It may have run: with a record of its attempts its class may yet allow it to be sent again.
     match record {
         Some(record) => match go_on(front, peers, record, &asked, &forward).await {
-            Gone::Finished | Gone::Answered => Fate::Answered(200),
-            Gone::Elsewhere | Gone::Refused => Fate::Lost,
+            AbandonedOutcome::Finished | AbandonedOutcome::Answered => Fate::Answered(200),
+            AbandonedOutcome::Elsewhere | AbandonedOutcome::Refused => Fate::Lost,
         },
         None => Fate::Lost,
     }
 }
 
 /// Looks outside while the branch is cut off: no request does.
-pub async fn look_outside(arms: Rc<Arms>) {
+pub async fn look_outside(arms: Rc<OutcomeRecorder>) {
     loop {
         sleep(LOOK).await;
         let Some(address) = arms.outside().filter(|_| arms.is_cut()) else { continue };
--- a/src/proxy/cluster_transport/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::cluster_transport::*;
 
-impl Peers {
+impl ClusterTransport {
     /// Whether this gateway is of a branch that accepts writes.
     pub fn is_of_branch(&self) -> bool {
         self.config.settings.branch.is_some()
@@ -47,7 +47,7 @@
             }
             Errand::Send(write, tries, before) => {
                 let dot = write.dot;
-                if self.writes.try_send(Order { write, tries, before }).is_err() {
+                if self.writes.try_send(QueuedWrite { write, tries, before }).is_err() {
                     warn!(%dot, "no room for a write that is to be sent on");
                     self.write_ended(dot, tries, Fate::Refused);
                 }
--- a/src/proxy/downstream/server.rs
+++ b/src/proxy/downstream/server.rs
@@ -2,7 +2,7 @@
 
 use crate::decision::api::*;
 use crate::proxy::admin::metrics::{ConnectionCloseReason, InFlightRequest, Metrics, RequestResult};
-use crate::proxy::cluster_transport::Peers;
+use crate::proxy::cluster_transport::ClusterTransport;
 use crate::proxy::downstream::accept::AcceptBackoff;
 use crate::proxy::downstream::close::{end_after_answer, ended_by_client};
 use crate::proxy::downstream::idle_connections::{IdleConnections, OpenRequestGuard, SWEEP_EVERY};
@@ -73,7 +73,7 @@
     /// So long before its deadline a request has its answer.
     pub last_moment: Micros,
     /// The gateway's place in its fleet, where a ledger is kept there.
-    pub peers: Option<Rc<Peers>>,
+    pub peers: Option<Rc<ClusterTransport>>,
 }
 
 impl ProxyContext {
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -12,8 +12,8 @@
 pub mod upstream;
 use admin::metrics::Metrics;
 use admin::AdminContext;
-use cluster_transport::outcome_recorder::Arms;
-use cluster_transport::Peers;
+use cluster_transport::outcome_recorder::OutcomeRecorder;
+use cluster_transport::ClusterTransport;
 use control_plane::config::{Config, ConfigError, Services};
 use downstream::server::ProxyContext;
 use lifecycle::drain::{Duty, End};
@@ -150,15 +150,16 @@
     let (mut driver, orders) = Driver::new(config, clock, duty.clone(), figures.clone(), memory.clone())
         .map_err(RunError::Config)?;
     let inbox = driver.inbox();
-    let arms = Rc::new(Arms::default());
+    let arms = Rc::new(OutcomeRecorder::default());
     driver.counts(arms.clone());
     let of_branch = fleet.as_ref().is_some_and(|fleet| fleet.settings.branch.is_some());
     let (writes, orders_to_send) = tokio::sync::mpsc::channel(MOST_SENT_ON);
     let (orphans, orphans_to_finish) = tokio::sync::mpsc::channel(MOST_ORPHANS);
     let finishes = fleet.as_ref().is_some_and(|fleet| !fleet.finish.is_empty());
     let looks = arms.clone();
-    let peers =
-        fleet.map(|fleet| Peers::new(fleet, clock, duty.clone(), inbox.clone(), arms, (writes, orphans)));
+    let peers = fleet.map(|fleet| {
+        ClusterTransport::new(fleet, clock, duty.clone(), inbox.clone(), arms, (writes, orphans))
+    });
     let listener = match accept_fd {
         Some(number) => lifecycle::inherited_listener::listener(number).and_then(TcpListener::from_std),
         None => TcpListener::bind(listen).await,
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -12,7 +12,7 @@
 use crate::decision::api::*;
 use crate::decision::gateway::{has_new, Gateway};
 use crate::proxy::admin::metrics::{EndpointCounts, Metrics, NotSentReason};
-use crate::proxy::cluster_transport::outcome_recorder::{Arms, Judged, Seen};
+use crate::proxy::cluster_transport::outcome_recorder::{OutcomeRecorder, RolloutOutcome, RolloutRequest};
 use crate::proxy::control_plane::config::{Config, ConfigError};
 use crate::proxy::control_plane::counter::{Counted, Counter, Order};
 use crate::proxy::control_plane::discovery::{Member, MemberList, Phase};
@@ -50,7 +50,7 @@
     forward: Rc<ForwardedRequest>,
     attempts: Vec<Attempt>,
     /// How it ends is counted for a rollout.
-    judged: Option<Judged>,
+    judged: Option<RolloutRequest>,
 }
 
 struct Attempt {
@@ -103,7 +103,7 @@
     /// The rollout that runs, and how it deals the customers out.
     rolled: Option<(Key, Routing)>,
     /// Where its ends are counted.
-    arms: Rc<Arms>,
+    arms: Rc<OutcomeRecorder>,
 }
 
 impl Driver {
@@ -170,7 +170,7 @@
     }
 
     /// How requests end under a rollout is noted there.
-    pub fn counts(&mut self, arms: Rc<Arms>) {
+    pub fn counts(&mut self, arms: Rc<OutcomeRecorder>) {
         self.arms = arms;
     }
 
@@ -255,7 +255,7 @@
                 // The module counts the attempts of earlier owners as well.
                 let before = arrival.earlier.iter().map(|_| Attempt { out: false, call_off: None });
                 let attempts: Vec<Attempt> = before.collect();
-                let judged = self.rolled.as_ref().map(|(key, routing)| Judged {
+                let judged = self.rolled.as_ref().map(|(key, routing)| RolloutRequest {
                     key: *key,
                     arm: if has_new(routing, arrival.customer) { Arm::New } else { Arm::Old },
                     class: arrival.class,
@@ -299,7 +299,7 @@
                     let aim = self.site.settings.classes.get(judged.class.0).map_or(Micros(1), |c| c.aim);
                     let part_of_aim = (at - judged.came).secs() / aim.secs().max(1e-6);
                     let ended = if part_of_aim <= 1.0 { Judgement::InTime } else { Judgement::Late };
-                    self.arms.note(Seen { judged, at, ended, part_of_aim });
+                    self.arms.note(RolloutOutcome { judged, at, ended, part_of_aim });
                 }
                 match ended.body.and_then(|body| Some((body, open.take_reply()?))) {
                     Some((UpstreamResponseBody::Streamed(mut download), reply)) => {
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -56,7 +56,7 @@
             if let Some((open, judged)) = open.and_then(|open| Some((open, open.judged?))) {
                 let sent = open.attempts.len() > judged.before;
                 let ended = if sent { Judgement::Failed } else { Judgement::Refused };
-                self.arms.note(Seen { judged, at: self.clock.now(), ended, part_of_aim: 0.0 });
+                self.arms.note(RolloutOutcome { judged, at: self.clock.now(), ended, part_of_aim: 0.0 });
             }
             // A client that has just gone needs no answer.
             let _ = reply.send(answer);
--- a/src/proxy/upstream/forwarded_request.rs
+++ b/src/proxy/upstream/forwarded_request.rs
@@ -1,7 +1,7 @@
 //! A client's request as it goes on to backends, for as many attempts as it takes.
 
 use crate::decision::api::Outcome;
-use crate::proxy::cluster_transport::ledger_claim::Work;
+use crate::proxy::cluster_transport::ledger_claim::LedgerClaim;
 use crate::proxy::downstream::request_body::{OutboundBody, StreamedRequestBody};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -31,7 +31,7 @@
     /// Told of each attempt, where somebody has to know whether one may have run.
     pub tries: Option<Rc<AttemptTracker>>,
     /// Its work at the ledger, where a record is kept of it.
-    pub work: Option<Rc<Work>>,
+    pub work: Option<Rc<LedgerClaim>>,
 }
 
 impl ForwardedRequest {
