--- a/src/cluster/tests.rs
+++ b/src/cluster/tests.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 fn settings(name: &str) -> Settings {
-    let about = About { zone: "z".into(), version: "1".into(), capabilities: 0, advertise: None };
+    let metadata = MemberMetadata { zone: "z".into(), version: "1".into(), capabilities: 0, advertise: None };
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     Settings {
         fleet: "norte".into(),
         name: name.into(),
-        about,
+        metadata,
         peers: [("a".to_string(), at(1)), ("b".to_string(), at(2))].into(),
         period: Duration::from_secs(1),
         seats: vec!["a".into(), "b".into()],
@@ -20,8 +20,8 @@
     }
 }
 
-fn member(name: &str, seed: u64) -> Fleet {
-    Fleet::new(settings(name), Micros(0), Micros(1_790_000_000_000_000), seed).expect("sound settings")
+fn member(name: &str, seed: u64) -> ClusterNode {
+    ClusterNode::new(settings(name), Micros(0), Micros(1_790_000_000_000_000), seed).expect("sound settings")
 }
 
 #[test]
@@ -32,11 +32,11 @@
     for step in 0..300u64 {
         let now = Micros(step * 200_000);
         for i in 0..2 {
-            fleets[i].handle(now, Event::Wake, &mut out);
+            fleets[i].handle(now, Event::Tick, &mut out);
             let mut under_way: Vec<(usize, Vec<u8>)> = Vec::new();
             let sent = |out: &mut Vec<Effect>, by: usize, under_way: &mut Vec<(usize, Vec<u8>)>| {
                 under_way.extend(out.drain(..).filter_map(|effect| match effect {
-                    Effect::Send(_, bytes) => Some((1 - by, bytes)),
+                    Effect::Send { to: _, bytes } => Some((1 - by, bytes)),
                     _ => None,
                 }));
             };
@@ -49,24 +49,24 @@
                         body[at] = if rng.bool() { rng.u8(..) } else { 0xff };
                     }
                     body.truncate(rng.usize(11..=body.len()));
-                    datagram::seal(&mut body);
-                    bent.handle(now, Event::Datagram(from[0], &body), &mut Vec::new());
+                    datagram::write_checksum(&mut body);
+                    bent.handle(now, Event::Datagram { from: from[0], bytes: &body }, &mut Vec::new());
                 }
-                fleets[to].handle(now, Event::Datagram(from[1 - to], &bytes), &mut out);
+                fleets[to].handle(now, Event::Datagram { from: from[1 - to], bytes: &bytes }, &mut out);
                 sent(&mut out, to, &mut under_way);
             }
         }
-        bent.handle(now, Event::Wake, &mut Vec::new());
+        bent.handle(now, Event::Tick, &mut Vec::new());
     }
-    let refused = bent.traffic().strangers.get(&Stranger::Refused).copied().unwrap_or(0);
+    let refused = bent.traffic().strangers.get(&DatagramError::Rejected).copied().unwrap_or(0);
     assert!(refused > 1_000, "{refused} came as far as the protocol and were refused there");
-    assert!(bent.records().count() <= MOST_MEMBERS);
+    assert!(bent.records().count() <= MAX_MEMBERS);
     assert_eq!(fleets[0].present(), 2);
 }
 
-impl Fleet {
+impl ClusterNode {
     /// A gateway with a ledger, a branch and a disk, whose counters all differ, for the test of `/stats`.
-    pub(crate) fn with_distinct_counts() -> Fleet {
+    pub(crate) fn with_distinct_counts() -> ClusterNode {
         let terms = write_queue::Terms {
             seats: vec![0, 1, 2],
             most: 10,
@@ -87,10 +87,10 @@
             ..settings("a")
         };
         let unix = Micros(1_790_000_000_000_000);
-        let mut fleet = Fleet::new(settings, Micros(0), unix, 1).expect("sound settings");
-        fleet.handle(Micros(0), Event::Wake, &mut Vec::new());
+        let mut fleet = ClusterNode::new(settings, Micros(0), unix, 1).expect("sound settings");
+        fleet.handle(Micros(0), Event::Tick, &mut Vec::new());
         // Found late once; its score becomes 4.
-        fleet.handle(Micros(1_000_000), Event::Wake, &mut Vec::new());
+        fleet.handle(Micros(1_000_000), Event::Tick, &mut Vec::new());
         let desk = fleet.desk.as_mut().expect("a ledger");
         desk.tallies = ledger::Tallies {
             claims: 11,
@@ -110,7 +110,7 @@
         clerk.tallies = write_queue::Tallies { accepted: 31, refused: 32, sent: 33, done: 34, not_done: 35 };
         fleet.branch = Some(Branch::new(clerk, Micros(0)));
         (fleet.traffic.heard, fleet.traffic.sent) = (41, 42);
-        let strangers = Stranger::ALL.into_iter().zip(51..);
+        let strangers = DatagramError::ALL.into_iter().zip(51..);
         fleet.traffic.strangers = strangers.collect();
         fleet
     }
--- a/src/proxy/control_plane/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -5,7 +5,7 @@
 
 use super::{Config, FleetConfig, SocketLimits};
 use crate::cluster::rollout::Rule;
-use crate::decision::api::{Class, Effect, Group, Plan};
+use crate::decision::api::{Class, DeduplicationScope, Idempotency, Plan};
 use crate::fixture;
 use std::fmt::{Debug, Write};
 
@@ -24,19 +24,19 @@
     }
 }
 
-fn effect(effect: Effect) -> &'static str {
+fn effect(effect: Idempotency) -> &'static str {
     match effect {
-        Effect::Safe => "pure",
-        Effect::Keyed => "token",
-        Effect::Unsafe => "side_effect",
+        Idempotency::Idempotent => "pure",
+        Idempotency::WithKey => "token",
+        Idempotency::NotIdempotent => "side_effect",
     }
 }
 
-fn key_scope(group: Group) -> &'static str {
+fn key_scope(group: DeduplicationScope) -> &'static str {
     match group {
-        Group::All => "all",
-        Group::Zone => "zone",
-        Group::Cell => "cell",
+        DeduplicationScope::All => "all",
+        DeduplicationScope::Zone => "zone",
+        DeduplicationScope::Cell => "cell",
     }
 }
 
@@ -155,10 +155,10 @@
     let settings = &config.settings;
     out.put("fleet", &settings.fleet);
     out.put("listen", config.listen);
-    out.put("advertise", settings.about.advertise);
+    out.put("advertise", settings.metadata.advertise);
     out.put("name", &settings.name);
-    out.put("zone", &settings.about.zone);
-    out.put("capabilities", settings.about.capabilities);
+    out.put("zone", &settings.metadata.zone);
+    out.put("capabilities", settings.metadata.capabilities);
     out.put("period_ms", settings.period.as_micros() as f64 / 1000.0);
     out.put("seats", &settings.seats);
     out.put("lend", config.lend);
--- a/tests/stats_keys.rs
+++ b/tests/stats_keys.rs
@@ -1,6 +1,6 @@
 //! `/stats` as `tests/fixtures/stats-counters.txt` holds it: every counter of a process under its own key, in its place.
 
-use quota_gateway::decision::api::{ClassId, Outcome, RefusalReason};
+use quota_gateway::decision::api::{ClassId, Outcome, RejectionReason};
 use quota_gateway::proxy::admin::metrics::{
     ConnectionCloseReason, EndpointCounts, Metrics, NotSentReason, RequestResult,
 };
@@ -41,7 +41,7 @@
     raise(FailureKind::VARIANTS, 11, |kind| figures.discovery.failed(kind));
     raise(Outcome::VARIANTS, 21, |kind| figures.outcomes.raise(kind));
     raise(NotSentReason::VARIANTS, 31, |kind| figures.unsent.raise(kind));
-    raise(RefusalReason::VARIANTS, 41, |kind| figures.refusals.raise(kind));
+    raise(RejectionReason::VARIANTS, 41, |kind| figures.refusals.raise(kind));
     raise(ConnectionCloseReason::VARIANTS, 51, |kind| figures.closes.raise(kind));
     let text = figures.text(EndpointCounts { known: 61, excluded: 62 });
     // The only value that the clock decides.
