--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -17,7 +17,7 @@
 pub mod write_queue;
 mod write_queue_node;
 
-pub use crate::decision::api::{Micros, SettingsError};
+pub use crate::decision::{Micros, SettingsError};
 pub use datagram::{DatagramError, MAX_DATAGRAM_BYTES};
 pub use event::{ClusterNotice, Effect, Event, TrafficCounters};
 pub use ledger_node::LEDGER_TICK_INTERVAL;
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -22,7 +22,7 @@
     Agreement, ClusterNode, ClusterNotice, ClusterReport, Effect, Errand, Event, MemberState, Micros,
     QuotaShares, Taken, LEDGER_TICK_INTERVAL, MAX_DATAGRAM_BYTES, TICK_INTERVAL,
 };
-use crate::decision::api::QuotaLease;
+use crate::decision::QuotaLease;
 use crate::proxy::control_plane::config::FleetConfig;
 use crate::proxy::lifecycle::drain::{Duty, End};
 use crate::proxy::runtime::{tell, Clock, Inbox, Input};
@@ -270,7 +270,11 @@
                 Effect::QuotaSharesChanged(QuotaShares { until, free_seats }) if self.config.lend > 0.0 => {
                     tell(
                         &self.inbox,
-                        Input::Lent(QuotaLease { part: self.config.lend, until, away: free_seats }),
+                        Input::Lent(QuotaLease {
+                            fraction: self.config.lend,
+                            valid_until: until,
+                            absent_gateways: free_seats,
+                        }),
                     );
                 }
                 Effect::QuotaSharesChanged(_) => {}
--- a/src/proxy/cluster_transport/serialized_request.rs
+++ b/src/proxy/cluster_transport/serialized_request.rs
@@ -1,6 +1,6 @@
 //! A request as gateways keep it for each other: what a backend is sent, and no more.
 
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use crate::proxy::downstream::request_head::RequestHead;
 use crate::proxy::downstream::server::ProxyContext;
 use crate::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
--- a/src/proxy/upstream/forwarded_request.rs
+++ b/src/proxy/upstream/forwarded_request.rs
@@ -1,6 +1,6 @@
 //! A client's request as it goes on to backends, for as many attempts as it takes.
 
-use crate::decision::api::Outcome;
+use crate::decision::Outcome;
 use crate::proxy::cluster_transport::ledger_claim::LedgerClaim;
 use crate::proxy::downstream::request_body::{OutboundBody, StreamedRequestBody};
 use bytes::Bytes;
--- a/tests/stats_keys.rs
+++ b/tests/stats_keys.rs
@@ -1,6 +1,6 @@
 //! `/stats` as `tests/fixtures/stats-counters.txt` holds it: every counter of a process under its own key, in its place.
 
-use quota_gateway::decision::api::{ClassId, Outcome, RejectionReason};
+use quota_gateway::decision::{ClassId, Outcome, RejectionReason};
 use quota_gateway::proxy::admin::metrics::{
     ConnectionCloseReason, EndpointCounts, Metrics, NotSentReason, RequestResult,
 };
