--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -10,16 +10,16 @@
 pub mod runtime;
 mod tcp_io;
 pub mod upstream;
-use admin::metrics::Figures;
-use admin::Desk;
-use cluster_transport::outcome_recorder::Arms;
-use cluster_transport::Peers;
+use admin::metrics::Metrics;
+use admin::AdminContext;
+use cluster_transport::outcome_recorder::OutcomeRecorder;
+use cluster_transport::ClusterTransport;
 use control_plane::config::{Config, ConfigError, Services};
-use downstream::server::Front;
+use downstream::server::ProxyContext;
 use lifecycle::drain::{Duty, End};
 use lifecycle::handover::Succession;
 use lifecycle::permits::Share;
-use memory_budget::Memory;
+use memory_budget::MemoryBudget;
 use runtime::{Clock, Driver, Inbox, Input};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -63,7 +63,7 @@
     mut held: Option<u64>,
     pace: control_plane::discovery::Pace,
     inbox: Inbox,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
 ) {
     loop {
         let discovery = services.borrow_and_update().discovery;
@@ -105,7 +105,7 @@
     let duty = Rc::new(Duty::default());
     let mut names: Vec<(&String, usize)> = config.site.classes.iter().map(|(name, &i)| (name, i)).collect();
     names.sort_by_key(|(_, i)| *i);
-    let figures = Rc::new(Figures::new(names.into_iter().map(|(name, _)| name.clone())));
+    let figures = Rc::new(Metrics::new(names.into_iter().map(|(name, _)| name.clone())));
     let (listen, ops, sockets) = (config.listen, config.ops, config.sockets);
     let (accept_fd, folder) = (config.accept_fd, config.folder.clone());
     let classes = config.site.classes.iter().map(|(name, &i)| {
@@ -120,7 +120,7 @@
     let known = config.known_revision();
     let last_moment = tick + tick;
     let (gateways, most_units) = (config.site.settings.gateways, config.site.settings.max_request_units);
-    let names = admin::rollout_calls::Names {
+    let names = admin::rollout_calls::KnownNames {
         classes: config.site.classes.keys().cloned().collect(),
         plans: config.site.plans.keys().cloned().collect(),
     };
@@ -139,7 +139,7 @@
             (terms.patience, terms.stop) = (longest + last_moment, stops);
         }
     }
-    let memory = Rc::new(Memory::new(config.memory_mb, config.sockets));
+    let memory = Rc::new(MemoryBudget::new(config.memory_mb, config.sockets));
     let unknown = |class: &&String| !names.classes.contains(*class);
     if let Some(class) = fleet.as_ref().and_then(|fleet| fleet.finish.iter().find(unknown)) {
         return Err(RunError::Config(ConfigError::of(format!("ledger.finish: there is no class '{class}'"))));
@@ -150,15 +150,16 @@
     let (mut driver, orders) = Driver::new(config, clock, duty.clone(), figures.clone(), memory.clone())
         .map_err(RunError::Config)?;
     let inbox = driver.inbox();
-    let arms = Rc::new(Arms::default());
+    let arms = Rc::new(OutcomeRecorder::default());
     driver.counts(arms.clone());
     let of_branch = fleet.as_ref().is_some_and(|fleet| fleet.settings.branch.is_some());
     let (writes, orders_to_send) = tokio::sync::mpsc::channel(MOST_SENT_ON);
     let (orphans, orphans_to_finish) = tokio::sync::mpsc::channel(MOST_ORPHANS);
     let finishes = fleet.as_ref().is_some_and(|fleet| !fleet.finish.is_empty());
     let looks = arms.clone();
-    let peers =
-        fleet.map(|fleet| Peers::new(fleet, clock, duty.clone(), inbox.clone(), arms, (writes, orphans)));
+    let peers = fleet.map(|fleet| {
+        ClusterTransport::new(fleet, clock, duty.clone(), inbox.clone(), arms, (writes, orphans))
+    });
     let listener = match accept_fd {
         Some(number) => lifecycle::inherited_listener::listener(number).and_then(TcpListener::from_std),
         None => TcpListener::bind(listen).await,
@@ -180,7 +181,7 @@
         let ops = listener.local_addr().map_err(|e| RunError::Listen(ops, e))?;
         info!(%ops, "operators");
         let (orders, figures, duty) = (orders.clone(), figures.clone(), duty.clone());
-        let desk = Desk { orders, figures, duty, peers: peers.clone(), names };
+        let desk = AdminContext { orders, figures, duty, peers: peers.clone(), names };
         tokio::task::spawn_local(admin::serve(listener, Rc::new(desk)));
     }
     info!(name, %address, "listening");
@@ -201,7 +202,7 @@
         let held = Rc::new(move || places.taken());
         Rc::new(Succession::new(folder, address, orders, duty.clone(), held, elsewhere))
     });
-    let front = Front {
+    let front = ProxyContext {
         inbox,
         clock,
         duty: duty.clone(),
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -14,17 +14,17 @@
     EndpointStatus, EndpointUpdate, Event, Gateway, LoadReport, Micros, Outcome, PlanId, QuotaLease,
     RejectionReason, RequestId, RouteRule, RoutingRules, TimerId, WatchScope,
 };
-use crate::proxy::admin::metrics::{Figures, Fleet, Unsent};
-use crate::proxy::cluster_transport::outcome_recorder::{Arms, Judged, Seen};
+use crate::proxy::admin::metrics::{EndpointCounts, Metrics, NotSentReason};
+use crate::proxy::cluster_transport::outcome_recorder::{OutcomeRecorder, RolloutOutcome, RolloutRequest};
 use crate::proxy::control_plane::config::{Config, ConfigError};
 use crate::proxy::control_plane::counter::{Counted, Counter, Order};
 use crate::proxy::control_plane::discovery::{Member, MemberList, Phase};
-use crate::proxy::downstream::response_body::{Answered, Giving};
+use crate::proxy::downstream::response_body::{ResponseBody, UpstreamResponseBody};
 use crate::proxy::lifecycle::drain::Duty;
 use crate::proxy::lifecycle::handover::{Will, Word};
-use crate::proxy::memory_budget::Memory;
-use crate::proxy::upstream::backend::{Backend, Ended, Pool};
-use crate::proxy::upstream::forwarded_request::Forward;
+use crate::proxy::memory_budget::MemoryBudget;
+use crate::proxy::upstream::backend::{AttemptResult, Backend, ConnectionPool};
+use crate::proxy::upstream::forwarded_request::ForwardedRequest;
 use crate::site_settings::Site;
 use http_body_util::Full;
 use std::cell::Cell;
@@ -50,10 +50,10 @@
 /// A request in the table: until it has its answer and nothing of it is out.
 struct Open {
     reply: Option<oneshot::Sender<Answer>>,
-    forward: Rc<Forward>,
+    forward: Rc<ForwardedRequest>,
     attempts: Vec<Attempt>,
     /// How it ends is counted for a rollout.
-    judged: Option<Judged>,
+    judged: Option<RolloutRequest>,
 }
 
 struct Attempt {
@@ -82,8 +82,8 @@
     inbox: Inbox,
     inputs: mpsc::Receiver<Input>,
     orders: mpsc::Receiver<Control>,
-    pool: Rc<Pool>,
-    memory: Rc<Memory>,
+    pool: Rc<ConnectionPool>,
+    memory: Rc<MemoryBudget>,
     counter: Option<Rc<Counter>>,
     order: Order,
     backends: HashMap<EndpointId, Rc<Backend>>,
@@ -100,13 +100,13 @@
     actions: Vec<Action>,
     /// Told once the list of backends is in hand.
     duty: Rc<Duty>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     /// When the list known from before is taken for it.
     ready_at: Option<Instant>,
     /// The rollout that runs, and how it deals the customers out.
     rolled: Option<(Key, RoutingRules)>,
     /// Where its ends are counted.
-    arms: Rc<Arms>,
+    arms: Rc<OutcomeRecorder>,
 }
 
 impl Driver {
@@ -115,8 +115,8 @@
         config: Config,
         clock: Clock,
         duty: Rc<Duty>,
-        figures: Rc<Figures>,
-        memory: Rc<Memory>,
+        figures: Rc<Metrics>,
+        memory: Rc<MemoryBudget>,
     ) -> Result<(Driver, Orders), ConfigError> {
         let Config { site, counter, sockets, seed, known, conn_idle, fleet, .. } = config;
         let gateway = Gateway::new(seed, site.settings.clone()).map_err(ConfigError::from)?;
@@ -134,7 +134,7 @@
             inbox,
             inputs,
             orders,
-            pool: Rc::new(Pool::new(
+            pool: Rc::new(ConnectionPool::new(
                 sockets.backends,
                 connect_timeout,
                 conn_idle,
@@ -175,7 +175,7 @@
     }
 
     /// How requests end under a rollout is noted there.
-    pub fn counts(&mut self, arms: Rc<Arms>) {
+    pub fn counts(&mut self, arms: Rc<OutcomeRecorder>) {
         self.arms = arms;
     }
 
@@ -260,7 +260,7 @@
                 // The module counts the attempts of earlier owners as well.
                 let before = arrival.prior_attempts.iter().map(|_| Attempt { out: false, call_off: None });
                 let attempts: Vec<Attempt> = before.collect();
-                let judged = self.rolled.as_ref().map(|(key, routing)| Judged {
+                let judged = self.rolled.as_ref().map(|(key, routing)| RolloutRequest {
                     key: *key,
                     arm: if has_canary_rules(routing, arrival.customer) { Arm::New } else { Arm::Old },
                     class: arrival.class,
@@ -315,19 +315,19 @@
                         .map_or(Micros(1), |c| c.latency_objective);
                     let part_of_aim = (at - judged.came).secs() / aim.secs().max(1e-6);
                     let ended = if part_of_aim <= 1.0 { Judgement::InTime } else { Judgement::Late };
-                    self.arms.note(Seen { judged, at, ended, part_of_aim });
+                    self.arms.note(RolloutOutcome { judged, at, ended, part_of_aim });
                 }
                 match ended.body.and_then(|body| Some((body, open.take_reply()?))) {
-                    Some((Answered::Begun(mut download), reply)) => {
+                    Some((UpstreamResponseBody::Streamed(mut download), reply)) => {
                         let inbox = self.inbox.clone();
                         download.tells(move |whole| tell(&inbox, Input::Passed(id, attempt, server, whole)));
                         self.batch.push(Event::ResponseStarted { request: id, attempt, elapsed: took });
-                        let _ = reply.send(Answer::Served(Giving::Download(download)));
+                        let _ = reply.send(Answer::Served(ResponseBody::Streamed(download)));
                         return;
                     }
-                    Some((Answered::Whole(bytes, room), reply)) => {
+                    Some((UpstreamResponseBody::Buffered(bytes, room), reply)) => {
                         open.forward.work.iter().for_each(|work| work.answered(&bytes));
-                        let _ = reply.send(Answer::Served(Giving::Whole(Full::new(bytes), room)));
+                        let _ = reply.send(Answer::Served(ResponseBody::Buffered(Full::new(bytes), room)));
                     }
                     None => {}
                 }
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -69,7 +69,7 @@
             if let Some((open, judged)) = open.and_then(|open| Some((open, open.judged?))) {
                 let sent = open.attempts.len() > judged.before;
                 let ended = if sent { Judgement::Failed } else { Judgement::Refused };
-                self.arms.note(Seen { judged, at: self.clock.now(), ended, part_of_aim: 0.0 });
+                self.arms.note(RolloutOutcome { judged, at: self.clock.now(), ended, part_of_aim: 0.0 });
             }
             // A client that has just gone needs no answer.
             let _ = reply.send(answer);
@@ -95,7 +95,7 @@
         forward.tries.iter().for_each(|tries| tries.begins());
         tokio::task::spawn_local(async move {
             let ended = match &forward.work {
-                Some(work) if !work.before_send(server.0).await => pool.unsent(Unsent::NotOwner),
+                Some(work) if !work.before_send(server.0).await => pool.unsent(NotSentReason::NotOwner),
                 _ => pool.attempt(&backend, &forward, until, called_off).await,
             };
             forward.work.iter().for_each(|work| work.ended(server.0, ended.outcome));
