--- a/src/cluster/tests.rs
+++ b/src/cluster/tests.rs
@@ -4,7 +4,10 @@
 //! content is not. They must not end the process, nor make it remember more and more.
 
 use crate::cluster::datagram::{self, DatagramError};
-use crate::cluster::{ClusterNode, Effect, Event, MemberMetadata, Micros, Settings, MAX_MEMBERS};
+use crate::cluster::{
+    ledger, write_queue, Branch, ClusterNode, Effect, Event, Machine, MemberMetadata, Micros, Settings,
+    MAX_MEMBERS,
+};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -16,9 +19,9 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn member(name: &str, seed: u64) -> ClusterNode {
+fn settings(name: &str) -> Settings {
     let metadata = MemberMetadata { zone: "z".into(), version: "1".into(), capabilities: 0, advertise: None };
-    let settings = Settings {
+    Settings {
         fleet: "norte".into(),
         name: name.into(),
         metadata,
@@ -29,8 +32,11 @@
         rules: None,
         branch: None,
         disk: None,
-    };
-    ClusterNode::new(settings, Micros(0), Micros(1_790_000_000_000_000), seed).expect("sound settings")
+    }
+}
+
+fn member(name: &str, seed: u64) -> ClusterNode {
+    ClusterNode::new(settings(name), Micros(0), Micros(1_790_000_000_000_000), seed).expect("sound settings")
 }
 
 /// A datagram with some bytes changed, cut somewhere, and its checksum made right again.
@@ -82,3 +88,55 @@
     assert!(target.records().count() <= MAX_MEMBERS);
     assert_eq!(members[0].present(), 2);
 }
+
+impl ClusterNode {
+    /// A gateway with a ledger, a branch and a disk, whose counters all differ, for the test of `/stats`.
+    pub(crate) fn with_distinct_counts() -> ClusterNode {
+        let terms = write_queue::Terms {
+            seats: vec![0, 1, 2],
+            most: 10,
+            most_of_one: 10,
+            longest: Micros(1_000_000),
+            cut_after: Micros(1_000_000),
+            patience: Micros(1_000_000),
+            out: 1,
+            per_s: 1,
+            stop: Vec::new(),
+        };
+        let ledger = ledger::Terms { holders: 3, lease: Micros(400_000), life: Micros(2_000_000) };
+        let settings = Settings {
+            seats: ["a", "b", "c"].map(String::from).to_vec(),
+            ledger: Some(ledger),
+            branch: Some(terms.clone()),
+            disk: Some(Machine { boot: 7, uptime: Micros(0) }),
+            ..settings("a")
+        };
+        let unix = Micros(1_790_000_000_000_000);
+        let mut node = ClusterNode::new(settings, Micros(0), unix, 1).expect("sound settings");
+        node.handle(Micros(0), Event::Tick, &mut Vec::new());
+        // Found late once; its score becomes 4.
+        node.handle(Micros(1_000_000), Event::Tick, &mut Vec::new());
+        let desk = node.desk.as_mut().expect("a ledger");
+        desk.tallies = ledger::Tallies {
+            claims: 11,
+            clear: 12,
+            taken_over: 13,
+            running: 14,
+            answered: 15,
+            mistakes: 16,
+            unheld: 17,
+            lost: 18,
+            unprotected: 19,
+            orphans: 20,
+        };
+        let refusals = &mut desk.holder_mut().refusals;
+        (refusals.mute, refusals.full, refusals.late, refusals.unfit) = (21, 22, 23, 24);
+        let mut clerk = write_queue::Clerk::new(0, terms, 1, Micros(0));
+        clerk.tallies = write_queue::Tallies { accepted: 31, refused: 32, sent: 33, done: 34, not_done: 35 };
+        node.branch = Some(Branch::new(clerk, Micros(0)));
+        node.traffic.received = 41;
+        node.traffic.sent = 42;
+        node.traffic.dropped = DatagramError::ALL.into_iter().zip(51..).collect();
+        node
+    }
+}
