--- a/lab/src/members/world.rs
+++ b/lab/src/members/world.rs
@@ -222,11 +222,11 @@
             rules: None,
             branch: None,
             disk: None,
-            fleet: "virtual".into(),
+            cluster: "virtual".into(),
             name: n.name.clone(),
             metadata,
             peers: n.peers.clone(),
-            period: Duration::from_secs(1),
+            probe_period: Duration::from_secs(1),
             seats: self.seats.clone(),
         };
         let unix = Micros(UNIX) + now - n.behind;
--- a/lab/tests/disk/world.rs
+++ b/lab/tests/disk/world.rs
@@ -130,7 +130,7 @@
         let n = &self.nodes[node];
         let machine = Machine { boot: n.boot, uptime: Micros(self.now - n.up_since) };
         let settings = Settings {
-            fleet: "virtual".into(),
+            cluster: "virtual".into(),
             name: name(node),
             metadata: MemberMetadata {
                 zone: "z".into(),
@@ -139,7 +139,7 @@
                 advertise: Some(address(node)),
             },
             peers: (0..seats).filter(|n| *n != node).map(|n| (name(n), address(n))).collect(),
-            period: Duration::from_secs(1),
+            probe_period: Duration::from_secs(1),
             seats: (0..seats).map(name).collect(),
             ledger: Some(ledger::Terms { holders: 3, lease: Micros(600 * MS), life: Micros(5_000 * MS) }),
             rules: None,
--- a/src/cluster/datagram.rs
+++ b/src/cluster/datagram.rs
@@ -1,6 +1,10 @@
-//! The frame of a datagram: which fleet it is of, a checksum, and what it carries.
+//! The form of a datagram: a prelude with a checksum, a payload, and for some payloads a message behind it.
 //!
-//! Nothing here is secret: the checksum tells accidents from messages, not friends from foes.
+//! Everything here is a wire form: while an upgrade rolls through the cluster, members of two versions read each other's
+//! datagrams. The serialization is positional, so the order of variants and fields counts and their names do not.
+//!
+//! Nothing here is secret: the checksum tells damage from messages, not attackers from members. The network between the
+//! gateways has to be private.
 
 use crate::cluster::ledger::Message;
 use crate::cluster::quota_lease::view_gossip::Table;
@@ -8,15 +12,24 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The longest datagram that is sent or taken, in bytes.
+/// The longest datagram that is sent or taken, in bytes: it crosses any network without being fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// The version of the protocol. Another one is dropped and counted.
+/// The version of the protocol. Datagrams of another one are dropped and counted.
 pub const VERSION: u8 = 1;
-/// Bytes before the head: a mark, the version, the fleet, a checksum over all that follows.
-const PRELUDE: usize = 2 + 1 + 4 + 4;
-const MARK: [u8; 2] = *b"SH";
-/// The most bytes that a frame adds to what the membership protocol writes.
-pub const OVERHEAD: usize = PRELUDE + 1 + 10 + 1 + 4;
+/// What every datagram of the protocol begins with.
+const MAGIC: [u8; 2] = *b"SH";
+/// Where the version stands.
+const VERSION_AT: usize = MAGIC.len();
+/// Where the cluster's tag begins.
+const TAG_AT: usize = VERSION_AT + 1;
+/// Where the checksum over all that follows it begins.
+const CHECKSUM_AT: usize = TAG_AT + size_of::<u32>();
+/// The bytes before the payload.
+const PRELUDE_BYTES: usize = CHECKSUM_AT + size_of::<u32>();
+/// The longest form of `Payload::Swim`: its variant, a `u64` of ten bytes, a flag, and an optional `u16` of three bytes.
+const MAX_SWIM_PAYLOAD_BYTES: usize = 1 + 10 + 1 + 4;
+/// The most bytes that a datagram adds to a message of the membership protocol.
+pub const MAX_OVERHEAD_BYTES: usize = PRELUDE_BYTES + MAX_SWIM_PAYLOAD_BYTES;
 
 /// What a datagram carries. The order of variants and fields is the wire form.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -127,48 +140,56 @@
     }
 }
 
-/// What stands for a fleet's name on the wire.
-pub fn cluster_tag(fleet: &str) -> u32 {
-    xxh3_64(fleet.as_bytes()) as u32
+/// What stands for a cluster's name on the wire.
+pub fn cluster_tag(cluster: &str) -> u32 {
+    xxh3_64(cluster.as_bytes()) as u32
+}
+
+fn checksum(body: &[u8]) -> u32 {
+    xxh3_64(body) as u32
 }
 
-/// Writes a frame. `None` where it would be too long.
-pub fn encode(tag: u32, payload: &Payload, rest: &[u8]) -> Option<Vec<u8>> {
-    let mut bytes = Vec::with_capacity(OVERHEAD + rest.len());
-    bytes.extend(MARK);
+/// Writes a datagram: a payload, and the message behind it. None where it would be too long.
+pub fn encode(cluster_tag: u32, payload: &Payload, message: &[u8]) -> Option<Vec<u8>> {
+    let mut bytes = Vec::with_capacity(MAX_OVERHEAD_BYTES + message.len());
+    bytes.extend(MAGIC);
     bytes.push(VERSION);
-    bytes.extend(tag.to_le_bytes());
-    bytes.extend([0; 4]);
+    bytes.extend(cluster_tag.to_le_bytes());
+    bytes.extend([0; size_of::<u32>()]);
     let mut bytes = postcard::to_extend(payload, bytes).ok()?;
-    bytes.extend_from_slice(rest);
+    bytes.extend_from_slice(message);
     write_checksum(&mut bytes);
     (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
 }
 
-/// Puts in the checksum of a frame that is whole but for it.
+/// Puts the checksum into a datagram that is complete but for it.
 pub(super) fn write_checksum(bytes: &mut [u8]) {
-    if let Some((prelude, body)) = bytes.split_at_mut_checked(PRELUDE) {
-        prelude[PRELUDE - 4..].copy_from_slice(&(xxh3_64(body) as u32).to_le_bytes());
+    if let Some((prelude, body)) = bytes.split_at_mut_checked(PRELUDE_BYTES) {
+        prelude[CHECKSUM_AT..].copy_from_slice(&checksum(body).to_le_bytes());
     }
 }
 
-/// Reads a frame.
-pub fn decode(tag: u32, bytes: &[u8]) -> Result<(Payload, &[u8]), DatagramError> {
+/// Reads a datagram: its payload, and the message behind it.
+///
+/// # Errors
+///
+/// Why it is dropped. The cluster's tag is looked at before the checksum, so that members of another cluster are told
+/// from damage.
+pub fn decode(cluster_tag: u32, bytes: &[u8]) -> Result<(Payload, &[u8]), DatagramError> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DatagramError::Oversized);
     }
-    let (prelude, body) = bytes.split_at_checked(PRELUDE).ok_or(DatagramError::Malformed)?;
-    let word = |from: usize| prelude.get(from..from + 4).map_or([0; 4], |w| w.try_into().unwrap_or([0; 4]));
-    if prelude.get(..2) != Some(&MARK[..]) {
+    let (prelude, body) = bytes.split_at_checked(PRELUDE_BYTES).ok_or(DatagramError::Malformed)?;
+    if !prelude.starts_with(&MAGIC) {
         return Err(DatagramError::Malformed);
     }
-    if prelude.get(2) != Some(&VERSION) {
+    if prelude[VERSION_AT] != VERSION {
         return Err(DatagramError::UnsupportedVersion);
     }
-    if word(3) != tag.to_le_bytes() {
+    if prelude[TAG_AT..CHECKSUM_AT] != cluster_tag.to_le_bytes() {
         return Err(DatagramError::OtherCluster);
     }
-    if word(7) != (xxh3_64(body) as u32).to_le_bytes() {
+    if prelude[CHECKSUM_AT..] != checksum(body).to_le_bytes() {
         return Err(DatagramError::Malformed);
     }
     postcard::take_from_bytes(body).map_err(|_| DatagramError::Malformed)
--- a/src/cluster/membership_node.rs
+++ b/src/cluster/membership_node.rs
@@ -50,7 +50,7 @@
         let token = self.rng.u64(..);
         let context = RingContext {
             awake: self.swim.awake(),
-            period: Micros(self.settings.period.as_micros() as u64),
+            period: Micros(self.settings.probe_period.as_micros() as u64),
             own_name: &self.settings.name,
             records: self.swim.records(),
             health: self.swim.health(),
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -95,7 +95,12 @@
         settings.check()?;
         let mut rng = fastrand::Rng::with_seed(seed);
         let own = Identity::at_start(&settings.name, settings.metadata.clone(), unix, rng.u64(..));
-        let swim = Swim::new(own, rng.u64(..), settings.period, MAX_DATAGRAM_BYTES - datagram::OVERHEAD);
+        let swim = Swim::new(
+            own,
+            rng.u64(..),
+            settings.probe_period,
+            MAX_DATAGRAM_BYTES - datagram::MAX_OVERHEAD_BYTES,
+        );
         let join_schedule = JoinSchedule::new(now, &mut rng);
         let lending = QuotaLeases::new(&settings.seats, &settings.name, now, rng.u64(..));
         let desk = lending.as_ref().zip(settings.ledger).map(|(lending, terms)| {
@@ -117,7 +122,7 @@
         }
         let peers = settings.peers.clone();
         Ok(ClusterNode {
-            cluster_tag: datagram::cluster_tag(&settings.fleet),
+            cluster_tag: datagram::cluster_tag(&settings.cluster),
             settings,
             swim,
             rng,
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -201,7 +201,7 @@
         let traffic = &self.traffic;
         let duplicate_names = self.duplicate_names.confirmed();
         ClusterReport {
-            cluster: self.settings.fleet.clone(),
+            cluster: self.settings.cluster.clone(),
             name: self.settings.name.clone(),
             incarnation: own_incarnation,
             yielded_to: self.yielded_to,
--- a/src/cluster/tests.rs
+++ b/src/cluster/tests.rs
@@ -22,11 +22,11 @@
 fn settings(name: &str) -> Settings {
     let metadata = MemberMetadata { zone: "z".into(), version: "1".into(), capabilities: 0, advertise: None };
     Settings {
-        fleet: "norte".into(),
+        cluster: "norte".into(),
         name: name.into(),
         metadata,
         peers: [("a".to_string(), address(1)), ("b".to_string(), address(2))].into(),
-        period: Duration::from_secs(1),
+        probe_period: Duration::from_secs(1),
         seats: vec!["a".into(), "b".into()],
         ledger: None,
         rules: None,
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -137,7 +137,8 @@
         let Some(branch) = self.branch.as_ref().filter(|_| !self.awaits_disk()) else { return };
         let claim = branch.claim.and_then(|of| self.desk.as_ref()?.claim(of).map(|claim| (of, claim)));
         // Nothing is begun so late that the lease would be over before the others have heard of it.
-        let leads = claim.as_ref().is_some_and(|(_, claim)| claim.is_held(now + self.settings.margin()));
+        let leads =
+            claim.as_ref().is_some_and(|(_, claim)| claim.is_held(now + self.settings.lease_margin()));
         let acts = claim.as_ref().is_some_and(|(_, claim)| claim.is_held(now));
         let lapsed = claim.as_ref().filter(|(_, c)| c.owns() && !c.may_act(now)).map(|(of, _)| *of);
         // One whose disk takes nothing more leaves it to another.
--- a/src/proxy/cluster_transport/disk/fixture_tests.rs
+++ b/src/proxy/cluster_transport/disk/fixture_tests.rs
@@ -87,11 +87,11 @@
     };
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     Settings {
-        fleet: FLEET.into(),
+        cluster: FLEET.into(),
         name: "b".into(),
         metadata,
         peers: [("a".to_string(), at(1)), ("b".to_string(), at(2)), ("c".to_string(), at(3))].into(),
-        period: Duration::from_secs(1),
+        probe_period: Duration::from_secs(1),
         seats: SEATS.map(str::to_string).to_vec(),
         ledger: Some(ledger::Terms { holders: 3, lease: Micros(2_000_000), life: Micros(10_000_000) }),
         rules: Some(Rules(vec![Rule { attempts: Some(3), ..Rule::default() }])),
--- a/src/proxy/control_plane/config/fleet_file.rs
+++ b/src/proxy/control_plane/config/fleet_file.rs
@@ -208,11 +208,11 @@
         }
         let period = std::time::Duration::from_millis(document.period_ms);
         let settings = cluster::Settings {
-            fleet: document.fleet,
+            cluster: document.fleet,
             name,
             metadata,
             peers,
-            period,
+            probe_period: period,
             seats: document.seats,
             ledger,
             rules: document.rollout.map(|r| cluster::rollout::Rules(r.rule)),
--- a/src/proxy/control_plane/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -153,13 +153,13 @@
     let config = FleetConfig::parse(text, "named-by-the-environment").expect("a fleet's file");
     let mut out = Listing::default();
     let settings = &config.settings;
-    out.put("fleet", &settings.fleet);
+    out.put("fleet", &settings.cluster);
     out.put("listen", config.listen);
     out.put("advertise", settings.metadata.advertise);
     out.put("name", &settings.name);
     out.put("zone", &settings.metadata.zone);
     out.put("capabilities", settings.metadata.capabilities);
-    out.put("period_ms", settings.period.as_micros() as f64 / 1000.0);
+    out.put("period_ms", settings.probe_period.as_micros() as f64 / 1000.0);
     out.put("seats", &settings.seats);
     out.put("lend", config.lend);
     out.put("peers", &settings.peers);
