--- a/src/proxy/admin/metrics.rs
+++ b/src/proxy/admin/metrics.rs
@@ -1,7 +1,7 @@
 //! What operators read of a gateway: plain counters, each raised where its event happens. Reading them looks
 //! at no request.
 
-use crate::decision::{ClassId, Outcome, RejectionReason};
+use crate::decision::{ClassId, EndpointCounts, Outcome, RejectionReason};
 use crate::proxy::control_plane::discovery::FailureKind;
 use std::cell::Cell;
 use std::fmt::Write;
@@ -21,15 +21,6 @@
     Failed,
 }
 
-/// What discovery lists, as the module sees it.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct EndpointCounts {
-    /// Backends listed.
-    pub known: usize,
-    /// Those of them that the gateway avoids now.
-    pub excluded: usize,
-}
-
 struct Class {
     name: String,
     served: Cell<u64>,
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -14,7 +14,7 @@
     EndpointStatus, EndpointUpdate, Event, Gateway, LoadReport, Micros, Outcome, PlanId, QuotaLease,
     RejectionReason, RequestId, RouteRule, RoutingRules, TimerId, WatchScope,
 };
-use crate::proxy::admin::metrics::{EndpointCounts, Metrics, NotSentReason};
+use crate::proxy::admin::metrics::{Metrics, NotSentReason};
 use crate::proxy::cluster_transport::outcome_recorder::{OutcomeRecorder, RolloutOutcome, RolloutRequest};
 use crate::proxy::control_plane::config::{Config, ConfigError};
 use crate::proxy::control_plane::counter::{Counted, Counter, Order};
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -6,9 +6,9 @@
     pub(super) fn obey(&mut self, order: Control) {
         match order {
             Control::Fleet(reply) => {
-                let EndpointCounts { known, excluded } = self.gateway.endpoint_counts(self.clock.now());
+                let counts = self.gateway.endpoint_counts(self.clock.now());
                 // An operator who has left needs no answer.
-                let _ = reply.send(EndpointCounts { known, excluded });
+                let _ = reply.send(counts);
             }
             Control::Maintain { id, out, relayed, done } => {
                 let server = self.site.seen(&id);
