--- a/src/decision/action.rs
+++ b/src/decision/action.rs
@@ -55,15 +55,8 @@
         /// How long from now.
         after: Micros,
     },
-    /// Check an endpoint's health.
-    ProbeEndpoint {
-        /// The endpoint.
-        endpoint: EndpointId,
-    },
     /// Watch the endpoint list.
     Subscribe,
-    /// Fetch the complete endpoint list.
-    FetchEndpoints,
 }
 
 /// Why a request ends without an endpoint's response. For logs and metrics alone: clients are not told.
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -50,8 +50,8 @@
             }
             Action::IncrementCounter { key: name, amount, lifetime: life } => self.count(name, amount, life),
             Action::SetTimer { timer: id, after } => self.timers.push(Reverse((now + after, id))),
-            // Probing is not allowed here, and the watch on the list never stops.
-            Action::ProbeEndpoint { .. } | Action::Subscribe | Action::FetchEndpoints => {}
+            // The watch on the list never stops.
+            Action::Subscribe => {}
         }
     }
 
--- a/src/simulator/wire.rs
+++ b/src/simulator/wire.rs
@@ -144,13 +144,11 @@
             Action::CancelAttempt { request: r, attempt: a } => {
                 writeln!(out, "ABANDON ref={} trial={a}", r.0)
             }
-            Action::ProbeEndpoint { endpoint: s } => writeln!(out, "PROBE backend={}", name(s)),
             Action::IncrementCounter { key: n, amount, lifetime: life } => {
                 writeln!(out, "ADD_AND_GET book={} amount={amount} lifetime={}", n.0, life.0)
             }
             Action::SetTimer { timer: t, after } => writeln!(out, "WAKE_ME ref={} in={}", t.0, after.0),
             Action::Subscribe => writeln!(out, "LISTEN active=1"),
-            Action::FetchEndpoints => writeln!(out, "RELOAD"),
         };
     }
 }
--- a/tests/decision_fixtures/module.rs
+++ b/tests/decision_fixtures/module.rs
@@ -284,7 +284,6 @@
         }
         Action::SetTimer { timer, after } => Response::SetTimer { timer: timer.0, after: after.0 },
         Action::Subscribe => Response::Subscribe,
-        Action::ProbeEndpoint { .. } | Action::FetchEndpoints => panic!("{action:?} is never asked for"),
     }
 }
 
@@ -304,7 +303,6 @@
         }
         Action::SetTimer { timer, after } => format!("timer {} after {}", timer.0, after.0),
         Action::Subscribe => "subscribe".into(),
-        Action::ProbeEndpoint { .. } | Action::FetchEndpoints => panic!("{action:?} is never asked for"),
     }
 }
 
