--- a/src/proxy/admin/mod.rs
+++ b/src/proxy/admin/mod.rs
@@ -6,8 +6,8 @@
 pub mod rollout_calls;
 use crate::proxy::cluster_transport::Peers;
 use crate::proxy::downstream::accept::Accepting;
-use crate::proxy::lifecycle::drain::Duty;
-use crate::proxy::runtime::{Control, Orders};
+use crate::proxy::lifecycle::drain::Lifecycle;
+use crate::proxy::runtime::{AdminCommand, AdminSender};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -40,11 +40,11 @@
 /// What the calls need.
 pub struct Desk {
     /// The way to the driver that waits behind no request.
-    pub orders: Orders,
+    pub orders: AdminSender,
     /// The counters.
     pub figures: Rc<Figures>,
     /// Whether the gateway serves, drains or ends.
-    pub duty: Rc<Duty>,
+    pub duty: Rc<Lifecycle>,
     /// The fleet, where the gateway has one.
     pub peers: Option<Rc<Peers>>,
     /// The names that rules of routing may use.
@@ -96,11 +96,11 @@
     let reading = matches!(*request.method(), Method::GET | Method::HEAD);
     let posting = *request.method() == Method::POST;
     match path.as_slice() {
-        ["healthcheck"] if reading => match desk.duty.ready() {
+        ["healthcheck"] if reading => match desk.duty.is_ready() {
             true => plain(StatusCode::OK, "ready\n"),
             false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         },
-        ["stats"] if reading => match ask(desk, Control::Fleet).await {
+        ["stats"] if reading => match ask(desk, AdminCommand::CountEndpoints).await {
             Some(fleet) => {
                 let gauges = desk.peers.as_ref().map(|peers| peers.gauges()).unwrap_or_default();
                 text(StatusCode::OK, desk.figures.text(fleet) + &gauges)
@@ -124,7 +124,14 @@
         ["backends", id, order @ ("maint" | "ready")] if posting => {
             let (id, out) = (id.to_string(), *order == "maint");
             info!(id, order, "an operator's order");
-            match ask(desk, |done| Control::Maintain { id, out, relayed: false, done }).await {
+            match ask(desk, |done| AdminCommand::SetMaintenance {
+                endpoint: id,
+                in_maintenance: out,
+                relayed: false,
+                reply: done,
+            })
+            .await
+            {
                 Some(true) => plain(StatusCode::OK, "done\n"),
                 Some(false) => plain(StatusCode::NOT_FOUND, "no such backend\n"),
                 None => late(),
@@ -132,7 +139,7 @@
         }
         ["healthcheck", order @ ("fail" | "ok")] if posting => {
             info!(order, "an operator's order");
-            desk.duty.drain(*order == "fail");
+            desk.duty.set_draining(*order == "fail");
             plain(StatusCode::OK, "done\n")
         }
         ["healthcheck" | "stats"] => not_allowed("GET, HEAD"),
@@ -172,7 +179,7 @@
 }
 
 /// Asks the driver, who answers between two turns.
-async fn ask<T>(desk: &Desk, order: impl FnOnce(oneshot::Sender<T>) -> Control) -> Option<T> {
+async fn ask<T>(desk: &Desk, order: impl FnOnce(oneshot::Sender<T>) -> AdminCommand) -> Option<T> {
     let (reply, answer) = oneshot::channel();
     let asking = async {
         desk.orders.send(order(reply)).await.ok()?;
--- a/src/proxy/cluster_transport/abandoned_requests.rs
+++ b/src/proxy/cluster_transport/abandoned_requests.rs
@@ -9,7 +9,7 @@
 use crate::proxy::downstream::request::carried;
 use crate::proxy::downstream::request_head::Asked;
 use crate::proxy::downstream::server::Front;
-use crate::proxy::runtime::Answer;
+use crate::proxy::runtime::FinalResponse;
 use crate::proxy::upstream::forwarded_request::{Forward, Payload};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -95,14 +95,14 @@
             answer = carried(front, Arrival { deadline, ..of_before }, with) => answer,
         };
         match answer {
-            Answer::Served(_) => return Gone::Finished,
-            Answer::Refused(wait) => {
+            FinalResponse::Served(_) => return Gone::Finished,
+            FinalResponse::Rejected { retry_after: wait } => {
                 let told = wait.map_or(Duration::ZERO, crate::proxy::runtime::duration);
                 drop(work);
                 sleep((AGAIN * 2u32.pow(tried)).max(told.min(AGAIN * 8))).await;
             }
             // The module gives it up: it may not run again, or no server is left.
-            Answer::Failed => return Gone::Refused,
+            FinalResponse::Failed => return Gone::Refused,
         }
     }
     Gone::Refused
--- a/src/proxy/cluster_transport/claims.rs
+++ b/src/proxy/cluster_transport/claims.rs
@@ -10,7 +10,7 @@
 
     /// Whether requests of this class are finished by others where their gateway dies and no client comes again.
     pub fn finishes(&self, class: &str) -> bool {
-        self.config.finish.iter().any(|name| name == class)
+        self.config.finish_classes.iter().any(|name| name == class)
     }
     /// A request of a gateway that is gone was finished, or can't be.
     pub fn finished(&self, done: bool) {
@@ -32,7 +32,7 @@
         let slot = Rc::new(Slot::default());
         self.slots.borrow_mut().insert(claim, slot.clone());
         self.perform(effects);
-        Some(Rc::new(Work::new(self.clone(), claim, self.era.get(), slot, self.config.ledger_wait)))
+        Some(Rc::new(Work::new(self.clone(), claim, self.era.get(), slot, self.config.ledger_timeout)))
     }
 
     /// Does something with a claim, if it is of the part that this process takes now.
--- a/src/proxy/cluster_transport/ledger_request.rs
+++ b/src/proxy/cluster_transport/ledger_request.rs
@@ -8,7 +8,7 @@
 use crate::proxy::downstream::request_head::Asked;
 use crate::proxy::downstream::response_body::Giving;
 use crate::proxy::downstream::server::{Front, Malformed};
-use crate::proxy::runtime::Answer;
+use crate::proxy::runtime::FinalResponse;
 use crate::proxy::upstream::forwarded_request::Forward;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -39,7 +39,7 @@
     ((id, digest), request): ((RecordId, u64), Option<Vec<u8>>),
     arrival: Arrival,
     forward: impl Fn(Option<Rc<Work>>) -> Forward,
-) -> Result<Answer, Malformed> {
+) -> Result<FinalResponse, Malformed> {
     // Most come for the first time: they go ahead while the holders are asked.
     let mut ahead = !arrival.resent;
     let mut looks = 0;
@@ -65,7 +65,7 @@
         }
         match work.found().await {
             Finding::Answered(body) => {
-                return Ok(Answer::Served(Giving::Whole(Full::new(Bytes::from(body)), None)))
+                return Ok(FinalResponse::Served(Giving::Whole(Full::new(Bytes::from(body)), None)))
             }
             Finding::Mistake => {
                 let problem = "the key stands for another request\n";
@@ -75,7 +75,7 @@
                 let now = front.clock.now();
                 // As late as the module itself would say so.
                 if now + front.last_moment >= arrival.deadline {
-                    return Ok(Answer::Failed);
+                    return Ok(FinalResponse::Failed);
                 }
                 let wait = pause(looks, left);
                 looks += 1;
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -21,9 +21,9 @@
     WAKE,
 };
 use crate::decision::api::Lent;
-use crate::proxy::control_plane::config::FleetConfig;
-use crate::proxy::lifecycle::drain::{Duty, End};
-use crate::proxy::runtime::{tell, Clock, Inbox, Input};
+use crate::proxy::control_plane::config::ClusterConfig;
+use crate::proxy::lifecycle::drain::{Lifecycle, ShutdownPhase};
+use crate::proxy::runtime::{send_event, Clock, RuntimeEvent, RuntimeSender};
 use disk::{Disk, Word};
 use ledger_claim::{Slot, Work};
 use outcome_recorder::Arms;
@@ -50,10 +50,10 @@
 
 /// The gateway's place in its fleet.
 pub struct Peers {
-    config: FleetConfig,
+    config: ClusterConfig,
     clock: Clock,
-    duty: Rc<Duty>,
-    inbox: Inbox,
+    duty: Rc<Lifecycle>,
+    inbox: RuntimeSender,
     fleet: RefCell<Option<Fleet>>,
     /// Datagrams that the kernel did not take.
     unsent: Cell<u64>,
@@ -79,10 +79,10 @@
 impl Peers {
     /// For a gateway whose configuration names a fleet.
     pub fn new(
-        config: FleetConfig,
+        config: ClusterConfig,
         clock: Clock,
-        duty: Rc<Duty>,
-        inbox: Inbox,
+        duty: Rc<Lifecycle>,
+        inbox: RuntimeSender,
         arms: Rc<Arms>,
         (writes, orphans): (mpsc::Sender<Order>, mpsc::Sender<Orphan>),
     ) -> Rc<Peers> {
@@ -123,7 +123,7 @@
         mut opened: Option<UdpSocket>,
         mut elsewhere: watch::Receiver<BTreeMap<String, SocketAddr>>,
     ) {
-        let mut duty = self.duty.changes();
+        let mut duty = self.duty.subscribe();
         loop {
             if duty.wait_for(|s| s.serving && !s.replaced).await.is_err() {
                 return;
@@ -165,26 +165,28 @@
         let unix = Micros(unix.as_micros().min(u128::from(u64::MAX)) as u64);
         let settings = crate::cluster::Settings {
             peers: elsewhere.borrow_and_update().clone(),
-            disk: self.config.dir.as_ref().map(|_| disk::machine()),
+            disk: self.config.storage_dir.as_ref().map(|_| disk::machine()),
             ..self.config.settings.clone()
         };
         match Fleet::new(settings, self.clock.now(), unix, fastrand::u64(..)) {
             Ok(fleet) => {
                 info!(name = %fleet.own().name, incarnation = fleet.own().incarnation, "joining the fleet");
                 let in_force = fleet.in_force().filter(|f| !f.old.0.is_empty());
-                in_force.into_iter().for_each(|f| tell(&self.inbox, Input::Routing(Box::new(f))));
+                in_force
+                    .into_iter()
+                    .for_each(|f| send_event(&self.inbox, RuntimeEvent::RoutingChanged(Box::new(f))));
                 *self.fleet.borrow_mut() = Some(fleet);
                 self.era.set(self.era.get() + 1);
             }
             // Read and checked at the start.
             Err(error) => return warn!(%error, "no fleet"),
         }
-        let mut words = self.config.dir.as_ref().map(|folder| {
+        let mut words = self.config.storage_dir.as_ref().map(|folder| {
             let (disk, words) = Disk::open(folder);
             *self.disk.borrow_mut() = Some(disk);
             words
         });
-        let (mut duty, mut leaving) = (self.duty.changes(), false);
+        let (mut duty, mut leaving) = (self.duty.subscribe(), false);
         let (mut wake, mut refill, mut budget) = (Instant::now(), Instant::now(), BUDGET);
         let (mut strangers, mut told) = (0, Instant::now());
         let mut beat = self.keeps_ledger().then(Instant::now);
@@ -216,7 +218,7 @@
             if state.replaced {
                 return;
             }
-            if state.end >= End::Stopping && !std::mem::replace(&mut leaving, true) {
+            if state.shutdown >= ShutdownPhase::Stopping && !std::mem::replace(&mut leaving, true) {
                 self.give(Event::Leave);
             }
             tokio::select! {
@@ -265,11 +267,18 @@
                         self.give(Event::DiskFailed);
                     }
                 }
-                Effect::Shares(Shares { until, away }) if self.config.lend > 0.0 => {
-                    tell(&self.inbox, Input::Lent(Lent { part: self.config.lend, until, away }));
+                Effect::Shares(Shares { until, away }) if self.config.lendable_part > 0.0 => {
+                    send_event(
+                        &self.inbox,
+                        RuntimeEvent::QuotaLeaseChanged(Lent {
+                            part: self.config.lendable_part,
+                            until,
+                            away,
+                        }),
+                    );
                 }
                 Effect::Shares(_) => {}
-                Effect::Routing(in_force) => tell(&self.inbox, Input::Routing(in_force)),
+                Effect::Routing(in_force) => send_event(&self.inbox, RuntimeEvent::RoutingChanged(in_force)),
                 Effect::Branch(errand) => self.run_errand(errand),
                 // Where there is no room it is offered again, here or elsewhere.
                 Effect::Orphan(orphan) => drop(self.orphans.try_send(orphan)),
--- a/src/proxy/cluster_transport/write_queue_sender.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -11,7 +11,7 @@
 use crate::proxy::downstream::request::carried;
 use crate::proxy::downstream::request_head::Asked;
 use crate::proxy::downstream::server::Front;
-use crate::proxy::runtime::Answer;
+use crate::proxy::runtime::FinalResponse;
 use crate::proxy::upstream::forwarded_request::{Forward, Payload, Tries};
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
@@ -117,9 +117,11 @@
             None => Ok(carried(front, arrival, with(None)).await),
         };
         match answer {
-            Ok(Answer::Served(_)) => return Fate::Answered(200),
+            Ok(FinalResponse::Served(_)) => return Fate::Answered(200),
             // Whether trying again is harmless for a client that comes at once says nothing of later.
-            Ok(Answer::Refused(_) | Answer::Failed) if !tries.may_have_run(CALLED_OFF).await => {
+            Ok(FinalResponse::Rejected { .. } | FinalResponse::Failed)
+                if !tries.may_have_run(CALLED_OFF).await =>
+            {
                 return Fate::Refused
             }
             Ok(_) => {}
--- a/src/proxy/cluster_transport/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -12,7 +12,7 @@
     pub fn takes_writes(&self, class: &str, customer: u64, object: u64) -> bool {
         let fleet = self.fleet.borrow();
         let clerk = fleet.as_ref().and_then(Fleet::branch).map(|branch| branch.clerk());
-        let named = || self.config.branch_classes.iter().any(|name| name == class);
+        let named = || self.config.write_queue_classes.iter().any(|name| name == class);
         clerk.is_some_and(|clerk| clerk.takes(customer, object) && named())
     }
 
--- a/src/proxy/control_plane/config.rs
+++ b/src/proxy/control_plane/config.rs
@@ -2,7 +2,7 @@
 
 mod fleet_file;
 
-pub use fleet_file::FleetConfig;
+pub use fleet_file::ClusterConfig;
 
 use crate::proxy::control_plane::discovery::MemberList;
 use crate::site_settings::{flatten, Fields, Site};
@@ -68,7 +68,7 @@
 /// All that a gateway is told at its start.
 pub struct Config {
     /// Its fleet, where it has one.
-    pub(crate) fleet: Option<FleetConfig>,
+    pub(crate) fleet: Option<ClusterConfig>,
     pub(crate) name: String,
     pub(crate) listen: SocketAddr,
     pub(crate) discovery: SocketAddr,
@@ -117,7 +117,7 @@
 
 /// What a running gateway takes over from a configuration read again.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Services {
+pub struct ServiceAddresses {
     /// Where discovery listens.
     pub discovery: SocketAddr,
     /// Where the counter listens, if there is one.
@@ -140,18 +140,18 @@
     }
 
     /// Where the services are that a gateway asks.
-    pub fn services(&self) -> Services {
+    pub fn services(&self) -> ServiceAddresses {
         let peers = self.fleet.as_ref().map(|f| f.settings.peers.clone()).unwrap_or_default();
-        Services { discovery: self.discovery, counter: self.counter, peers }
+        ServiceAddresses { discovery: self.discovery, counter: self.counter, peers }
     }
 
     /// Reads the file again. Its addresses count now: the environment is still that of the start.
-    pub fn reload() -> Result<Services, ConfigError> {
+    pub fn reload() -> Result<ServiceAddresses, ConfigError> {
         let (path, text) = file()?;
         // Where it listens does not change, and may be known from the environment alone.
         let listen = Some(SocketAddr::from(([0, 0, 0, 0], 0)));
         let config = Config::parse(&text, listen, None).map_err(|e| ConfigError(format!("{path}: {e}")))?;
-        let fleet = FleetConfig::from_environment()?;
+        let fleet = ClusterConfig::from_environment()?;
         Ok(Config { fleet, ..config }.services())
     }
 
@@ -174,7 +174,7 @@
         };
         let folder = env::var_os("TMPDIR").map(PathBuf::from);
         let name = env::var("NODE_NAME").unwrap_or_default();
-        let fleet = FleetConfig::from_environment()?;
+        let fleet = ClusterConfig::from_environment()?;
         let config = Config::parse(&text, address("NODE_LISTEN")?, address("NODE_DISCOVERY")?)
             .map(|c| Config { fleet, name, ops: ops.or(c.ops), accept_fd, folder, ..c })
             .map_err(|e| ConfigError(format!("{path}: {e}")))?;
--- a/src/proxy/control_plane/config/fleet_file.rs
+++ b/src/proxy/control_plane/config/fleet_file.rs
@@ -156,28 +156,28 @@
 
 /// This gateway's place in its fleet.
 #[derive(Debug, Clone)]
-pub struct FleetConfig {
+pub struct ClusterConfig {
     /// Where other gateways' datagrams come in.
     pub listen: SocketAddr,
     /// The part of each share that may be lent; 0: shares are fixed.
-    pub lend: f64,
+    pub lendable_part: f64,
     /// For how long a request waits for the ledger at the most, each time.
-    pub ledger_wait: std::time::Duration,
+    pub ledger_timeout: std::time::Duration,
     /// The classes of which requests are finished where their gateway dies and no client comes again.
-    pub finish: Vec<String>,
+    pub finish_classes: Vec<String>,
     /// The folder on the disk that outlives the process, where it has one.
-    pub dir: Option<PathBuf>,
+    pub storage_dir: Option<PathBuf>,
     /// The classes of which the branch accepts writes.
-    pub branch_classes: Vec<String>,
+    pub write_queue_classes: Vec<String>,
     /// Those of them after which, where one was not done, nothing goes on that came after it.
-    pub branch_stops: Vec<String>,
+    pub write_queue_stop_classes: Vec<String>,
     /// What the fleet part is told.
     pub settings: cluster::Settings,
 }
 
-impl FleetConfig {
+impl ClusterConfig {
     /// Reads the text of a fleet's file, for a gateway whose environment gives this name.
-    pub fn parse(text: &str, name: &str) -> Result<FleetConfig, ConfigError> {
+    pub fn parse(text: &str, name: &str) -> Result<ClusterConfig, ConfigError> {
         let plain = |e: toml::de::Error| {
             let line =
                 e.span().map_or(1, |span| 1 + text[..span.start.min(text.len())].matches('\n').count());
@@ -201,7 +201,7 @@
             life: micros(l.life_ms),
         });
         let branch = document.branch.as_ref().map(|b| b.terms(&document.seats)).transpose()?;
-        let (wait_ms, dir, finish) =
+        let (wait_ms, storage_dir, finish_classes) =
             document.ledger.map_or((0, None, Vec::new()), |l| (l.wait_ms, l.dir, l.finish));
         if wait_ms > 100 {
             return Err(ConfigError(format!("ledger.wait_ms: expected 0 to 100, found {wait_ms}")));
@@ -223,30 +223,30 @@
         if !(0.0..=1.0).contains(&document.lend) || document.lend > 0.0 && settings.seats.is_empty() {
             return Err(ConfigError("lend: expected 0 to 1, and seats where it is above 0".into()));
         }
-        let ledger_wait = std::time::Duration::from_millis(wait_ms);
-        let branch_stops =
+        let ledger_timeout = std::time::Duration::from_millis(wait_ms);
+        let write_queue_stop_classes =
             document.branch.as_ref().map(|b| b.on_failure.stops(&b.classes)).unwrap_or_default();
-        let branch_classes = document.branch.map(|b| b.classes).unwrap_or_default();
-        Ok(FleetConfig {
+        let write_queue_classes = document.branch.map(|b| b.classes).unwrap_or_default();
+        Ok(ClusterConfig {
             listen: document.listen,
-            lend: document.lend,
-            ledger_wait,
-            finish,
-            dir,
-            branch_classes,
-            branch_stops,
+            lendable_part: document.lend,
+            ledger_timeout,
+            finish_classes,
+            storage_dir,
+            write_queue_classes,
+            write_queue_stop_classes,
             settings,
         })
     }
 
     /// Reads the file that the environment names, if it names one.
-    pub(super) fn from_environment() -> Result<Option<FleetConfig>, ConfigError> {
+    pub(super) fn from_environment() -> Result<Option<ClusterConfig>, ConfigError> {
         let Some(path) = env::var_os("NODE_FLEET").map(PathBuf::from) else { return Ok(None) };
         let told = |e: &dyn fmt::Display| ConfigError(format!("{}: {e}", path.display()));
         let text = std::fs::read_to_string(&path).map_err(|e| told(&e))?;
         let name = env::var("NODE_NAME").unwrap_or_default();
-        let config = FleetConfig::parse(&text, &name).map_err(|e| told(&e))?;
-        match config.dir.as_ref().filter(|dir| !dir.is_dir()) {
+        let config = ClusterConfig::parse(&text, &name).map_err(|e| told(&e))?;
+        match config.storage_dir.as_ref().filter(|dir| !dir.is_dir()) {
             Some(dir) => Err(told(&format!("ledger.dir: expected a folder, found '{}'", dir.display()))),
             None => Ok(Some(config)),
         }
--- a/src/proxy/control_plane/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -3,7 +3,7 @@
 //! The files are in `tests/fixtures/control`. They name values by their keys in the file, so that they hold
 //! whatever the fields are called.
 
-use super::{Config, FleetConfig, SocketLimits};
+use super::{ClusterConfig, Config, SocketLimits};
 use crate::cluster::rollout::Rule;
 use crate::decision::api::{Class, Effect, Group, Plan};
 use crate::fixture;
@@ -150,7 +150,7 @@
 }
 
 fn read_fleet(text: &str) -> String {
-    let config = FleetConfig::parse(text, "named-by-the-environment").expect("a fleet's file");
+    let config = ClusterConfig::parse(text, "named-by-the-environment").expect("a fleet's file");
     let mut out = Listing::default();
     let settings = &config.settings;
     out.put("fleet", &settings.fleet);
@@ -161,25 +161,25 @@
     out.put("capabilities", settings.about.capabilities);
     out.put("period_ms", settings.period.as_micros() as f64 / 1000.0);
     out.put("seats", &settings.seats);
-    out.put("lend", config.lend);
+    out.put("lend", config.lendable_part);
     out.put("peers", &settings.peers);
     let ledger = settings.ledger.as_ref();
     out.put("ledger.holders", ledger.map(|l| l.holders));
     out.put("ledger.lease_ms", ledger.map(|l| l.lease.0 as f64 / 1000.0));
     out.put("ledger.life_ms", ledger.map(|l| l.life.0 as f64 / 1000.0));
-    out.put("ledger.wait_ms", config.ledger_wait.as_micros() as f64 / 1000.0);
-    out.put("ledger.dir", &config.dir);
-    out.put("ledger.finish", &config.finish);
+    out.put("ledger.wait_ms", config.ledger_timeout.as_micros() as f64 / 1000.0);
+    out.put("ledger.dir", &config.storage_dir);
+    out.put("ledger.finish", &config.finish_classes);
     let branch = settings.branch.as_ref();
     out.put("branch.seats", branch.map(|b| b.seats.clone()));
-    out.put("branch.classes", &config.branch_classes);
+    out.put("branch.classes", &config.write_queue_classes);
     out.put("branch.writes", branch.map(|b| b.most));
     out.put("branch.of_one", branch.map(|b| b.most_of_one));
     out.put("branch.longest_s", branch.map(|b| b.longest.0 as f64 / 1e6));
     out.put("branch.cut_after_ms", branch.map(|b| b.cut_after.0 as f64 / 1000.0));
     out.put("branch.out", branch.map(|b| b.out));
     out.put("branch.per_s", branch.map(|b| b.per_s));
-    out.put("branch.on_failure, classes that stop", &config.branch_stops);
+    out.put("branch.on_failure, classes that stop", &config.write_queue_stop_classes);
     out.put("rollout.rule", settings.rules.as_ref().map(|rules| rules.0.len()));
     for (at, rule) in settings.rules.iter().flat_map(|rules| &rules.0).enumerate() {
         put_rule(&mut out, at, rule);
@@ -345,7 +345,7 @@
 
 #[test]
 fn a_wrong_value_of_the_fleets_file_is_one_plain_line() {
-    let read = |text: &str| FleetConfig::parse(text, "gate-1").map(drop).map_err(|e| e.to_string());
+    let read = |text: &str| ClusterConfig::parse(text, "gate-1").map(drop).map_err(|e| e.to_string());
     fixture::assert_same("control/fleet.errors.txt", &errors(FLEET, FLEET_WRONG, read));
 }
 
--- a/src/proxy/control_plane/counter.rs
+++ b/src/proxy/control_plane/counter.rs
@@ -2,7 +2,7 @@
 
 use crate::decision::api::{CountName, Micros, Outcome};
 use crate::proxy::downstream::request_body::Sending;
-use crate::proxy::lifecycle::permits::Share;
+use crate::proxy::lifecycle::permits::Permits;
 use crate::proxy::log_rate_limit::Sparing;
 use crate::proxy::upstream::connection::{CallError, Connection};
 use bytes::Bytes;
@@ -41,14 +41,14 @@
     timeout: Duration,
     connections: usize,
     idle: RefCell<Vec<Connection>>,
-    lines: Share,
+    lines: Permits,
     garbled: Sparing,
 }
 
 impl Counter {
     /// Calls go over at most so many connections and are given up after `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration, connections: usize) -> Counter {
-        let lines = Share::new(connections);
+        let lines = Permits::new(connections);
         Counter {
             address,
             timeout,
@@ -66,8 +66,8 @@
 
     /// Leaves so many quarters of the connections to the other process of this gateway.
     pub fn leave(&self, quarters: usize) {
-        self.lines.leave(self.connections * quarters / 4);
-        self.idle.borrow_mut().truncate(self.lines.free());
+        self.lines.reserve_for_other_process(self.connections * quarters / 4);
+        self.idle.borrow_mut().truncate(self.lines.available());
     }
 
     /// Makes one call. An unanswered one closes its connection, so that a late answer meets no later call.
@@ -81,7 +81,7 @@
     }
 
     async fn exchange(&self, name: CountName, amount: f64, life: Micros, wrote: &Cell<bool>) -> Counted {
-        let _line = self.lines.take().await;
+        let _line = self.lines.acquire().await;
         loop {
             let (mut connection, reused) = match self.take() {
                 Some(connection) => (connection, true),
--- a/src/proxy/control_plane/discovery/mod.rs
+++ b/src/proxy/control_plane/discovery/mod.rs
@@ -18,7 +18,7 @@
 use crate::decision::api::Settings;
 use crate::proxy::admin::metrics::Figures;
 use crate::proxy::log_rate_limit::Sparing;
-use crate::proxy::runtime::{Inbox, Input};
+use crate::proxy::runtime::{RuntimeEvent, RuntimeSender};
 use crate::proxy::upstream::connection::Connection;
 use call::{Answer, Call, CallFailure, Progress};
 use std::net::SocketAddr;
@@ -99,7 +99,13 @@
 
 /// Brings the list up to date, from the version that the driver holds if there is one, then watches it for ever,
 /// telling the driver what is new.
-pub async fn watch(address: SocketAddr, held: Option<u64>, pace: Pace, inbox: Inbox, figures: Rc<Figures>) {
+pub async fn watch(
+    address: SocketAddr,
+    held: Option<u64>,
+    pace: Pace,
+    inbox: RuntimeSender,
+    figures: Rc<Figures>,
+) {
     let mut watch = Watch {
         address,
         pace,
@@ -122,7 +128,7 @@
         watch.answered = true;
         watch.revision = Some(list.revision);
         watch.figures.discovery.listed(list.revision, length);
-        if inbox.send(Input::Members(list)).await.is_err() {
+        if inbox.send(RuntimeEvent::EndpointsChanged(list)).await.is_err() {
             return;
         }
     }
--- a/src/proxy/downstream/idle_connections.rs
+++ b/src/proxy/downstream/idle_connections.rs
@@ -1,7 +1,7 @@
 //! The connections of clients on which no request is open: how long each may stand so, and which is closed
 //! first when room is short.
 
-use crate::proxy::lifecycle::drain::Duty;
+use crate::proxy::lifecycle::drain::Lifecycle;
 use crate::proxy::tcp_io;
 use rustix::net::{shutdown, Shutdown};
 use std::cell::{Cell, RefCell};
@@ -84,7 +84,7 @@
 
 /// All connections without an open request, those quiet for longest first.
 pub struct Crowd {
-    duty: Rc<Duty>,
+    duty: Rc<Lifecycle>,
     last: Cell<u64>,
     silent: RefCell<Quiet>,
     heads: RefCell<Quiet>,
@@ -93,7 +93,7 @@
 
 impl Crowd {
     /// Nobody yet.
-    pub fn new(duty: Rc<Duty>) -> Crowd {
+    pub fn new(duty: Rc<Lifecycle>) -> Crowd {
         let (silent, heads, idle) = Default::default();
         Crowd { duty, last: Cell::new(0), silent, heads, idle }
     }
@@ -164,7 +164,7 @@
 
     /// Closes the connections whose time is up.
     pub fn sweep(&self) {
-        let (now, longest) = (Instant::now(), self.duty.longest_idle());
+        let (now, longest) = (Instant::now(), self.duty.idle_timeout());
         for heads in [&self.silent, &self.heads] {
             heads.borrow().values().filter(|p| now >= p.due.get()).for_each(|p| p.doom());
         }
--- a/src/proxy/downstream/request.rs
+++ b/src/proxy/downstream/request.rs
@@ -9,9 +9,9 @@
 use crate::proxy::downstream::request_head::Asked;
 use crate::proxy::downstream::response_body::Giving;
 use crate::proxy::downstream::server::{giving, plain, Body, Front, Malformed, WRITES};
-use crate::proxy::lifecycle::drain;
+use crate::proxy::lifecycle::drain::ShutdownPhase;
 use crate::proxy::memory_budget::Memory;
-use crate::proxy::runtime::{tell, Answer, Inbox, Input, Taken};
+use crate::proxy::runtime::{send_event, FinalResponse, NewRequest, RuntimeEvent, RuntimeSender};
 use crate::proxy::upstream::connection::MAX_BODY;
 use crate::proxy::upstream::forwarded_request::{strip_hop_by_hop, Forward, Payload};
 use bytes::Bytes;
@@ -24,7 +24,7 @@
 
 /// Tells the driver that the client is gone, unless it was answered.
 struct Watch<'a> {
-    inbox: &'a Inbox,
+    inbox: &'a RuntimeSender,
     id: RequestId,
     answered: bool,
 }
@@ -34,7 +34,7 @@
         if self.answered {
             return;
         }
-        tell(self.inbox, Input::Gone(self.id));
+        send_event(self.inbox, RuntimeEvent::ClientDisconnected(self.id));
     }
 }
 
@@ -145,10 +145,10 @@
     let forward = Forward::new(head.method, uri, headers, body);
     let (reply, mut answer) = oneshot::channel();
     let (class, upload) = (asked.arrival.class, arrived.is_some());
-    let taken = Taken { arrival: Arrival { id, deadline, upload, ..asked.arrival }, forward, reply };
-    let (mut watch, mut state) = (Watch { inbox: &front.inbox, id, answered: false }, front.duty.changes());
+    let taken = NewRequest { arrival: Arrival { id, deadline, upload, ..asked.arrival }, forward, reply };
+    let (mut watch, mut state) = (Watch { inbox: &front.inbox, id, answered: false }, front.duty.subscribe());
     // Without a driver the answer's sender is gone with the request.
-    let _ = front.inbox.send(Input::Taken(Box::new(taken))).await;
+    let _ = front.inbox.send(RuntimeEvent::RequestReceived(Box::new(taken))).await;
     let answer = loop {
         let arriving = async {
             match &mut arrived {
@@ -160,7 +160,7 @@
             biased;
             answer = &mut answer => {
                 watch.answered = true;
-                break answer.unwrap_or(Answer::Failed);
+                break answer.unwrap_or(FinalResponse::Failed);
             }
             how = arriving => {
                 arrived = None;
@@ -168,7 +168,7 @@
                     Ok(Arrived::Whole) => {
                         ticket = Some(front.figures.taken(class));
                         let deadline = front.clock.now() + asked.budget;
-                        let _ = front.inbox.send(Input::Uploaded(id, deadline)).await;
+                        let _ = front.inbox.send(RuntimeEvent::RequestBodyEnded { request: id, deadline }).await;
                     }
                     Ok(Arrived::Broken(error)) => return Err(error.into()),
                     Ok(Arrived::Left(rest)) => drop(tokio::task::spawn_local(rest.drain())),
@@ -176,7 +176,7 @@
                 }
             }
             // To the driver it is as if the client had left.
-            _ = state.wait_for(|state| state.end == drain::End::Ending) => break Answer::Failed,
+            _ = state.wait_for(|state| state.shutdown == ShutdownPhase::Final) => break FinalResponse::Failed,
         }
     };
     // A client that is answered early may still finish its body, and then reads the answer.
@@ -187,39 +187,39 @@
 }
 
 /// Takes a request that is whole through the driver to its answer.
-pub async fn carried(front: &Front, arrival: Arrival, forward: Forward) -> Answer {
+pub async fn carried(front: &Front, arrival: Arrival, forward: Forward) -> FinalResponse {
     let id = RequestId(front.last.replace(front.last.get() + 1) + 1);
     let (reply, answer) = oneshot::channel();
-    let taken = Taken { arrival: Arrival { id, ..arrival }, forward, reply };
-    let (mut watch, mut state) = (Watch { inbox: &front.inbox, id, answered: false }, front.duty.changes());
+    let taken = NewRequest { arrival: Arrival { id, ..arrival }, forward, reply };
+    let (mut watch, mut state) = (Watch { inbox: &front.inbox, id, answered: false }, front.duty.subscribe());
     // Without a driver the answer's sender is gone with the request.
-    let _ = front.inbox.send(Input::Taken(Box::new(taken))).await;
+    let _ = front.inbox.send(RuntimeEvent::RequestReceived(Box::new(taken))).await;
     tokio::select! {
         biased;
         answer = answer => {
             watch.answered = true;
-            answer.unwrap_or(Answer::Failed)
+            answer.unwrap_or(FinalResponse::Failed)
         }
-        _ = state.wait_for(|state| state.end == drain::End::Ending) => Answer::Failed,
+        _ = state.wait_for(|state| state.shutdown == ShutdownPhase::Final) => FinalResponse::Failed,
     }
 }
 
 /// The answer as its client gets it.
-fn answered(answer: Answer, mut ticket: Ticket) -> Response<Body> {
+fn answered(answer: FinalResponse, mut ticket: Ticket) -> Response<Body> {
     let mut response = match answer {
-        Answer::Served(body) => {
+        FinalResponse::Served(body) => {
             // A long answer is served once its last byte is passed on.
             ticket.ends(if matches!(body, Giving::Whole(..)) { End::Served } else { End::Failed });
             giving(StatusCode::OK, body)
         }
-        Answer::Refused(wait) => {
+        FinalResponse::Rejected { retry_after: wait } => {
             ticket.ends(End::Refused);
             let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "refused\n");
             let wait = wait.and_then(|w| HeaderValue::from_str(&format!("{:.3}", w.secs())).ok());
             wait.into_iter().for_each(|w| drop(response.headers_mut().insert(header::RETRY_AFTER, w)));
             response
         }
-        Answer::Failed => {
+        FinalResponse::Failed => {
             ticket.ends(End::Failed);
             plain(StatusCode::BAD_GATEWAY, "failed\n")
         }
--- a/src/proxy/downstream/server.rs
+++ b/src/proxy/downstream/server.rs
@@ -8,10 +8,10 @@
 use crate::proxy::downstream::idle_connections::{Busy, Crowd, SWEEP_EVERY};
 use crate::proxy::downstream::request::take;
 use crate::proxy::downstream::response_body::{BrokeOff, Giving};
-use crate::proxy::lifecycle::drain::{self, Duty};
-use crate::proxy::lifecycle::permits::Share;
+use crate::proxy::lifecycle::drain::{Lifecycle, ShutdownPhase};
+use crate::proxy::lifecycle::permits::Permits;
 use crate::proxy::memory_budget::Memory;
-use crate::proxy::runtime::{duration, Clock, Inbox};
+use crate::proxy::runtime::{duration, Clock, RuntimeSender};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Frame, Incoming, SizeHint};
@@ -49,15 +49,15 @@
 /// What all connections of clients share.
 pub struct Front {
     /// The way to the driver.
-    pub inbox: Inbox,
+    pub inbox: RuntimeSender,
     /// The module's clock.
     pub clock: Clock,
     /// Whether the gateway serves, drains or ends.
-    pub duty: Rc<Duty>,
+    pub duty: Rc<Lifecycle>,
     /// The counters for operators.
     pub figures: Rc<Figures>,
     /// The places for connections.
-    pub places: Rc<Share>,
+    pub places: Rc<Permits>,
     /// The budget for what is kept whole, and for buffers.
     pub memory: Rc<Memory>,
     /// The names of classes, with what they may do and the longest wait.
@@ -96,9 +96,9 @@
 pub async fn serve(listener: TcpListener, front: Rc<Front>, mut elsewhere: watch::Receiver<usize>) {
     let places = front.places.clone();
     let crowd = Rc::new(Crowd::new(front.duty.clone()));
-    let mut state = front.duty.changes();
-    let stops = || front.duty.state().end > drain::End::Open;
-    let ending = || front.duty.state().end == drain::End::Ending;
+    let mut state = front.duty.subscribe();
+    let stops = || front.duty.state().shutdown > ShutdownPhase::Running;
+    let ending = || front.duty.state().shutdown == ShutdownPhase::Final;
     let ending_at = |last_call: Option<Instant>| last_call.unwrap_or_else(Instant::now) + front.last_wait();
     let mut last_call = stops().then(Instant::now);
     let mut sweep = interval(SWEEP_EVERY);
@@ -113,13 +113,13 @@
                 Ok((stream, _)) => {
                     accepting.succeeded();
                     waiting = Some(stream);
-                    if places.free() == 0 {
+                    if places.available() == 0 {
                         crowd.make_room();
                     }
                 }
                 Err(error) => accepting.failed(&error).await,
             },
-            place = places.take(), if room => {
+            place = places.acquire(), if room => {
                 if let Some(stream) = waiting.take() {
                     let (front, crowd) = (front.clone(), crowd.clone());
                     tokio::task::spawn_local(async move {
@@ -130,7 +130,7 @@
             }
             () = sleep(MAKE_ROOM_EVERY), if room => crowd.make_room(),
             _ = sweep.tick() => crowd.sweep(),
-            Ok(()) = elsewhere.changed() => places.leave(*elsewhere.borrow_and_update()),
+            Ok(()) = elsewhere.changed() => places.reserve_for_other_process(*elsewhere.borrow_and_update()),
             Ok(()) = state.changed() => {
                 crowd.sweep();
                 if last_call.is_none() && stops() {
@@ -138,7 +138,7 @@
                 }
             }
             () = sleep_until(ending_at(last_call)), if last_call.is_some() && !ending() => {
-                front.duty.end(drain::End::Ending);
+                front.duty.advance_shutdown(ShutdownPhase::Final);
             }
             // Where another process takes the new connections, none is left to wait for.
             () = std::future::ready(()), if !room && last_call.is_some() && front.duty.is_replaced() => break,
@@ -148,13 +148,13 @@
         }
     }
     drop(listener);
-    let mut empty = pin!(places.empty());
+    let mut empty = pin!(places.wait_until_unused());
     let last_call = last_call.or_else(|| Some(Instant::now()));
     loop {
         tokio::select! {
             () = &mut empty => return,
             _ = sweep.tick() => crowd.sweep(),
-            () = sleep_until(ending_at(last_call)), if !ending() => front.duty.end(drain::End::Ending),
+            () = sleep_until(ending_at(last_call)), if !ending() => front.duty.advance_shutdown(ShutdownPhase::Final),
             () = sleep_until(last_call.unwrap_or_else(Instant::now) + LAST_ANSWER) => return warn!("some connections were still open"),
         }
     }
@@ -192,7 +192,7 @@
     let had_last_answer = matches!(why, Close::Ended | Close::Broken);
     // Where no answer can be under way there is nothing to guard: bytes that cross the close are left unread, and the
     // reset tells the client that it may send them once more.
-    if had_last_answer && front.places.free() > 0 {
+    if had_last_answer && front.places.available() > 0 {
         end_after_answer(&stream).await;
     }
 }
@@ -246,7 +246,7 @@
 
 async fn respond(request: Request<Incoming>, front: &Front, busy: Busy) -> Response<Body> {
     let mut response = match request.uri().path() {
-        "/_health" => match front.duty.healthy() {
+        "/_health" => match front.duty.is_healthy() {
             true => plain(StatusCode::OK, "ready\n"),
             false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         },
@@ -259,7 +259,7 @@
     };
     response.body_mut()._busy = Some(busy);
     // Where places are short a client that keeps its connection keeps another out.
-    if front.duty.lets_go() || front.places.free() * SHORT < front.places.all() {
+    if front.duty.closes_connections() || front.places.available() * SHORT < front.places.total() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
@@ -289,14 +289,14 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::sync::mpsc;
 
-    fn front(duty: Rc<Duty>) -> Front {
+    fn front(duty: Rc<Lifecycle>) -> Front {
         let (inbox, _) = mpsc::channel(1);
         Front {
             inbox,
             clock: Clock::start(),
             duty,
             figures: Rc::default(),
-            places: Rc::new(Share::new(4)),
+            places: Rc::new(Permits::new(4)),
             memory: Rc::new(Memory::new(32.0, SocketLimits { clients: 4, backends: 4, counter: 1 })),
             classes: HashMap::new(),
             plans: HashMap::new(),
@@ -319,9 +319,9 @@
             let ours = std::net::TcpStream::from(OwnedFd::from(ours));
             let stream = TcpStream::from_std(ours).expect("a stream");
             assert!(stream.set_nodelay(true).is_err(), "else this shows nothing");
-            let duty = Rc::new(Duty::default());
-            duty.listed();
-            duty.serve();
+            let duty = Rc::new(Lifecycle::default());
+            duty.mark_endpoints_known();
+            duty.start_serving();
             let crowd = Rc::new(Crowd::new(duty.clone()));
             tokio::task::spawn_local(connection(stream, Rc::new(front(duty)), crowd));
             let mut client = tokio::net::UnixStream::from_std(theirs).expect("a stream");
--- a/src/proxy/lifecycle/drain.rs
+++ b/src/proxy/lifecycle/drain.rs
@@ -12,39 +12,39 @@
 
 /// How near its end the process is. It only goes on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
+pub enum ShutdownPhase {
     /// Not in sight.
     #[default]
-    Open,
+    Running,
     /// SIGTERM came: every connection is let go after its answer.
     Stopping,
     /// The last moments after SIGTERM: what is still open is failed.
-    Ending,
+    Final,
 }
 
 /// What the process is about.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct State {
+pub struct LifecycleState {
     /// The list of backends is in hand.
-    pub listed: bool,
+    pub endpoints_known: bool,
     /// It may serve: a process before it, if there was one, has handed over.
     pub serving: bool,
     /// An operator empties the gateway: what comes is still served, and connections are let go.
-    pub drains: bool,
+    pub draining: bool,
     /// Another process takes the new connections.
     pub replaced: bool,
     /// How near the end is.
-    pub end: End,
+    pub shutdown: ShutdownPhase,
 }
 
 /// The state, and who waits for it to change.
 #[derive(Default)]
-pub struct Duty {
-    state: watch::Sender<State>,
+pub struct Lifecycle {
+    state: watch::Sender<LifecycleState>,
 }
 
-impl Duty {
-    fn set(&self, change: impl FnOnce(&mut State)) -> bool {
+impl Lifecycle {
+    fn set(&self, change: impl FnOnce(&mut LifecycleState)) -> bool {
         self.state.send_if_modified(|state| {
             let before = *state;
             change(state);
@@ -53,32 +53,32 @@
     }
 
     /// The list of backends is in hand. Returns whether that is news.
-    pub fn listed(&self) -> bool {
-        self.set(|state| state.listed = true)
+    pub fn mark_endpoints_known(&self) -> bool {
+        self.set(|state| state.endpoints_known = true)
     }
     /// The process may serve.
-    pub fn serve(&self) {
+    pub fn start_serving(&self) {
         self.set(|state| state.serving = true);
     }
     /// An operator's word: empty the gateway, or back to work.
-    pub fn drain(&self, on: bool) {
-        self.set(|state| state.drains = on);
+    pub fn set_draining(&self, on: bool) {
+        self.set(|state| state.draining = on);
     }
     /// Another process has taken over, or is gone again.
-    pub fn replace(&self, on: bool) {
+    pub fn set_replaced(&self, on: bool) {
         self.set(|state| state.replaced = on);
     }
     /// Goes on towards the end, never back.
-    pub fn end(&self, to: End) {
-        self.set(|state| state.end = state.end.max(to));
+    pub fn advance_shutdown(&self, to: ShutdownPhase) {
+        self.set(|state| state.shutdown = state.shutdown.max(to));
     }
 
     /// The state now.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> LifecycleState {
         *self.state.borrow()
     }
     /// Tells each change.
-    pub fn changes(&self) -> watch::Receiver<State> {
+    pub fn subscribe(&self) -> watch::Receiver<LifecycleState> {
         self.state.subscribe()
     }
     /// Another process takes the new connections.
@@ -87,29 +87,32 @@
     }
 
     /// Whether this process is ready to serve.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let state = self.state();
-        state.listed && state.serving && !state.drains && state.end == End::Open
+        state.endpoints_known && state.serving && !state.draining && state.shutdown == ShutdownPhase::Running
     }
     /// Whether clients should come to the gateway. While another process takes the new connections, the word
     /// about the end of this one is not the gateway's.
-    pub fn healthy(&self) -> bool {
+    pub fn is_healthy(&self) -> bool {
         let state = self.state();
-        state.listed && state.serving && !state.drains && (state.replaced || state.end == End::Open)
+        state.endpoints_known
+            && state.serving
+            && !state.draining
+            && (state.replaced || state.shutdown == ShutdownPhase::Running)
     }
     /// Whether an answer is the last on its connection.
-    pub fn lets_go(&self) -> bool {
+    pub fn closes_connections(&self) -> bool {
         let state = self.state();
-        state.drains || state.replaced || state.end > End::Open
+        state.draining || state.replaced || state.shutdown > ShutdownPhase::Running
     }
     /// How long a connection of a client may stand idle now. At the end new connections are still taken, so a
     /// request that crosses the closing comes back on one of them; where another process takes them there is
     /// time to wait until a connection is idle for as long as ever.
-    pub fn longest_idle(&self) -> Duration {
+    pub fn idle_timeout(&self) -> Duration {
         match self.state() {
-            State { replaced: true, .. } => IDLE,
-            State { end: End::Stopping | End::Ending, .. } => Duration::ZERO,
-            State { drains: true, .. } => IDLE_DRAINING,
+            LifecycleState { replaced: true, .. } => IDLE,
+            LifecycleState { shutdown: ShutdownPhase::Stopping | ShutdownPhase::Final, .. } => Duration::ZERO,
+            LifecycleState { draining: true, .. } => IDLE_DRAINING,
             _ => IDLE,
         }
     }
@@ -121,29 +124,29 @@
 
     #[test]
     fn a_drain_is_undone_and_an_end_is_not() {
-        let duty = Duty::default();
-        assert!(duty.listed() && !duty.listed());
-        assert!(!duty.ready(), "not before it may serve");
-        duty.serve();
-        assert!(duty.ready() && duty.healthy() && !duty.lets_go());
-        duty.drain(true);
-        assert!(!duty.ready() && !duty.healthy() && duty.lets_go());
-        duty.drain(false);
-        assert!(duty.ready() && !duty.lets_go());
-        duty.end(End::Ending);
-        duty.end(End::Stopping);
-        assert_eq!(duty.state().end, End::Ending);
-        assert!(!duty.ready() && !duty.healthy() && duty.lets_go());
+        let duty = Lifecycle::default();
+        assert!(duty.mark_endpoints_known() && !duty.mark_endpoints_known());
+        assert!(!duty.is_ready(), "not before it may serve");
+        duty.start_serving();
+        assert!(duty.is_ready() && duty.is_healthy() && !duty.closes_connections());
+        duty.set_draining(true);
+        assert!(!duty.is_ready() && !duty.is_healthy() && duty.closes_connections());
+        duty.set_draining(false);
+        assert!(duty.is_ready() && !duty.closes_connections());
+        duty.advance_shutdown(ShutdownPhase::Final);
+        duty.advance_shutdown(ShutdownPhase::Stopping);
+        assert_eq!(duty.state().shutdown, ShutdownPhase::Final);
+        assert!(!duty.is_ready() && !duty.is_healthy() && duty.closes_connections());
     }
 
     #[test]
     fn a_replaced_process_speaks_for_the_gateway_until_its_end() {
-        let duty = Duty::default();
-        duty.listed();
-        duty.serve();
-        duty.replace(true);
-        duty.end(End::Stopping);
-        assert!(duty.healthy() && !duty.ready() && duty.lets_go());
-        assert_eq!(duty.longest_idle(), IDLE, "no connection is closed in a hurry");
+        let duty = Lifecycle::default();
+        duty.mark_endpoints_known();
+        duty.start_serving();
+        duty.set_replaced(true);
+        duty.advance_shutdown(ShutdownPhase::Stopping);
+        assert!(duty.is_healthy() && !duty.is_ready() && duty.closes_connections());
+        assert_eq!(duty.idle_timeout(), IDLE, "no connection is closed in a hurry");
     }
 }
--- a/src/proxy/lifecycle/handover.rs
+++ b/src/proxy/lifecycle/handover.rs
@@ -7,8 +7,8 @@
 use crate::decision::state::Estate;
 use crate::proxy::control_plane::discovery::{MemberList, MOST_BACKENDS};
 use crate::proxy::downstream::accept::Accepting;
-use crate::proxy::lifecycle::drain::Duty;
-use crate::proxy::runtime::{Control, Orders};
+use crate::proxy::lifecycle::drain::Lifecycle;
+use crate::proxy::runtime::{AdminCommand, AdminSender};
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::net::SocketAddr;
@@ -137,8 +137,8 @@
 pub struct Succession {
     path: PathBuf,
     /// The way to the driver.
-    orders: Orders,
-    duty: Rc<Duty>,
+    orders: AdminSender,
+    duty: Rc<Lifecycle>,
     /// How many connections of clients this process holds.
     held: Rc<dyn Fn() -> usize>,
     /// How many the other holds, on which this one must not count.
@@ -150,8 +150,8 @@
     pub fn new(
         folder: PathBuf,
         address: SocketAddr,
-        orders: Orders,
-        duty: Rc<Duty>,
+        orders: AdminSender,
+        duty: Rc<Lifecycle>,
         held: Rc<dyn Fn() -> usize>,
         elsewhere: watch::Sender<usize>,
     ) -> Succession {
@@ -171,7 +171,11 @@
             return;
         };
         let (words, outgoing) = mpsc::channel(WORDS);
-        if self.order(|done| Control::TakeOver { will, words, done }).await.is_none() {
+        if self
+            .order(|done| AdminCommand::TakeOver { snapshot: will, messages: words, reply: done })
+            .await
+            .is_none()
+        {
             return;
         }
         info!("taking over from the process before");
@@ -180,11 +184,11 @@
             younger.converse(line, outgoing).await;
             info!("the process before has ended");
             younger.elsewhere.send_replace(0);
-            younger.order(Control::Alone).await;
+            younger.order(AdminCommand::PeerProcessExited).await;
         });
     }
 
-    async fn order<T>(&self, order: impl FnOnce(oneshot::Sender<T>) -> Control) -> Option<T> {
+    async fn order<T>(&self, order: impl FnOnce(oneshot::Sender<T>) -> AdminCommand) -> Option<T> {
         let (done, answer) = oneshot::channel();
         self.orders.send(order(done)).await.ok()?;
         answer.await.ok()
@@ -236,8 +240,8 @@
     /// Hands the gateway over and returns when the other process is gone: whether it had begun.
     async fn hand_over(&self, mut line: Line) -> bool {
         let (words, outgoing) = mpsc::channel(WORDS);
-        self.duty.replace(true);
-        let will = self.order(|done| Control::HandOver { words, done }).await;
+        self.duty.set_replaced(true);
+        let will = self.order(|done| AdminCommand::HandOver { messages: words, reply: done }).await;
         let told = match will {
             Some(will) => line.tell(&Word::Will(will)).await,
             None => None,
@@ -247,8 +251,8 @@
             self.converse(line, outgoing).await;
             warn!("the process that took over is gone; serving again");
         }
-        self.order(Control::Alone).await;
-        self.duty.replace(false);
+        self.order(AdminCommand::PeerProcessExited).await;
+        self.duty.set_replaced(false);
         told.is_some()
     }
 
@@ -261,7 +265,7 @@
                     match heard {
                         Some(Word::Held(held)) => drop(self.elsewhere.send_replace(held)),
                         Some(Word::Maintain { id, out }) => {
-                            self.order(|done| Control::Maintain { id, out, relayed: true, done }).await;
+                            self.order(|done| AdminCommand::SetMaintenance { endpoint: id, in_maintenance: out, relayed: true, reply: done }).await;
                         }
                         Some(Word::Hello | Word::Will(_)) | None => return,
                     }
--- a/src/proxy/lifecycle/permits.rs
+++ b/src/proxy/lifecycle/permits.rs
@@ -5,45 +5,45 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 /// So many places, some of them perhaps another process's.
-pub struct Share {
+pub struct Permits {
     free: Arc<Semaphore>,
     all: usize,
     elsewhere: Cell<usize>,
 }
 
-impl Share {
+impl Permits {
     /// All places, none taken.
-    pub fn new(all: usize) -> Share {
-        Share { free: Arc::new(Semaphore::new(all)), all, elsewhere: Cell::new(0) }
+    pub fn new(all: usize) -> Permits {
+        Permits { free: Arc::new(Semaphore::new(all)), all, elsewhere: Cell::new(0) }
     }
 
     /// How many there are, the other process's included.
-    pub fn all(&self) -> usize {
+    pub fn total(&self) -> usize {
         self.all
     }
 
     /// How many are free here.
-    pub fn free(&self) -> usize {
+    pub fn available(&self) -> usize {
         self.free.available_permits()
     }
 
     /// How many are taken here.
-    pub fn taken(&self) -> usize {
-        self.all.saturating_sub(self.elsewhere.get() + self.free())
+    pub fn in_use(&self) -> usize {
+        self.all.saturating_sub(self.elsewhere.get() + self.available())
     }
 
     /// A place, if one is free.
-    pub fn try_take(&self) -> Option<OwnedSemaphorePermit> {
-        self.try_take_many(1)
+    pub fn try_acquire(&self) -> Option<OwnedSemaphorePermit> {
+        self.try_acquire_many(1)
     }
 
     /// So many places, if they are free.
-    pub fn try_take_many(&self, places: usize) -> Option<OwnedSemaphorePermit> {
+    pub fn try_acquire_many(&self, places: usize) -> Option<OwnedSemaphorePermit> {
         self.free.clone().try_acquire_many_owned(u32::try_from(places).ok()?).ok()
     }
 
     /// A place, once one is free.
-    pub async fn take(&self) -> OwnedSemaphorePermit {
+    pub async fn acquire(&self) -> OwnedSemaphorePermit {
         match self.free.clone().acquire_owned().await {
             Ok(place) => place,
             // The semaphore is never closed.
@@ -52,7 +52,7 @@
     }
 
     /// So many are the other process's, as far as they are free here and an eighth stays.
-    pub fn leave(&self, elsewhere: usize) {
+    pub fn reserve_for_other_process(&self, elsewhere: usize) {
         let elsewhere = elsewhere.min(self.all - self.all.div_ceil(8));
         let left = self.elsewhere.get();
         if elsewhere > left {
@@ -64,7 +64,7 @@
     }
 
     /// Returns when none is taken here.
-    pub async fn empty(&self) {
+    pub async fn wait_until_unused(&self) {
         let all = u32::try_from(self.all - self.elsewhere.get()).unwrap_or(u32::MAX);
         // The semaphore is never closed.
         drop(self.free.acquire_many(all).await);
@@ -77,15 +77,15 @@
 
     #[test]
     fn what_is_left_to_another_process_comes_back() {
-        let share = Share::new(8);
-        let held = share.try_take();
-        share.leave(4);
-        assert_eq!((share.free(), share.taken()), (3, 1));
-        share.leave(100);
-        assert_eq!((share.free(), share.taken()), (0, 1), "one of eight stays, and it is taken");
+        let share = Permits::new(8);
+        let held = share.try_acquire();
+        share.reserve_for_other_process(4);
+        assert_eq!((share.available(), share.in_use()), (3, 1));
+        share.reserve_for_other_process(100);
+        assert_eq!((share.available(), share.in_use()), (0, 1), "one of eight stays, and it is taken");
         drop(held);
-        assert_eq!((share.free(), share.taken()), (1, 0));
-        share.leave(0);
-        assert_eq!((share.free(), share.taken()), (8, 0));
+        assert_eq!((share.available(), share.in_use()), (1, 0));
+        share.reserve_for_other_process(0);
+        assert_eq!((share.available(), share.in_use()), (8, 0));
     }
 }
--- a/src/proxy/memory_budget.rs
+++ b/src/proxy/memory_budget.rs
@@ -1,7 +1,7 @@
 //! One budget of memory over all connections.
 
 use crate::proxy::control_plane::config::SocketLimits;
-use crate::proxy::lifecycle::permits::Share;
+use crate::proxy::lifecycle::permits::Permits;
 use tokio::sync::OwnedSemaphorePermit;
 
 /// Of the machine's memory, what buffers of connections may take in all, and what messages that are kept whole
@@ -17,7 +17,7 @@
 
 /// The budget.
 pub struct Memory {
-    whole: Share,
+    whole: Permits,
     buffer: usize,
 }
 
@@ -28,7 +28,7 @@
         // A transfer holds up to three buffers: read, on the way, to be written.
         let buffers = 3 * (sockets.clients + sockets.backends);
         let buffer = ((bytes * BUFFERS) as usize / buffers).clamp(LEAST_BUFFER, MOST_BUFFER);
-        Memory { whole: Share::new((bytes * WHOLE) as usize / PIECE), buffer }
+        Memory { whole: Permits::new((bytes * WHOLE) as usize / PIECE), buffer }
     }
 
     /// How long a connection's buffer may grow.
@@ -38,12 +38,12 @@
 
     /// Room to keep a message of so many bytes whole, if there is any.
     pub fn hold(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
-        self.whole.try_take_many(bytes.div_ceil(PIECE))
+        self.whole.try_acquire_many(bytes.div_ceil(PIECE))
     }
 
     /// Leaves so many quarters to the other process of this gateway.
     pub fn leave(&self, quarters: usize) {
-        self.whole.leave(self.whole.all() * quarters / 4);
+        self.whole.reserve_for_other_process(self.whole.total() * quarters / 4);
     }
 }
 
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -14,13 +14,13 @@
 use admin::Desk;
 use cluster_transport::outcome_recorder::Arms;
 use cluster_transport::Peers;
-use control_plane::config::{Config, ConfigError, Services};
+use control_plane::config::{Config, ConfigError, ServiceAddresses};
 use downstream::server::Front;
-use lifecycle::drain::{Duty, End};
+use lifecycle::drain::{Lifecycle, ShutdownPhase};
 use lifecycle::handover::Succession;
-use lifecycle::permits::Share;
+use lifecycle::permits::Permits;
 use memory_budget::Memory;
-use runtime::{Clock, Driver, Inbox, Input};
+use runtime::{Clock, Runtime, RuntimeEvent, RuntimeSender};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
     /// It could not listen.
     Listen(SocketAddr, std::io::Error),
     /// Its driver ended.
-    Driver,
+    Runtime,
 }
 
 impl std::fmt::Display for RunError {
@@ -50,7 +50,7 @@
         match self {
             RunError::Config(e) => e.fmt(f),
             RunError::Listen(address, e) => write!(f, "can't listen on {address}: {e}"),
-            RunError::Driver => f.write_str("the driver ended"),
+            RunError::Runtime => f.write_str("the driver ended"),
         }
     }
 }
@@ -59,10 +59,10 @@
 /// Watches discovery from the version that is held from before, and after a change of the services' addresses asks both at
 /// the new ones. Another discovery may count its versions otherwise: there all is asked for.
 async fn follow(
-    mut services: watch::Receiver<Services>,
+    mut services: watch::Receiver<ServiceAddresses>,
     mut held: Option<u64>,
     pace: control_plane::discovery::Pace,
-    inbox: Inbox,
+    inbox: RuntimeSender,
     figures: Rc<Figures>,
 ) {
     loop {
@@ -76,14 +76,14 @@
         let counter = services.borrow().counter;
         if let Some(address) = counter {
             // Without a driver the gateway ends.
-            let _ = inbox.send(Input::Counter(address)).await;
+            let _ = inbox.send(RuntimeEvent::CounterAddressChanged(address)).await;
         }
     }
 }
 
 /// Passes on where other gateways listen, when that changes.
 async fn follow_peers(
-    mut services: watch::Receiver<Services>,
+    mut services: watch::Receiver<ServiceAddresses>,
     tell: watch::Sender<BTreeMap<String, SocketAddr>>,
 ) {
     while services.changed().await.is_ok() {
@@ -98,11 +98,11 @@
 /// counter at the addresses that `services` holds last.
 pub async fn run(
     config: Config,
-    services: watch::Receiver<Services>,
+    services: watch::Receiver<ServiceAddresses>,
     mut stopping: watch::Receiver<bool>,
 ) -> Result<(), RunError> {
     let clock = Clock::start();
-    let duty = Rc::new(Duty::default());
+    let duty = Rc::new(Lifecycle::default());
     let mut names: Vec<(&String, usize)> = config.site.classes.iter().map(|(name, &i)| (name, i)).collect();
     names.sort_by_key(|(_, i)| *i);
     let figures = Rc::new(Figures::new(names.into_iter().map(|(name, _)| name.clone())));
@@ -130,24 +130,24 @@
     if let Some(fleet) = fleet.as_mut() {
         let class = |name: &String| config.site.classes.get(name).map(|i| *i as u16);
         let unknown = |name: &&String| class(name).is_none();
-        let mut named = fleet.branch_classes.iter().chain(&fleet.branch_stops);
+        let mut named = fleet.write_queue_classes.iter().chain(&fleet.write_queue_stop_classes);
         if let Some(name) = named.find(unknown) {
             return Err(RunError::Config(ConfigError::of(format!("branch: there is no class '{name}'"))));
         }
-        let stops = fleet.branch_stops.iter().filter_map(class).collect();
+        let stops = fleet.write_queue_stop_classes.iter().filter_map(class).collect();
         if let Some(terms) = fleet.settings.branch.as_mut() {
             (terms.patience, terms.stop) = (longest + last_moment, stops);
         }
     }
     let memory = Rc::new(Memory::new(config.memory_mb, config.sockets));
     let unknown = |class: &&String| !names.classes.contains(*class);
-    if let Some(class) = fleet.as_ref().and_then(|fleet| fleet.finish.iter().find(unknown)) {
+    if let Some(class) = fleet.as_ref().and_then(|fleet| fleet.finish_classes.iter().find(unknown)) {
         return Err(RunError::Config(ConfigError::of(format!("ledger.finish: there is no class '{class}'"))));
     }
     if let Some(rules) = fleet.as_ref().and_then(|fleet| fleet.settings.rules.as_ref()) {
         names.check(rules).map_err(|e| RunError::Config(ConfigError::of(e)))?;
     }
-    let (mut driver, orders) = Driver::new(config, clock, duty.clone(), figures.clone(), memory.clone())
+    let (mut driver, orders) = Runtime::new(config, clock, duty.clone(), figures.clone(), memory.clone())
         .map_err(RunError::Config)?;
     let inbox = driver.inbox();
     let arms = Rc::new(Arms::default());
@@ -155,7 +155,7 @@
     let of_branch = fleet.as_ref().is_some_and(|fleet| fleet.settings.branch.is_some());
     let (writes, orders_to_send) = tokio::sync::mpsc::channel(MOST_SENT_ON);
     let (orphans, orphans_to_finish) = tokio::sync::mpsc::channel(MOST_ORPHANS);
-    let finishes = fleet.as_ref().is_some_and(|fleet| !fleet.finish.is_empty());
+    let finishes = fleet.as_ref().is_some_and(|fleet| !fleet.finish_classes.is_empty());
     let looks = arms.clone();
     let peers =
         fleet.map(|fleet| Peers::new(fleet, clock, duty.clone(), inbox.clone(), arms, (writes, orphans)));
@@ -187,18 +187,18 @@
     let ends = duty.clone();
     tokio::task::spawn_local(async move {
         if stopping.wait_for(|stop| *stop).await.is_ok() {
-            ends.end(End::Stopping);
+            ends.advance_shutdown(ShutdownPhase::Stopping);
         }
     });
     tokio::task::spawn_local(follow(services, known, pace, inbox.clone(), figures.clone()));
     let driving = tokio::task::spawn_local(driver.run());
     let last = Cell::new(0);
-    let places = Rc::new(Share::new(sockets.clients));
+    let places = Rc::new(Permits::new(sockets.clients));
     let (elsewhere, left) = watch::channel(0);
     // Only an inherited socket can be shared with the process that takes this one's place.
     let succession = folder.filter(|_| accept_fd.is_some()).map(|folder| {
         let places = places.clone();
-        let held = Rc::new(move || places.taken());
+        let held = Rc::new(move || places.in_use());
         Rc::new(Succession::new(folder, address, orders, duty.clone(), held, elsewhere))
     });
     let front = Front {
@@ -236,18 +236,22 @@
     let serving = async {
         if let Some(succession) = succession {
             // Until then the process before this one takes the clients.
-            let mut state = duty.changes();
-            if state.wait_for(|state| state.listed || state.end > End::Open).await.is_ok() {
+            let mut state = duty.subscribe();
+            if state
+                .wait_for(|state| state.endpoints_known || state.shutdown > ShutdownPhase::Running)
+                .await
+                .is_ok()
+            {
                 succession.inherit().await;
             }
             tokio::task::spawn_local(succession.bequeath());
         }
-        duty.serve();
+        duty.start_serving();
         downstream::server::serve(listener, front, left).await;
     };
     // Guards against living on without a driver, taking requests that nobody decides.
     tokio::select! {
         () = serving => Ok(()),
-        _ = driving => Err(RunError::Driver),
+        _ = driving => Err(RunError::Runtime),
     }
 }
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -5,7 +5,10 @@
 mod endpoints;
 mod messages;
 
-pub use messages::{tell, Answer, Clock, Control, Inbox, Input, Orders, Taken};
+pub use messages::{
+    send_event, AdminCommand, AdminSender, AttemptId, Clock, FinalResponse, NewRequest, RuntimeEvent,
+    RuntimeSender,
+};
 
 use crate::cluster::rollout::{Arm, Ended as Judgement, Key, Rule};
 use crate::cluster::InForce;
@@ -17,7 +20,7 @@
 use crate::proxy::control_plane::counter::{Counted, Counter, Order};
 use crate::proxy::control_plane::discovery::{Member, MemberList, Phase};
 use crate::proxy::downstream::response_body::{Answered, Giving};
-use crate::proxy::lifecycle::drain::Duty;
+use crate::proxy::lifecycle::drain::Lifecycle;
 use crate::proxy::lifecycle::handover::{Will, Word};
 use crate::proxy::memory_budget::Memory;
 use crate::proxy::upstream::backend::{Backend, Ended, Pool};
@@ -46,7 +49,7 @@
 
 /// A request in the table: until it has its answer and nothing of it is out.
 struct Open {
-    reply: Option<oneshot::Sender<Answer>>,
+    reply: Option<oneshot::Sender<FinalResponse>>,
     forward: Rc<Forward>,
     attempts: Vec<Attempt>,
     /// How it ends is counted for a rollout.
@@ -61,7 +64,7 @@
 
 impl Open {
     /// The way to the client, for the one answer; nothing more is sent for it.
-    fn take_reply(&mut self) -> Option<oneshot::Sender<Answer>> {
+    fn take_reply(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.forward.wanted.set(false);
         self.reply.take()
     }
@@ -71,14 +74,14 @@
 }
 
 /// The driver.
-pub struct Driver {
+pub struct Runtime {
     gateway: Gateway,
     site: Site,
     clock: Clock,
     tick: Duration,
-    inbox: Inbox,
-    inputs: mpsc::Receiver<Input>,
-    orders: mpsc::Receiver<Control>,
+    inbox: RuntimeSender,
+    inputs: mpsc::Receiver<RuntimeEvent>,
+    orders: mpsc::Receiver<AdminCommand>,
     pool: Rc<Pool>,
     memory: Rc<Memory>,
     counter: Option<Rc<Counter>>,
@@ -96,7 +99,7 @@
     batch: Vec<Event>,
     actions: Vec<Action>,
     /// Told once the list of backends is in hand.
-    duty: Rc<Duty>,
+    duty: Rc<Lifecycle>,
     figures: Rc<Figures>,
     /// When the list known from before is taken for it.
     ready_at: Option<Instant>,
@@ -106,15 +109,15 @@
     arms: Rc<Arms>,
 }
 
-impl Driver {
+impl Runtime {
     /// A driver that knows nothing yet but the configuration.
     pub fn new(
         config: Config,
         clock: Clock,
-        duty: Rc<Duty>,
+        duty: Rc<Lifecycle>,
         figures: Rc<Figures>,
         memory: Rc<Memory>,
-    ) -> Result<(Driver, Orders), ConfigError> {
+    ) -> Result<(Runtime, AdminSender), ConfigError> {
         let Config { site, counter, sockets, seed, known, conn_idle, fleet, .. } = config;
         let gateway = Gateway::new(seed, site.settings.clone()).map_err(ConfigError::from)?;
         let connect_timeout = duration(site.settings.connect_timeout);
@@ -122,7 +125,7 @@
         let (ordering, orders) = mpsc::channel(ORDERS);
         let counter =
             counter.map(|a| Counter::new(a, duration(site.settings.count_timeout), sockets.counter));
-        let mut driver = Driver {
+        let mut driver = Runtime {
             gateway,
             clock,
             // A gateway that calls its module without pause would only burn its core.
@@ -157,7 +160,7 @@
             arms: Rc::default(),
         };
         // Where shares are lent, this gateway's may be with others until it is known not to be.
-        let part = fleet.map_or(0.0, |fleet| fleet.lend);
+        let part = fleet.map_or(0.0, |fleet| fleet.lendable_part);
         if part > 0.0 {
             driver.batch.push(Event::Lent(Lent { part, ..Lent::default() }));
         }
@@ -175,7 +178,7 @@
     }
 
     /// The way in.
-    pub fn inbox(&self) -> Inbox {
+    pub fn inbox(&self) -> RuntimeSender {
         self.inbox.clone()
     }
 
@@ -241,10 +244,10 @@
     }
 
     /// Translates what came in to an event of the module's.
-    fn take(&mut self, input: Input) {
+    fn take(&mut self, input: RuntimeEvent) {
         match input {
-            Input::Taken(taken) => {
-                let Taken { arrival, forward, reply } = *taken;
+            RuntimeEvent::RequestReceived(taken) => {
+                let NewRequest { arrival, forward, reply } = *taken;
                 debug!(
                     request = arrival.id.0,
                     call = forward.call_id(),
@@ -266,28 +269,31 @@
                 self.requests.insert(arrival.id, open);
                 self.batch.push(Event::Request(arrival));
             }
-            Input::Gone(id) => {
+            RuntimeEvent::ClientDisconnected(id) => {
                 if self.requests.get_mut(&id).and_then(Open::take_reply).is_some() {
                     debug!(request = id.0, "the client left");
                     self.batch.push(Event::ClientGone(id));
                 }
             }
-            Input::Members(list) => {
+            RuntimeEvent::EndpointsChanged(list) => {
                 self.members(list);
                 self.become_ready();
             }
-            Input::Counter(address) => {
+            RuntimeEvent::CounterAddressChanged(address) => {
                 // Calls under way end where they were made.
                 self.counter = self.counter.take().map(|counter| Rc::new(counter.moved(address)));
             }
-            Input::Lent(lent) => self.batch.push(Event::Lent(lent)),
-            Input::Routing(in_force) => self.routing(*in_force),
-            Input::Counted(name, serial, counted) => {
-                let ready = self.order.answered(name, serial, counted);
+            RuntimeEvent::QuotaLeaseChanged(lent) => self.batch.push(Event::Lent(lent)),
+            RuntimeEvent::RoutingChanged(in_force) => self.routing(*in_force),
+            RuntimeEvent::CounterReplied { name, call, reply } => {
+                let ready = self.order.answered(name, call, reply);
                 self.batch.extend(ready.into_iter().map(|c| Event::Counted(name, c.outcome, c.total)));
             }
-            Input::Uploaded(id, deadline) => self.batch.push(Event::BodyEnded(id, deadline)),
-            Input::Ended(id, attempt, server, ended, took) => {
+            RuntimeEvent::RequestBodyEnded { request: id, deadline } => {
+                self.batch.push(Event::BodyEnded(id, deadline))
+            }
+            RuntimeEvent::AttemptEnded { attempt: ended_attempt, result: ended, elapsed: took } => {
+                let AttemptId { request: id, number: attempt, endpoint: server } = ended_attempt;
                 let Some(open) = self.requests.get_mut(&id) else { return };
                 let unsent = ended.unsent;
                 debug!(request = id.0, attempt, outcome = ?ended.outcome, ?unsent, took_us = took.0, "attempt ends");
@@ -304,21 +310,27 @@
                 match ended.body.and_then(|body| Some((body, open.take_reply()?))) {
                     Some((Answered::Begun(mut download), reply)) => {
                         let inbox = self.inbox.clone();
-                        download.tells(move |whole| tell(&inbox, Input::Passed(id, attempt, server, whole)));
+                        download.tells(move |whole| {
+                            send_event(
+                                &inbox,
+                                RuntimeEvent::ResponseBodyEnded { attempt: ended_attempt, complete: whole },
+                            )
+                        });
                         self.batch.push(Event::AnswerBegun(id, attempt, took));
-                        let _ = reply.send(Answer::Served(Giving::Download(download)));
+                        let _ = reply.send(FinalResponse::Served(Giving::Download(download)));
                         return;
                     }
                     Some((Answered::Whole(bytes, room), reply)) => {
                         open.forward.work.iter().for_each(|work| work.answered(&bytes));
-                        let _ = reply.send(Answer::Served(Giving::Whole(Full::new(bytes), room)));
+                        let _ = reply.send(FinalResponse::Served(Giving::Whole(Full::new(bytes), room)));
                     }
                     None => {}
                 }
                 self.attempt_over(id, attempt);
                 self.ended(id, attempt, server, ended.outcome, took, ended.report);
             }
-            Input::Passed(id, attempt, server, whole) => {
+            RuntimeEvent::ResponseBodyEnded { attempt, complete: whole } => {
+                let AttemptId { request: id, number: attempt, endpoint: server } = attempt;
                 self.attempt_over(id, attempt);
                 let outcome = if whole { Outcome::Ok } else { Outcome::Reset };
                 self.ended(id, attempt, server, outcome, Micros(0), Report::default());
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::runtime::*;
 
-impl Driver {
+impl Runtime {
     pub(super) fn attempt_over(&mut self, id: RequestId, attempt: usize) {
         let open = self.requests.get_mut(&id);
         open.and_then(|o| o.attempts.get_mut(attempt)).into_iter().for_each(|a| a.out = false);
@@ -26,8 +26,10 @@
     pub(super) fn act(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send(id, server, until) => self.send(now, id, server, until),
-            Action::Refuse(id, wait, reason) => self.turn_back(id, Answer::Refused(wait), reason),
-            Action::Fail(id, reason) => self.turn_back(id, Answer::Failed, reason),
+            Action::Refuse(id, wait, reason) => {
+                self.turn_back(id, FinalResponse::Rejected { retry_after: wait }, reason)
+            }
+            Action::Fail(id, reason) => self.turn_back(id, FinalResponse::Failed, reason),
             Action::Cancel(id, attempt) => {
                 let attempt = self.requests.get_mut(&id).and_then(|open| open.attempts.get_mut(attempt));
                 if let Some(call_off) = attempt.and_then(|a| a.call_off.take()) {
@@ -43,14 +45,14 @@
     }
 
     /// Answers a request for which no backend did.
-    fn turn_back(&mut self, id: RequestId, answer: Answer, reason: RefusalReason) {
-        let refused = matches!(answer, Answer::Refused(_));
+    fn turn_back(&mut self, id: RequestId, answer: FinalResponse, reason: RefusalReason) {
+        let refused = matches!(answer, FinalResponse::Rejected { .. });
         debug!(request = id.0, refused, ?reason, "answered without a backend");
         self.figures.refusals.raise(reason);
         self.answer(id, answer);
     }
 
-    pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
+    pub(super) fn answer(&mut self, id: RequestId, answer: FinalResponse) {
         if let Some(reply) = self.requests.get_mut(&id).and_then(Open::take_reply) {
             let open = self.requests.get(&id);
             if let Some((open, judged)) = open.and_then(|open| Some((open, open.judged?))) {
@@ -74,6 +76,7 @@
             return self.ended(id, attempt, server, Outcome::Moot, Micros(0), Report::default());
         };
         debug!(request = id.0, attempt, backend = %backend.address, "attempt begins");
+        let sent_attempt = AttemptId { request: id, number: attempt, endpoint: server };
         let (call_off, called_off) = oneshot::channel();
         open.attempts.push(Attempt { out: true, call_off: Some(call_off) });
         let (pool, forward, inbox) = (self.pool.clone(), open.forward.clone(), self.inbox.clone());
@@ -96,7 +99,9 @@
             let since = ended.whole_at.map_or(now, |at| clock.at(at).max(now));
             let took = ended.begun_at.map_or(clock.now(), |at| clock.at(at)) - since;
             // The driver outlives every attempt but for the exit of the process.
-            let _ = inbox.send(Input::Ended(id, attempt, server, ended, took)).await;
+            let _ = inbox
+                .send(RuntimeEvent::AttemptEnded { attempt: sent_attempt, result: ended, elapsed: took })
+                .await;
         });
     }
 
@@ -108,7 +113,7 @@
                 Some(counter) => counter.add(name, amount, life).await,
                 None => Outcome::ConnectFailed.into(),
             };
-            let _ = inbox.send(Input::Counted(name, serial, counted)).await;
+            let _ = inbox.send(RuntimeEvent::CounterReplied { name, call: serial, reply: counted }).await;
         });
     }
 }
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -2,15 +2,15 @@
 
 use crate::proxy::runtime::*;
 
-impl Driver {
-    pub(super) fn obey(&mut self, order: Control) {
+impl Runtime {
+    pub(super) fn obey(&mut self, order: AdminCommand) {
         match order {
-            Control::Fleet(reply) => {
+            AdminCommand::CountEndpoints(reply) => {
                 let (known, excluded) = self.gateway.fleet(self.clock.now());
                 // An operator who has left needs no answer.
                 let _ = reply.send(Fleet { known, excluded });
             }
-            Control::Maintain { id, out, relayed, done } => {
+            AdminCommand::SetMaintenance { endpoint: id, in_maintenance: out, relayed, reply: done } => {
                 let server = self.site.seen(&id);
                 let server = server.filter(|s| self.backends.contains_key(s) || self.gateway.is_out(*s));
                 if let Some(server) = server {
@@ -25,14 +25,14 @@
                 }
                 let _ = done.send(server.is_some());
             }
-            Control::HandOver { words, done } => {
+            AdminCommand::HandOver { messages: words, reply: done } => {
                 self.share(Some(words), 3);
                 self.turn();
                 let members = self.listed.values().cloned().collect();
                 let members = MemberList { revision: self.revision, complete: true, members };
                 let _ = done.send(Box::new(Will { members, estate: self.gateway.hand_over() }));
             }
-            Control::TakeOver { will, words, done } => {
+            AdminCommand::TakeOver { snapshot: will, messages: words, reply: done } => {
                 self.share(Some(words), 1);
                 if will.members.revision > self.revision {
                     self.members(will.members);
@@ -41,7 +41,7 @@
                 self.gateway.take_over(will.estate);
                 let _ = done.send(());
             }
-            Control::Alone(done) => {
+            AdminCommand::PeerProcessExited(done) => {
                 self.share(None, 0);
                 self.batch.push(Event::Alone);
                 self.turn();
@@ -154,7 +154,7 @@
 
     pub(super) fn become_ready(&mut self) {
         self.ready_at = None;
-        if self.duty.listed() {
+        if self.duty.mark_endpoints_known() {
             info!(backends = self.backends.len(), "ready");
         }
     }
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -3,92 +3,130 @@
 use crate::proxy::runtime::*;
 
 /// The way to the driver.
-pub type Inbox = mpsc::Sender<Input>;
+pub type RuntimeSender = mpsc::Sender<RuntimeEvent>;
 
 /// The way of operators to the driver, which waits behind no request.
-pub type Orders = mpsc::Sender<Control>;
+pub type AdminSender = mpsc::Sender<AdminCommand>;
 
 /// What operators ask of the driver.
-pub enum Control {
+pub enum AdminCommand {
     /// How many backends there are.
-    Fleet(oneshot::Sender<Fleet>),
+    CountEndpoints(oneshot::Sender<Fleet>),
     /// Take a backend out, or put it back.
-    Maintain {
+    SetMaintenance {
         /// Its name at discovery.
-        id: String,
+        endpoint: String,
         /// Out, or back.
-        out: bool,
+        in_maintenance: bool,
         /// The other process of this gateway has heard already.
         relayed: bool,
         /// Told whether there is such a backend, once it is done.
-        done: oneshot::Sender<bool>,
+        reply: oneshot::Sender<bool>,
     },
     /// Another process takes this gateway over; these words go to it.
     HandOver {
         /// The way to it.
-        words: mpsc::Sender<Word>,
+        messages: mpsc::Sender<Word>,
         /// Told what it must know.
-        done: oneshot::Sender<Box<Will>>,
+        reply: oneshot::Sender<Box<Will>>,
     },
     /// This process takes the gateway over from another.
     TakeOver {
         /// What that one left.
-        will: Box<Will>,
+        snapshot: Box<Will>,
         /// The way to it.
-        words: mpsc::Sender<Word>,
+        messages: mpsc::Sender<Word>,
         /// Told when the module has heard.
-        done: oneshot::Sender<()>,
+        reply: oneshot::Sender<()>,
     },
     /// The other process is gone.
-    Alone(oneshot::Sender<()>),
+    PeerProcessExited(oneshot::Sender<()>),
 }
 
 /// The final answer to a client.
-pub enum Answer {
+pub enum FinalResponse {
     /// A backend's 200, whole or as it comes.
     Served(Giving),
     /// Refused: trying again is harmless, best after this time.
-    Refused(Option<Micros>),
+    Rejected {
+        /// Best after this time.
+        retry_after: Option<Micros>,
+    },
     /// Failed, with no promise.
     Failed,
 }
 
 /// A request that a client has sent whole.
-pub struct Taken {
+pub struct NewRequest {
     /// What the module is told of it. Its id is new, whatever the client called it.
     pub arrival: Arrival,
     /// What goes on to backends.
     pub forward: Forward,
     /// Where the answer goes.
-    pub reply: oneshot::Sender<Answer>,
+    pub reply: oneshot::Sender<FinalResponse>,
+}
+
+/// Names one attempt.
+#[derive(Debug, Clone, Copy)]
+pub struct AttemptId {
+    /// Its request.
+    pub request: RequestId,
+    /// Its place among the attempts of the request.
+    pub number: usize,
+    /// The backend that it goes to.
+    pub endpoint: ServerId,
 }
 
 /// What the driver hears.
-pub enum Input {
+pub enum RuntimeEvent {
     /// A request.
-    Taken(Box<Taken>),
+    RequestReceived(Box<NewRequest>),
     /// The last byte of a request's body has come; its deadline.
-    Uploaded(RequestId, Micros),
+    RequestBodyEnded {
+        /// The request.
+        request: RequestId,
+        /// Its deadline, which counts from that byte.
+        deadline: Micros,
+    },
     /// The client of a request closed its connection.
-    Gone(RequestId),
+    ClientDisconnected(RequestId),
     /// News of the backends.
-    Members(MemberList),
+    EndpointsChanged(MemberList),
     /// Calls to the counter go to this address from now on.
-    Counter(SocketAddr),
+    CounterAddressChanged(SocketAddr),
     /// What the gateways know together of each other's shares.
-    Lent(Lent),
+    QuotaLeaseChanged(Lent),
     /// Other rules of routing are in force.
-    Routing(Box<InForce>),
+    RoutingChanged(Box<InForce>),
     /// A call to the counter ended.
-    Counted(CountName, u64, Counted),
-    /// An attempt ended: its request, number and backend, how, and how long it was out.
-    Ended(RequestId, usize, ServerId, Ended, Micros),
-    /// A long answer that had begun ended: its request, attempt and backend, and whether it was whole.
-    Passed(RequestId, usize, ServerId, bool),
+    CounterReplied {
+        /// The counter that was called.
+        name: CountName,
+        /// Which of the calls.
+        call: u64,
+        /// How it ended.
+        reply: Counted,
+    },
+    /// An attempt ended.
+    AttemptEnded {
+        /// Which.
+        attempt: AttemptId,
+        /// How.
+        result: Ended,
+        /// For how long it was in flight.
+        elapsed: Micros,
+    },
+    /// A long response that had begun ended.
+    ResponseBodyEnded {
+        /// The attempt that it answers.
+        attempt: AttemptId,
+        /// All of it came.
+        complete: bool,
+    },
 }
 
 /// Tells the driver from where nothing can wait.
-pub fn tell(inbox: &Inbox, input: Input) {
+pub fn send_event(inbox: &RuntimeSender, input: RuntimeEvent) {
     if let Err(mpsc::error::TrySendError::Full(input)) = inbox.try_send(input) {
         let inbox = inbox.clone();
         tokio::task::spawn_local(async move { inbox.send(input).await });
--- a/src/proxy/runtime/tests.rs
+++ b/src/proxy/runtime/tests.rs
@@ -13,34 +13,34 @@
         "classes":[{"name":"look","effect":"pure","deadline":4000000,"on_time":1000000}],
         "plans":[{"name":"team","per_second":10.0,"peak_units":20.0,"price":1.0}],"rules":{}}}"#;
 
-fn driver() -> Driver {
+fn driver() -> Runtime {
     driver_of(CONFIG)
 }
 
-fn driver_of(config: &str) -> Driver {
+fn driver_of(config: &str) -> Runtime {
     let config = Config::parse(config, None, None).expect("a configuration");
     let memory = Rc::new(Memory::new(config.memory_mb, config.sockets));
-    Driver::new(config, Clock::start(), Rc::default(), Rc::default(), memory).expect("settings").0
+    Runtime::new(config, Clock::start(), Rc::default(), Rc::default(), memory).expect("settings").0
 }
 
-fn take(driver: &mut Driver, id: RequestId) -> oneshot::Receiver<Answer> {
+fn take(driver: &mut Runtime, id: RequestId) -> oneshot::Receiver<FinalResponse> {
     let (reply, answer) = oneshot::channel();
     let deadline = driver.clock.now() + Micros(4_000_000);
     let arrival = Arrival { id, deadline, units: 1.0, spread: 1, ..Arrival::default() };
     let body = Payload::Whole(Bytes::new());
     let forward = Forward::new(Method::GET, Uri::from_static("/api"), HeaderMap::new(), body);
-    driver.take(Input::Taken(Box::new(Taken { arrival, forward, reply })));
+    driver.take(RuntimeEvent::RequestReceived(Box::new(NewRequest { arrival, forward, reply })));
     answer
 }
 
 /// Whether a request whose call to the counter is turned away is sent on.
-fn goes_on_unheard(driver: &mut Driver) -> bool {
+fn goes_on_unheard(driver: &mut Runtime) -> bool {
     let now = driver.clock.now();
     goes_on_unheard_at(driver, now, 0)
 }
 
 /// The same at that time, for a customer.
-fn goes_on_unheard_at(driver: &mut Driver, now: Micros, customer: u64) -> bool {
+fn goes_on_unheard_at(driver: &mut Runtime, now: Micros, customer: u64) -> bool {
     let mut out = Vec::new();
     let arrival = Arrival {
         id: RequestId(7 + customer),
@@ -90,7 +90,7 @@
     let mut driver = driver();
     let (id, server) = (RequestId(7), *driver.backends.keys().next().expect("a backend"));
     let _answer = take(&mut driver, id);
-    driver.take(Input::Gone(id));
+    driver.take(RuntimeEvent::ClientDisconnected(id));
     let now = driver.clock.now();
     driver.act(now, Action::Send(id, server, now + Micros(1_000_000)));
     let told = driver.batch.iter().any(|event| {
--- a/src/proxy/upstream/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -3,7 +3,7 @@
 use crate::decision::api::{Outcome, Report};
 use crate::proxy::admin::metrics::{Figures, Unsent};
 use crate::proxy::downstream::response_body::{Answered, Download};
-use crate::proxy::lifecycle::permits::Share;
+use crate::proxy::lifecycle::permits::Permits;
 use crate::proxy::log_rate_limit::Sparing;
 use crate::proxy::memory_budget::Memory;
 use crate::proxy::upstream::connection::{CallError, Connection, MAX_BODY};
@@ -70,7 +70,7 @@
 /// The connections to all backends.
 pub struct Pool {
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
-    places: Share,
+    places: Permits,
     dial_timeout: Duration,
     /// How long a connection may stand idle and be used again: half of what is known to be safe, less where
     /// connections broke earlier.
@@ -92,7 +92,7 @@
     ) -> Pool {
         // Guards against writing to a connection that its backend is about to close: half the time is left.
         let idle_limit = conn_idle / 2;
-        let (idle, places) = (RefCell::default(), Share::new(connections));
+        let (idle, places) = (RefCell::default(), Permits::new(connections));
         let (longest_idle, garbled) = (Cell::new(idle_limit), Sparing::default());
         Pool { idle, places, dial_timeout, longest_idle, idle_limit, figures, memory, garbled }
     }
@@ -150,8 +150,8 @@
 
     /// Leaves so many quarters of the connections to the other process of this gateway.
     pub fn leave(&self, quarters: usize) {
-        self.places.leave(self.places.all() * quarters / 4);
-        while self.held() > self.places.free() {
+        self.places.reserve_for_other_process(self.places.total() * quarters / 4);
+        while self.held() > self.places.available() {
             self.evict();
         }
     }
@@ -176,8 +176,8 @@
         called_off: oneshot::Receiver<()>,
     ) -> Ended {
         // Guards the limit on descriptors: an attempt without a place was never sent.
-        let Some(place) = self.places.try_take() else { return self.unsent(Unsent::NoPlace) };
-        while self.held() > self.places.free() {
+        let Some(place) = self.places.try_acquire() else { return self.unsent(Unsent::NoPlace) };
+        while self.held() > self.places.available() {
             self.evict();
         }
         let (wrote, whole_at) = (Cell::new(false), Cell::new(None));
