--- a/src/proxy/cluster_transport/tests.rs
+++ b/src/proxy/cluster_transport/tests.rs
@@ -3,8 +3,8 @@
 use super::Peers;
 use crate::cluster::Fleet;
 use crate::proxy::cluster_transport::outcome_recorder::Arms;
-use crate::proxy::control_plane::config::FleetConfig;
-use crate::proxy::lifecycle::drain::Duty;
+use crate::proxy::control_plane::config::ClusterConfig;
+use crate::proxy::lifecycle::drain::Lifecycle;
 use crate::proxy::runtime::Clock;
 use std::path::Path;
 use std::rc::Rc;
@@ -15,10 +15,10 @@
 
 #[test]
 fn every_cluster_gauge_has_its_key_place_and_value_in_the_stats() {
-    let config = FleetConfig::parse(FILE, "a").expect("sound");
+    let config = ClusterConfig::parse(FILE, "a").expect("sound");
     let (inbox, _inputs) = mpsc::channel(1);
     let ((writes, _w), (orphans, _o)) = (mpsc::channel(1), mpsc::channel(1));
-    let (duty, arms) = (Rc::new(Duty::default()), Rc::new(Arms::default()));
+    let (duty, arms) = (Rc::new(Lifecycle::default()), Rc::new(Arms::default()));
     let peers = Peers::new(config, Clock::start(), duty, inbox, arms, (writes, orphans));
     assert_eq!(peers.gauges(), "", "nothing while another process stands for the gateway");
     *peers.fleet.borrow_mut() = Some(Fleet::with_distinct_counts());
