--- a/src/proxy/control_plane/config.rs
+++ b/src/proxy/control_plane/config.rs
@@ -4,7 +4,7 @@
 
 pub use fleet_file::ClusterConfig;
 
-use crate::proxy::control_plane::discovery::MemberList;
+use crate::proxy::control_plane::discovery::EndpointList;
 use crate::site_settings::{flatten, Fields, Site};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -48,7 +48,7 @@
     counter: Option<SocketAddr>,
     ops: Option<SocketAddr>,
     #[serde(default)]
-    known: MemberList,
+    known: EndpointList,
     settings: serde_json::Value,
 }
 
@@ -80,7 +80,7 @@
     /// The folder that a process of this gateway shares with the one that takes its place.
     pub(crate) folder: Option<PathBuf>,
     pub(crate) seed: u64,
-    pub(crate) known: MemberList,
+    pub(crate) known: EndpointList,
     pub(crate) site: Site,
     pub(crate) sockets: SocketLimits,
     /// The machine's memory, in millions of bytes.
@@ -136,7 +136,7 @@
 impl Config {
     /// The version of the list that this gateway had last, if it had one.
     pub fn known_revision(&self) -> Option<u64> {
-        (!self.known.members.is_empty()).then_some(self.known.revision)
+        (!self.known.endpoints.is_empty()).then_some(self.known.revision)
     }
 
     /// Where the services are that a gateway asks.
--- a/src/proxy/control_plane/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -5,7 +5,7 @@
 
 use super::{ClusterConfig, Config, SocketLimits};
 use crate::cluster::rollout::Rule;
-use crate::decision::api::{Class, Effect, Group, Plan};
+use crate::decision::api::{Class, Effect, Group, Listed, Plan};
 use crate::fixture;
 use std::fmt::{Debug, Write};
 
@@ -72,20 +72,27 @@
     found.map(|(name, _)| name.as_str()).expect("a name for each")
 }
 
+fn phase(status: Listed) -> &'static str {
+    match status {
+        Listed::InService => "ready",
+        Listed::Draining => "draining",
+        Listed::Gone => "gone",
+    }
+}
+
 fn put_known(out: &mut Listing, config: &Config) {
     out.put("known.revision", config.known.revision);
     out.put("known.complete", config.known.complete);
-    for (at, member) in config.known.members.iter().enumerate() {
+    for (at, member) in config.known.endpoints.iter().enumerate() {
         let key = |key: &str| format!("known.members.{at}.{key}");
-        out.put(&key("id"), &member.id);
-        out.put(&key("host_port"), member.host_port);
-        out.put(&key("locality"), &member.locality);
-        out.put(&key("flavor"), &member.flavor);
+        out.put(&key("id"), &member.name);
+        out.put(&key("host_port"), member.address);
+        out.put(&key("locality"), &member.zone);
+        out.put(&key("flavor"), &member.release_label);
         out.put(&key("cell"), member.cell);
-        let phase = serde_json::to_string(&member.phase).expect("a text");
-        out.put(&key("phase"), phase.trim_matches('"'));
-        out.put(&key("size"), member.size);
-        out.put(&key("up_since_ms"), member.up_since_ms);
+        out.put(&key("phase"), phase(member.status));
+        out.put(&key("size"), member.weight);
+        out.put(&key("up_since_ms"), member.started_at_unix_ms);
     }
     out.put("known revision in use", config.known_revision());
 }
--- a/src/proxy/control_plane/discovery/call.rs
+++ b/src/proxy/control_plane/discovery/call.rs
@@ -1,6 +1,6 @@
-//! One call to discovery: the whole list, or the changes since a version.
+//! One call to discovery: the complete endpoint list, or the changes since a revision.
 
-use crate::proxy::control_plane::discovery::endpoint_list::{MemberList, LONGEST_LIST};
+use super::endpoint_list::{EndpointList, MAX_LIST_BYTES};
 use crate::proxy::downstream::request_body::Sending;
 use crate::proxy::upstream::connection::{CallError, Connection};
 use http_body_util::BodyExt;
@@ -15,13 +15,13 @@
 use thiserror::Error;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// The buffer of a connection to discovery, in bytes: as long as the head of an answer may be.
-const READ_BUFFER: usize = 64 * 1024;
-/// A list that has begun to come goes on coming while no piece of it keeps the gateway waiting for longer than this.
-const LONGEST_PAUSE: Duration = Duration::from_secs(3);
-/// The slowest that a list may come beside that, in bytes a second: a tenth of the slowest discovery known of. Guards
+/// The buffer of a connection to discovery, in bytes: as long as the head of a response may be.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// The longest pause between two pieces of a list.
+const MAX_PAUSE: Duration = Duration::from_secs(3);
+/// The lowest rate of a list over all of it, in bytes a second: a tenth of the slowest discovery known of. Guards
 /// against a peer that sends a byte now and then and so holds a call for ever.
-const SLOWEST: usize = 2_000;
+const MIN_BYTES_PER_SECOND: u32 = 2_000;
 
 /// Why a call brought no list.
 #[derive(Debug, Error)]
@@ -29,16 +29,16 @@
     /// No connection came up.
     #[error("no connection: {0}")]
     Unreachable(io::Error),
-    /// No connection, or nothing of an answer, in time.
+    /// No connection, or nothing of a response, in time.
     #[error("no answer within {0:?}")]
     Silent(Duration),
-    /// The answer stopped coming, or came too slowly.
+    /// The response stopped coming, or came too slowly.
     #[error("the list stopped coming after {received} bytes")]
     Stalled {
         /// Bytes of the list that had come.
         received: usize,
     },
-    /// The connection ended before the answer did.
+    /// The connection ended before the response did.
     #[error("the connection broke after {received} bytes of the list")]
     Broken {
         /// Bytes of the list that had come.
@@ -47,7 +47,7 @@
     /// The list is longer than one may be.
     #[error("the list is longer than {limit} bytes")]
     TooLong {
-        /// The bound.
+        /// The limit in bytes.
         limit: usize,
     },
     /// Another status than 200.
@@ -58,17 +58,17 @@
     Malformed(serde_json::Error),
 }
 
-/// The kinds of failures, as they are counted.
+/// The kinds of failures, as `/stats` counts them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, IntoStaticStr, VariantArray)]
 #[strum(serialize_all = "snake_case")]
 pub enum FailureKind {
     /// No connection came up.
     Unreachable,
-    /// Nothing of an answer in time.
+    /// Nothing of a response in time.
     Silent,
-    /// The answer stopped coming.
+    /// The response stopped coming.
     Stalled,
-    /// The connection ended before the answer did.
+    /// The connection ended before the response did.
     Broken,
     /// Longer than a list may be.
     TooLong,
@@ -96,9 +96,9 @@
 }
 
 /// A list, and the connection that it came over.
-pub struct Answer {
+pub struct ListResponse {
     /// The list.
-    pub list: MemberList,
+    pub list: EndpointList,
     /// Its length in bytes.
     pub length: usize,
     /// Can carry the next call.
@@ -110,9 +110,9 @@
 pub struct Call {
     /// Where discovery listens.
     pub address: SocketAddr,
-    /// Changes since this version; the whole list without one.
+    /// Asks for the changes since this revision; for the complete list without one.
     pub since: Option<u64>,
-    /// How long discovery may wait for news.
+    /// How long discovery may hold the call while there is no change.
     pub hold: Duration,
 }
 
@@ -121,7 +121,7 @@
         let path = match self.since {
             None => "/catalog/members".to_string(),
             Some(revision) => {
-                // A hold of nothing at all is not a hold that the protocol names.
+                // The protocol knows no hold of 0.
                 let hold_ms = self.hold.as_millis().max(1);
                 format!("/catalog/members?from={revision}&hold_ms={hold_ms}")
             }
@@ -133,27 +133,33 @@
         Some(request)
     }
 
-    /// Makes the call, over a connection that rests if there is one. Its answer has to begin within `patience` after its
+    /// Makes the call, over an idle connection if there is one. Its response has to begin within `patience` after the
     /// hold; from then on it is waited for as long as it makes progress.
+    ///
+    /// # Errors
+    /// Where no list came, and at which point the call failed.
     pub async fn make(
         self,
-        resting: Option<Connection>,
+        idle: Option<Connection>,
         patience: Duration,
         progress: Rc<Progress>,
-    ) -> Result<Answer, CallFailure> {
+    ) -> Result<ListResponse, CallFailure> {
         let limit = self.hold + patience;
-        let begun = timeout(limit, self.begin(resting)).await;
+        let begun = timeout(limit, self.begin(idle)).await;
         let (mut connection, body) = begun.unwrap_or(Err(CallFailure::Silent(limit)))?;
-        let text = read(&mut connection, body, &progress).await?;
+        let text = read_body(&mut connection, body, &progress).await?;
         let list = serde_json::from_slice(&text).map_err(CallFailure::Malformed)?;
-        Ok(Answer { list, length: text.len(), connection })
+        Ok(ListResponse { list, length: text.len(), connection })
     }
 
-    /// Writes the call and reads the head of its answer.
-    async fn begin(self, resting: Option<Connection>) -> Result<(Connection, Incoming), CallFailure> {
-        let mut connection = match resting {
+    /// Writes the call and reads the head of its response.
+    async fn begin(self, idle: Option<Connection>) -> Result<(Connection, Incoming), CallFailure> {
+        let mut connection = match idle {
             Some(connection) => connection,
-            None => Connection::open(self.address, READ_BUFFER).await.map_err(CallFailure::Unreachable)?,
+            None => {
+                let opened = Connection::open(self.address, READ_BUFFER_BYTES).await;
+                opened.map_err(CallFailure::Unreachable)?
+            }
         };
         let broken = CallFailure::Broken { received: 0 };
         let Some(request) = self.request() else { return Err(broken) };
@@ -165,14 +171,14 @@
     }
 }
 
-/// When a call last brought something.
+/// When any of the calls in flight last brought a piece of a list.
 #[derive(Debug, Default)]
 pub struct Progress {
     last: Cell<Option<Instant>>,
 }
 
 impl Progress {
-    /// When a piece of a list last came; `None` before its first.
+    /// When a piece last came; `None` before the first.
     pub fn last(&self) -> Option<Instant> {
         self.last.get()
     }
@@ -182,25 +188,26 @@
     }
 }
 
-/// Reads an answer's body to its end, for as long as it makes progress.
-async fn read(
+/// Reads a response's body to its end, for as long as it makes progress.
+async fn read_body(
     connection: &mut Connection,
     mut body: Incoming,
     progress: &Progress,
 ) -> Result<Vec<u8>, CallFailure> {
-    let (mut text, begun) = (Vec::new(), Instant::now());
+    let mut text = Vec::new();
+    let begun = Instant::now();
     loop {
         let received = text.len();
-        let slowest = begun + LONGEST_PAUSE + Duration::from_secs(received as u64) / SLOWEST as u32;
-        let due = slowest.min(Instant::now() + LONGEST_PAUSE);
+        let slowest = begun + MAX_PAUSE + Duration::from_secs(received as u64) / MIN_BYTES_PER_SECOND;
+        let due = slowest.min(Instant::now() + MAX_PAUSE);
         let frame = timeout_at(due, connection.drive(body.frame())).await;
         let frame = frame.map_err(|_| CallFailure::Stalled { received })?;
         let Some(frame) = frame.ok_or(CallFailure::Broken { received })? else { return Ok(text) };
         let frame = frame.map_err(|_| CallFailure::Broken { received })?;
-        // Trailers say nothing of the list.
+        // Trailers carry nothing of the list.
         let piece = frame.into_data().unwrap_or_default();
-        if received + piece.len() > LONGEST_LIST {
-            return Err(CallFailure::TooLong { limit: LONGEST_LIST });
+        if received + piece.len() > MAX_LIST_BYTES {
+            return Err(CallFailure::TooLong { limit: MAX_LIST_BYTES });
         }
         text.extend_from_slice(&piece);
         progress.last.set(Some(Instant::now()));
--- a/src/proxy/control_plane/discovery/mod.rs
+++ b/src/proxy/control_plane/discovery/mod.rs
@@ -1,125 +1,111 @@
-//! The watch on discovery: a long poll that is repeated for ever, and that may fall silent at any time.
+//! The watch on discovery's endpoint list: a long poll that is repeated for ever, and that may fall silent at any time.
 //!
-//! Each call but the first is held by discovery until there is news or its hold is over. A call without an answer
-//! by then is taken for silent: further calls, not held, are made beside it, each over a connection of its own,
-//! until one is answered. The others are dropped with their connections, so that the late answer of an abandoned
-//! call is never read. At most [`MOST_CALLS`] calls are out at once. A call whose list comes slowly, but comes, is
-//! waited for, and no other is made beside it.
+//! Each call but the first is held by discovery until the list changes or the hold is over. A call without a response by
+//! then counts as silent: further calls, not held, are made beside it, each over a connection of its own, until one is
+//! answered. The others are dropped with their connections, so that the late response of an abandoned call is never
+//! read. At most `MAX_CALLS` calls are in flight at once. A call whose list comes slowly, but comes, is waited for, and
+//! no other is made beside it.
 //!
-//! Bound: while discovery can be reached, a change is in the driver's inbox at most hold + silence + one round
-//! trip after discovery has it, which is below the 6 s after which it counts as told.
+//! Bound: while discovery can be reached, a change is in the runtime's channel at most hold + silence + one round trip
+//! after discovery has it, which is below the 6 s after which it counts as announced.
 
 mod call;
+mod calls_in_flight;
 mod endpoint_list;
+mod wire;
 
 pub use call::FailureKind;
-pub use endpoint_list::{Member, MemberList, Phase, LONGEST_LIST, MOST_BACKENDS};
+pub use endpoint_list::{DiscoveredEndpoint, EndpointList, MAX_ENDPOINTS, MAX_LIST_BYTES};
 
 use crate::decision::api::Settings;
 use crate::proxy::admin::metrics::Figures;
 use crate::proxy::log_rate_limit::Sparing;
 use crate::proxy::runtime::{RuntimeEvent, RuntimeSender};
 use crate::proxy::upstream::connection::Connection;
-use call::{Answer, Call, CallFailure, Progress};
+use call::{Call, CallFailure, ListResponse};
+use calls_in_flight::CallsInFlight;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, Instant};
 use tracing::{info, warn};
 
-/// The pause before a failed call is made again; a watch goes on if its next call comes within 200 ms.
+/// The pause before a failed call is retried; a watch goes on if its next call comes within 200 ms.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// The pause doubles with each failure in a row, up to this where the connection or the service may be back at any
-/// moment, so that its news is heard well within the grace of a drain.
-const LONGEST_RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// The same where the answer came and can't be used: the next one is likely to be like it.
-const LONGEST_UNUSABLE_PAUSE: Duration = Duration::from_secs(2);
-
-/// The most calls that are out at once; each takes a descriptor.
-const MOST_CALLS: usize = 3;
-
-/// How long one of the calls that are out is waited for beside its hold, however slow or crowded discovery is. The
-/// others are given up sooner, as what they wait for may be a connection that is dead.
-const LONGEST_PATIENCE: Duration = Duration::from_secs(20);
-
-/// How patient the watch is.
+/// The backoff doubles with each failure in a row, up to this where the connection or the service may be back at any
+/// moment, so that a change is heard well within the grace of a drain.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// The same where a response came and can't be used: the next one is likely to be like it.
+const MAX_UNUSABLE_PAUSE: Duration = Duration::from_secs(2);
+/// The backoff stops doubling after so many failures, before its factor could overflow.
+const MAX_DOUBLINGS: u32 = 8;
+/// A retry comes after a random part of its pause, from this part of it to [`MAX_JITTER`], so that the gateways of a
+/// fleet do not all come at once.
+const MIN_JITTER: f64 = 0.75;
+/// See [`MIN_JITTER`].
+const MAX_JITTER: f64 = 1.25;
+
+/// How often and for how long discovery is polled.
 #[derive(Debug, Clone, Copy)]
-pub struct Pace {
-    /// How long discovery is asked to hold a call while there is no news.
+pub struct PollTiming {
+    /// How long discovery is asked to hold a call while the list does not change.
     hold: Duration,
     /// A call counts as silent so long after its hold is over.
     silence: Duration,
     /// Calls beside a silent one are made at intervals that double from `silence` to this.
-    longest_interval: Duration,
+    max_interval: Duration,
     /// A silent call is given up so long after its hold is over, but for the one that is waited for longest.
     patience: Duration,
 }
 
-impl Pace {
+impl PollTiming {
     /// Where lists are pushed, an agent on this machine answers at once and at no cost.
-    const PUSHED: Pace = Pace {
+    const PUSHED: PollTiming = PollTiming {
         hold: Duration::from_secs(2),
         silence: Duration::from_millis(500),
-        longest_interval: Duration::from_millis(500),
+        max_interval: Duration::from_millis(500),
         patience: Duration::from_secs(1),
     };
-    /// Where lists are asked for, one service answers all gateways in turn: an early repeat would only make it slower.
-    const ASKED: Pace = Pace {
+    /// Where lists are polled, one service answers all gateways in turn: an early retry would only make it slower.
+    const POLLED: PollTiming = PollTiming {
         hold: Duration::from_secs(3),
         silence: Duration::from_secs(2),
-        longest_interval: Duration::from_secs(4),
+        max_interval: Duration::from_secs(4),
         patience: Duration::from_secs(2),
     };
 
-    /// The pace for a deployment.
-    pub fn of(settings: &Settings) -> Pace {
+    /// The timing for a deployment.
+    pub fn of(settings: &Settings) -> PollTiming {
         match settings.must_subscribe {
-            true => Pace::ASKED,
-            false => Pace::PUSHED,
+            true => PollTiming::POLLED,
+            false => PollTiming::PUSHED,
         }
     }
 }
 
-/// Where the watch stands.
-struct Watch {
-    address: SocketAddr,
-    pace: Pace,
-    /// The version of the list that the driver holds.
-    revision: Option<u64>,
-    /// This watch has brought a list.
-    answered: bool,
-    /// How the last call failed, if it did.
-    failing: Option<FailureKind>,
-    /// Failures since the last list, and when one was last logged.
-    failures: u32,
-    logged: Sparing,
-    figures: Rc<Figures>,
-}
-
-/// Brings the list up to date, from the version that the driver holds if there is one, then watches it for ever,
-/// telling the driver what is new.
+/// Brings the list up to date, from the revision that the runtime holds if there is one, then watches it for ever and
+/// passes each change on to the runtime.
 pub async fn watch(
     address: SocketAddr,
-    held: Option<u64>,
-    pace: Pace,
-    inbox: RuntimeSender,
+    held_revision: Option<u64>,
+    timing: PollTiming,
+    runtime: RuntimeSender,
     figures: Rc<Figures>,
 ) {
-    let mut watch = Watch {
+    let mut watch = EndpointWatch {
         address,
-        pace,
-        revision: held,
+        timing,
+        revision: held_revision,
         answered: false,
         failing: None,
         failures: 0,
-        logged: Sparing::default(),
+        log_limit: Sparing::default(),
         figures,
     };
-    let mut resting = None;
+    let mut idle = None;
     loop {
-        let Answer { list, length, connection } = watch.next_answer(resting.take()).await;
-        resting = Some(connection);
+        let ListResponse { list, length, connection } = watch.next_response(idle.take()).await;
+        idle = Some(connection);
         if !watch.follows(&list) {
             watch.reject(&list);
             sleep(RETRY_PAUSE).await;
@@ -128,143 +114,133 @@
         watch.answered = true;
         watch.revision = Some(list.revision);
         watch.figures.discovery.listed(list.revision, length);
-        if inbox.send(RuntimeEvent::EndpointsChanged(list)).await.is_err() {
+        if runtime.send(RuntimeEvent::EndpointsChanged(list)).await.is_err() {
             return;
         }
     }
 }
 
-/// The calls that are out.
-#[derive(Default)]
-struct Calls {
-    /// With each one's end: whether it was the one that is waited for longest.
-    running: JoinSet<(bool, Result<Answer, CallFailure>)>,
-    patient_is_out: bool,
-    progress: Rc<Progress>,
-}
-
-impl Calls {
-    /// Makes a call. One of those that are out is given much time, the others so much.
-    fn start(&mut self, call: Call, resting: Option<Connection>, patience: Duration) {
-        let patient = !std::mem::replace(&mut self.patient_is_out, true);
-        let patience = if patient { LONGEST_PATIENCE } else { patience };
-        let making = call.make(resting, patience, self.progress.clone());
-        self.running.spawn_local(async move { (patient, making.await) });
-    }
-
-    fn have_room(&self) -> bool {
-        self.running.len() < MOST_CALLS
-    }
-
-    /// The next end of a call; `None` where none is out.
-    async fn next(&mut self) -> Option<Result<Answer, CallFailure>> {
-        match self.running.join_next().await? {
-            Ok((patient, ended)) => {
-                self.patient_is_out &= !patient;
-                if ended.is_err() {
-                    // What it had brought is no reason to wait longer.
-                    self.progress.forget();
-                }
-                Some(ended)
-            }
-            Err(error) => {
-                warn!(%error, "a call to discovery ended");
-                self.patient_is_out = false;
-                Some(Err(CallFailure::Broken { received: 0 }))
-            }
-        }
-    }
+/// Where the watch stands.
+struct EndpointWatch {
+    address: SocketAddr,
+    timing: PollTiming,
+    /// The revision of the list that the runtime holds.
+    revision: Option<u64>,
+    /// This watch has brought a list.
+    answered: bool,
+    /// How the last call failed, if it did.
+    failing: Option<FailureKind>,
+    /// Failures since the last list.
+    failures: u32,
+    log_limit: Sparing,
+    figures: Rc<Figures>,
 }
 
-impl Watch {
-    /// Guards against a stale answer that would undo a drain already told, and against changes to a list that is not
-    /// held. The whole list, asked for anew, is what discovery has.
-    fn follows(&self, list: &MemberList) -> bool {
+impl EndpointWatch {
+    /// Guards against a stale response that would undo a drain already announced, and against changes to a list that is
+    /// not held. The complete list, which is asked for anew, is what discovery has.
+    fn follows(&self, list: &EndpointList) -> bool {
         match self.revision {
             Some(held) => list.revision >= held,
             None => list.complete,
         }
     }
 
-    fn reject(&mut self, list: &MemberList) {
+    fn reject(&mut self, list: &EndpointList) {
         warn!(
             revision = list.revision,
             complete = list.complete,
             held = self.revision,
-            "discovery told what does not follow; asking for all"
+            "endpoint list does not follow the one that is held; asking for the complete list"
         );
         self.figures.discovery.failed(FailureKind::OutOfOrder);
         self.revision = None;
     }
 
-    /// The first answer to any of as many calls as it takes.
-    async fn next_answer(&mut self, resting: Option<Connection>) -> Answer {
-        let resting = resting.and_then(|mut connection| connection.is_usable().then_some(connection));
-        let prompt = Call { address: self.address, since: self.revision, hold: Duration::ZERO };
-        // What is held from before may be old: the first call brings what there is at once.
-        let hold = if self.answered && self.revision.is_some() { self.pace.hold } else { Duration::ZERO };
-        // Dropped with the answer, which ends the other calls and closes their connections.
-        let mut calls = Calls::default();
+    /// The call for the list as it is, without a hold.
+    fn prompt_call(&self) -> Call {
+        Call { address: self.address, since: self.revision, hold: Duration::ZERO }
+    }
+
+    /// How long discovery may hold the next call. A list from before this watch may be old: the first call brings what
+    /// there is at once.
+    fn hold(&self) -> Duration {
+        match self.answered && self.revision.is_some() {
+            true => self.timing.hold,
+            false => Duration::ZERO,
+        }
+    }
+
+    /// The first response to any of as many calls as it takes.
+    async fn next_response(&mut self, idle: Option<Connection>) -> ListResponse {
+        let idle = idle.and_then(|mut connection| connection.is_usable().then_some(connection));
+        let hold = self.hold();
+        // Dropped with the response, which ends the other calls and closes their connections.
+        let mut calls = CallsInFlight::default();
         self.figures.discovery.called();
-        calls.start(Call { hold, ..prompt }, resting, self.pace.patience);
-        let mut interval = self.pace.silence;
+        calls.start(Call { hold, ..self.prompt_call() }, idle, self.timing.patience);
+        let mut interval = self.timing.silence;
         let mut next_call = Instant::now() + hold + interval;
         loop {
             tokio::select! {
                 biased;
                 Some(ended) = calls.next() => match ended {
-                    Ok(answer) => {
-                        self.recovered();
-                        return answer;
+                    Ok(response) => {
+                        self.note_recovery();
+                        return response;
                     }
                     Err(failure) => {
-                        self.failed(&failure);
-                        let again = Instant::now() + self.retry_pause();
-                        next_call = if calls.running.is_empty() { again } else { next_call.min(again) };
+                        self.note_failure(&failure);
+                        let retry_at = Instant::now() + self.retry_pause();
+                        next_call = if calls.is_empty() { retry_at } else { next_call.min(retry_at) };
                     }
                 },
                 () = sleep_until(next_call) => {
                     let now = Instant::now();
                     // A list that comes slowly is not silent: another call would only make it slower.
-                    let silent_at = calls.progress.last().map(|last| last + self.pace.silence);
+                    let silent_at = calls.last_progress().map(|last| last + self.timing.silence);
                     if let Some(later) = silent_at.filter(|at| now < *at) {
                         next_call = later;
                         continue;
                     }
                     if calls.have_room() {
                         self.figures.discovery.called();
-                        calls.start(prompt, None, self.pace.patience);
+                        calls.start(self.prompt_call(), None, self.timing.patience);
                     }
                     next_call = now + interval;
-                    interval = (interval * 2).min(self.pace.longest_interval);
+                    interval = (interval * 2).min(self.timing.max_interval);
                 }
             }
         }
     }
 
-    /// How long after the last failure a call is made again: at random within a quarter, so that the gateways of a
-    /// fleet do not all come at once.
+    /// How long after the last failure a call is retried: exponential backoff with jitter.
     fn retry_pause(&self) -> Duration {
         let longest = match self.failing {
-            Some(FailureKind::TooLong | FailureKind::Malformed) => LONGEST_UNUSABLE_PAUSE,
-            _ => LONGEST_RETRY_PAUSE,
+            Some(FailureKind::TooLong | FailureKind::Malformed) => MAX_UNUSABLE_PAUSE,
+            _ => MAX_RETRY_PAUSE,
         };
-        let doublings = self.failures.saturating_sub(1).min(8);
+        let doublings = self.failures.saturating_sub(1).min(MAX_DOUBLINGS);
         let pause = (RETRY_PAUSE * (1 << doublings)).min(longest);
-        pause.mul_f64(0.75 + 0.5 * fastrand::f64())
+        pause.mul_f64(MIN_JITTER + (MAX_JITTER - MIN_JITTER) * fastrand::f64())
     }
 
-    fn failed(&mut self, failure: &CallFailure) {
+    fn note_failure(&mut self, failure: &CallFailure) {
         let kind = failure.kind();
         self.figures.discovery.failed(kind);
         self.failures += 1;
-        let news = self.failing.replace(kind) != Some(kind);
-        if self.logged.speaks(Instant::now()) || news {
-            warn!(problem = %failure, failures = self.failures, held = self.revision, "discovery failed; the list stays as it is");
+        let is_new = self.failing.replace(kind) != Some(kind);
+        if self.log_limit.speaks(Instant::now()) || is_new {
+            warn!(
+                problem = %failure,
+                failures = self.failures,
+                held = self.revision,
+                "call to discovery failed; the endpoint list stays as it is"
+            );
         }
     }
 
-    fn recovered(&mut self) {
+    fn note_recovery(&mut self) {
         if self.failing.take().is_some() {
             info!(failures = self.failures, "discovery answers again");
             self.failures = 0;
--- /dev/null
+++ b/src/proxy/control_plane/discovery/wire.rs
@@ -0,0 +1,119 @@
+//! The JSON of discovery's endpoint list, as it travels, as the configuration repeats it, and as two processes of one
+//! gateway hand it over. Nothing behind this module knows the wire's names.
+
+use super::endpoint_list::{DiscoveredEndpoint, EndpointList};
+use crate::decision::api::Listed;
+use serde::{Deserialize, Serialize};
+use std::net::SocketAddr;
+
+/// The list, complete or as the changes since an earlier revision.
+#[derive(Serialize, Deserialize)]
+pub(super) struct WireEndpointList {
+    revision: u64,
+    #[serde(default)]
+    complete: bool,
+    #[serde(rename = "members")]
+    endpoints: Vec<WireEndpoint>,
+}
+
+/// One endpoint.
+#[derive(Serialize, Deserialize)]
+struct WireEndpoint {
+    #[serde(rename = "id")]
+    name: String,
+    #[serde(rename = "host_port")]
+    address: SocketAddr,
+    #[serde(rename = "locality", default)]
+    zone: String,
+    #[serde(rename = "flavor", default)]
+    release_label: String,
+    #[serde(default)]
+    cell: u64,
+    #[serde(rename = "phase")]
+    status: WireStatus,
+    #[serde(rename = "size", default = "default_weight")]
+    weight: f64,
+    #[serde(rename = "up_since_ms", default)]
+    started_at_unix_ms: u64,
+}
+
+/// Whether an endpoint takes work.
+#[derive(Serialize, Deserialize)]
+enum WireStatus {
+    #[serde(rename = "ready")]
+    InService,
+    #[serde(rename = "draining")]
+    Draining,
+    #[serde(rename = "gone")]
+    Removed,
+}
+
+fn default_weight() -> f64 {
+    1.0
+}
+
+impl From<WireEndpointList> for EndpointList {
+    fn from(wire: WireEndpointList) -> EndpointList {
+        let WireEndpointList { revision, complete, endpoints } = wire;
+        let endpoints = endpoints.into_iter().map(DiscoveredEndpoint::from).collect();
+        EndpointList { revision, complete, endpoints }
+    }
+}
+
+impl From<EndpointList> for WireEndpointList {
+    fn from(list: EndpointList) -> WireEndpointList {
+        let EndpointList { revision, complete, endpoints } = list;
+        let endpoints = endpoints.into_iter().map(WireEndpoint::from).collect();
+        WireEndpointList { revision, complete, endpoints }
+    }
+}
+
+impl From<WireEndpoint> for DiscoveredEndpoint {
+    fn from(wire: WireEndpoint) -> DiscoveredEndpoint {
+        DiscoveredEndpoint {
+            name: wire.name,
+            address: wire.address,
+            zone: wire.zone,
+            release_label: wire.release_label,
+            cell: wire.cell,
+            status: wire.status.into(),
+            weight: wire.weight,
+            started_at_unix_ms: wire.started_at_unix_ms,
+        }
+    }
+}
+
+impl From<DiscoveredEndpoint> for WireEndpoint {
+    fn from(endpoint: DiscoveredEndpoint) -> WireEndpoint {
+        WireEndpoint {
+            name: endpoint.name,
+            address: endpoint.address,
+            zone: endpoint.zone,
+            release_label: endpoint.release_label,
+            cell: endpoint.cell,
+            status: endpoint.status.into(),
+            weight: endpoint.weight,
+            started_at_unix_ms: endpoint.started_at_unix_ms,
+        }
+    }
+}
+
+impl From<WireStatus> for Listed {
+    fn from(wire: WireStatus) -> Listed {
+        match wire {
+            WireStatus::InService => Listed::InService,
+            WireStatus::Draining => Listed::Draining,
+            WireStatus::Removed => Listed::Gone,
+        }
+    }
+}
+
+impl From<Listed> for WireStatus {
+    fn from(status: Listed) -> WireStatus {
+        match status {
+            Listed::InService => WireStatus::InService,
+            Listed::Draining => WireStatus::Draining,
+            Listed::Gone => WireStatus::Removed,
+        }
+    }
+}
--- a/src/proxy/lifecycle/handover.rs
+++ b/src/proxy/lifecycle/handover.rs
@@ -5,7 +5,7 @@
 //! is dead, silent or garbled costs a moment, and then the process goes on alone.
 
 use crate::decision::state::Estate;
-use crate::proxy::control_plane::discovery::{MemberList, MOST_BACKENDS};
+use crate::proxy::control_plane::discovery::{EndpointList, MAX_ENDPOINTS};
 use crate::proxy::downstream::accept::Accepting;
 use crate::proxy::lifecycle::drain::Lifecycle;
 use crate::proxy::runtime::{AdminCommand, AdminSender};
@@ -35,7 +35,7 @@
 const MOST_CUSTOMERS: usize = 30_000;
 /// The longest line, in bytes: 31.7 MB, all that a gateway of the largest fleet can leave. Read as it comes, so that no more
 /// memory is taken than the line has.
-const LONGEST: usize = 2 * MOST_BACKENDS * LONGEST_BACKEND + MOST_CUSTOMERS * LONGEST_CUSTOMER;
+const LONGEST: usize = 2 * MAX_ENDPOINTS * LONGEST_BACKEND + MOST_CUSTOMERS * LONGEST_CUSTOMER;
 /// Bytes that are written in one step.
 const PIECE: usize = 64 * 1024;
 /// How often the elder tells what it still holds.
@@ -47,7 +47,8 @@
 #[derive(Serialize, Deserialize)]
 pub struct Will {
     /// The list of backends as it last had it.
-    pub members: MemberList,
+    #[serde(rename = "members")]
+    pub endpoints: EndpointList,
     /// What the module must know.
     pub estate: Estate,
 }
--- a/src/proxy/lifecycle/handover/tests.rs
+++ b/src/proxy/lifecycle/handover/tests.rs
@@ -76,7 +76,7 @@
 #[test]
 fn a_state_without_the_later_fields_or_with_unknown_ones_is_taken_over() {
     let state = state_of(OTHER_BUILDS);
-    assert!(!state.members.complete);
+    assert!(!state.endpoints.complete);
     assert!(state.estate.customers.iter().all(|(_, customer)| customer.first == 0));
     let refused = state.estate.customers.iter().filter_map(|(_, customer)| customer.refused.as_ref());
     assert_eq!(refused.map(|refusal| refusal.class).collect::<Vec<_>>(), [ClassId(1), ClassId(0)]);
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -61,7 +61,7 @@
 async fn follow(
     mut services: watch::Receiver<ServiceAddresses>,
     mut held: Option<u64>,
-    pace: control_plane::discovery::Pace,
+    pace: control_plane::discovery::PollTiming,
     inbox: RuntimeSender,
     figures: Rc<Figures>,
 ) {
@@ -116,7 +116,7 @@
     let plans =
         config.site.plans.iter().map(|(name, &i)| (name.clone(), crate::decision::api::PlanId(i))).collect();
     let tick = config.site.settings.tick;
-    let pace = control_plane::discovery::Pace::of(&config.site.settings);
+    let pace = control_plane::discovery::PollTiming::of(&config.site.settings);
     let known = config.known_revision();
     let last_moment = tick + tick;
     let (gateways, most_units) = (config.site.settings.gateways, config.site.settings.most_units);
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -18,7 +18,7 @@
 use crate::proxy::cluster_transport::outcome_recorder::{Arms, Judged, Seen};
 use crate::proxy::control_plane::config::{Config, ConfigError};
 use crate::proxy::control_plane::counter::{Counted, Counter, Order};
-use crate::proxy::control_plane::discovery::{Member, MemberList, Phase};
+use crate::proxy::control_plane::discovery::{DiscoveredEndpoint, EndpointList};
 use crate::proxy::downstream::response_body::{Answered, Giving};
 use crate::proxy::lifecycle::drain::Lifecycle;
 use crate::proxy::lifecycle::handover::{Will, Word};
@@ -88,7 +88,7 @@
     order: Order,
     backends: HashMap<ServerId, Rc<Backend>>,
     /// The list of backends as it was last told.
-    listed: HashMap<ServerId, Member>,
+    listed: HashMap<ServerId, DiscoveredEndpoint>,
     /// When backends started: as told, in milliseconds of the wall clock, and on the own clock.
     starts: HashMap<ServerId, (u64, Micros)>,
     revision: u64,
@@ -165,8 +165,8 @@
             driver.batch.push(Event::Lent(Lent { part, ..Lent::default() }));
         }
         // It may be old, but it is what there is until discovery speaks, which is waited for a little.
-        if !known.members.is_empty() {
-            driver.members(MemberList { complete: true, ..known });
+        if !known.endpoints.is_empty() {
+            driver.members(EndpointList { complete: true, ..known });
             driver.ready_at = Some(Instant::now() + WAIT_FOR_DISCOVERY);
         }
         Ok((driver, ordering))
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -28,14 +28,14 @@
             AdminCommand::HandOver { messages: words, reply: done } => {
                 self.share(Some(words), 3);
                 self.turn();
-                let members = self.listed.values().cloned().collect();
-                let members = MemberList { revision: self.revision, complete: true, members };
-                let _ = done.send(Box::new(Will { members, estate: self.gateway.hand_over() }));
+                let endpoints = self.listed.values().cloned().collect();
+                let endpoints = EndpointList { revision: self.revision, complete: true, endpoints };
+                let _ = done.send(Box::new(Will { endpoints, estate: self.gateway.hand_over() }));
             }
             AdminCommand::TakeOver { snapshot: will, messages: words, reply: done } => {
                 self.share(Some(words), 1);
-                if will.members.revision > self.revision {
-                    self.members(will.members);
+                if will.endpoints.revision > self.revision {
+                    self.members(will.endpoints);
                 }
                 self.turn();
                 self.gateway.take_over(will.estate);
@@ -58,14 +58,14 @@
         self.counter.iter().for_each(|counter| counter.leave(quarters));
     }
 
-    pub(super) fn members(&mut self, list: MemberList) {
+    pub(super) fn members(&mut self, list: EndpointList) {
         let scope = if list.complete { ListScope::Whole } else { ListScope::Changes };
-        if list.members.is_empty() && !list.complete {
+        if list.endpoints.is_empty() && !list.complete {
             self.revision = list.revision;
             return;
         }
-        let entries = list.members.len();
-        let draining = list.members.iter().filter(|member| member.phase == Phase::Draining).count();
+        let entries = list.endpoints.len();
+        let draining = list.endpoints.iter().filter(|member| member.status == Listed::Draining).count();
         match list.complete {
             true => info!(revision = list.revision, entries, draining, "whole list of backends"),
             false => debug!(revision = list.revision, entries, draining, "changes of the list of backends"),
@@ -74,21 +74,17 @@
         if list.complete {
             self.listed.clear();
         }
-        let mut entries = Vec::with_capacity(list.members.len());
-        for member in list.members {
-            let server = self.site.server(&member.id);
-            let listed = match member.phase {
-                Phase::Ready => Listed::InService,
-                Phase::Draining => Listed::Draining,
-                Phase::Gone => Listed::Gone,
-            };
-            let before = self.listed.get(&server).map(|member| member.phase);
-            if before != Some(member.phase) {
-                debug!(backend = member.id, address = %member.host_port, ?before, phase = ?member.phase, "backend changes");
+        let mut entries = Vec::with_capacity(list.endpoints.len());
+        for member in list.endpoints {
+            let server = self.site.server(&member.name);
+            let listed = member.status;
+            let before = self.listed.get(&server).map(|member| member.status);
+            if before != Some(member.status) {
+                debug!(backend = member.name, address = %member.address, ?before, phase = ?member.status, "backend changes");
             }
             let backend = Backend {
-                address: member.host_port,
-                up_since_ms: member.up_since_ms,
+                address: member.address,
+                up_since_ms: member.started_at_unix_ms,
                 open: Cell::new(listed == Listed::InService),
             };
             if let Some(old) = self.backends.get(&server) {
@@ -102,12 +98,12 @@
             }
             entries.push(ServerEntry {
                 server,
-                zone: self.site.zone(&member.locality),
+                zone: self.site.zone(&member.zone),
                 cell: CellId(member.cell),
                 listed,
-                weight: member.size,
-                started: self.start_of(server, member.up_since_ms),
-                label: self.site.label(&member.flavor),
+                weight: member.weight,
+                started: self.start_of(server, member.started_at_unix_ms),
+                label: self.site.label(&member.release_label),
             });
             if listed == Listed::Gone {
                 self.starts.remove(&server);
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -91,7 +91,7 @@
     /// The client of a request closed its connection.
     ClientDisconnected(RequestId),
     /// News of the backends.
-    EndpointsChanged(MemberList),
+    EndpointsChanged(EndpointList),
     /// Calls to the counter go to this address from now on.
     CounterAddressChanged(SocketAddr),
     /// What the gateways know together of each other's shares.
--- a/tests/endpoint_list_form.rs
+++ b/tests/endpoint_list_form.rs
@@ -4,35 +4,36 @@
 #[path = "common/fixture.rs"]
 mod fixture;
 
-use quota_gateway::proxy::control_plane::discovery::{MemberList, Phase};
+use quota_gateway::decision::api::Listed;
+use quota_gateway::proxy::control_plane::discovery::EndpointList;
 use std::fmt::Write;
 
 fn list_text(name: &str) -> String {
     fixture::text(&format!("control/{name}"))
 }
 
-fn phase(phase: Phase) -> &'static str {
-    match phase {
-        Phase::Ready => "ready",
-        Phase::Draining => "draining",
-        Phase::Gone => "gone",
+fn phase(status: Listed) -> &'static str {
+    match status {
+        Listed::InService => "ready",
+        Listed::Draining => "draining",
+        Listed::Gone => "gone",
     }
 }
 
-fn described(list: &MemberList) -> String {
+fn described(list: &EndpointList) -> String {
     let mut out = format!("revision = {}\ncomplete = {}\n", list.revision, list.complete);
-    for member in &list.members {
+    for member in &list.endpoints {
         writeln!(
             out,
             "id = {:?}, host_port = {}, locality = {:?}, flavor = {:?}, cell = {}, phase = {}, size = {:?}, up_since_ms = {}",
-            member.id,
-            member.host_port,
-            member.locality,
-            member.flavor,
+            member.name,
+            member.address,
+            member.zone,
+            member.release_label,
             member.cell,
-            phase(member.phase),
-            member.size,
-            member.up_since_ms,
+            phase(member.status),
+            member.weight,
+            member.started_at_unix_ms,
         )
         .expect("a text grows");
     }
@@ -70,7 +71,7 @@
 fn every_field_of_a_list_is_read() {
     let mut out = String::new();
     for name in LISTS {
-        let list: MemberList = serde_json::from_str(&list_text(name)).expect(name);
+        let list: EndpointList = serde_json::from_str(&list_text(name)).expect(name);
         writeln!(out, "{name}\n{}", described(&list)).expect("a text grows");
     }
     fixture::assert_same("control/lists.read.txt", &out);
@@ -80,7 +81,7 @@
 fn a_list_is_written_to_the_bytes_that_it_was_read_from() {
     for name in ["list_complete.json", "list_incremental.json", "list_no_news.json"] {
         let text = list_text(name);
-        let list: MemberList = serde_json::from_str(&text).expect(name);
+        let list: EndpointList = serde_json::from_str(&text).expect(name);
         assert_eq!(serde_json::to_string(&list).expect("a text") + "\n", text);
     }
 }
@@ -91,7 +92,7 @@
     let mut out = String::new();
     for (part, wrong) in WRONG {
         assert_eq!(text.matches(part).count(), 1, "{part}");
-        let read = serde_json::from_str::<MemberList>(&text.replacen(part, wrong, 1));
+        let read = serde_json::from_str::<EndpointList>(&text.replacen(part, wrong, 1));
         let error = read.err().map_or_else(|| "accepted".to_string(), |e| e.to_string());
         writeln!(out, "{part}  ->  {wrong}\n    {error}").expect("a text grows");
     }
