--- a/src/proxy/cluster_transport/tests.rs
+++ b/src/proxy/cluster_transport/tests.rs
@@ -1,7 +1,7 @@
 //! The cluster's lines of `/stats` as `tests/fixtures/stats-gauges.txt` holds them.
 
 use super::Peers;
-use crate::cluster::Fleet;
+use crate::cluster::ClusterNode;
 use crate::proxy::cluster_transport::outcome_recorder::Arms;
 use crate::proxy::control_plane::config::ClusterConfig;
 use crate::proxy::lifecycle::drain::Lifecycle;
@@ -21,7 +21,7 @@
     let (duty, arms) = (Rc::new(Lifecycle::default()), Rc::new(Arms::default()));
     let peers = Peers::new(config, Clock::start(), duty, inbox, arms, (writes, orphans));
     assert_eq!(peers.gauges(), "", "nothing while another process stands for the gateway");
-    *peers.fleet.borrow_mut() = Some(Fleet::with_distinct_counts());
+    *peers.fleet.borrow_mut() = Some(ClusterNode::with_distinct_counts());
     peers.unsent.set(61);
     peers.finished.0.set(62);
     peers.finished.1.set(63);
--- a/src/proxy/control_plane/discovery/endpoint_list.rs
+++ b/src/proxy/control_plane/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! Discovery's list of endpoints (the servers behind the gateway), and the bounds on its size.
 
 use super::wire::WireEndpointList;
-use crate::decision::api::Listed;
+use crate::decision::EndpointStatus;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -40,7 +40,7 @@
     /// Its cell.
     pub cell: u64,
     /// Whether it takes work.
-    pub status: Listed,
+    pub status: EndpointStatus,
     /// Its size against the others.
     pub weight: f64,
     /// When it last started, Unix time in milliseconds; 0: long ago.
--- a/src/proxy/control_plane/discovery/mod.rs
+++ b/src/proxy/control_plane/discovery/mod.rs
@@ -17,7 +17,7 @@
 pub use call::FailureKind;
 pub use endpoint_list::{DiscoveredEndpoint, EndpointList, MAX_ENDPOINTS, MAX_LIST_BYTES};
 
-use crate::decision::api::Settings;
+use crate::decision::Settings;
 use crate::proxy::admin::metrics::Figures;
 use crate::proxy::log_rate_limit::Sparing;
 use crate::proxy::runtime::{RuntimeEvent, RuntimeSender};
--- a/src/proxy/control_plane/discovery/wire.rs
+++ b/src/proxy/control_plane/discovery/wire.rs
@@ -2,7 +2,7 @@
 //! gateway hand it over. Nothing behind this module knows the wire's names.
 
 use super::endpoint_list::{DiscoveredEndpoint, EndpointList};
-use crate::decision::api::Listed;
+use crate::decision::EndpointStatus;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -98,22 +98,22 @@
     }
 }
 
-impl From<WireStatus> for Listed {
-    fn from(wire: WireStatus) -> Listed {
+impl From<WireStatus> for EndpointStatus {
+    fn from(wire: WireStatus) -> EndpointStatus {
         match wire {
-            WireStatus::InService => Listed::InService,
-            WireStatus::Draining => Listed::Draining,
-            WireStatus::Removed => Listed::Gone,
+            WireStatus::InService => EndpointStatus::InService,
+            WireStatus::Draining => EndpointStatus::Draining,
+            WireStatus::Removed => EndpointStatus::Removed,
         }
     }
 }
 
-impl From<Listed> for WireStatus {
-    fn from(status: Listed) -> WireStatus {
+impl From<EndpointStatus> for WireStatus {
+    fn from(status: EndpointStatus) -> WireStatus {
         match status {
-            Listed::InService => WireStatus::InService,
-            Listed::Draining => WireStatus::Draining,
-            Listed::Gone => WireStatus::Removed,
+            EndpointStatus::InService => WireStatus::InService,
+            EndpointStatus::Draining => WireStatus::Draining,
+            EndpointStatus::Removed => WireStatus::Removed,
         }
     }
 }
--- a/src/proxy/downstream/request_head.rs
+++ b/src/proxy/downstream/request_head.rs
@@ -1,6 +1,6 @@
 //! What a request's head says of it, checked against the site.
 
-use crate::decision::api::*;
+use crate::decision::{Arrival, CustomerId, Idempotency, Micros};
 use crate::proxy::downstream::server::{Front, Malformed};
 use crate::proxy::upstream::forwarded_request::BUDGET;
 use hyper::header::{HeaderMap, HeaderName};
@@ -47,9 +47,9 @@
             return Err(bad("X-Call-Id: expected an id\n"));
         }
         let (wanted, keyed) = match effect {
-            Effect::Safe => (Method::GET, false),
-            Effect::Keyed => (Method::POST, true),
-            Effect::Unsafe => (Method::POST, false),
+            Idempotency::Idempotent => (Method::GET, false),
+            Idempotency::WithKey => (Method::POST, true),
+            Idempotency::NotIdempotent => (Method::POST, false),
         };
         if *method != wanted {
             return Err(Malformed(StatusCode::METHOD_NOT_ALLOWED, "not this class's method\n"));
@@ -62,14 +62,14 @@
             plan: *plan,
             customer,
             spread,
-            first,
+            first_gateway: first,
             units,
-            resent: named("x-again") == Some("1"),
+            is_retry: named("x-again") == Some("1"),
             ..Arrival::default()
         };
         // No client waits longer than its class says.
         let budget = Micros(budget.saturating_mul(1000)).min(*longest);
-        let key = headers.get("idempotency-key").filter(|_| *effect != Effect::Safe);
+        let key = headers.get("idempotency-key").filter(|_| *effect != Idempotency::Idempotent);
         let key = key.map(|key| xxh3_64_with_seed(key.as_bytes(), class.0 as u64));
         Ok(Asked { arrival, budget, key })
     }
--- a/src/proxy/lifecycle/handover.rs
+++ b/src/proxy/lifecycle/handover.rs
@@ -4,7 +4,7 @@
 //! Lines of JSON go both ways over that one connection. Nothing here keeps a process from serving: a peer that
 //! is dead, silent or garbled costs a moment, and then the process goes on alone.
 
-use crate::decision::state::Estate;
+use crate::decision::HandoverState;
 use crate::proxy::control_plane::discovery::{EndpointList, MAX_ENDPOINTS};
 use crate::proxy::downstream::accept::Accepting;
 use crate::proxy::lifecycle::drain::Lifecycle;
@@ -50,7 +50,7 @@
     #[serde(rename = "members")]
     pub endpoints: EndpointList,
     /// What the module must know.
-    pub estate: Estate,
+    pub estate: HandoverState,
 }
 
 /// What the two processes tell each other.
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -12,8 +12,11 @@
 
 use crate::cluster::rollout::{Arm, Ended as Judgement, Key, Rule};
 use crate::cluster::InForce;
-use crate::decision::api::*;
-use crate::decision::gateway::{has_new, Gateway};
+use crate::decision::{
+    has_canary_rules, Action, Arrival, AttemptEnded, CellId, ClassId, CounterKey, EndpointId, EndpointStatus,
+    EndpointUpdate, Event, Gateway, LoadReport, Micros, Outcome, PlanId, QuotaLease, RejectionReason,
+    RequestId, RouteRule, RoutingRules, TimerId, WatchScope,
+};
 use crate::proxy::admin::metrics::{Figures, Fleet, Unsent};
 use crate::proxy::cluster_transport::outcome_recorder::{Arms, Judged, Seen};
 use crate::proxy::control_plane::config::{Config, ConfigError};
@@ -86,11 +89,11 @@
     memory: Rc<Memory>,
     counter: Option<Rc<Counter>>,
     order: Order,
-    backends: HashMap<ServerId, Rc<Backend>>,
+    backends: HashMap<EndpointId, Rc<Backend>>,
     /// The list of backends as it was last told.
-    listed: HashMap<ServerId, DiscoveredEndpoint>,
+    listed: HashMap<EndpointId, DiscoveredEndpoint>,
     /// When backends started: as told, in milliseconds of the wall clock, and on the own clock.
-    starts: HashMap<ServerId, (u64, Micros)>,
+    starts: HashMap<EndpointId, (u64, Micros)>,
     revision: u64,
     /// The way to the other process of this gateway, while there is one.
     other: Option<mpsc::Sender<Word>>,
@@ -104,7 +107,7 @@
     /// When the list known from before is taken for it.
     ready_at: Option<Instant>,
     /// The rollout that runs, and how it deals the customers out.
-    rolled: Option<(Key, Routing)>,
+    rolled: Option<(Key, RoutingRules)>,
     /// Where its ends are counted.
     arms: Rc<Arms>,
 }
@@ -124,7 +127,7 @@
         let (inbox, inputs) = mpsc::channel(INBOX);
         let (ordering, orders) = mpsc::channel(ORDERS);
         let counter =
-            counter.map(|a| Counter::new(a, duration(site.settings.count_timeout), sockets.counter));
+            counter.map(|a| Counter::new(a, duration(site.settings.counter_timeout), sockets.counter));
         let mut driver = Runtime {
             gateway,
             clock,
@@ -162,7 +165,9 @@
         // Where shares are lent, this gateway's may be with others until it is known not to be.
         let part = fleet.map_or(0.0, |fleet| fleet.lendable_part);
         if part > 0.0 {
-            driver.batch.push(Event::Lent(Lent { part, ..Lent::default() }));
+            driver
+                .batch
+                .push(Event::QuotaLeaseChanged(QuotaLease { fraction: part, ..QuotaLease::default() }));
         }
         // It may be old, but it is what there is until discovery speaks, which is waited for a little.
         if !known.endpoints.is_empty() {
@@ -223,13 +228,13 @@
     fn turn(&mut self) {
         let now = self.clock.now();
         while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
-            self.batch.extend(self.timers.pop().map(|Reverse((_, id))| Event::Timer(id)));
+            self.batch.extend(self.timers.pop().map(|Reverse((_, id))| Event::TimerFired { timer: id }));
         }
         let mut actions = std::mem::take(&mut self.actions);
         for event in std::mem::take(&mut self.batch) {
             let ends = match &event {
-                Event::ClientGone(id) => Some(*id),
-                Event::AttemptEnded(end) => Some(end.id),
+                Event::ClientDisconnected { request: id } => Some(*id),
+                Event::AttemptEnded(end) => Some(end.request),
                 _ => None,
             };
             self.gateway.handle(now, event, &mut actions);
@@ -256,23 +261,23 @@
                     "taken"
                 );
                 // The module counts the attempts of earlier owners as well.
-                let before = arrival.earlier.iter().map(|_| Attempt { out: false, call_off: None });
+                let before = arrival.prior_attempts.iter().map(|_| Attempt { out: false, call_off: None });
                 let attempts: Vec<Attempt> = before.collect();
                 let judged = self.rolled.as_ref().map(|(key, routing)| Judged {
                     key: *key,
-                    arm: if has_new(routing, arrival.customer) { Arm::New } else { Arm::Old },
+                    arm: if has_canary_rules(routing, arrival.customer) { Arm::New } else { Arm::Old },
                     class: arrival.class,
                     came: self.clock.now(),
                     before: attempts.len(),
                 });
                 let open = Open { reply: Some(reply), forward: Rc::new(forward), attempts, judged };
                 self.requests.insert(arrival.id, open);
-                self.batch.push(Event::Request(arrival));
+                self.batch.push(Event::RequestArrived(arrival));
             }
             RuntimeEvent::ClientDisconnected(id) => {
                 if self.requests.get_mut(&id).and_then(Open::take_reply).is_some() {
                     debug!(request = id.0, "the client left");
-                    self.batch.push(Event::ClientGone(id));
+                    self.batch.push(Event::ClientDisconnected { request: id });
                 }
             }
             RuntimeEvent::EndpointsChanged(list) => {
@@ -283,14 +288,18 @@
                 // Calls under way end where they were made.
                 self.counter = self.counter.take().map(|counter| Rc::new(counter.moved(address)));
             }
-            RuntimeEvent::QuotaLeaseChanged(lent) => self.batch.push(Event::Lent(lent)),
+            RuntimeEvent::QuotaLeaseChanged(lent) => self.batch.push(Event::QuotaLeaseChanged(lent)),
             RuntimeEvent::RoutingChanged(in_force) => self.routing(*in_force),
             RuntimeEvent::CounterReplied { name, call, reply } => {
                 let ready = self.order.answered(name, call, reply);
-                self.batch.extend(ready.into_iter().map(|c| Event::Counted(name, c.outcome, c.total)));
+                self.batch.extend(ready.into_iter().map(|c| Event::CounterReplied {
+                    key: name,
+                    outcome: c.outcome,
+                    total: c.total,
+                }));
             }
             RuntimeEvent::RequestBodyEnded { request: id, deadline } => {
-                self.batch.push(Event::BodyEnded(id, deadline))
+                self.batch.push(Event::RequestBodyEnded { request: id, deadline })
             }
             RuntimeEvent::AttemptEnded { attempt: ended_attempt, result: ended, elapsed: took } => {
                 let AttemptId { request: id, number: attempt, endpoint: server } = ended_attempt;
@@ -302,7 +311,12 @@
                 let judged = open.judged.filter(|_| ended.body.is_some() && open.reply.is_some());
                 if let Some(judged) = judged {
                     let at = self.clock.now();
-                    let aim = self.site.settings.classes.get(judged.class.0).map_or(Micros(1), |c| c.aim);
+                    let aim = self
+                        .site
+                        .settings
+                        .classes
+                        .get(judged.class.0)
+                        .map_or(Micros(1), |c| c.latency_objective);
                     let part_of_aim = (at - judged.came).secs() / aim.secs().max(1e-6);
                     let ended = if part_of_aim <= 1.0 { Judgement::InTime } else { Judgement::Late };
                     self.arms.note(Seen { judged, at, ended, part_of_aim });
@@ -316,7 +330,7 @@
                                 RuntimeEvent::ResponseBodyEnded { attempt: ended_attempt, complete: whole },
                             )
                         });
-                        self.batch.push(Event::AnswerBegun(id, attempt, took));
+                        self.batch.push(Event::ResponseStarted { request: id, attempt, elapsed: took });
                         let _ = reply.send(FinalResponse::Served(Giving::Download(download)));
                         return;
                     }
@@ -332,8 +346,8 @@
             RuntimeEvent::ResponseBodyEnded { attempt, complete: whole } => {
                 let AttemptId { request: id, number: attempt, endpoint: server } = attempt;
                 self.attempt_over(id, attempt);
-                let outcome = if whole { Outcome::Ok } else { Outcome::Reset };
-                self.ended(id, attempt, server, outcome, Micros(0), Report::default());
+                let outcome = if whole { Outcome::Success } else { Outcome::ConnectionReset };
+                self.ended(id, attempt, server, outcome, Micros(0), LoadReport::default());
             }
         }
     }
@@ -342,7 +356,7 @@
     fn routing(&mut self, in_force: InForce) {
         let InForce { key, counts, old, new, share } = in_force;
         let own = self.site.settings.zone;
-        let mut routes = |rules: Vec<Rule>| -> Vec<Rc<Route>> {
+        let mut routes = |rules: Vec<Rule>| -> Vec<Rc<RouteRule>> {
             let here = rules.into_iter().filter_map(|rule| {
                 let zone = rule.zone.as_ref().map(|zone| self.site.zone(zone));
                 zone.is_none_or(|zone| zone == own).then_some(rule)
@@ -350,9 +364,10 @@
             here.collect::<Vec<_>>().into_iter().map(|rule| Rc::new(route(&mut self.site, rule))).collect()
         };
         let salt = key.map_or(0, |key| key.id);
-        let routing = Routing { old: routes(old.0), new: routes(new.0), share, salt };
+        let routing =
+            RoutingRules { baseline: routes(old.0), canary: routes(new.0), canary_share: share, salt };
         self.rolled = key.filter(|_| counts).map(|key| (key, routing.clone()));
-        self.batch.push(Event::Routing(routing));
+        self.batch.push(Event::RoutingChanged(routing));
     }
 
     fn tidy(&mut self, id: RequestId) {
@@ -363,16 +378,16 @@
 }
 
 /// A rule in the module's terms.
-fn route(site: &mut Site, rule: Rule) -> Route {
+fn route(site: &mut Site, rule: Rule) -> RouteRule {
     let part = |percent: u16| f64::from(percent) / 100.0;
-    Route {
+    RouteRule {
         class: rule.class.and_then(|name| site.classes.get(&name).copied()).map(ClassId),
         plan: rule.plan.and_then(|name| site.plans.get(&name).copied()).map(PlanId),
-        zones: rule.zones.iter().map(|(zone, weight)| (site.zone(zone), part(*weight))).collect(),
-        labels: rule.labels.iter().map(|(label, weight)| (site.label(label), part(*weight))).collect(),
-        attempts: rule.attempts.map(usize::from),
-        give_up: rule.give_up.map(|percent| part(percent.into())),
-        cold: rule.cold.map(|percent| part(percent.into())),
+        zone_weights: rule.zones.iter().map(|(zone, weight)| (site.zone(zone), part(*weight))).collect(),
+        label_weights: rule.labels.iter().map(|(label, weight)| (site.label(label), part(*weight))).collect(),
+        max_attempts: rule.attempts.map(usize::from),
+        give_up_fraction: rule.give_up.map(|percent| part(percent.into())),
+        slow_start_fraction: rule.cold.map(|percent| part(percent.into())),
     }
 }
 
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -16,7 +16,7 @@
                 if let Some(server) = server {
                     // What stands open will be dead once the backend has restarted.
                     self.backends.get(&server).into_iter().for_each(|b| self.pool.forget(b.address));
-                    self.batch.push(Event::Maintenance(server, out));
+                    self.batch.push(Event::MaintenanceChanged { endpoint: server, in_maintenance: out });
                     self.turn();
                     // The other process still sends to backends as well.
                     let other = self.other.as_ref().filter(|_| !relayed);
@@ -43,7 +43,7 @@
             }
             AdminCommand::PeerProcessExited(done) => {
                 self.share(None, 0);
-                self.batch.push(Event::Alone);
+                self.batch.push(Event::PeerProcessExited);
                 self.turn();
                 let _ = done.send(());
             }
@@ -59,13 +59,14 @@
     }
 
     pub(super) fn members(&mut self, list: EndpointList) {
-        let scope = if list.complete { ListScope::Whole } else { ListScope::Changes };
+        let scope = if list.complete { WatchScope::Complete } else { WatchScope::Incremental };
         if list.endpoints.is_empty() && !list.complete {
             self.revision = list.revision;
             return;
         }
         let entries = list.endpoints.len();
-        let draining = list.endpoints.iter().filter(|member| member.status == Listed::Draining).count();
+        let draining =
+            list.endpoints.iter().filter(|member| member.status == EndpointStatus::Draining).count();
         match list.complete {
             true => info!(revision = list.revision, entries, draining, "whole list of backends"),
             false => debug!(revision = list.revision, entries, draining, "changes of the list of backends"),
@@ -85,7 +86,7 @@
             let backend = Backend {
                 address: member.address,
                 up_since_ms: member.started_at_unix_ms,
-                open: Cell::new(listed == Listed::InService),
+                open: Cell::new(listed == EndpointStatus::InService),
             };
             if let Some(old) = self.backends.get(&server) {
                 let same = old.address == backend.address && old.up_since_ms == backend.up_since_ms;
@@ -96,16 +97,16 @@
                     old.open.set(false);
                 }
             }
-            entries.push(ServerEntry {
-                server,
+            entries.push(EndpointUpdate {
+                endpoint: server,
                 zone: self.site.zone(&member.zone),
                 cell: CellId(member.cell),
-                listed,
+                status: listed,
                 weight: member.weight,
-                started: self.start_of(server, member.started_at_unix_ms),
+                started_at: self.start_of(server, member.started_at_unix_ms),
                 label: self.site.label(&member.release_label),
             });
-            if listed == Listed::Gone {
+            if listed == EndpointStatus::Removed {
                 self.starts.remove(&server);
                 self.backends.remove(&server);
                 self.listed.remove(&server);
@@ -115,7 +116,7 @@
             }
         }
         if list.complete {
-            let told: HashSet<ServerId> = entries.iter().map(|e| e.server).collect();
+            let told: HashSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
             self.starts.retain(|server, _| told.contains(server));
             self.backends.retain(|server, backend| {
                 let stays = told.contains(server);
@@ -130,12 +131,12 @@
             let open = self.backends.values().filter(|backend| backend.open.get());
             self.arms.backends(open.map(|backend| backend.address).collect());
         }
-        self.batch.push(Event::Servers(scope, entries));
+        self.batch.push(Event::EndpointsChanged { scope, endpoints: entries });
     }
 
     /// When a backend started, on this gateway's clock: reckoned once for each start, so that a step of the wall clock makes
     /// no new one of it.
-    fn start_of(&mut self, server: ServerId, up_since_ms: u64) -> Option<Micros> {
+    fn start_of(&mut self, server: EndpointId, up_since_ms: u64) -> Option<Micros> {
         if up_since_ms == 0 {
             return None;
         }
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -74,7 +74,7 @@
     /// Its place among the attempts of the request.
     pub number: usize,
     /// The backend that it goes to.
-    pub endpoint: ServerId,
+    pub endpoint: EndpointId,
 }
 
 /// What the driver hears.
@@ -95,13 +95,13 @@
     /// Calls to the counter go to this address from now on.
     CounterAddressChanged(SocketAddr),
     /// What the gateways know together of each other's shares.
-    QuotaLeaseChanged(Lent),
+    QuotaLeaseChanged(QuotaLease),
     /// Other rules of routing are in force.
     RoutingChanged(Box<InForce>),
     /// A call to the counter ended.
     CounterReplied {
         /// The counter that was called.
-        name: CountName,
+        name: CounterKey,
         /// Which of the calls.
         call: u64,
         /// How it ended.
--- a/tests/endpoint_list_form.rs
+++ b/tests/endpoint_list_form.rs
@@ -4,7 +4,7 @@
 #[path = "common/fixture.rs"]
 mod fixture;
 
-use quota_gateway::decision::api::Listed;
+use quota_gateway::decision::EndpointStatus;
 use quota_gateway::proxy::control_plane::discovery::EndpointList;
 use std::fmt::Write;
 
@@ -12,11 +12,11 @@
     fixture::text(&format!("control/{name}"))
 }
 
-fn phase(status: Listed) -> &'static str {
+fn phase(status: EndpointStatus) -> &'static str {
     match status {
-        Listed::InService => "ready",
-        Listed::Draining => "draining",
-        Listed::Gone => "gone",
+        EndpointStatus::InService => "ready",
+        EndpointStatus::Draining => "draining",
+        EndpointStatus::Removed => "gone",
     }
 }
 
