--- a/src/proxy/cluster_transport/claims.rs
+++ b/src/proxy/cluster_transport/claims.rs
@@ -10,7 +10,7 @@
 
     /// Whether requests of this class are finished by others where their gateway dies and no client comes again.
     pub fn finishes(&self, class: &str) -> bool {
-        self.config.finish.iter().any(|name| name == class)
+        self.config.finish_classes.iter().any(|name| name == class)
     }
     /// A request of a gateway that is gone was finished, or can't be.
     pub fn finished(&self, done: bool) {
@@ -37,7 +37,7 @@
         let slot = Rc::new(ClaimProgress::default());
         self.slots.borrow_mut().insert(claim, slot.clone());
         self.perform(effects);
-        Some(Rc::new(LedgerClaim::new(self.clone(), claim, self.era.get(), slot, self.config.ledger_wait)))
+        Some(Rc::new(LedgerClaim::new(self.clone(), claim, self.era.get(), slot, self.config.ledger_timeout)))
     }
 
     /// Does something with a claim, if it is of the part that this process takes now.
--- a/src/proxy/cluster_transport/ledger_request.rs
+++ b/src/proxy/cluster_transport/ledger_request.rs
@@ -8,7 +8,7 @@
 use crate::proxy::downstream::request_head::RequestHead;
 use crate::proxy::downstream::response_body::ResponseBody;
 use crate::proxy::downstream::server::{ProxyContext, RequestError};
-use crate::proxy::runtime::Answer;
+use crate::proxy::runtime::FinalResponse;
 use crate::proxy::upstream::forwarded_request::ForwardedRequest;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -41,7 +41,7 @@
     ((id, digest), request): ((RecordId, u64), Option<Vec<u8>>),
     arrival: Arrival,
     forward: impl Fn(Option<Rc<LedgerClaim>>) -> ForwardedRequest,
-) -> Result<Answer, RequestError> {
+) -> Result<FinalResponse, RequestError> {
     // Most come for the first time: they go ahead while the holders are asked.
     let mut ahead = !arrival.is_retry;
     let mut looks = 0;
@@ -67,7 +67,7 @@
         }
         match work.found().await {
             Finding::Answered(body) => {
-                return Ok(Answer::Served(ResponseBody::Buffered(Full::new(Bytes::from(body)), None)))
+                return Ok(FinalResponse::Served(ResponseBody::Buffered(Full::new(Bytes::from(body)), None)))
             }
             Finding::Mistake => {
                 let problem = "the key stands for another request\n";
@@ -77,7 +77,7 @@
                 let now = front.clock.now();
                 // As late as the module itself would say so.
                 if now + front.last_moment >= arrival.deadline {
-                    return Ok(Answer::Failed);
+                    return Ok(FinalResponse::Failed);
                 }
                 let wait = pause(looks, left);
                 looks += 1;
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -5,7 +5,10 @@
 mod endpoints;
 mod messages;
 
-pub use messages::{tell, Answer, Clock, Control, Inbox, Input, Orders, Taken};
+pub use messages::{
+    send_event, AdminCommand, AdminSender, AttemptId, Clock, FinalResponse, NewRequest, RuntimeEvent,
+    RuntimeSender,
+};
 
 use crate::cluster::rollout::{Arm, Ended as Judgement, Key, Rule};
 use crate::cluster::InForce;
@@ -18,9 +21,9 @@
 use crate::proxy::cluster_transport::outcome_recorder::{OutcomeRecorder, RolloutOutcome, RolloutRequest};
 use crate::proxy::control_plane::config::{Config, ConfigError};
 use crate::proxy::control_plane::counter::{Counted, Counter, Order};
-use crate::proxy::control_plane::discovery::{Member, MemberList, Phase};
+use crate::proxy::control_plane::discovery::{DiscoveredEndpoint, EndpointList};
 use crate::proxy::downstream::response_body::{ResponseBody, UpstreamResponseBody};
-use crate::proxy::lifecycle::drain::Duty;
+use crate::proxy::lifecycle::drain::Lifecycle;
 use crate::proxy::lifecycle::handover::{Will, Word};
 use crate::proxy::memory_budget::MemoryBudget;
 use crate::proxy::upstream::backend::{AttemptResult, Backend, ConnectionPool};
@@ -49,7 +52,7 @@
 
 /// A request in the table: until it has its answer and nothing of it is out.
 struct Open {
-    reply: Option<oneshot::Sender<Answer>>,
+    reply: Option<oneshot::Sender<FinalResponse>>,
     forward: Rc<ForwardedRequest>,
     attempts: Vec<Attempt>,
     /// How it ends is counted for a rollout.
@@ -64,7 +67,7 @@
 
 impl Open {
     /// The way to the client, for the one answer; nothing more is sent for it.
-    fn take_reply(&mut self) -> Option<oneshot::Sender<Answer>> {
+    fn take_reply(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.forward.wanted.set(false);
         self.reply.take()
     }
@@ -74,21 +77,21 @@
 }
 
 /// The driver.
-pub struct Driver {
+pub struct Runtime {
     gateway: Gateway,
     site: Site,
     clock: Clock,
     tick: Duration,
-    inbox: Inbox,
-    inputs: mpsc::Receiver<Input>,
-    orders: mpsc::Receiver<Control>,
+    inbox: RuntimeSender,
+    inputs: mpsc::Receiver<RuntimeEvent>,
+    orders: mpsc::Receiver<AdminCommand>,
     pool: Rc<ConnectionPool>,
     memory: Rc<MemoryBudget>,
     counter: Option<Rc<Counter>>,
     order: Order,
     backends: HashMap<EndpointId, Rc<Backend>>,
     /// The list of backends as it was last told.
-    listed: HashMap<EndpointId, Member>,
+    listed: HashMap<EndpointId, DiscoveredEndpoint>,
     /// When backends started: as told, in milliseconds of the wall clock, and on the own clock.
     starts: HashMap<EndpointId, (u64, Micros)>,
     revision: u64,
@@ -99,7 +102,7 @@
     batch: Vec<Event>,
     actions: Vec<Action>,
     /// Told once the list of backends is in hand.
-    duty: Rc<Duty>,
+    duty: Rc<Lifecycle>,
     figures: Rc<Metrics>,
     /// When the list known from before is taken for it.
     ready_at: Option<Instant>,
@@ -109,15 +112,15 @@
     arms: Rc<OutcomeRecorder>,
 }
 
-impl Driver {
+impl Runtime {
     /// A driver that knows nothing yet but the configuration.
     pub fn new(
         config: Config,
         clock: Clock,
-        duty: Rc<Duty>,
+        duty: Rc<Lifecycle>,
         figures: Rc<Metrics>,
         memory: Rc<MemoryBudget>,
-    ) -> Result<(Driver, Orders), ConfigError> {
+    ) -> Result<(Runtime, AdminSender), ConfigError> {
         let Config { site, counter, sockets, seed, known, conn_idle, fleet, .. } = config;
         let gateway = Gateway::new(seed, site.settings.clone()).map_err(ConfigError::from)?;
         let connect_timeout = duration(site.settings.connect_timeout);
@@ -125,7 +128,7 @@
         let (ordering, orders) = mpsc::channel(ORDERS);
         let counter =
             counter.map(|a| Counter::new(a, duration(site.settings.counter_timeout), sockets.counter));
-        let mut driver = Driver {
+        let mut driver = Runtime {
             gateway,
             clock,
             // A gateway that calls its module without pause would only burn its core.
@@ -160,15 +163,15 @@
             arms: Rc::default(),
         };
         // Where shares are lent, this gateway's may be with others until it is known not to be.
-        let part = fleet.map_or(0.0, |fleet| fleet.lend);
+        let part = fleet.map_or(0.0, |fleet| fleet.lendable_part);
         if part > 0.0 {
             driver
                 .batch
                 .push(Event::QuotaLeaseChanged(QuotaLease { fraction: part, ..QuotaLease::default() }));
         }
         // It may be old, but it is what there is until discovery speaks, which is waited for a little.
-        if !known.members.is_empty() {
-            driver.members(MemberList { complete: true, ..known });
+        if !known.endpoints.is_empty() {
+            driver.members(EndpointList { complete: true, ..known });
             driver.ready_at = Some(Instant::now() + WAIT_FOR_DISCOVERY);
         }
         Ok((driver, ordering))
@@ -180,7 +183,7 @@
     }
 
     /// The way in.
-    pub fn inbox(&self) -> Inbox {
+    pub fn inbox(&self) -> RuntimeSender {
         self.inbox.clone()
     }
 
@@ -246,10 +249,10 @@
     }
 
     /// Translates what came in to an event of the module's.
-    fn take(&mut self, input: Input) {
+    fn take(&mut self, input: RuntimeEvent) {
         match input {
-            Input::Taken(taken) => {
-                let Taken { arrival, forward, reply } = *taken;
+            RuntimeEvent::RequestReceived(taken) => {
+                let NewRequest { arrival, forward, reply } = *taken;
                 debug!(
                     request = arrival.id.0,
                     call = forward.call_id(),
@@ -271,34 +274,35 @@
                 self.requests.insert(arrival.id, open);
                 self.batch.push(Event::RequestArrived(arrival));
             }
-            Input::Gone(id) => {
+            RuntimeEvent::ClientDisconnected(id) => {
                 if self.requests.get_mut(&id).and_then(Open::take_reply).is_some() {
                     debug!(request = id.0, "the client left");
                     self.batch.push(Event::ClientDisconnected { request: id });
                 }
             }
-            Input::Members(list) => {
+            RuntimeEvent::EndpointsChanged(list) => {
                 self.members(list);
                 self.become_ready();
             }
-            Input::Counter(address) => {
+            RuntimeEvent::CounterAddressChanged(address) => {
                 // Calls under way end where they were made.
                 self.counter = self.counter.take().map(|counter| Rc::new(counter.moved(address)));
             }
-            Input::Lent(lent) => self.batch.push(Event::QuotaLeaseChanged(lent)),
-            Input::Routing(in_force) => self.routing(*in_force),
-            Input::Counted(name, serial, counted) => {
-                let ready = self.order.answered(name, serial, counted);
+            RuntimeEvent::QuotaLeaseChanged(lent) => self.batch.push(Event::QuotaLeaseChanged(lent)),
+            RuntimeEvent::RoutingChanged(in_force) => self.routing(*in_force),
+            RuntimeEvent::CounterReplied { name, call, reply } => {
+                let ready = self.order.answered(name, call, reply);
                 self.batch.extend(ready.into_iter().map(|c| Event::CounterReplied {
                     key: name,
                     outcome: c.outcome,
                     total: c.total,
                 }));
             }
-            Input::Uploaded(id, deadline) => {
+            RuntimeEvent::RequestBodyEnded { request: id, deadline } => {
                 self.batch.push(Event::RequestBodyEnded { request: id, deadline })
             }
-            Input::Ended(id, attempt, server, ended, took) => {
+            RuntimeEvent::AttemptEnded { attempt: ended_attempt, result: ended, elapsed: took } => {
+                let AttemptId { request: id, number: attempt, endpoint: server } = ended_attempt;
                 let Some(open) = self.requests.get_mut(&id) else { return };
                 let unsent = ended.unsent;
                 debug!(request = id.0, attempt, outcome = ?ended.outcome, ?unsent, took_us = took.0, "attempt ends");
@@ -320,21 +324,28 @@
                 match ended.body.and_then(|body| Some((body, open.take_reply()?))) {
                     Some((UpstreamResponseBody::Streamed(mut download), reply)) => {
                         let inbox = self.inbox.clone();
-                        download.tells(move |whole| tell(&inbox, Input::Passed(id, attempt, server, whole)));
+                        download.tells(move |whole| {
+                            send_event(
+                                &inbox,
+                                RuntimeEvent::ResponseBodyEnded { attempt: ended_attempt, complete: whole },
+                            )
+                        });
                         self.batch.push(Event::ResponseStarted { request: id, attempt, elapsed: took });
-                        let _ = reply.send(Answer::Served(ResponseBody::Streamed(download)));
+                        let _ = reply.send(FinalResponse::Served(ResponseBody::Streamed(download)));
                         return;
                     }
                     Some((UpstreamResponseBody::Buffered(bytes, room), reply)) => {
                         open.forward.work.iter().for_each(|work| work.answered(&bytes));
-                        let _ = reply.send(Answer::Served(ResponseBody::Buffered(Full::new(bytes), room)));
+                        let _ =
+                            reply.send(FinalResponse::Served(ResponseBody::Buffered(Full::new(bytes), room)));
                     }
                     None => {}
                 }
                 self.attempt_over(id, attempt);
                 self.ended(id, attempt, server, ended.outcome, took, ended.report);
             }
-            Input::Passed(id, attempt, server, whole) => {
+            RuntimeEvent::ResponseBodyEnded { attempt, complete: whole } => {
+                let AttemptId { request: id, number: attempt, endpoint: server } = attempt;
                 self.attempt_over(id, attempt);
                 let outcome = if whole { Outcome::Success } else { Outcome::ConnectionReset };
                 self.ended(id, attempt, server, outcome, Micros(0), LoadReport::default());
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::runtime::*;
 
-impl Driver {
+impl Runtime {
     pub(super) fn attempt_over(&mut self, id: RequestId, attempt: usize) {
         let open = self.requests.get_mut(&id);
         open.and_then(|o| o.attempts.get_mut(attempt)).into_iter().for_each(|a| a.out = false);
@@ -38,9 +38,9 @@
                 self.send(now, id, server, until)
             }
             Action::Reject { request: id, retry_after: wait, reason } => {
-                self.turn_back(id, Answer::Refused(wait), reason)
+                self.turn_back(id, FinalResponse::Rejected { retry_after: wait }, reason)
             }
-            Action::Fail { request: id, reason } => self.turn_back(id, Answer::Failed, reason),
+            Action::Fail { request: id, reason } => self.turn_back(id, FinalResponse::Failed, reason),
             Action::CancelAttempt { request: id, attempt } => {
                 let attempt = self.requests.get_mut(&id).and_then(|open| open.attempts.get_mut(attempt));
                 if let Some(call_off) = attempt.and_then(|a| a.call_off.take()) {
@@ -56,14 +56,14 @@
     }
 
     /// Answers a request for which no backend did.
-    fn turn_back(&mut self, id: RequestId, answer: Answer, reason: RejectionReason) {
-        let refused = matches!(answer, Answer::Refused(_));
+    fn turn_back(&mut self, id: RequestId, answer: FinalResponse, reason: RejectionReason) {
+        let refused = matches!(answer, FinalResponse::Rejected { .. });
         debug!(request = id.0, refused, ?reason, "answered without a backend");
         self.figures.refusals.raise(reason);
         self.answer(id, answer);
     }
 
-    pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
+    pub(super) fn answer(&mut self, id: RequestId, answer: FinalResponse) {
         if let Some(reply) = self.requests.get_mut(&id).and_then(Open::take_reply) {
             let open = self.requests.get(&id);
             if let Some((open, judged)) = open.and_then(|open| Some((open, open.judged?))) {
@@ -87,6 +87,7 @@
             return self.ended(id, attempt, server, Outcome::NotSent, Micros(0), LoadReport::default());
         };
         debug!(request = id.0, attempt, backend = %backend.address, "attempt begins");
+        let sent_attempt = AttemptId { request: id, number: attempt, endpoint: server };
         let (call_off, called_off) = oneshot::channel();
         open.attempts.push(Attempt { out: true, call_off: Some(call_off) });
         let (pool, forward, inbox) = (self.pool.clone(), open.forward.clone(), self.inbox.clone());
@@ -109,7 +110,9 @@
             let since = ended.whole_at.map_or(now, |at| clock.at(at).max(now));
             let took = ended.begun_at.map_or(clock.now(), |at| clock.at(at)) - since;
             // The driver outlives every attempt but for the exit of the process.
-            let _ = inbox.send(Input::Ended(id, attempt, server, ended, took)).await;
+            let _ = inbox
+                .send(RuntimeEvent::AttemptEnded { attempt: sent_attempt, result: ended, elapsed: took })
+                .await;
         });
     }
 
@@ -121,7 +124,7 @@
                 Some(counter) => counter.add(name, amount, life).await,
                 None => Outcome::ConnectFailed.into(),
             };
-            let _ = inbox.send(Input::Counted(name, serial, counted)).await;
+            let _ = inbox.send(RuntimeEvent::CounterReplied { name, call: serial, reply: counted }).await;
         });
     }
 }
--- a/src/proxy/upstream/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -3,7 +3,7 @@
 use crate::decision::{LoadReport, Outcome};
 use crate::proxy::admin::metrics::{Metrics, NotSentReason};
 use crate::proxy::downstream::response_body::{StreamedResponseBody, UpstreamResponseBody};
-use crate::proxy::lifecycle::permits::Share;
+use crate::proxy::lifecycle::permits::Permits;
 use crate::proxy::log_rate_limit::LogRateLimiter;
 use crate::proxy::memory_budget::MemoryBudget;
 use crate::proxy::upstream::connection::{CallError, Connection, MAX_BODY};
@@ -77,7 +77,7 @@
 /// The connections to all backends.
 pub struct ConnectionPool {
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
-    places: Share,
+    places: Permits,
     dial_timeout: Duration,
     /// How long a connection may stand idle and be used again: half of what is known to be safe, less where
     /// connections broke earlier.
@@ -99,7 +99,7 @@
     ) -> ConnectionPool {
         // Guards against writing to a connection that its backend is about to close: half the time is left.
         let idle_limit = conn_idle / 2;
-        let (idle, places) = (RefCell::default(), Share::new(connections));
+        let (idle, places) = (RefCell::default(), Permits::new(connections));
         let (longest_idle, garbled) = (Cell::new(idle_limit), LogRateLimiter::default());
         ConnectionPool { idle, places, dial_timeout, longest_idle, idle_limit, figures, memory, garbled }
     }
@@ -157,8 +157,8 @@
 
     /// Leaves so many quarters of the connections to the other process of this gateway.
     pub fn leave(&self, quarters: usize) {
-        self.places.leave(self.places.all() * quarters / 4);
-        while self.held() > self.places.free() {
+        self.places.reserve_for_other_process(self.places.total() * quarters / 4);
+        while self.held() > self.places.available() {
             self.evict();
         }
     }
@@ -183,8 +183,8 @@
         called_off: oneshot::Receiver<()>,
     ) -> AttemptResult {
         // Guards the limit on descriptors: an attempt without a place was never sent.
-        let Some(place) = self.places.try_take() else { return self.unsent(NotSentReason::NoPlace) };
-        while self.held() > self.places.free() {
+        let Some(place) = self.places.try_acquire() else { return self.unsent(NotSentReason::NoPlace) };
+        while self.held() > self.places.available() {
             self.evict();
         }
         let (wrote, whole_at) = (Cell::new(false), Cell::new(None));
