--- a/lab/src/checker/metrics.rs
+++ b/lab/src/checker/metrics.rs
@@ -1,7 +1,11 @@
 //! The figures of a run: worth served inside quotas, and what it cost.
 
+use super::earned_weight::{earned_weights, rows, served_fraction, EarnedWeight, Row};
+use super::histogram::histogram;
+use super::quota_replay::quota_use;
+use super::timeline::{timeline, worst, Timeline};
 use crate::plan::{Microseconds, Plan};
-use crate::record::{Attempt, End, Outcome, Record, Try};
+use crate::record::{Attempt, End, Record, Try};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
@@ -132,36 +136,6 @@
     pub zones: Vec<Row>,
 }
 
-/// A named share.
-#[derive(Debug, Clone, Serialize)]
-pub struct Row {
-    /// Of what.
-    pub name: String,
-    /// From 0 to 1.
-    pub served: f64,
-}
-
-/// Second by second.
-#[derive(Debug, Clone, Default, Serialize)]
-pub struct Timeline {
-    /// Worth asked for inside quotas.
-    pub offered: Vec<f64>,
-    /// Of it, answered in time.
-    pub served: Vec<f64>,
-    /// Tries refused.
-    pub refused: Vec<f64>,
-    /// Tries that failed or had no answer.
-    pub failed: Vec<f64>,
-    /// Attempts.
-    pub attempts: Vec<f64>,
-    /// 99th percentile of the time of answers 200, in milliseconds.
-    pub p99_ms: Vec<f64>,
-    /// Served share by zone.
-    pub zones: Vec<(String, Vec<f64>)>,
-    /// Served share by the gateway asked first; below 0: nothing was asked.
-    pub gateways: Vec<Vec<f64>>,
-}
-
 impl Metrics {
     /// The figure of a name that `[expect]` may bound.
     pub fn get(&self, name: &str) -> Option<f64> {
@@ -224,177 +198,6 @@
     }
 }
 
-/// A store of units: full at first, filling at a rate, holding a burst at most.
-struct Store {
-    units: f64,
-    last: Microseconds,
-}
-
-impl Store {
-    fn at(&mut self, now: Microseconds, rate: f64, burst: f64) -> f64 {
-        self.units = (self.units + rate * now.saturating_sub(self.last) as f64 / 1e6).min(burst);
-        self.last = self.last.max(now);
-        self.units
-    }
-}
-
-/// Stores of all customers, by rate and burst of their plans.
-struct Stores<'a> {
-    plan: &'a Plan,
-    all: HashMap<usize, Store>,
-}
-
-impl<'a> Stores<'a> {
-    fn new(plan: &'a Plan) -> Stores<'a> {
-        Stores { plan, all: HashMap::new() }
-    }
-    /// What a customer's store holds, and what it can.
-    fn level(&mut self, customer: usize, now: Microseconds) -> (f64, f64) {
-        let spec = &self.plan.scenario.plans[self.plan.customers[customer].plan];
-        let burst = self.plan.burst(spec);
-        let store = self.all.entry(customer).or_insert(Store { units: burst, last: 0 });
-        (store.at(now, spec.rate, burst), burst)
-    }
-    /// Takes units if they are there.
-    fn take(&mut self, customer: usize, now: Microseconds, units: f64) -> bool {
-        let inside = self.level(customer, now).0 >= units;
-        if inside {
-            self.all.get_mut(&customer).into_iter().for_each(|store| store.units -= units);
-        }
-        inside
-    }
-}
-
-/// What became of the tries at the quotas.
-struct Quotas {
-    /// By id: sent on inside the quota.
-    inside: HashMap<u64, bool>,
-    /// The same of requests with a key, whose tries are one use: by arrival.
-    keyed: HashMap<usize, bool>,
-    refused: usize,
-    refused_with_room: usize,
-    beyond_units: f64,
-    beyond_cost: f64,
-    sent_units: f64,
-}
-
-fn quotas(plan: &Plan, record: &Record, first: &HashMap<u64, Microseconds>, from: Microseconds) -> Quotas {
-    // In the order of their times: sent on with the first attempt, or refused.
-    let mut events: Vec<(Microseconds, &Try, bool)> = Vec::new();
-    for one in &record.tries {
-        match first.get(&one.id) {
-            Some(at) => events.push((*at, one, true)),
-            None if matches!(one.end, End::Answer { status: 429 | 503, .. }) => {
-                events.push((one.ended, one, false))
-            }
-            None => {}
-        }
-    }
-    events.sort_by_key(|(at, one, _)| (*at, one.id));
-    let mut stores = Stores::new(plan);
-    let mut all = Quotas {
-        inside: HashMap::new(),
-        keyed: HashMap::new(),
-        refused: 0,
-        refused_with_room: 0,
-        beyond_units: 0.0,
-        beyond_cost: 0.0,
-        sent_units: 0.0,
-    };
-    for (at, one, sent) in events {
-        let arrival = &plan.arrivals[one.arrival];
-        let units = f64::from(arrival.units);
-        if sent && plan.keyed(arrival.class) && all.keyed.contains_key(&one.arrival) {
-            // Its repeats are dropped, and are no further use.
-            all.inside.insert(one.id, all.keyed[&one.arrival]);
-        } else if sent {
-            let inside = stores.take(arrival.customer, at, units);
-            if plan.keyed(arrival.class) {
-                all.keyed.insert(one.arrival, inside);
-            }
-            all.inside.insert(one.id, inside);
-            if at >= from {
-                all.sent_units += units;
-                all.beyond_units += if inside { 0.0 } else { units };
-                let cost = plan.scenario.plans[plan.customers[arrival.customer].plan].over_cost;
-                all.beyond_cost += if inside { 0.0 } else { cost * value(plan, one.arrival) };
-            }
-        }
-        let refused = matches!(one.end, End::Answer { status: 429 | 503, .. });
-        if refused && at >= from {
-            all.refused += 1;
-            let (level, burst) = stores.level(arrival.customer, at);
-            all.refused_with_room += usize::from(!sent && level >= burst / 2.0);
-        }
-    }
-    all
-}
-
-/// What an arrival was worth and earned.
-struct Worth {
-    offered: f64,
-    earned: f64,
-}
-
-/// What a request is worth: by its class, its plan's price and its units.
-fn value(plan: &Plan, arrival: usize) -> f64 {
-    let spec = &plan.arrivals[arrival];
-    let price = plan.scenario.plans[plan.customers[spec.customer].plan].price;
-    plan.scenario.classes[spec.class].worth * price * f64::from(spec.units)
-}
-
-fn worths(plan: &Plan, record: &Record, quotas: &Quotas) -> Vec<Worth> {
-    let mut stores = Stores::new(plan);
-    let mut all: Vec<Worth> = Vec::with_capacity(plan.arrivals.len());
-    let value = |arrival: usize| value(plan, arrival);
-    for (number, arrival) in plan.arrivals.iter().enumerate() {
-        let within = stores.take(arrival.customer, arrival.at, f64::from(arrival.units));
-        all.push(Worth { offered: if within { value(number) } else { 0.0 }, earned: 0.0 });
-    }
-    for one in &record.tries {
-        let End::Answer { status: 200, mark: Some(_) } = one.end else { continue };
-        // An answer that another try of the same request was made for is as good.
-        let inside = quotas.inside.get(&one.id).or_else(|| quotas.keyed.get(&one.arrival));
-        if !inside.copied().unwrap_or(false) {
-            continue;
-        }
-        let class = &plan.scenario.classes[plan.arrivals[one.arrival].class];
-        let took = one.ended.saturating_sub(plan.arrivals[one.arrival].at) as f64 / 1000.0;
-        let part = match () {
-            () if took <= class.aim_ms => 1.0,
-            () if one.ended <= one.until => class.late_worth,
-            () => 0.0,
-        };
-        let worth = &mut all[one.arrival];
-        worth.earned = worth.earned.max(part * value(one.arrival));
-    }
-    all
-}
-
-fn share(earned: f64, offered: f64) -> f64 {
-    if offered > 0.0 {
-        (earned / offered).min(1.0)
-    } else {
-        1.0
-    }
-}
-
-/// Sums by a key, as named shares.
-fn rows(worths: &[Worth], names: &[String], key: impl Fn(usize) -> Option<usize>) -> Vec<Row> {
-    let mut sums = vec![(0.0, 0.0); names.len()];
-    for (number, worth) in worths.iter().enumerate() {
-        if let Some(sum) = key(number).and_then(|key| sums.get_mut(key)) {
-            sum.0 += worth.earned;
-            sum.1 += worth.offered;
-        }
-    }
-    let row = |(name, (earned, offered)): (&String, (f64, f64))| Row {
-        name: name.clone(),
-        served: share(earned, offered),
-    };
-    names.iter().zip(sums).map(row).collect()
-}
-
 pub(super) fn measure(plan: &Plan, record: &Record) -> (Metrics, Timeline) {
     let from = crate::plan::us(plan.scenario.warm_up_s);
     let mut first: HashMap<u64, Microseconds> = HashMap::new();
@@ -402,10 +205,10 @@
         let at = first.entry(attempt.id).or_insert(attempt.first);
         *at = (*at).min(attempt.first);
     }
-    let quotas = quotas(plan, record, &first, from);
-    let worths = worths(plan, record, &quotas);
+    let quotas = quota_use(plan, record, &first, from);
+    let worths = earned_weights(plan, record, &quotas);
     let counted = |number: usize| plan.arrivals[number].at >= from;
-    let sum = |pick: fn(&Worth) -> f64| {
+    let sum = |pick: fn(&EarnedWeight) -> f64| {
         worths.iter().enumerate().filter(|(n, _)| counted(*n)).map(|(_, w)| pick(w)).sum::<f64>()
     };
     let timeline = timeline(plan, record, &worths);
@@ -464,7 +267,7 @@
         ledger_lost: ledger.lost as f64,
         requests,
         tries: tries.len(),
-        served: share(sum(|w| w.earned), sum(|w| w.offered)),
+        served: served_fraction(sum(|w| w.earned), sum(|w| w.offered)),
         worst_10s: worst(&timeline, from),
         worst_plan: plans.iter().map(|row| row.served).fold(1.0, f64::min),
         refused: quotas.refused as f64 / tries.len().max(1) as f64,
@@ -502,17 +305,6 @@
     (figures, timeline)
 }
 
-/// The longest time that a histogram tells apart: an hour.
-const LONGEST_US: u64 = 3_600_000_000;
-
-fn histogram(values: impl Iterator<Item = u64>) -> Histogram<u64> {
-    // Bounds and digits that the library takes.
-    let mut histogram =
-        Histogram::new_with_bounds(1, LONGEST_US, 3).unwrap_or_else(|_| unreachable!("sound bounds"));
-    values.for_each(|value| histogram.saturating_record(value.min(LONGEST_US)));
-    histogram
-}
-
 /// Processor time of all processes, each at its last sample.
 fn cpu_us(record: &Record) -> u64 {
     let mut last: BTreeMap<(usize, usize), u64> = BTreeMap::new();
@@ -521,71 +313,3 @@
     }
     last.values().sum()
 }
-
-/// The least served share over 10 s, or over the whole of a shorter run.
-fn worst(timeline: &Timeline, from: Microseconds) -> f64 {
-    let from = (from / 1_000_000) as usize;
-    let seconds = timeline.offered.len();
-    let width = 10.min(seconds.saturating_sub(from)).max(1);
-    let over = |at: usize| {
-        let sum = |values: &[f64]| values.iter().skip(at).take(width).sum::<f64>();
-        share(sum(&timeline.served), sum(&timeline.offered))
-    };
-    (from..=seconds.saturating_sub(width).max(from)).map(over).fold(1.0, f64::min)
-}
-
-fn timeline(plan: &Plan, record: &Record, worths: &[Worth]) -> Timeline {
-    let seconds = (plan.scenario.length_s.ceil() as usize).max(1);
-    let zones = &plan.scenario.net.zones;
-    let flat = || vec![0.0; seconds];
-    let second = |at: Microseconds| ((at / 1_000_000) as usize).min(seconds - 1);
-    let mut all = Timeline {
-        offered: flat(),
-        served: flat(),
-        refused: flat(),
-        failed: flat(),
-        attempts: flat(),
-        p99_ms: flat(),
-        zones: Vec::new(),
-        gateways: vec![vec![-1.0; seconds]; plan.scenario.gateways.count],
-    };
-    let mut by_gateway = vec![vec![(0.0, 0.0); seconds]; plan.scenario.gateways.count];
-    let mut by_zone = vec![vec![(0.0, 0.0); seconds]; zones.len()];
-    for (arrival, worth) in plan.arrivals.iter().zip(worths) {
-        let at = second(arrival.at);
-        all.offered[at] += worth.offered;
-        all.served[at] += worth.earned;
-        let zone = &mut by_zone[arrival.gateways[0] % zones.len()][at];
-        zone.0 += worth.earned;
-        zone.1 += worth.offered;
-        let gateway = &mut by_gateway[arrival.gateways[0]][at];
-        gateway.0 += worth.earned;
-        gateway.1 += worth.offered;
-    }
-    let of = |(name, sums): (&String, Vec<(f64, f64)>)| {
-        (name.clone(), sums.into_iter().map(|(earned, offered)| share(earned, offered)).collect())
-    };
-    all.zones = zones.iter().zip(by_zone).map(of).collect();
-    let mut times: Vec<Vec<u64>> = vec![Vec::new(); seconds];
-    for one in &record.tries {
-        let at = second(one.due);
-        match one.end {
-            End::Answer { status: 200, .. } => times[at].push(one.ended - one.due),
-            End::Answer { status: 429 | 503, .. } => all.refused[at] += 1.0,
-            _ => all.failed[at] += 1.0,
-        }
-    }
-    for (at, times) in times.into_iter().enumerate() {
-        all.p99_ms[at] = histogram(times.into_iter()).value_at_quantile(0.99) as f64 / 1000.0;
-    }
-    for (gateway, sums) in by_gateway.into_iter().enumerate() {
-        for (at, (earned, offered)) in sums.into_iter().enumerate().filter(|(_, (_, offered))| *offered > 0.0)
-        {
-            all.gateways[gateway][at] = share(earned, offered);
-        }
-    }
-    for attempt in record.attempts.iter().filter(|a| a.outcome != Outcome::Open) {
-        all.attempts[second(attempt.first)] += 1.0;
-    }
-    all
-}
--- a/lab/src/checker/mod.rs
+++ b/lab/src/checker/mod.rs
@@ -1,18 +1,24 @@
-//! The judge: rules and figures, from what the stand-ins saw and nothing else. It shares no code with the
+//! Checks a run: invariants and metrics, from what the stand-ins saw and nothing else. It shares no code with the
 //! program's own decisions.
 
 mod abandoned_requests;
 mod accepted_writes;
 mod cluster;
+mod earned_weight;
+mod histogram;
 mod invariants;
 mod metrics;
+mod quota_replay;
 mod request_history;
 mod rollout;
 #[cfg(test)]
 mod tests;
+mod timeline;
 
+pub use earned_weight::Row;
 pub use invariants::{Broken, Rule};
-pub use metrics::{Metrics, Row, Timeline};
+pub use metrics::Metrics;
+pub use timeline::Timeline;
 
 use crate::plan::Plan;
 use crate::record::Record;
@@ -33,7 +39,7 @@
 /// Above this 99th percentile the generator was too late for a run to be valid, in milliseconds.
 pub const LATENESS_BOUND_MS: f64 = 20.0;
 
-/// The judgement of a run.
+/// The result of checking a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Verdict {
     /// The word on it.
@@ -52,7 +58,7 @@
     pub timeline: Timeline,
 }
 
-/// Judges a run.
+/// Checks a run.
 pub fn check(plan: &Plan, record: &Record) -> Verdict {
     let broken = invariants::broken(plan, record);
     let (figures, timeline) = metrics::measure(plan, record);
