--- a/lab/tests/branch.rs
+++ b/lab/tests/branch.rs
@@ -3,7 +3,10 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use quota_gateway::cluster::write_queue::{Clerk, Dot, End, Fate, Message, State, Status, Telling, Terms};
+use quota_gateway::cluster::write_queue::{
+    Dot, ForwardOutcome, QueueEffect, QueueMessage, QueueReplica, WriteOutcome, WriteQueueSettings,
+    WriteRequest, WriteState, WriteStatus,
+};
 use quota_gateway::cluster::Micros;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -24,15 +27,15 @@
 }
 
 enum Post {
-    Tell(usize, usize, Message),
+    Tell(usize, usize, QueueMessage),
     /// A send ends: at whom, which process, what.
-    Ends(usize, u64, Dot, u16, Fate),
+    Ends(usize, u64, Dot, u16, ForwardOutcome),
 }
 
 struct Play {
     rng: ChaCha8Rng,
     now: u64,
-    nodes: Vec<Option<Clerk>>,
+    nodes: Vec<Option<QueueReplica>>,
     lives: Vec<u64>,
     net: BTreeMap<(u64, u64), Post>,
     sent: u64,
@@ -50,17 +53,17 @@
     turned_away: u64,
 }
 
-fn terms(nodes: usize) -> Terms {
-    Terms {
+fn terms(nodes: usize) -> WriteQueueSettings {
+    WriteQueueSettings {
         seats: (0..nodes as u16).collect(),
-        most: 5000,
-        most_of_one: 500,
-        longest: Micros(600_000 * MS),
-        cut_after: Micros(500 * MS),
-        patience: Micros(500 * MS),
-        out: 20,
-        per_s: 400,
-        stop: vec![1],
+        max_pending: 5000,
+        max_pending_per_customer: 500,
+        max_age: Micros(600_000 * MS),
+        uplink_timeout: Micros(500 * MS),
+        send_timeout: Micros(500 * MS),
+        max_in_flight: 20,
+        max_sends_per_second: 400,
+        blocking_classes: vec![1],
     }
 }
 
@@ -85,14 +88,17 @@
         };
         (0..nodes).for_each(|node| play.begin(node));
         play.pass(8_000);
-        assert!(play.nodes.iter().flatten().all(Clerk::votes), "a branch that begins has its votes");
+        assert!(
+            play.nodes.iter().flatten().all(QueueReplica::has_vote),
+            "a branch that begins has its votes"
+        );
         play
     }
 
     fn begin(&mut self, node: usize) {
         self.lives[node] = self.rng.random();
         let terms = terms(self.nodes.len());
-        self.nodes[node] = Some(Clerk::new(node as u16, terms, self.lives[node], Micros(self.now)));
+        self.nodes[node] = Some(QueueReplica::new(node as u16, terms, self.lives[node], Micros(self.now)));
     }
 
     fn kill(&mut self, node: usize) {
@@ -107,10 +113,10 @@
         self.net.insert((self.now + after, self.sent), post);
     }
 
-    fn tell(&mut self, node: usize, tellings: Vec<Telling>) {
-        for telling in tellings {
-            match telling {
-                Telling::To(to, message) => {
+    fn tell(&mut self, node: usize, effects: Vec<QueueEffect>) {
+        for effect in effects {
+            match effect {
+                QueueEffect::Send { to, message } => {
                     let copies = 1 + usize::from(self.rng.random_bool(0.02));
                     for _ in 0..copies {
                         if !self.rng.random_bool(self.loss) {
@@ -119,7 +125,7 @@
                         }
                     }
                 }
-                Telling::Accepted(dot, yes) => {
+                QueueEffect::Decided { dot, accepted: yes } => {
                     let now = self.now;
                     if let Some(seen) = self.seen.get_mut(&dot) {
                         (seen.accepted, seen.refused) = (yes.then_some(now), !yes);
@@ -127,23 +133,23 @@
                     }
                 }
                 // The lease is looked at just before.
-                Telling::Send(write, ..) if self.leader != Some(node) => {
-                    self.nodes[node].iter_mut().for_each(|clerk| clerk.dropped(write.dot));
+                QueueEffect::Forward { write, .. } if self.leader != Some(node) => {
+                    self.nodes[node].iter_mut().for_each(|replica| replica.on_forward_dropped(write.dot));
                 }
-                Telling::Send(write, tries, before) => {
+                QueueEffect::Forward { write, attempt: tries, first_sent_at: before } => {
                     let window = self.now / (100 * MS);
                     let before_it = if self.borne.0 == window { self.borne.1 } else { 0 };
                     self.borne = (window, before_it + 1);
                     let full = self.bears.is_some_and(|most| before_it >= most);
                     self.turned_away += u64::from(full);
                     let fate = match self.cut || full {
-                        true => Fate::Refused,
+                        true => ForwardOutcome::NotExecuted,
                         // Backends drop the repeat of what ran.
-                        false => Fate::Answered(200),
+                        false => ForwardOutcome::Answered(200),
                     };
                     let after = self.rng.random_range(5 * MS..60 * MS);
                     let ran = self.now + after / 2;
-                    if let (Fate::Answered(_), Some(seen)) = (fate, self.seen.get_mut(&write.dot)) {
+                    if let (ForwardOutcome::Answered(_), Some(seen)) = (fate, self.seen.get_mut(&write.dot)) {
                         if before.is_some() {
                             self.torn.insert(write.dot);
                         }
@@ -151,7 +157,7 @@
                     }
                     self.later(after, Post::Ends(node, self.lives[node], write.dot, tries, fate));
                 }
-                Telling::Cut(..) | Telling::NotDone(..) => {}
+                QueueEffect::IsolationChanged { .. } | QueueEffect::NotCompleted { .. } => {}
             }
         }
     }
@@ -160,17 +166,19 @@
         let until = self.now + BEAT;
         while let Some(entry) = self.net.first_entry().filter(|e| e.key().0 <= until) {
             self.now = entry.key().0;
-            let (now, mut tellings) = (Micros(self.now), Vec::new());
+            let (now, mut effects) = (Micros(self.now), Vec::new());
             let (to, told) = match entry.remove() {
                 Post::Tell(to, from, message) => {
-                    let clerk = self.nodes[to].as_mut();
-                    clerk.into_iter().for_each(|c| c.hear(now, from as u16, message.clone(), &mut tellings));
-                    (to, tellings)
+                    let replica = self.nodes[to].as_mut();
+                    replica
+                        .into_iter()
+                        .for_each(|c| c.on_message(now, from as u16, message.clone(), &mut effects));
+                    (to, effects)
                 }
                 Post::Ends(node, life, dot, tries, fate) => {
-                    let clerk = self.nodes[node].as_mut().filter(|_| self.lives[node] == life);
-                    clerk.into_iter().for_each(|c| c.finished(now, dot, tries, fate, &mut tellings));
-                    (node, tellings)
+                    let replica = self.nodes[node].as_mut().filter(|_| self.lives[node] == life);
+                    replica.into_iter().for_each(|c| c.on_forwarded(now, dot, tries, fate, &mut effects));
+                    (node, effects)
                 }
             };
             self.tell(to, told);
@@ -182,12 +190,12 @@
         }
         for node in live {
             let leads = self.leader == Some(node);
-            let (now, answered, mut tellings) = (Micros(self.now), !self.cut, Vec::new());
-            if let Some(clerk) = self.nodes[node].as_mut() {
-                clerk.saw(now, answered);
-                clerk.tick(now, leads, leads, &mut tellings);
+            let (now, answered, mut effects) = (Micros(self.now), !self.cut, Vec::new());
+            if let Some(replica) = self.nodes[node].as_mut() {
+                replica.record_attempt(now, answered);
+                replica.tick(now, leads, leads, &mut effects);
             }
-            self.tell(node, tellings);
+            self.tell(node, effects);
         }
     }
 
@@ -200,24 +208,25 @@
         if self.busy.contains(&customer) {
             return false;
         }
-        let (now, mut tellings) = (Micros(self.now), Vec::new());
-        let Some(clerk) = self.nodes[node].as_mut() else { return false };
-        if !clerk.takes(customer, object) {
+        let (now, mut effects) = (Micros(self.now), Vec::new());
+        let Some(replica) = self.nodes[node].as_mut() else { return false };
+        if !replica.should_queue(customer, object) {
             return false;
         }
-        let Some(dot) = clerk.accept(now, (customer, object, 0, 0), vec![7; 40], &mut tellings) else {
+        let request = WriteRequest { customer, object, class: 0, key: 0, payload: vec![7; 40] };
+        let Some(dot) = replica.accept(now, request, &mut effects) else {
             return false;
         };
         self.busy.insert(customer);
         self.seen.insert(dot, Seen { customer, object, asked: self.now, ..Seen::default() });
-        self.tell(node, tellings);
+        self.tell(node, effects);
         true
     }
 
-    fn status(&self, dot: Dot) -> Option<State> {
-        self.nodes.iter().flatten().find_map(|clerk| match clerk.status(dot) {
-            Status::Known(state) => Some(state),
-            Status::Lost => None,
+    fn status(&self, dot: Dot) -> Option<WriteState> {
+        self.nodes.iter().flatten().find_map(|replica| match replica.status(dot) {
+            WriteStatus::Known(state) => Some(state),
+            WriteStatus::Lost => None,
         })
     }
 
@@ -233,8 +242,8 @@
             }
             let Some(accepted) = seen.accepted else { continue };
             match self.status(*dot) {
-                Some(State::Ended(End::Done(_))) if !seen.ran.is_empty() => {}
-                Some(State::Ended(End::Superseded(by))) => {
+                Some(WriteState::Ended(WriteOutcome::Completed(_))) if !seen.ran.is_empty() => {}
+                Some(WriteState::Ended(WriteOutcome::Superseded(by))) => {
                     let rival = self.seen.get(&by).ok_or("superseded by nobody")?;
                     // Both were under way at one time.
                     if rival.object != seen.object || rival.asked > accepted {
@@ -261,7 +270,7 @@
 
     /// Whether nothing waits.
     fn settled(&self) -> bool {
-        self.nodes.iter().flatten().all(|clerk| clerk.shelf().open() == 0)
+        self.nodes.iter().flatten().all(|replica| replica.log().pending_count() == 0)
     }
 }
 
@@ -271,14 +280,14 @@
     assert!(!play.write(0, 1, 1), "the line is up");
     play.cut = true;
     play.pass(1_500);
-    assert!(play.nodes.iter().flatten().all(Clerk::is_cut), "all say so after a while");
+    assert!(play.nodes.iter().flatten().all(QueueReplica::is_isolated), "all say so after a while");
     let mut taken = 0;
     for i in 0..400u64 {
         taken += u64::from(play.write((i % 5) as usize, i % 23, i % 17));
         play.pass(20);
     }
     play.pass(500);
-    let waits = play.nodes[0].as_ref().expect("it lives").shelf().open();
+    let waits = play.nodes[0].as_ref().expect("it lives").log().pending_count();
     assert!(taken > 300 && waits > 300, "{taken} taken, {waits} wait");
     assert!(play.seen.values().all(|s| s.accepted.is_some() && s.ran.is_empty()));
     play.cut = false;
@@ -306,7 +315,7 @@
         play.pass(20);
     }
     play.pass(500);
-    let waits = play.nodes[0].as_ref().expect("it lives").shelf().open() as u64;
+    let waits = play.nodes[0].as_ref().expect("it lives").log().pending_count() as u64;
     // A sixth of what the branch may send: live traffic takes the rest.
     (play.cut, play.bears) = (false, Some(7));
     let healed = play.now;
@@ -328,51 +337,52 @@
     for _ in 0..20 {
         play.cut = true;
         play.pass(1_200);
-        let cut = play.nodes[0].as_ref().is_some_and(Clerk::is_cut);
+        let cut = play.nodes[0].as_ref().is_some_and(QueueReplica::is_isolated);
         changes += usize::from(cut != was);
         was = cut;
         play.cut = false;
         play.pass(1_200);
-        let cut = play.nodes[0].as_ref().is_some_and(Clerk::is_cut);
+        let cut = play.nodes[0].as_ref().is_some_and(QueueReplica::is_isolated);
         changes += usize::from(cut != was);
         was = cut;
     }
     assert!(changes <= 7, "{changes} changes in twenty flaps");
     play.pass(20_000);
-    assert!(!play.nodes[0].as_ref().is_some_and(Clerk::is_cut), "it holds at last");
+    assert!(!play.nodes[0].as_ref().is_some_and(QueueReplica::is_isolated), "it holds at last");
 }
 
 /// Two writes of one customer, the second after the first, which a backend refuses for good.
-fn follower(class: u16) -> Option<State> {
+fn follower(class: u16) -> Option<WriteState> {
     let mut play = Play::new(4, 1);
     play.cut = true;
     play.pass(1_500);
-    let (now, mut tellings) = (Micros(play.now), Vec::new());
-    let clerk = play.nodes[0].as_mut().expect("it lives");
-    let mut write = |class| clerk.accept(now, (1, 1, class, 0), vec![7; 40], &mut tellings).expect("room");
+    let (now, mut effects) = (Micros(play.now), Vec::new());
+    let replica = play.nodes[0].as_mut().expect("it lives");
+    let request = |class| WriteRequest { customer: 1, object: 1, class, key: 0, payload: vec![7; 40] };
+    let mut write = |class| replica.accept(now, request(class), &mut effects).expect("room");
     let (first, second) = (write(class), write(0));
     play.cut = false;
     let mut out = Vec::new();
     for step in 1..200 {
         let now = now + Micros(step * BEAT);
-        let clerk = play.nodes[0].as_mut().expect("it lives");
-        clerk.saw(now, true);
-        clerk.tick(now, true, true, &mut out);
-        for telling in std::mem::take(&mut out) {
-            if let Telling::Send(write, tries, _) = telling {
-                let fate = Fate::Answered(if write.dot == first { 404 } else { 200 });
-                clerk.finished(now, write.dot, tries, fate, &mut out);
+        let replica = play.nodes[0].as_mut().expect("it lives");
+        replica.record_attempt(now, true);
+        replica.tick(now, true, true, &mut out);
+        for effect in std::mem::take(&mut out) {
+            if let QueueEffect::Forward { write, attempt: tries, .. } = effect {
+                let fate = ForwardOutcome::Answered(if write.dot == first { 404 } else { 200 });
+                replica.on_forwarded(now, write.dot, tries, fate, &mut out);
             }
         }
     }
-    assert_eq!(play.status(first), Some(State::Ended(End::Done(404))));
+    assert_eq!(play.status(first), Some(WriteState::Ended(WriteOutcome::Completed(404))));
     play.status(second).filter(|_| second != first)
 }
 
 #[test]
 fn what_follows_a_write_that_was_not_done_goes_on_or_stops_by_that_ones_class() {
-    assert_eq!(follower(0), Some(State::Ended(End::Done(200))));
-    assert!(matches!(follower(1), Some(State::Ended(End::Stopped(_)))), "{:?}", follower(1));
+    assert_eq!(follower(0), Some(WriteState::Ended(WriteOutcome::Completed(200))));
+    assert!(matches!(follower(1), Some(WriteState::Ended(WriteOutcome::Blocked(_)))), "{:?}", follower(1));
 }
 
 #[test]
@@ -383,12 +393,12 @@
     assert!(play.write(0, 1, 1));
     play.pass(200);
     let dot = *play.seen.keys().next().expect("one");
-    assert_eq!(play.status(dot), Some(State::Waiting(0)));
+    assert_eq!(play.status(dot), Some(WriteState::Pending(0)));
     (0..3).for_each(|node| play.kill(node));
     (0..3).for_each(|node| play.begin(node));
     play.pass(8_000);
     assert_eq!(play.status(dot), None, "lost, not made up");
-    assert!(play.nodes.iter().flatten().all(Clerk::votes));
+    assert!(play.nodes.iter().flatten().all(QueueReplica::has_vote));
 }
 
 #[test]
@@ -402,20 +412,21 @@
             play.pass(20);
         }
         play.pass(500);
-        let held = play.nodes[0].as_ref().expect("it lives").shelf().open();
+        let held = play.nodes[0].as_ref().expect("it lives").log().pending_count();
         assert!(held > 100, "seed {seed}: {held} wait");
         play.kill(1);
         play.begin(1);
-        let clerk =
-            |play: &Play| play.nodes[1].as_ref().map(|c| (c.votes(), c.shelf().open())).expect("it lives");
-        assert_eq!(clerk(&play), (false, 0), "seed {seed}: it remembers nothing, and has no vote");
+        let replica = |play: &Play| {
+            play.nodes[1].as_ref().map(|c| (c.has_vote(), c.log().pending_count())).expect("it lives")
+        };
+        assert_eq!(replica(&play), (false, 0), "seed {seed}: it remembers nothing, and has no vote");
         for _ in 0..400 {
-            if !clerk(&play).0 {
+            if !replica(&play).0 {
                 play.beat();
             }
         }
-        assert!(clerk(&play).0, "seed {seed}: it votes in the end");
-        let holds = |dot: &Dot| play.nodes[1].as_ref().is_some_and(|c| c.shelf().get(*dot).is_some());
+        assert!(replica(&play).0, "seed {seed}: it votes in the end");
+        let holds = |dot: &Dot| play.nodes[1].as_ref().is_some_and(|c| c.log().get(*dot).is_some());
         let missing = play.seen.iter().filter(|(dot, seen)| seen.accepted.is_some() && !holds(dot)).count();
         assert_eq!(missing, 0, "seed {seed}: it votes and lacks what was accepted");
     }
@@ -428,7 +439,7 @@
     let mut last_kill = 0;
     for (node, fault, beats) in faults {
         let node = node % nodes;
-        let healthy = play.nodes.iter().flatten().filter(|c| c.votes()).count();
+        let healthy = play.nodes.iter().flatten().filter(|c| c.has_vote()).count();
         match fault {
             // More than half hold everything, always: one more dies only once the one before has caught up.
             0 if healthy > nodes / 2 + 1
--- a/lab/tests/disk/main.rs
+++ b/lab/tests/disk/main.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use quota_gateway::cluster::write_queue::{Dot, Status};
+use quota_gateway::cluster::write_queue::{Dot, WriteStatus};
 use quota_gateway::cluster::{Fleet, Notice};
 use rand::RngExt;
 use world::{Node, Play, MS};
@@ -70,7 +70,7 @@
             play.pass(1_500);
             let known = |dot: &Dot| {
                 let of = |n: &Node| n.fleet.as_ref().and_then(|f| f.write_status(*dot));
-                play.nodes.iter().any(|n| matches!(of(n), Some(Status::Known(_))))
+                play.nodes.iter().any(|n| matches!(of(n), Some(WriteStatus::Known(_))))
             };
             for (dot, seen) in &play.seen {
                 assert!(seen.accepted.is_none() || known(dot), "seed {seed}: {dot} was accepted and is gone");
--- a/lab/tests/disk/world.rs
+++ b/lab/tests/disk/world.rs
@@ -1,9 +1,12 @@
 //! The world of these tests: whole fleet parts, a network that loses, doubles and delays, disks that sync late
 //! and fail, processes and machines that end at any moment, all of them at once too.
 
-use quota_gateway::cluster::write_queue::{self, Dot, End, Fate, State, Status};
+use quota_gateway::cluster::ledger::LedgerSettings;
+use quota_gateway::cluster::write_queue::{
+    Dot, ForwardOutcome, WriteOutcome, WriteQueueSettings, WriteRequest, WriteState, WriteStatus,
+};
 use quota_gateway::cluster::{
-    ledger, About, Effect, Errand, Event, Fleet, Machine, Micros, Notice, Put, Settings, LEDGER,
+    About, Effect, Event, Fleet, MachineId, Micros, Notice, Settings, StorageWrite, WriteQueueEffect, LEDGER,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -26,7 +29,7 @@
     pub up_since: u64,
     pub disk: Disk,
     /// Batches under way to the disk, each with the moment at which it is held.
-    pub under_way: VecDeque<(u64, u64, Vec<Put>)>,
+    pub under_way: VecDeque<(u64, u64, Vec<StorageWrite>)>,
     pub broken: bool,
     /// It holds nothing for now.
     pub stalled: bool,
@@ -50,7 +53,7 @@
 pub enum Post {
     Datagram(usize, usize, Vec<u8>),
     /// A send ends: at whom, in which life, what.
-    Ends(usize, u64, Dot, u16, Fate),
+    Ends(usize, u64, Dot, u16, ForwardOutcome),
 }
 
 pub struct Play {
@@ -71,7 +74,7 @@
     pub torn: BTreeSet<Dot>,
 }
 
-fn apply(disk: &mut Disk, puts: Vec<Put>) {
+fn apply(disk: &mut Disk, puts: Vec<StorageWrite>) {
     for put in puts {
         match put.value {
             Some(value) => drop(disk.insert(put.key, value)),
@@ -127,7 +130,7 @@
         let (seats, random) = (self.nodes.len(), self.rng.random::<u64>());
         let name = |n: usize| format!("g{n}");
         let n = &self.nodes[node];
-        let machine = Machine { boot: n.boot, uptime: Micros(self.now - n.up_since) };
+        let machine = MachineId { boot: n.boot, uptime: Micros(self.now - n.up_since) };
         let settings = Settings {
             fleet: "virtual".into(),
             name: name(node),
@@ -140,18 +143,22 @@
             peers: (0..seats).filter(|n| *n != node).map(|n| (name(n), address(n))).collect(),
             period: Duration::from_secs(1),
             seats: (0..seats).map(name).collect(),
-            ledger: Some(ledger::Terms { holders: 3, lease: Micros(600 * MS), life: Micros(5_000 * MS) }),
+            ledger: Some(LedgerSettings {
+                replicas: 3,
+                lease: Micros(600 * MS),
+                record_lifetime: Micros(5_000 * MS),
+            }),
             rules: None,
-            branch: Some(write_queue::Terms {
+            branch: Some(WriteQueueSettings {
                 seats: (0..seats as u16).skip(node % self.branches).step_by(self.branches).collect(),
-                most: 5000,
-                most_of_one: 500,
-                longest: Micros(600_000 * MS),
-                cut_after: Micros(500 * MS),
-                patience: Micros(500 * MS),
-                out: 20,
-                per_s: 400,
-                stop: Vec::new(),
+                max_pending: 5000,
+                max_pending_per_customer: 500,
+                max_age: Micros(600_000 * MS),
+                uplink_timeout: Micros(500 * MS),
+                send_timeout: Micros(500 * MS),
+                max_in_flight: 20,
+                max_sends_per_second: 400,
+                blocking_classes: Vec::new(),
             }),
             disk: self.with_disks.then_some(machine),
         };
@@ -214,21 +221,21 @@
         }
     }
 
-    pub fn run(&mut self, node: usize, errand: Errand) {
+    pub fn run(&mut self, node: usize, errand: WriteQueueEffect) {
         match errand {
-            Errand::Accepted(dot, yes) => {
+            WriteQueueEffect::Decided { dot, accepted: yes } => {
                 if let Some(seen) = self.seen.get_mut(&dot) {
                     (seen.accepted, seen.refused) = (yes.then_some(self.now), !yes);
                     self.busy.remove(&seen.customer);
                 }
             }
-            Errand::Send(write, tries, before) => {
+            WriteQueueEffect::Forward { write, attempt: tries, may_have_run: before } => {
                 let after = self.rng.random_range(5 * MS..60 * MS);
                 let (fate, ran) = match (before, self.cut) {
                     // It may have run, and is not sent again.
-                    (true, _) => (Fate::Lost, None),
-                    (false, true) => (Fate::Refused, None),
-                    (false, false) => (Fate::Answered(200), Some(self.now + after / 2)),
+                    (true, _) => (ForwardOutcome::Unknown, None),
+                    (false, true) => (ForwardOutcome::NotExecuted, None),
+                    (false, false) => (ForwardOutcome::Answered(200), Some(self.now + after / 2)),
                 };
                 if let Some(seen) = self.seen.get_mut(&write.dot) {
                     seen.ran.extend(ran);
@@ -238,7 +245,7 @@
                 }
                 self.later(after, Post::Ends(node, self.nodes[node].life, write.dot, tries, fate));
             }
-            Errand::NotDone(..) | Errand::Cut(..) => {}
+            WriteQueueEffect::NotCompleted { .. } | WriteQueueEffect::IsolationChanged { .. } => {}
         }
     }
 
@@ -257,8 +264,11 @@
             if self.nodes[node].reads_at.is_some_and(|at| at <= self.now) {
                 let n = &mut self.nodes[node];
                 n.reads_at = None;
-                let held =
-                    n.disk.iter().map(|(k, v)| Put { key: k.clone(), value: Some(v.clone()) }).collect();
+                let held = n
+                    .disk
+                    .iter()
+                    .map(|(k, v)| StorageWrite { key: k.clone(), value: Some(v.clone()) })
+                    .collect();
                 self.give(node, Event::DiskRead(held));
             }
             while !self.nodes[node].stalled
@@ -294,7 +304,7 @@
                         if n.life == life && n.fleet.is_some() {
                             n.fleet
                                 .iter_mut()
-                                .for_each(|f| f.write_ended(now, dot, tries, fate, &mut effects));
+                                .for_each(|f| f.on_write_forwarded(now, dot, tries, fate, &mut effects));
                             self.perform(node, effects);
                         } else {
                             self.torn.insert(dot);
@@ -309,7 +319,7 @@
         self.run_until(self.now + BEAT);
         for node in 0..self.nodes.len() {
             let (now, answered) = (Micros(self.now), !self.cut);
-            self.nodes[node].fleet.iter_mut().for_each(|fleet| fleet.saw_outside(now, answered));
+            self.nodes[node].fleet.iter_mut().for_each(|fleet| fleet.record_backend_attempt(now, answered));
             self.give(node, Event::Beat);
             if self.now >= self.nodes[node].wake_at {
                 self.nodes[node].wake_at = self.now + 200 * MS;
@@ -325,8 +335,8 @@
     pub fn votes(&self) -> Vec<(bool, bool)> {
         let now = Micros(self.now);
         let of = |fleet: &Fleet| {
-            let branch = fleet.branch().is_some_and(|branch| branch.clerk().votes());
-            (branch, fleet.desk().is_some_and(|desk| desk.holder().votes(now)))
+            let branch = fleet.write_queue().is_some_and(|queue| queue.replica().has_vote());
+            (branch, fleet.ledger().is_some_and(|ledger| ledger.replica().has_vote(now)))
         };
         self.nodes.iter().map(|n| n.fleet.as_ref().map_or((false, false), of)).collect()
     }
@@ -335,12 +345,13 @@
     pub fn write(&mut self, node: usize, customer: u64, object: u64) -> bool {
         let now = Micros(self.now);
         let Some(fleet) = self.nodes[node].fleet.as_mut() else { return false };
-        let takes = fleet.branch().is_some_and(|branch| branch.clerk().takes(customer, object));
+        let takes = fleet.write_queue().is_some_and(|queue| queue.replica().should_queue(customer, object));
         if self.busy.contains(&customer) || !takes {
             return false;
         }
         let mut effects = Vec::new();
-        let dot = fleet.accept_write(now, (customer, object, 0, 0), vec![7; 40], &mut effects);
+        let request = WriteRequest { customer, object, class: 0, key: 0, payload: vec![7; 40] };
+        let dot = fleet.accept_write(now, request, &mut effects);
         if let Some(dot) = dot {
             self.busy.insert(customer);
             self.seen.insert(dot, Seen { customer, object, asked: self.now, ..Seen::default() });
@@ -363,7 +374,8 @@
         (self.cut, self.loss) = (false, 0.0);
         let until = self.now + 90_000 * MS;
         let waits = |play: &Play| {
-            let open = |f: &Fleet| f.branch().is_some_and(|branch| branch.clerk().shelf().open() > 0);
+            let open =
+                |f: &Fleet| f.write_queue().is_some_and(|queue| queue.replica().log().pending_count() > 0);
             play.nodes.iter().filter_map(|n| n.fleet.as_ref()).any(open)
         };
         // All have their votes again, and nothing waits.
@@ -387,13 +399,13 @@
             let Some(accepted) = seen.accepted else { continue };
             let known = self.nodes.iter().filter_map(|n| n.fleet.as_ref()?.write_status(*dot));
             let known = known.filter_map(|status| match status {
-                Status::Known(state) => Some(state),
-                Status::Lost => None,
+                WriteStatus::Known(state) => Some(state),
+                WriteStatus::Lost => None,
             });
             match known.max_by_key(|state| state.rank()) {
-                Some(State::Ended(End::Done(_))) if !seen.ran.is_empty() => {}
-                Some(State::Ended(End::Unknown)) if self.torn.contains(dot) => {}
-                Some(State::Ended(End::Superseded(by))) => {
+                Some(WriteState::Ended(WriteOutcome::Completed(_))) if !seen.ran.is_empty() => {}
+                Some(WriteState::Ended(WriteOutcome::Unknown)) if self.torn.contains(dot) => {}
+                Some(WriteState::Ended(WriteOutcome::Superseded(by))) => {
                     let rival = self.seen.get(&by).ok_or("superseded by nobody")?;
                     if rival.object != seen.object || rival.asked > accepted || !seen.ran.is_empty() {
                         return Err(format!("{dot} was superseded by {by}, which came after it, or ran"));
--- a/lab/tests/ledger_model.rs
+++ b/lab/tests/ledger_model.rs
@@ -3,29 +3,32 @@
 //!
 //! Time goes by in steps for all alike; what takes rates of clocks and whole lives is in `ledger_plans.rs`.
 
-use quota_gateway::cluster::ledger::{Ballot, Change, Claim, Holder, Message, RecordId, Sends, Terms};
+use quota_gateway::cluster::ledger::{
+    AddressedMessage, Ballot, LedgerClient, LedgerMessage, LedgerSettings, RecordChange, RecordId, Replica,
+};
 use quota_gateway::cluster::Micros;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
 const ID: RecordId = RecordId { customer: 7, key: 9 };
-const HOLDERS: usize = 3;
+const REPLICAS: usize = 3;
 /// Longer than a round may take; a lease is over after two.
 const STEP: u64 = 120_000;
-const TERMS: Terms = Terms { holders: HOLDERS, lease: Micros(200_000), life: Micros(60_000_000) };
+const SETTINGS: LedgerSettings =
+    LedgerSettings { replicas: REPLICAS, lease: Micros(200_000), record_lifetime: Micros(60_000_000) };
 
 /// A message under way: to a holder, or from one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Post {
-    To(usize, Message),
-    From(usize, Message),
+    To(usize, LedgerMessage),
+    From(usize, LedgerMessage),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: u64,
-    holders: Vec<Holder>,
-    claims: Vec<Option<Claim>>,
+    replicas: Vec<Replica>,
+    claims: Vec<Option<LedgerClient>>,
     net: BTreeSet<Post>,
     asks: u8,
     hurries: u8,
@@ -83,24 +86,26 @@
 impl Ledger {
     /// The holders' clocks began long ago, so that all have a vote.
     fn start(&self) -> u64 {
-        TERMS.mute().0 + 1
+        SETTINGS.vote_delay().0 + 1
     }
-    fn may_act(&self, claim: &Claim, now: u64) -> bool {
+    fn may_act(&self, claim: &LedgerClient, now: u64) -> bool {
         match self.broken {
-            Some(Broken::NoLease) => claim.owns() && claim.is_settled() && claim.record().owned,
-            _ => claim.is_held(Micros(now)),
+            Some(Broken::NoLease) => claim.is_owner() && claim.is_confirmed() && claim.record().owned,
+            _ => claim.has_lease(Micros(now)),
         }
     }
-    fn post(state: &mut State, sends: Sends) {
-        state.net.extend(sends.into_iter().map(|(seat, message)| Post::To(usize::from(seat), message)));
+    fn post(state: &mut State, sends: Vec<AddressedMessage>) {
+        state.net.extend(
+            sends.into_iter().map(|addressed| Post::To(usize::from(addressed.to), addressed.message)),
+        );
     }
     /// A holder's word comes to the claimants.
-    fn tell(state: &mut State, holder: usize, message: &Message) {
-        let mut sends = Sends::new();
+    fn tell(state: &mut State, holder: usize, message: &LedgerMessage) {
+        let mut sends = Vec::new();
         for claim in state.claims.iter_mut().flatten() {
-            claim.hear(Micros(state.now), holder as u16, message.clone(), &mut sends);
-            if claim.owns() && claim.is_settled() && claim.record().owned {
-                let server = claim.record().sent.last().map_or(0, |s| s.server);
+            claim.on_message(Micros(state.now), holder as u16, message.clone(), &mut sends);
+            if claim.is_owner() && claim.is_confirmed() && claim.record().owned {
+                let server = claim.record().attempts.last().map_or(0, |attempt| attempt.endpoint);
                 state.confirmed.insert((claim.ballot(), server, claim.record().fence));
             }
         }
@@ -115,7 +120,7 @@
     fn init_states(&self) -> Vec<State> {
         vec![State {
             now: self.start(),
-            holders: vec![Holder::new(TERMS, Micros(0)); HOLDERS],
+            replicas: vec![Replica::new(SETTINGS, Micros(0)); REPLICAS],
             claims: vec![None; self.claimants],
             net: BTreeSet::new(),
             asks: 0,
@@ -137,13 +142,15 @@
             if state.asks < self.asks && claim.is_none() && turn {
                 actions.push(Step::Ask(i));
             }
-            if claim.as_ref().is_some_and(|c| !c.owns() && !c.is_over()) {
+            if claim.as_ref().is_some_and(|c| !c.is_owner() && !c.is_finished()) {
                 actions.push(Step::Send(i));
             }
-            if state.hurries < self.hurries && claim.as_ref().is_some_and(Claim::waits) {
+            if state.hurries < self.hurries && claim.as_ref().is_some_and(LedgerClient::is_waiting) {
                 actions.push(Step::Hurry(i));
             }
-            if self.frees && claim.as_ref().is_some_and(|c| c.owns() && c.is_settled() && c.record().owned) {
+            if self.frees
+                && claim.as_ref().is_some_and(|c| c.is_owner() && c.is_confirmed() && c.record().owned)
+            {
                 actions.push(Step::Free(i));
             }
         }
@@ -156,14 +163,14 @@
             }
         }
         if state.deaths < self.deaths {
-            actions.extend((0..HOLDERS).map(Step::Forget));
+            actions.extend((0..REPLICAS).map(Step::Forget));
         }
     }
 
     fn next_state(&self, state: &State, step: Step) -> Option<State> {
         let mut next = state.clone();
         let now = Micros(state.now);
-        let mut sends = Sends::new();
+        let mut sends = Vec::new();
         match step {
             Step::Tick(late) => {
                 next.now += STEP;
@@ -172,25 +179,24 @@
             }
             Step::Ask(i) => {
                 next.asks += 1;
-                let ballot = Ballot { number: 1, life: i as u64 + 1, claim: u64::from(next.asks) };
+                let ballot = Ballot { number: 1, process: i as u64 + 1, claim: u64::from(next.asks) };
                 // Each asks those nearest to it first.
-                let holders = (0..HOLDERS).map(|h| ((h + i) % HOLDERS) as u16).collect();
-                let (mut claim, sent) = Claim::ask(ID, 5, ballot, holders, TERMS, now);
-                sends = sent;
+                let replicas = (0..REPLICAS).map(|h| ((h + i) % REPLICAS) as u16).collect();
+                let mut claim = LedgerClient::begin(ID, 5, ballot, replicas, SETTINGS, now, &mut sends);
                 if i < self.hasty {
-                    claim.hurry(&mut sends);
+                    claim.contact_all(&mut sends);
                 }
                 next.claims[i] = Some(claim);
             }
             Step::Send(i) => {
-                next.claims[i].as_mut()?.change(now, Change::Send(i as u64), &mut sends)?;
+                next.claims[i].as_mut()?.write(now, RecordChange::AddAttempt(i as u64), &mut sends)?;
             }
             Step::Hurry(i) => {
                 next.hurries += 1;
-                next.claims[i].as_mut()?.hurry(&mut sends);
+                next.claims[i].as_mut()?.contact_all(&mut sends);
             }
             Step::Free(i) => {
-                next.claims[i].as_mut()?.change(now, Change::Free, &mut sends)?;
+                next.claims[i].as_mut()?.write(now, RecordChange::Release, &mut sends)?;
             }
             Step::Deliver(post, fate, again) => {
                 next.odd += u8::from(again || fate == Answer::Later);
@@ -199,7 +205,7 @@
                 }
                 match post {
                     Post::To(h, message) => {
-                        let answer = next.holders[h].hear(now, message);
+                        let answer = next.replicas[h].on_message(now, message);
                         match (answer, fate) {
                             (Some(answer), Answer::Comes) => Ledger::tell(&mut next, h, &answer),
                             (Some(answer), Answer::Later) => drop(next.net.insert(Post::From(h, answer))),
@@ -212,12 +218,12 @@
             Step::Forget(h) => {
                 next.deaths += 1;
                 let since = if self.broken == Some(Broken::VotesAtOnce) { Micros(0) } else { now };
-                next.holders[h] = Holder::new(TERMS, since);
+                next.replicas[h] = Replica::new(SETTINGS, since);
             }
         }
         Ledger::post(&mut next, sends);
         // What a holder counts of its refusals tells no states apart.
-        next.holders.iter_mut().for_each(|h| h.refusals = Default::default());
+        next.replicas.iter_mut().for_each(|h| h.rejections = Default::default());
         (next != *state).then_some(next)
     }
 
@@ -230,16 +236,18 @@
             Property::always(
                 "a confirmed write is read by all later owners, under a higher fence",
                 |_: &Ledger, state: &State| {
-                    let later = |claim: &Claim, ballot: Ballot| claim.owns() && claim.ballot() > ballot;
+                    let later =
+                        |claim: &LedgerClient, ballot: Ballot| claim.is_owner() && claim.ballot() > ballot;
                     state.confirmed.iter().all(|(ballot, server, fence)| {
                         state.claims.iter().flatten().filter(|c| later(c, *ballot)).all(|c| {
-                            c.record().fence > *fence && c.record().sent.iter().any(|s| s.server == *server)
+                            c.record().fence > *fence
+                                && c.record().attempts.iter().any(|attempt| attempt.endpoint == *server)
                         })
                     })
                 },
             ),
             Property::sometimes("a record is taken over", |_: &Ledger, state: &State| {
-                state.claims.iter().flatten().any(|c| c.owns() && c.record().fence > 1)
+                state.claims.iter().flatten().any(|c| c.is_owner() && c.record().fence > 1)
             }),
             Property::sometimes("an owner acts", |model: &Ledger, state: &State| {
                 state.claims.iter().flatten().any(|c| model.may_act(c, state.now))
--- a/lab/tests/ledger_plans.rs
+++ b/lab/tests/ledger_plans.rs
@@ -3,7 +3,10 @@
 
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
-use quota_gateway::cluster::ledger::{Change, ClaimId, Desk, Finding, Message, Orphan, Out, RecordId, Terms};
+use quota_gateway::cluster::ledger::{
+    AbandonedRequest, AddressedMessage, ClaimId, ClaimOutcome, LedgerEffect, LedgerMessage, LedgerNode,
+    LedgerSettings, RecordChange, RecordId,
+};
 use quota_gateway::cluster::Micros;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -12,7 +15,8 @@
 
 const SEATS: usize = 5;
 const MS: u64 = 1_000;
-const TERMS: Terms = Terms { holders: 3, lease: Micros(300 * MS), life: Micros(4_000 * MS) };
+const SETTINGS: LedgerSettings =
+    LedgerSettings { replicas: 3, lease: Micros(300 * MS), record_lifetime: Micros(4_000 * MS) };
 /// When all have a vote and the plan begins, and how long it lasts.
 const BEGIN: u64 = 9_000 * MS;
 const RECORDS: u64 = 3;
@@ -70,7 +74,7 @@
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum What {
-    Datagram(usize, usize, Message),
+    Datagram(usize, usize, LedgerMessage),
     Beat(usize),
     Hurry(usize, u64, ClaimId),
     Send(usize, u64, ClaimId),
@@ -78,14 +82,14 @@
 }
 
 struct Node {
-    desk: Option<Desk>,
+    ledger: Option<LedgerNode>,
     /// Which of its processes.
     life: u64,
     paused: bool,
     /// Parts in ten thousand that its clock runs faster, and its offset.
     rate: i64,
     offset: u64,
-    waiting: Vec<(usize, Message)>,
+    waiting: Vec<(usize, LedgerMessage)>,
 }
 
 struct Working {
@@ -122,7 +126,7 @@
     seen: (u32, u32, u32, u32),
     broken: Option<&'static str>,
     /// Findings of claims by record, the last of each.
-    last: BTreeMap<u64, Finding>,
+    last: BTreeMap<u64, ClaimOutcome>,
 }
 
 fn id(record: u64) -> RecordId {
@@ -133,7 +137,7 @@
     fn new(seed: u64) -> World {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let node = |_| Node {
-            desk: None,
+            ledger: None,
             life: 0,
             paused: false,
             rate: rng.random_range(-200..=200),
@@ -168,19 +172,19 @@
         self.queue.push(Reverse((at, self.serial, what)));
     }
     fn start(&mut self, seat: usize) {
-        if self.nodes[seat].desk.is_some() {
+        if self.nodes[seat].ledger.is_some() {
             return;
         }
         let (now, life) = (self.local(seat), self.rng.random());
         self.nodes[seat].life += 1;
         self.nodes[seat].paused = false;
-        self.nodes[seat].desk = Some(Desk::new(TERMS, seat as u16, SEATS, 1, life, now));
+        self.nodes[seat].ledger = Some(LedgerNode::new(SETTINGS, seat as u16, SEATS, 1, life, now));
         self.push(self.now, What::Beat(seat));
     }
     fn strike(&mut self, fault: &Fault) {
         match *fault {
             Fault::Kill(seat) => {
-                self.nodes[seat].desk = None;
+                self.nodes[seat].ledger = None;
                 self.nodes[seat].waiting.clear();
                 self.working.retain(|(node, ..), _| *node != seat);
             }
@@ -206,19 +210,25 @@
             }
         }
     }
-    fn act<T>(&mut self, seat: usize, act: impl FnOnce(&mut Desk, Micros, &mut Vec<Out>) -> T) -> Option<T> {
+    fn act<T>(
+        &mut self,
+        seat: usize,
+        act: impl FnOnce(&mut LedgerNode, Micros, &mut Vec<LedgerEffect>) -> T,
+    ) -> Option<T> {
         let (now, mut out) = (self.local(seat), Vec::new());
-        let done = act(self.nodes[seat].desk.as_mut()?, now, &mut out);
+        let done = act(self.nodes[seat].ledger.as_mut()?, now, &mut out);
         for one in out {
             match one {
-                Out::To(to, message) => self.post(seat, usize::from(to), message),
-                Out::Found(claim, finding) => self.found(seat, claim, finding),
-                Out::Orphan(orphan) => self.finish(seat, orphan),
+                LedgerEffect::Send(AddressedMessage { to, message }) => {
+                    self.post(seat, usize::from(to), message)
+                }
+                LedgerEffect::ClaimResolved { claim, outcome } => self.found(seat, claim, outcome),
+                LedgerEffect::RequestAbandoned(request) => self.finish(seat, request),
             }
         }
         Some(done)
     }
-    fn post(&mut self, from: usize, to: usize, message: Message) {
+    fn post(&mut self, from: usize, to: usize, message: LedgerMessage) {
         let (loss, doubled, delay) = self.weather;
         if self.cut.contains(&(from, to)) {
             return;
@@ -231,20 +241,20 @@
             }
         }
     }
-    fn hear(&mut self, seat: usize, from: usize, message: Message) {
-        self.act(seat, |desk, now, out| desk.hear(now, from as u16, message, out));
+    fn hear(&mut self, seat: usize, from: usize, message: LedgerMessage) {
+        self.act(seat, |ledger, now, out| ledger.on_message(now, from as u16, message, out));
     }
 
     fn wish(&mut self, wish: &Wish) {
         let seat = wish.seat;
-        if self.nodes[seat].paused || self.nodes[seat].desk.is_none() {
+        if self.nodes[seat].paused || self.nodes[seat].ledger.is_none() {
             return;
         }
         let mut out = Vec::new();
         let now = self.local(seat);
-        let Some(desk) = self.nodes[seat].desk.as_mut() else { return };
-        let Some(claim) = desk.open(now, id(wish.record), 5, |_| true, &mut out) else { return };
-        desk.bring(claim, wish.record.to_le_bytes().to_vec());
+        let Some(ledger) = self.nodes[seat].ledger.as_mut() else { return };
+        let Some(claim) = ledger.open(now, id(wish.record), 5, |_| true, &mut out) else { return };
+        ledger.attach_request(claim, wish.record.to_le_bytes().to_vec());
         let work = Working {
             record: wish.record,
             opened: self.now,
@@ -258,40 +268,42 @@
         self.push(self.now + 20 * MS, What::Hurry(seat, life, claim));
         for one in out {
             match one {
-                Out::To(to, message) => self.post(seat, usize::from(to), message),
-                Out::Found(claim, finding) => self.found(seat, claim, finding),
-                Out::Orphan(orphan) => self.finish(seat, orphan),
+                LedgerEffect::Send(AddressedMessage { to, message }) => {
+                    self.post(seat, usize::from(to), message)
+                }
+                LedgerEffect::ClaimResolved { claim, outcome } => self.found(seat, claim, outcome),
+                LedgerEffect::RequestAbandoned(request) => self.finish(seat, request),
             }
         }
     }
 
     /// What a dead owner left is finished by whom it is offered to, as if its client had come again there.
-    fn finish(&mut self, seat: usize, orphan: Orphan) {
+    fn finish(&mut self, seat: usize, abandoned: AbandonedRequest) {
         self.seen.3 += 1;
-        if orphan.request != orphan.id.customer.to_le_bytes() || orphan.digest != 5 {
+        if abandoned.request != abandoned.id.customer.to_le_bytes() || abandoned.request_digest != 5 {
             self.broken = Some("a request that nobody left");
         }
-        let record = orphan.id.customer;
+        let record = abandoned.id.customer;
         self.wish(&Wish { after: 0, seat, record, held_ms: 0, work_ms: 30, answers: true });
     }
 
-    fn found(&mut self, seat: usize, claim: ClaimId, finding: Finding) {
+    fn found(&mut self, seat: usize, claim: ClaimId, outcome: ClaimOutcome) {
         let key = (seat, self.nodes[seat].life, claim);
         let Some(work) = self.working.get(&key) else { return };
         let (record, opened, held, took) = (work.record, work.opened, work.held_ms, work.work_ms);
-        self.last.insert(record, finding.clone());
+        self.last.insert(record, outcome.clone());
         let known = self.known.entry(record).or_default();
-        let lives = self.now < known.began + TERMS.life.0 * 8 / 10;
-        match finding {
-            Finding::Clear { .. } => {
+        let lives = self.now < known.began + SETTINGS.record_lifetime.0 * 8 / 10;
+        match outcome {
+            ClaimOutcome::Acquired { .. } => {
                 if lives && known.answered.is_some_and(|at| at < opened) {
                     self.broken = Some("an answer that was confirmed was not read");
                 }
                 self.push(self.now + u64::from(held) * MS, What::Send(seat, key.1, claim));
             }
-            Finding::Confirmed(number) => {
+            ClaimOutcome::Confirmed(number) => {
                 let node = &self.nodes[seat];
-                let Some(written) = node.desk.as_ref().and_then(|d| d.claim(claim)).map(|c| c.record())
+                let Some(written) = node.ledger.as_ref().and_then(|d| d.claim(claim)).map(|c| c.record())
                 else {
                     return;
                 };
@@ -307,7 +319,7 @@
                     self.seen.1 += u32::from(written.fence > 1);
                     known.fence = known.fence.max(written.fence);
                 }
-                if written.answer.is_some() {
+                if written.response.is_some() {
                     known.answered = Some(self.now);
                 }
                 if work.sent == Some(number) {
@@ -316,11 +328,14 @@
                     self.push(at, What::End(seat, key.1, claim, answers));
                 }
             }
-            Finding::Answered(_) => {
+            ClaimOutcome::Completed(_) => {
                 self.seen.2 += 1;
                 self.working.remove(&key);
             }
-            Finding::Running(_) | Finding::Mistake | Finding::Unheld | Finding::Lost => {
+            ClaimOutcome::InProgress(_)
+            | ClaimOutcome::KeyReused
+            | ClaimOutcome::Unavailable
+            | ClaimOutcome::Lost => {
                 self.working.remove(&key);
             }
         }
@@ -339,28 +354,29 @@
     fn step(&mut self, what: What) {
         match what {
             What::Datagram(from, to, message) => match self.nodes[to].paused {
-                true if self.nodes[to].desk.is_some() => self.nodes[to].waiting.push((from, message)),
+                true if self.nodes[to].ledger.is_some() => self.nodes[to].waiting.push((from, message)),
                 true => {}
                 false => self.hear(to, from, message),
             },
             What::Beat(seat) => {
-                if self.nodes[seat].desk.is_some() {
+                if self.nodes[seat].ledger.is_some() {
                     if !self.nodes[seat].paused {
-                        self.act(seat, |desk, now, out| desk.beat(now, out));
+                        self.act(seat, |ledger, now, out| ledger.tick(now, out));
                     }
                     self.push(self.now + 20 * MS, What::Beat(seat));
                 }
             }
             What::Hurry(seat, life, claim) => {
                 if !self.later(seat, life, What::Hurry(seat, life, claim)) {
-                    self.act(seat, |desk, now, out| desk.hurry(now, claim, out));
+                    self.act(seat, |ledger, now, out| ledger.contact_all(now, claim, out));
                 }
             }
             What::Send(seat, life, claim) => {
                 if self.later(seat, life, What::Send(seat, life, claim)) {
                     return;
                 }
-                let number = self.act(seat, |desk, now, out| desk.change(now, claim, Change::Send(1), out));
+                let number = self
+                    .act(seat, |ledger, now, out| ledger.write(now, claim, RecordChange::AddAttempt(1), out));
                 if let Some(work) = self.working.get_mut(&(seat, life, claim)) {
                     work.sent = number.flatten();
                 }
@@ -370,7 +386,7 @@
                     return;
                 }
                 let answer = answers.then(|| b"done".to_vec());
-                self.act(seat, |desk, now, out| desk.let_go(now, claim, answer, out));
+                self.act(seat, |ledger, now, out| ledger.release(now, claim, answer, out));
             }
         }
     }
@@ -378,7 +394,7 @@
     /// What a paused process would do it does when it wakes; a dead one never.
     fn later(&mut self, seat: usize, life: u64, what: What) -> bool {
         let node = &self.nodes[seat];
-        if node.desk.is_none() || node.life != life {
+        if node.ledger.is_none() || node.life != life {
             return true;
         }
         if node.paused {
@@ -393,10 +409,10 @@
             let node = &self.nodes[*seat];
             let awake = !node.paused && node.life == *life;
             let held = node
-                .desk
+                .ledger
                 .as_ref()
                 .and_then(|d| d.claim(*claim))
-                .is_some_and(|c| c.is_held(self.local(*seat)));
+                .is_some_and(|c| c.has_lease(self.local(*seat)));
             if awake && held {
                 *owners.entry(work.record).or_default() += 1;
             }
@@ -446,7 +462,7 @@
             world.start(seat);
             world.pause(seat, false);
         }
-        world.run_until(world.now + TERMS.mute().0 * 11 / 10);
+        world.run_until(world.now + SETTINGS.vote_delay().0 * 11 / 10);
         // One dead holder is in nobody's way, whatever it said before.
         for record in 0..RECORDS {
             world.wish(&Wish { after: 0, seat: 1, record, held_ms: 0, work_ms: 900, answers: false });
@@ -461,7 +477,7 @@
         }
         world.run_until(world.now + 500 * MS);
         for record in 0..RECORDS {
-            let had = matches!(world.last.get(&record), Some(Finding::Confirmed(_)));
+            let had = matches!(world.last.get(&record), Some(ClaimOutcome::Confirmed(_)));
             prop_assert!(had, "record {}: {:?}", record, world.last.get(&record));
         }
     }
--- a/lab/tests/rollout.rs
+++ b/lab/tests/rollout.rs
@@ -3,7 +3,10 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use quota_gateway::cluster::rollout::{Arm, End, Ended, Message, Order, Start, Steward, Telling, Why, TICK};
+use quota_gateway::cluster::rollout::{
+    Arm, ControllerEffect, HaltReason, RequestOutcome, RolloutCommand, RolloutController, RolloutEnd,
+    RolloutMessage, RolloutRequest, RolloutState, TICK_INTERVAL,
+};
 use quota_gateway::cluster::Micros;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -20,11 +23,11 @@
 struct Play {
     rng: ChaCha8Rng,
     now: u64,
-    nodes: Vec<Option<Steward>>,
+    nodes: Vec<Option<RolloutController>>,
     born: Vec<u64>,
     lives: u64,
     /// Messages under way, by when they come: to, from, what.
-    net: BTreeMap<(u64, u64), (usize, usize, Message)>,
+    net: BTreeMap<(u64, u64), (usize, usize, RolloutMessage)>,
     sent: u64,
     /// Groups that hear each other alone; nobody is cut off where all are 0.
     side: Vec<usize>,
@@ -72,9 +75,15 @@
         self.lives += 1;
         let zone = ["a", "b"][node % 2].to_string();
         let life = 77 + self.lives;
-        let steward =
-            Steward::new(node as u16, self.nodes.len(), zone, Default::default(), life, Micros(self.now));
-        (self.nodes[node], self.born[node]) = (Some(steward), self.now);
+        let controller = RolloutController::new(
+            node as u16,
+            self.nodes.len(),
+            zone,
+            Default::default(),
+            life,
+            Micros(self.now),
+        );
+        (self.nodes[node], self.born[node]) = (Some(controller), self.now);
     }
 
     fn kill(&mut self, node: usize) {
@@ -94,10 +103,10 @@
         self.present(node).len() * 2 > self.nodes.len()
     }
 
-    fn tell(&mut self, node: usize, tellings: Vec<Telling>) {
-        for telling in tellings {
-            match telling {
-                Telling::To(to, message) => {
+    fn tell(&mut self, node: usize, effects: Vec<ControllerEffect>) {
+        for effect in effects {
+            match effect {
+                ControllerEffect::Send { to, message } => {
                     let copies = 1 + usize::from(self.rng.random_bool(self.double));
                     for _ in 0..copies {
                         if self.rng.random_bool(self.loss) {
@@ -108,46 +117,48 @@
                         self.net.insert((at, self.sent), (usize::from(to), node, message.clone()));
                     }
                 }
-                Telling::Claim => {
+                ControllerEffect::Claim => {
                     // The ledger: more than half of the holders, one owner.
                     let free = self.leader.is_none() && self.majority(node);
                     let now = Micros(self.now);
                     let present = self.present(node);
                     let mut more = Vec::new();
-                    if let Some(steward) = self.nodes[node].as_mut() {
+                    if let Some(controller) = self.nodes[node].as_mut() {
                         match free {
                             true => {
-                                steward.claimed(Some(1));
-                                steward.owns(now, &present, &mut more);
+                                controller.set_claim(Some(1));
+                                controller.on_claim_confirmed(now, &present, &mut more);
                                 self.leader = Some(node);
                             }
-                            false => drop(steward.give_up(now)),
+                            false => drop(controller.on_claim_failed(now)),
                         }
                     }
                     self.tell(node, more);
                 }
-                Telling::LetGo(_) if self.leader == Some(node) => self.leader = None,
-                Telling::LetGo(_) | Telling::Routing | Telling::Log(_) => {}
+                ControllerEffect::Release(_) if self.leader == Some(node) => self.leader = None,
+                ControllerEffect::Release(_)
+                | ControllerEffect::RoutingChanged
+                | ControllerEffect::Notify(_) => {}
             }
         }
     }
 
     /// Whether a rollout has begun: its record was to be had.
     fn start(&mut self, node: usize) -> bool {
-        let start = Start::parse(START).expect("sound");
-        let (now, mut tellings) = (Micros(self.now), Vec::new());
-        let begun = self.nodes[node].as_mut().is_some_and(|s| s.start(now, start, &mut tellings));
-        self.tell(node, tellings);
+        let start = RolloutRequest::parse(START).expect("sound");
+        let (now, mut effects) = (Micros(self.now), Vec::new());
+        let begun = self.nodes[node].as_mut().is_some_and(|s| s.request(now, start, &mut effects));
+        self.tell(node, effects);
         begun && self.leader == Some(node)
     }
 
-    fn order(&self, node: usize) -> Option<&Order> {
-        self.nodes[node].as_ref().and_then(Steward::order)
+    fn order(&self, node: usize) -> Option<&RolloutCommand> {
+        self.nodes[node].as_ref().and_then(RolloutController::command)
     }
 
     /// Half a second goes by: what is under way comes, requests end, all stewards are called.
     fn tick(&mut self) {
-        let until = self.now + TICK.0;
+        let until = self.now + TICK_INTERVAL.0;
         self.requests(until);
         while let Some(entry) = self.net.first_entry().filter(|e| e.key().0 <= until) {
             self.now = entry.key().0;
@@ -156,11 +167,11 @@
                 continue;
             }
             let present = self.present(to);
-            let (now, mut tellings) = (Micros(self.now), Vec::new());
-            if let Some(steward) = self.nodes[to].as_mut() {
-                steward.hear(now, from as u16, message, &present, &mut tellings);
+            let (now, mut effects) = (Micros(self.now), Vec::new());
+            if let Some(controller) = self.nodes[to].as_mut() {
+                controller.on_message(now, from as u16, message, &present, &mut effects);
             }
-            self.tell(to, tellings);
+            self.tell(to, effects);
         }
         self.now = until;
         if self.leader.is_some_and(|leader| !self.majority(leader)) {
@@ -168,15 +179,15 @@
         }
         for node in 0..self.nodes.len() {
             let present = self.present(node);
-            let (now, mut tellings) = (Micros(self.now), Vec::new());
+            let (now, mut effects) = (Micros(self.now), Vec::new());
             let leads = self.leader == Some(node);
-            if let Some(steward) = self.nodes[node].as_mut() {
-                if !leads && steward.claim().is_some() {
-                    steward.give_up(now);
+            if let Some(controller) = self.nodes[node].as_mut() {
+                if !leads && controller.claim().is_some() {
+                    controller.on_claim_failed(now);
                 }
-                steward.tick(now, leads, &present, &mut tellings);
+                controller.tick(now, leads, &present, &mut effects);
             }
-            self.tell(node, tellings);
+            self.tell(node, effects);
         }
         self.watch();
     }
@@ -184,24 +195,24 @@
     fn requests(&mut self, until: u64) {
         for node in 0..self.nodes.len() {
             let Some(order) = self.order(node).cloned() else { continue };
-            let Some(mut steward) = self.nodes[node].take() else { continue };
+            let Some(mut controller) = self.nodes[node].take() else { continue };
             let sent = (self.per_s * (until - self.now) as f64 / 1e6).round() as usize;
             for i in 0..sent {
                 let customer = self.rng.random_range(0..self.customers);
                 let dealt = customer.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ order.key.id;
                 let new = dealt.wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 40;
-                let arm = if new % 10_000 < u64::from(order.share()) { Arm::New } else { Arm::Old };
+                let arm = if new % 10_000 < u64::from(order.share()) { Arm::Canary } else { Arm::Baseline };
                 let class = (customer % 3) as u16;
                 let bad = self.rng.random_bool((self.odds)(arm, node % 2, class, self.now));
                 let ended = match (bad, self.rng.random_bool(0.5)) {
-                    (false, _) => Ended::InTime,
-                    (true, true) => Ended::Late,
-                    (true, false) => Ended::Failed,
+                    (false, _) => RequestOutcome::OnTime,
+                    (true, true) => RequestOutcome::Late,
+                    (true, false) => RequestOutcome::Failed,
                 };
                 let at = self.now + (until - self.now) * i as u64 / sent as u64;
-                steward.count(Micros(at), order.key, class, arm, ended, 0.5);
+                controller.record_outcome(Micros(at), order.key, class, arm, ended, 0.5);
             }
-            self.nodes[node] = Some(steward);
+            self.nodes[node] = Some(controller);
         }
     }
 
@@ -214,7 +225,7 @@
             here.filter(|o| o.end.is_none() && o.stage > 0).map(|o| o.key.id).collect()
         };
         match running(0).len() > 1 || running(1).len() > 1 {
-            true => self.two_for += TICK.0,
+            true => self.two_for += TICK_INTERVAL.0,
             false => self.two_for = 0,
         }
         if self.two_for > 3_000 * MS {
@@ -242,7 +253,7 @@
         }
     }
 
-    fn state(&self) -> Vec<&'static str> {
+    fn state(&self) -> Vec<RolloutState> {
         let report = |n: usize| self.nodes[n].as_ref().and_then(|s| s.report(Micros(self.now)));
         (0..self.nodes.len()).filter_map(report).map(|r| r.state).collect()
     }
@@ -251,7 +262,7 @@
     fn play(&mut self, seconds: u64) {
         for _ in 0..seconds * 2 {
             self.tick();
-            let over = self.state().iter().all(|s| *s != "running");
+            let over = self.state().iter().all(|s| *s != RolloutState::Running);
             if over && !self.state().is_empty() {
                 return;
             }
@@ -299,8 +310,10 @@
         assert!(play.wrong.is_empty(), "seed {seed}: {:?}", play.wrong);
         let end = (0..nodes).find_map(|n| play.order(n)?.end.clone());
         match end {
-            Some(End::Halted(_, Why::Worse { .. })) => ends.worse.push(play.now / 1_000_000),
-            Some(End::Done) => ends.done.push(play.now / 1_000_000),
+            Some(RolloutEnd::Halted { reason: HaltReason::CanaryWorse { .. }, .. }) => {
+                ends.worse.push(play.now / 1_000_000)
+            }
+            Some(RolloutEnd::Completed) => ends.done.push(play.now / 1_000_000),
             _ => ends.undecided += 1,
         }
     }
@@ -326,18 +339,18 @@
     let cases: [(&str, Fixed); 5] = [
         (
             "all, four times",
-            |arm, z, c, t| if arm == Arm::New { 4.0 * sound(arm, z, c, t) } else { sound(arm, z, c, t) },
+            |arm, z, c, t| if arm == Arm::Canary { 4.0 * sound(arm, z, c, t) } else { sound(arm, z, c, t) },
         ),
-        ("one class", |arm, z, c, t| if arm == Arm::New && c == 2 { 0.3 } else { sound(arm, z, c, t) }),
-        ("one zone", |arm, z, c, t| if arm == Arm::New && z == 1 { 0.2 } else { sound(arm, z, c, t) }),
+        ("one class", |arm, z, c, t| if arm == Arm::Canary && c == 2 { 0.3 } else { sound(arm, z, c, t) }),
+        ("one zone", |arm, z, c, t| if arm == Arm::Canary && z == 1 { 0.2 } else { sound(arm, z, c, t) }),
         (
             "twice",
-            |arm, z, c, t| if arm == Arm::New { 2.0 * sound(arm, z, c, t) } else { sound(arm, z, c, t) },
+            |arm, z, c, t| if arm == Arm::Canary { 2.0 * sound(arm, z, c, t) } else { sound(arm, z, c, t) },
         ),
         (
             "after 60 s",
             |arm, z, c, t| {
-                if arm == Arm::New && t > 60_000 * MS {
+                if arm == Arm::Canary && t > 60_000 * MS {
                     0.25
                 } else {
                     sound(arm, z, c, t)
@@ -365,7 +378,7 @@
         for _ in 0..100 {
             play.tick();
         }
-        wrong += u64::from(play.state().contains(&"halted"));
+        wrong += u64::from(play.state().contains(&RolloutState::Halted));
     }
     assert!(wrong <= plays() / 4, "{wrong} halted");
     // Its gateways are gone: the stage stays where it is.
@@ -392,16 +405,20 @@
         if let Some(order) = play.order(5).cloned().filter(|o| o.stage > 0 && o.end.is_none()) {
             let now = Micros(play.now);
             let liar = play.nodes[5].as_mut().expect("it lives");
-            (0..20).for_each(|_| liar.count(now, order.key, 0, Arm::New, Ended::Failed, 0.0));
-            (0..20).for_each(|_| liar.count(now, order.key, 0, Arm::Old, Ended::InTime, 0.5));
+            (0..20).for_each(|_| {
+                liar.record_outcome(now, order.key, 0, Arm::Canary, RequestOutcome::Failed, 0.0)
+            });
+            (0..20).for_each(|_| {
+                liar.record_outcome(now, order.key, 0, Arm::Baseline, RequestOutcome::OnTime, 0.5)
+            });
         }
     }
-    assert!(!play.state().contains(&"halted"), "{:?}", play.state());
+    assert!(!play.state().contains(&RolloutState::Halted), "{:?}", play.state());
 }
 
 #[test]
 fn a_halt_on_the_smaller_side_of_a_cut_holds_there_and_everywhere_after_the_heal() {
-    let bad = |arm, z, c, t| if arm == Arm::New && t > 20_000 * MS { 0.3 } else { sound(arm, z, c, t) };
+    let bad = |arm, z, c, t| if arm == Arm::Canary && t > 20_000 * MS { 0.3 } else { sound(arm, z, c, t) };
     let mut play = Play::new(5, 9, Box::new(bad));
     assert!(play.start(0));
     while play.now < 20_000 * MS {
@@ -420,13 +437,13 @@
     assert!((3..9).all(|n| play.order(n).is_some_and(|o| o.end.is_some() || o.stage == before)));
     play.side.fill(0);
     (0..8).for_each(|_| play.tick());
-    assert!(play.state().iter().all(|s| *s == "halted"), "{:?}", play.state());
+    assert!(play.state().iter().all(|s| *s == RolloutState::Halted), "{:?}", play.state());
     assert!(play.wrong.is_empty(), "{:?}", play.wrong);
     // One that was away, and forgot all, takes what is in force.
     play.kill(2);
     play.begin(2);
     (0..6).for_each(|_| play.tick());
-    assert_eq!(play.order(2).map(Order::share), Some(0));
+    assert_eq!(play.order(2).map(RolloutCommand::share), Some(0));
 }
 
 #[test]
@@ -437,8 +454,8 @@
     for _ in 0..500 {
         play.tick();
         leaders.extend(play.leader);
-        assert!(play.state().contains(&"done") || !play.start((play.now % 7) as usize));
-        if deaths < 3 && play.leader.is_some() && play.now % (9_000 * MS) < TICK.0 {
+        assert!(play.state().contains(&RolloutState::Completed) || !play.start((play.now % 7) as usize));
+        if deaths < 3 && play.leader.is_some() && play.now % (9_000 * MS) < TICK_INTERVAL.0 {
             let leader = play.leader.expect("one leads");
             play.kill(leader);
             (0..8).for_each(|_| play.tick());
@@ -448,7 +465,7 @@
     }
     assert!(leaders.len() > 1 && deaths == 3, "{leaders:?}, {deaths} deaths");
     assert!(play.wrong.is_empty(), "{:?}", play.wrong);
-    assert!(play.state().iter().all(|s| *s == "done"), "{:?}", play.state());
+    assert!(play.state().iter().all(|s| *s == RolloutState::Completed), "{:?}", play.state());
 }
 
 proptest! {
@@ -462,7 +479,7 @@
         faults in prop::collection::vec((0usize..7, 0u8..5, 1usize..20), 1..14),
         bad in 0.0f64..0.3,
     ) {
-        let odds = move |arm, z, c, t| if arm == Arm::New { bad.max(sound(arm, z, c, t)) } else { sound(arm, z, c, t) };
+        let odds = move |arm, z, c, t| if arm == Arm::Canary { bad.max(sound(arm, z, c, t)) } else { sound(arm, z, c, t) };
         let mut play = Play::new(seed, 7, Box::new(odds));
         prop_assert!(play.start(seed as usize % 7));
         for (node, fault, ticks) in faults {
--- a/src/cluster/datagram.rs
+++ b/src/cluster/datagram.rs
@@ -2,7 +2,7 @@
 //!
 //! Nothing here is secret: the checksum tells accidents from messages, not friends from foes.
 
-use crate::cluster::ledger::Message;
+use crate::cluster::ledger::LedgerMessage;
 use crate::cluster::quota_lease::view_gossip::Table;
 use crate::cluster::{rollout, write_queue};
 use serde::{Deserialize, Serialize};
@@ -63,7 +63,7 @@
         /// The sender's seat.
         seat: u16,
         /// What it says.
-        message: Message,
+        message: LedgerMessage,
     },
     /// A message of a rollout of rules.
     Rollout {
@@ -72,7 +72,7 @@
         /// The sender's seat.
         seat: u16,
         /// What it says.
-        message: rollout::Message,
+        message: rollout::RolloutMessage,
     },
     /// A message within a branch.
     Branch {
@@ -81,7 +81,7 @@
         /// The sender's seat.
         seat: u16,
         /// What it says.
-        message: write_queue::Message,
+        message: write_queue::QueueMessage,
     },
 }
 
--- a/src/cluster/event.rs
+++ b/src/cluster/event.rs
@@ -1,9 +1,9 @@
 //! What goes into a gateway's fleet part and what comes out: events, effects, and what people should hear of.
 
 use crate::cluster::datagram::Stranger;
-use crate::cluster::ledger::{ClaimId, Finding, Orphan};
-use crate::cluster::rollout::{Key, Told};
-use crate::cluster::{Errand, InForce, Put, Shares, Standing};
+use crate::cluster::ledger::{AbandonedRequest, ClaimId, ClaimOutcome};
+use crate::cluster::rollout::{RolloutKey, RolloutNotice};
+use crate::cluster::{RoutingInForce, Shares, Standing, StorageWrite, WriteQueueEffect};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
     /// Gateways are elsewhere now.
     Peers(BTreeMap<String, SocketAddr>),
     /// The disk was opened, and held this.
-    DiskRead(Vec<Put>),
+    DiskRead(Vec<StorageWrite>),
     /// The disk holds all up to this batch.
     DiskHolds(u64),
     /// The disk can't be opened, or takes nothing more.
@@ -38,19 +38,19 @@
     /// The shares are so from now on.
     Shares(Shares),
     /// Put this batch on the disk, and tell when it is held there, also after a loss of power.
-    Keep(u64, Vec<Put>),
+    Keep(u64, Vec<StorageWrite>),
     /// A claim at the ledger found out.
-    Found(ClaimId, Finding),
+    Found(ClaimId, ClaimOutcome),
     /// A request whose owner is gone and whose client did not come again may be finished.
-    Orphan(Orphan),
+    Orphan(AbandonedRequest),
     /// Something is to be done for the branch.
-    Branch(Errand),
+    Branch(WriteQueueEffect),
     /// These rules of routing are in force from now on.
-    Routing(Box<InForce>),
+    Routing(Box<RoutingInForce>),
     /// What becomes of a rollout, for the log.
-    Rollout(Told),
+    Rollout(RolloutNotice),
     /// The rollout that was asked for here has begun; or not, as another runs or the holders can't be had.
-    Begun(Option<Key>),
+    Begun(Option<RolloutKey>),
 }
 
 /// What people should hear of.
--- a/src/cluster/ledger/client.rs
+++ b/src/cluster/ledger/client.rs
@@ -1,438 +1,287 @@
-//! A claimant's work at one record: asks for it, and writes it while it is the owner.
+//! One claim of a record: acquires it, and writes it while it is the owner (a Paxos proposer with a lease).
 
-use crate::cluster::ledger::{
-    waited_out, Ballot, Message, Record, RecordId, Seen, Sent, Terms, MOST_OWNERS, PROMISE, ROUND,
-};
-use crate::cluster::Micros;
+mod prepare;
+mod write;
+
+use super::message::{LedgerMessage, RecordSnapshot};
+use super::record::{Ballot, Record, RecordId, RecordedAttempt};
+use super::settings::{LedgerSettings, MAX_REQUEST_BYTES, ROUND_TRIP_LIMIT};
+use crate::decision::api::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Messages to holders, by seat.
-pub type Sends = Vec<(u16, Message)>;
+/// An owner stops acting when this part of its lease is left, as what it begins takes time.
+const LEASE_GUARD_DIVISOR: u64 = 10;
 
-/// So often a claimant that others passed asks again by a higher ballot.
-const ROUNDS: u32 = 4;
-/// A write that is not confirmed is sent again after this.
-const AGAIN: Micros = Micros(50_000);
-/// An owner acts no more within this part of its lease's end: what it does takes time.
-const GUARD: u64 = 10;
-/// A lease is renewed when this part of it is over: what is left has room for a second try.
-const RENEW: u64 = 2;
-/// The most attempts that a record tells of.
-const MOST_SENT: usize = 8;
+/// A message to the replica in a seat.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct AddressedMessage {
+    /// The replica's seat.
+    pub to: u16,
+    /// What it is told.
+    pub message: LedgerMessage,
+}
 
-/// What a claimant found out.
+/// What became of a claim, or of a write under it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Finding {
-    /// The record is its to write; others may have sent these attempts before, each with its time here. `found`:
-    /// there was a record.
-    Clear {
-        /// There was a record.
-        found: bool,
-        /// Attempts of earlier owners that may have run: server and time.
-        sent: Vec<(u64, Micros)>,
+pub enum ClaimOutcome {
+    /// The record is the claim's to write.
+    Acquired {
+        /// There was a record before.
+        existed: bool,
+        /// Attempts of earlier owners that may have run.
+        attempts: Vec<RecordedAttempt>,
     },
-    /// Another owns it, for so long at the most if nothing more is heard of that one.
-    Running(Micros),
-    /// It is done.
-    Answered(Vec<u8>),
-    /// The same key with something else.
-    Mistake,
-    /// More than half of the holders can't be had.
-    Unheld,
-    /// This write is confirmed by more than half.
+    /// Another owns it, for so long at most unless it renews its lease.
+    InProgress(Micros),
+    /// It is done, with this response.
+    Completed(Vec<u8>),
+    /// The idempotency key was used with another request.
+    KeyReused,
+    /// No quorum of the replicas can be had.
+    Unavailable,
+    /// The write of this number is confirmed by a quorum.
     Confirmed(u32),
-    /// Another took it over.
+    /// Another took the record over.
     Lost,
 }
 
 /// What an owner writes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Change {
-    /// An attempt is about to be sent to this server.
-    Send(u64),
-    /// The work is given up: whoever claims it goes on with it.
-    Free,
-    /// The work is done.
-    Answer(Vec<u8>),
+pub enum RecordChange {
+    /// An attempt is about to be sent to this endpoint.
+    AddAttempt(u64),
+    /// The owner gives the request up: whoever claims the record continues.
+    Release,
+    /// The request is done, with this response.
+    Complete(Vec<u8>),
     /// Nothing but a longer lease.
     Renew,
 }
 
+/// What a replica replied in this round.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Word {
-    Promise(Micros, Option<Seen>),
-    Passed(Ballot),
-    Silent,
+enum Reply {
+    Promised { at: Micros, held: Option<RecordSnapshot> },
+    Preempted { promised: Ballot },
+    Abstained,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Stage {
-    Asking,
-    /// More than half promised; nothing is written yet.
-    Clear,
-    /// Written, and for all that is known the owner.
+enum Phase {
+    /// Asks for promises.
+    Preparing,
+    /// A quorum promised; nothing is written yet.
+    Prepared,
+    /// It has written, and is the owner for all that it knows.
     Owner,
-    Over,
+    Finished,
 }
 
-/// One claim.
+/// One claim of a record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Claim {
+pub struct LedgerClient {
     id: RecordId,
-    terms: Terms,
-    /// In the order in which they are asked: first as many as decide, and the others where those are slow.
-    holders: Vec<u16>,
-    asked: usize,
+    settings: LedgerSettings,
+    /// The record's replicas, nearest first.
+    replicas: Vec<u16>,
+    /// How many of them are asked: first a quorum, the others where those are slow.
+    contacted: usize,
     ballot: Ballot,
-    stage: Stage,
-    asked_at: Micros,
-    rounds: u32,
-    words: BTreeMap<u16, Word>,
+    phase: Phase,
+    round_began: Micros,
+    /// Rounds of prepare messages that came before this one.
+    earlier_rounds: u32,
+    replies: BTreeMap<u16, Reply>,
+    /// The record as it was written last, or will be.
     record: Record,
-    born: Micros,
-    seq: u32,
-    /// When it wrote at all, when the last write was first sent, and last.
-    first_write: Micros,
-    wrote_at: Micros,
-    again_at: Micros,
-    wrote: BTreeSet<u16>,
+    record_began: Micros,
+    /// The number of the last write; 0: none yet.
+    sequence: u32,
+    first_write_at: Micros,
+    last_write_at: Micros,
+    /// When the last write was last sent.
+    last_sent_at: Micros,
+    /// Replicas that accepted the last write.
+    accepted_by: BTreeSet<u16>,
+    /// The number of the last write that a quorum accepted; 0: none yet.
     confirmed: u32,
-    acts_until: Micros,
-    /// Goes to the holders with the first write; whether it did.
+    /// The end of the lease that the last confirmed write gave.
+    lease_until: Micros,
+    /// The request, which goes to the replicas with the first write.
     request: Option<Vec<u8>>,
-    left: bool,
+    request_sent: bool,
 }
 
-impl Claim {
-    /// Asks the holders for a record that is to say this of what its client sent, those that answer soonest first.
-    pub fn ask(
+impl LedgerClient {
+    /// Claims a record for a request of this digest. `replicas`: those that hold it, those that answer soonest first.
+    /// Appends what is to be sent.
+    pub fn begin(
         id: RecordId,
-        digest: u64,
+        request_digest: u64,
         ballot: Ballot,
-        holders: Vec<u16>,
-        terms: Terms,
+        replicas: Vec<u16>,
+        settings: LedgerSettings,
         now: Micros,
-    ) -> (Claim, Sends) {
-        let record = Record { digest, lease_ms: (terms.lease.0 / 1000) as u32, ..Record::default() };
-        let mut claim = Claim {
+        out: &mut Vec<AddressedMessage>,
+    ) -> LedgerClient {
+        let lease_ms = (settings.lease.0 / 1000) as u32;
+        let mut client = LedgerClient {
             id,
-            terms,
-            asked: terms.majority().min(holders.len()),
-            holders,
+            settings,
+            contacted: settings.quorum().min(replicas.len()),
+            replicas,
             ballot,
-            stage: Stage::Asking,
-            asked_at: now,
-            rounds: 0,
-            words: BTreeMap::new(),
-            record,
-            born: now,
-            seq: 0,
-            first_write: now,
-            wrote_at: now,
-            again_at: now,
-            wrote: BTreeSet::new(),
+            phase: Phase::Preparing,
+            round_began: now,
+            earlier_rounds: 0,
+            replies: BTreeMap::new(),
+            record: Record { request_digest, lease_ms, ..Record::default() },
+            record_began: now,
+            sequence: 0,
+            first_write_at: now,
+            last_write_at: now,
+            last_sent_at: now,
+            accepted_by: BTreeSet::new(),
             confirmed: 0,
-            acts_until: Micros(0),
+            lease_until: Micros(0),
             request: None,
-            left: false,
+            request_sent: false,
         };
-        let sends = claim.prepare(now);
-        (claim, sends)
-    }
-
-    fn prepare(&mut self, now: Micros) -> Sends {
-        (self.asked_at, self.stage) = (now, Stage::Asking);
-        self.words.clear();
-        self.holders
-            .iter()
-            .take(self.asked)
-            .map(|seat| (*seat, Message::Prepare(self.id, self.ballot)))
-            .collect()
-    }
-
-    /// The request is to be left with the holders, so that it can be finished whoever dies.
-    pub fn bring(&mut self, request: Vec<u8>) {
-        self.request =
-            Some(request).filter(|request| request.len() <= crate::cluster::ledger::LONGEST_REQUEST);
+        client.begin_round(now, out);
+        client
     }
 
-    /// Those asked first are slow: asks the others as well.
-    pub fn hurry(&mut self, out: &mut Sends) {
-        let rest = self.holders.iter().skip(self.asked);
-        out.extend(rest.map(|seat| (*seat, Message::Prepare(self.id, self.ballot))));
-        self.asked = self.holders.len();
+    /// The request is to be stored with the replicas, so that it is finished whoever dies. One that is too long is not.
+    pub fn attach_request(&mut self, request: Vec<u8>) {
+        self.request = Some(request).filter(|request| request.len() <= MAX_REQUEST_BYTES);
     }
 
     /// Which record.
     pub fn id(&self) -> RecordId {
         self.id
     }
+
     /// By which ballot.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
+
     /// The record as it was written last, or will be.
     pub fn record(&self) -> &Record {
         &self.record
     }
-    /// Nothing more comes of it.
-    pub fn is_over(&self) -> bool {
-        self.stage == Stage::Over
+
+    /// Whether nothing more comes of it.
+    pub fn is_finished(&self) -> bool {
+        self.phase == Phase::Finished
     }
-    /// Its last write was confirmed.
-    pub fn is_settled(&self) -> bool {
-        self.confirmed == self.seq
+
+    /// Whether its last write was confirmed.
+    pub fn is_confirmed(&self) -> bool {
+        self.confirmed == self.sequence
     }
-    /// It waits for its holders.
-    pub fn waits(&self) -> bool {
-        self.stage == Stage::Asking || self.stage == Stage::Owner && !self.is_settled()
+
+    /// Whether it waits for its replicas.
+    pub fn is_waiting(&self) -> bool {
+        self.phase == Phase::Preparing || self.is_owner() && !self.is_confirmed()
     }
-    /// It has written.
-    pub fn owns(&self) -> bool {
-        self.stage == Stage::Owner
+
+    /// Whether it has written, and is the owner for all that it knows.
+    pub fn is_owner(&self) -> bool {
+        self.phase == Phase::Owner
     }
 
-    /// Whether more than half of the holders have confirmed that this is the owner, for now.
-    pub fn is_held(&self, now: Micros) -> bool {
+    /// Whether a quorum has confirmed it as the owner, and its lease runs.
+    pub fn has_lease(&self, now: Micros) -> bool {
         self.confirmed > 0 && self.may_act(now)
     }
 
-    /// Whether its owner may do something now that others see, held or, where the holders do not answer, without
-    /// them. To be asked at the last moment before each such act.
+    /// Whether the owner may do something now that others see: under its lease or, where the replicas have not
+    /// answered yet, without. To be asked at the last moment before each such act.
     pub fn may_act(&self, now: Micros) -> bool {
         let until = match self.confirmed {
-            // Nobody takes over what was just written, where enough of the holders have it at all.
-            0 => self.first_write + self.record.lease(),
-            _ => self.acts_until,
+            // Nobody takes over what was just written, where a quorum holds it at all.
+            0 => self.first_write_at + self.record.lease(),
+            _ => self.lease_until,
         };
-        // With its last word it gives up: that word may have come, though no answer to it has.
-        self.stage == Stage::Owner && self.record.owned && now + Micros(self.record.lease().0 / GUARD) < until
+        let guard = Micros(self.record.lease().0 / LEASE_GUARD_DIVISOR);
+        // With its last write it releases the record: that may have come, though no answer to it has.
+        self.is_owner() && self.record.owned && now + guard < until
     }
 
-    /// A holder speaks.
-    pub fn hear(&mut self, now: Micros, seat: u16, message: Message, out: &mut Sends) -> Option<Finding> {
-        if !self.holders.contains(&seat) || self.stage == Stage::Over {
+    /// Handles a replica's message; what the claim found out, if anything. Appends what is to be sent.
+    pub fn on_message(
+        &mut self,
+        now: Micros,
+        from: u16,
+        message: LedgerMessage,
+        out: &mut Vec<AddressedMessage>,
+    ) -> Option<ClaimOutcome> {
+        let is_current = message.reply_ballot() == Some(self.ballot);
+        if !is_current || !self.replicas.contains(&from) {
             return None;
         }
-        match (self.stage, message) {
-            (Stage::Asking, Message::Taken(_, ballot, seen)) if ballot == self.ballot => {
-                self.stage = Stage::Over;
-                Some(self.taken(seen))
+        match message {
+            LedgerMessage::Promise { held, .. } => self.on_promise(now, from, held, out),
+            LedgerMessage::Locked { held, .. } if self.phase == Phase::Preparing => {
+                self.phase = Phase::Finished;
+                Some(self.outcome_of_locked(held))
             }
-            (Stage::Asking | Stage::Clear | Stage::Owner, Message::Promise(_, ballot, seen))
-                if ballot == self.ballot && now - self.asked_at <= ROUND =>
-            {
-                self.words.entry(seat).or_insert(Word::Promise(now, seen));
-                match self.stage {
-                    Stage::Asking => self.weigh(now, out),
-                    // One that promised late holds it as well.
-                    Stage::Owner => {
-                        let write = self.write_to(now, seat);
-                        out.extend(write);
-                        None
-                    }
-                    _ => None,
-                }
-            }
-            (Stage::Asking, Message::Passed(_, ballot, by)) if ballot == self.ballot => {
-                self.words.insert(seat, Word::Passed(by));
-                self.weigh(now, out)
-            }
-            (Stage::Asking, Message::Silent(_, ballot)) if ballot == self.ballot => {
-                self.words.insert(seat, Word::Silent);
-                self.weigh(now, out)
-            }
-            (Stage::Owner, Message::Passed(_, ballot, by)) if ballot == self.ballot && by > ballot => {
-                self.words.insert(seat, Word::Passed(by));
-                let passed = self.words.values().filter(|w| matches!(w, Word::Passed(_))).count();
-                (self.holders.len() - passed < self.terms.majority()).then(|| self.lost())
-            }
-            (Stage::Owner, Message::Written(_, ballot, seq)) if ballot == self.ballot => {
-                if seq != self.seq || self.confirmed == seq {
-                    return None;
-                }
-                self.wrote.insert(seat);
-                (self.wrote.len() >= self.terms.majority()).then(|| {
-                    self.confirmed = seq;
-                    let lease_over = self.wrote_at + self.record.lease();
-                    self.acts_until = lease_over.min(self.born + self.terms.life);
-                    Finding::Confirmed(seq)
-                })
+            LedgerMessage::Preempted { promised, .. } => self.on_preempted(now, from, promised, out),
+            LedgerMessage::Abstained { .. } if self.phase == Phase::Preparing => {
+                self.replies.insert(from, Reply::Abstained);
+                self.evaluate_replies(now, out)
             }
+            LedgerMessage::Accepted { sequence, .. } if self.is_owner() => self.on_accepted(from, sequence),
             _ => None,
         }
     }
 
-    fn lost(&mut self) -> Finding {
-        self.stage = Stage::Over;
-        Finding::Lost
-    }
-
-    fn taken(&self, seen: Seen) -> Finding {
-        let Seen { record, since, .. } = seen;
-        match record.answer {
-            _ if record.digest != self.record.digest => Finding::Mistake,
-            Some(answer) => Finding::Answered(answer),
-            None => Finding::Running(waited_out(Micros(u64::from(record.lease_ms) * 1000)) - since),
-        }
-    }
-
-    /// Whether what the holders said is enough to go on.
-    fn weigh(&mut self, now: Micros, out: &mut Sends) -> Option<Finding> {
-        let majority = self.terms.majority();
-        let promised = self.words.values().filter(|w| matches!(w, Word::Promise(..))).count();
-        if promised >= majority {
-            return Some(self.clear());
-        }
-        let passed = self.words.values().filter_map(|word| match word {
-            Word::Passed(by) => Some(by.number),
-            _ => None,
-        });
-        let highest = passed.max();
-        let open = self.holders.len() - self.words.len();
-        let Some(highest) = highest.filter(|_| self.rounds + 1 < ROUNDS) else {
-            if highest.is_some() || promised + open < majority {
-                self.stage = Stage::Over;
-                return Some(Finding::Unheld);
-            }
-            let waited_for =
-                self.holders.iter().take(self.asked).filter(|seat| !self.words.contains_key(seat));
-            if promised + waited_for.count() < majority {
-                self.hurry(out);
-            }
+    fn on_promise(
+        &mut self,
+        now: Micros,
+        from: u16,
+        held: Option<RecordSnapshot>,
+        out: &mut Vec<AddressedMessage>,
+    ) -> Option<ClaimOutcome> {
+        if self.phase == Phase::Finished || now - self.round_began > ROUND_TRIP_LIMIT {
             return None;
-        };
-        // At once: whoever is silent may be dead, and one that was passed would promise to a higher ballot.
-        self.rounds += 1;
-        self.ballot.number = self.ballot.number.max(highest).saturating_add(1);
-        out.extend(self.prepare(now));
-        None
-    }
-
-    /// More than half promised: what the highest ballot wrote goes on.
-    fn clear(&mut self) -> Finding {
-        let seen = self.words.values().filter_map(|word| match word {
-            Word::Promise(_, seen) => seen.as_ref(),
-            _ => None,
-        });
-        let Some(last) = seen.max_by_key(|seen| (seen.ballot, seen.seq)).cloned() else {
-            self.stage = Stage::Clear;
-            self.born = self.asked_at;
-            return Finding::Clear { found: false, sent: Vec::new() };
-        };
-        if last.record.digest != self.record.digest {
-            self.stage = Stage::Over;
-            return Finding::Mistake;
         }
-        if last.record.fence >= MOST_OWNERS {
-            self.stage = Stage::Over;
-            return Finding::Unheld;
+        self.replies.entry(from).or_insert(Reply::Promised { at: now, held });
+        match self.phase {
+            Phase::Preparing => self.evaluate_replies(now, out),
+            Phase::Owner => {
+                // One that promised late holds it as well.
+                out.extend(self.accept_message(now, from));
+                None
+            }
+            Phase::Prepared | Phase::Finished => None,
         }
-        self.stage = Stage::Clear;
-        self.born = self.asked_at - last.age;
-        let time = |sent: &Sent| (sent.server, self.born + Micros(u64::from(sent.at_ms) * 1000));
-        let sent = last.record.sent.iter().map(time).collect();
-        self.record = Record { lease_ms: self.record.lease_ms, ..last.record };
-        Finding::Clear { found: true, sent }
     }
 
-    /// Writes; returns the number of the write, which is not confirmed yet, or none where it may not write.
-    pub fn change(&mut self, now: Micros, change: Change, out: &mut Sends) -> Option<u32> {
-        match self.stage {
-            Stage::Clear if now - self.asked_at > PROMISE - ROUND => return None,
-            Stage::Clear => {
-                self.record.fence += 1;
-                (self.stage, self.first_write) = (Stage::Owner, now);
-                if let Some(request) = self.request.take() {
-                    let (id, ballot) = (self.id, self.ballot);
-                    self.left = true;
-                    let promised = self.words.iter().filter(|(_, word)| matches!(word, Word::Promise(..)));
-                    out.extend(
-                        promised.map(|(seat, _)| (*seat, Message::Request(id, ballot, request.clone()))),
-                    );
-                }
+    fn on_preempted(
+        &mut self,
+        now: Micros,
+        from: u16,
+        promised: Ballot,
+        out: &mut Vec<AddressedMessage>,
+    ) -> Option<ClaimOutcome> {
+        match self.phase {
+            Phase::Preparing => {
+                self.replies.insert(from, Reply::Preempted { promised });
+                self.evaluate_replies(now, out)
             }
-            Stage::Owner => {}
-            Stage::Asking | Stage::Over => return None,
-        }
-        self.record.owned = matches!(change, Change::Send(_) | Change::Renew);
-        match change {
-            Change::Send(server) => {
-                let at_ms = ((now - self.born).0 / 1000).min(u64::from(u32::MAX)) as u32;
-                if self.record.sent.len() >= MOST_SENT {
+            Phase::Owner if promised > self.ballot => {
+                self.replies.insert(from, Reply::Preempted { promised });
+                let is_preempted = |reply: &&Reply| matches!(reply, Reply::Preempted { .. });
+                let preempted = self.replies.values().filter(is_preempted).count();
+                if self.replicas.len() - preempted >= self.settings.quorum() {
                     return None;
                 }
-                self.record.sent.push(Sent { server, at_ms });
-            }
-            Change::Answer(answer) => {
-                self.record.answer = Some(answer);
-                if !self.record.is_sound() {
-                    // Too long to be kept: whoever comes again asks a server, if that may be.
-                    self.record.answer = None;
-                }
-            }
-            Change::Free | Change::Renew => {}
-        }
-        // As many as decide are enough; where one of them is silent, the others are told with the next beat. Whoever
-        // was left the request has to hear that it is done with.
-        let quick = match self.is_settled() && self.seq > 0 && (self.record.owned || !self.left) {
-            true => self.wrote.iter().copied().take(self.terms.majority()).collect(),
-            false => self.holders.clone(),
-        };
-        self.seq += 1;
-        (self.wrote_at, self.again_at) = (now, now);
-        self.wrote.clear();
-        out.extend(quick.into_iter().filter_map(|seat| self.write_to(now, seat)));
-        Some(self.seq)
-    }
-
-    /// An attempt at this server surely never ran; told with the next write.
-    pub fn never_ran(&mut self, server: u64) {
-        if let Some(place) = self.record.sent.iter().rposition(|sent| sent.server == server) {
-            self.record.sent.remove(place);
-        }
-    }
-
-    fn write_to(&self, now: Micros, seat: u16) -> Option<(u16, Message)> {
-        let Some(Word::Promise(at, _)) = self.words.get(&seat) else { return None };
-        let (id, ballot, seq, record) = (self.id, self.ballot, self.seq, self.record.clone());
-        let (held, age) = (now - *at, now - self.born);
-        Some((seat, Message::Write { id, ballot, seq, held, age, record }))
-    }
-
-    /// Time went by for a claim that too few have answered, or whose question or answers were lost: asks all anew by a
-    /// higher ballot, as a late promise does not count, and gives up after some rounds.
-    pub fn press(&mut self, now: Micros, out: &mut Sends) -> Option<Finding> {
-        if self.stage != Stage::Asking || now - self.asked_at <= ROUND {
-            return None;
-        }
-        if self.rounds + 1 >= ROUNDS {
-            self.stage = Stage::Over;
-            return Some(Finding::Unheld);
-        }
-        self.rounds += 1;
-        self.ballot.number = self.ballot.number.saturating_add(1);
-        self.asked = self.holders.len();
-        out.extend(self.prepare(now));
-        None
-    }
-
-    /// Time went by: sends again what is not confirmed, and renews the lease of an owner that works.
-    pub fn beat(&mut self, now: Micros, out: &mut Sends) {
-        if self.stage != Stage::Owner {
-            return;
-        }
-        if self.confirmed < self.seq {
-            if now - self.again_at >= AGAIN {
-                self.again_at = now;
-                if now - self.asked_at <= ROUND {
-                    self.hurry(out);
-                }
-                let silent = self.holders.iter().filter(|seat| !self.wrote.contains(seat));
-                out.extend(silent.filter_map(|seat| self.write_to(now, *seat)));
+                self.phase = Phase::Finished;
+                Some(ClaimOutcome::Lost)
             }
-        } else if self.record.owned && now - self.wrote_at >= Micros(self.record.lease().0 / RENEW) {
-            self.change(now, Change::Renew, out);
+            Phase::Owner | Phase::Prepared | Phase::Finished => None,
         }
     }
 }
--- /dev/null
+++ b/src/cluster/ledger/client/prepare.rs
@@ -0,0 +1,143 @@
+//! Acquiring a record: rounds of prepare messages, until a quorum has promised (Paxos phase 1).
+
+use super::{AddressedMessage, ClaimOutcome, LedgerClient, Phase, Reply};
+use crate::cluster::ledger::message::{LedgerMessage, RecordSnapshot};
+use crate::cluster::ledger::record::{Record, RecordedAttempt, SentAttempt};
+use crate::cluster::ledger::settings::{lease_with_drift, MAX_OWNERS, ROUND_TRIP_LIMIT};
+use crate::decision::api::Micros;
+
+/// How many rounds a claim has, each by a higher ballot, before its record counts as unavailable.
+const MAX_ROUNDS: u32 = 4;
+
+impl LedgerClient {
+    /// Those asked first are slow: asks the other replicas as well.
+    pub fn contact_all(&mut self, out: &mut Vec<AddressedMessage>) {
+        let others = self.replicas.iter().skip(self.contacted);
+        out.extend(others.map(|to| self.prepare_message(*to)));
+        self.contacted = self.replicas.len();
+    }
+
+    /// To be called as time passes. A claim that too few have answered, or whose messages or answers were lost, asks all
+    /// anew by a higher ballot, as a late promise does not count, and gives up after some rounds.
+    pub fn retry_prepare(&mut self, now: Micros, out: &mut Vec<AddressedMessage>) -> Option<ClaimOutcome> {
+        if self.phase != Phase::Preparing || now - self.round_began <= ROUND_TRIP_LIMIT {
+            return None;
+        }
+        if !self.has_rounds_left() {
+            return Some(self.give_up());
+        }
+        self.contacted = self.replicas.len();
+        self.begin_round_above(self.ballot.number, now, out);
+        None
+    }
+
+    pub(super) fn begin_round(&mut self, now: Micros, out: &mut Vec<AddressedMessage>) {
+        self.round_began = now;
+        self.phase = Phase::Preparing;
+        self.replies.clear();
+        out.extend(self.replicas.iter().take(self.contacted).map(|to| self.prepare_message(*to)));
+    }
+
+    fn begin_round_above(&mut self, number: u32, now: Micros, out: &mut Vec<AddressedMessage>) {
+        self.earlier_rounds += 1;
+        self.ballot.number = self.ballot.number.max(number).saturating_add(1);
+        self.begin_round(now, out);
+    }
+
+    fn has_rounds_left(&self) -> bool {
+        self.earlier_rounds + 1 < MAX_ROUNDS
+    }
+
+    fn prepare_message(&self, to: u16) -> AddressedMessage {
+        AddressedMessage { to, message: LedgerMessage::Prepare { id: self.id, ballot: self.ballot } }
+    }
+
+    /// Looks whether the replies so far decide the round.
+    pub(super) fn evaluate_replies(
+        &mut self,
+        now: Micros,
+        out: &mut Vec<AddressedMessage>,
+    ) -> Option<ClaimOutcome> {
+        let quorum = self.settings.quorum();
+        let promises = self.replies.values().filter(|reply| matches!(reply, Reply::Promised { .. })).count();
+        if promises >= quorum {
+            return Some(self.acquire());
+        }
+        if let Some(number) = self.highest_preempting_number() {
+            if !self.has_rounds_left() {
+                return Some(self.give_up());
+            }
+            // At once: whoever is silent may be dead, and one that preempted would promise to a higher ballot.
+            self.begin_round_above(number, now, out);
+            return None;
+        }
+        let without_reply = self.replicas.len() - self.replies.len();
+        if promises + without_reply < quorum {
+            return Some(self.give_up());
+        }
+        let contacted = self.replicas.iter().take(self.contacted);
+        let outstanding = contacted.filter(|replica| !self.replies.contains_key(replica)).count();
+        if promises + outstanding < quorum {
+            self.contact_all(out);
+        }
+        None
+    }
+
+    fn highest_preempting_number(&self) -> Option<u32> {
+        let numbers = self.replies.values().filter_map(|reply| match reply {
+            Reply::Preempted { promised } => Some(promised.number),
+            Reply::Promised { .. } | Reply::Abstained => None,
+        });
+        numbers.max()
+    }
+
+    fn give_up(&mut self) -> ClaimOutcome {
+        self.phase = Phase::Finished;
+        ClaimOutcome::Unavailable
+    }
+
+    /// A quorum promised: what the highest ballot wrote is continued.
+    fn acquire(&mut self) -> ClaimOutcome {
+        let Some(latest) = self.latest_held().cloned() else {
+            self.phase = Phase::Prepared;
+            self.record_began = self.round_began;
+            return ClaimOutcome::Acquired { existed: false, attempts: Vec::new() };
+        };
+        if latest.record.request_digest != self.record.request_digest {
+            self.phase = Phase::Finished;
+            return ClaimOutcome::KeyReused;
+        }
+        if latest.record.fence >= MAX_OWNERS {
+            return self.give_up();
+        }
+        self.phase = Phase::Prepared;
+        self.record_began = self.round_began - latest.age;
+        let prior = |attempt: &SentAttempt| RecordedAttempt {
+            endpoint: attempt.endpoint,
+            sent_at: self.record_began + Micros(u64::from(attempt.record_age_ms) * 1000),
+        };
+        let attempts = latest.record.attempts.iter().map(prior).collect();
+        self.record = Record { lease_ms: self.record.lease_ms, ..latest.record };
+        ClaimOutcome::Acquired { existed: true, attempts }
+    }
+
+    fn latest_held(&self) -> Option<&RecordSnapshot> {
+        let held = self.replies.values().filter_map(|reply| match reply {
+            Reply::Promised { held, .. } => held.as_ref(),
+            Reply::Preempted { .. } | Reply::Abstained => None,
+        });
+        held.max_by_key(|held| (held.ballot, held.sequence))
+    }
+
+    pub(super) fn outcome_of_locked(&self, held: RecordSnapshot) -> ClaimOutcome {
+        let RecordSnapshot { record, since_write, .. } = held;
+        if record.request_digest != self.record.request_digest {
+            return ClaimOutcome::KeyReused;
+        }
+        let lease = record.lease();
+        match record.response {
+            Some(response) => ClaimOutcome::Completed(response),
+            None => ClaimOutcome::InProgress(lease_with_drift(lease) - since_write),
+        }
+    }
+}
--- a/src/cluster/ledger/node.rs
+++ b/src/cluster/ledger/node.rs
@@ -1,128 +1,142 @@
-//! All that a gateway does at the ledger: its claims, and the records that it holds for others.
+//! All that one gateway does at the ledger: its claims, and the replica that it is for others.
 
-use crate::cluster::ledger::{
-    holders, holders_among, Ballot, Change, Claim, Finding, Holder, Message, RecordId, Sends, Terms,
-};
-use crate::cluster::Micros;
+use super::client::{AddressedMessage, ClaimOutcome, LedgerClient, RecordChange};
+use super::message::LedgerMessage;
+use super::placement::{replicas_among, replicas_of};
+use super::record::{Ballot, RecordId};
+use super::replica::abandoned::AbandonedRequest;
+use super::replica::Replica;
+use super::settings::LedgerSettings;
+use crate::decision::api::Micros;
 use std::collections::BTreeMap;
 
-/// A claim of this process.
+/// The number of a claim of this process.
 pub type ClaimId = u64;
 
-/// The most claims at one time; beyond that work goes on unprotected.
-pub const MOST_CLAIMS: usize = 10_000;
-/// A claim that its work has let go of waits for so long for the word of its holders.
-const LET_GO: Micros = Micros(500_000);
-/// So many seats make a group of their own: one of them may be dead.
-const LEAST_GROUP: usize = 3;
-/// Between two looks for what is forgotten.
-const SWEEP: Micros = Micros(500_000);
-/// Between two looks for requests that nobody has in hand.
-const LOOK: Micros = Micros(100_000);
+/// The most claims at one time; beyond that requests go on without a record.
+const MAX_CLAIMS: usize = 10_000;
+/// How long a released claim waits for its replicas to confirm the last write.
+const RELEASE_TIMEOUT: Micros = Micros(500_000);
+/// So many seats can be a group of their own: one of them may be dead.
+const MIN_GROUP_SEATS: usize = 3;
+/// Between two looks for entries that have expired.
+const EXPIRY_INTERVAL: Micros = Micros(500_000);
+/// Between two looks for abandoned requests.
+const ABANDONED_INTERVAL: Micros = Micros(100_000);
 
-/// What the desk wants done.
+/// What the ledger wants done.
 #[derive(Debug)]
-pub enum Out {
+pub enum LedgerEffect {
     /// Send this to a seat.
-    To(u16, Message),
-    /// A claim found out.
-    Found(ClaimId, Finding),
+    Send(AddressedMessage),
+    /// Something became of a claim.
+    ClaimResolved {
+        /// Which claim.
+        claim: ClaimId,
+        /// What became of it.
+        outcome: ClaimOutcome,
+    },
     /// A request whose owner is gone and whose client did not come again may be finished here.
-    Orphan(Orphan),
+    RequestAbandoned(AbandonedRequest),
 }
 
-/// A request that its owner left with the holders of its record.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Orphan {
-    /// Its record.
-    pub id: RecordId,
-    /// What stands for what its client sent.
-    pub digest: u64,
-    /// The request.
-    pub request: Vec<u8>,
-}
-
-/// How claims ended, and how many there are.
+/// How claims ended, and how many there were. The field names are keys of the operators' JSON.
 #[derive(Debug, Clone, Default, serde::Serialize)]
-pub struct Tallies {
+pub struct ClaimCounts {
     /// Claims made.
     pub claims: u64,
-    /// Records that were clear, and of them such that an earlier owner left.
-    pub clear: u64,
-    /// Of them: taken over.
+    /// Records acquired.
+    #[serde(rename = "clear")]
+    pub acquired: u64,
+    /// Of them such as an earlier owner left.
     pub taken_over: u64,
-    /// Found in work at another gateway.
-    pub running: u64,
-    /// Found answered.
-    pub answered: u64,
+    /// Found in progress at another gateway.
+    #[serde(rename = "running")]
+    pub in_progress: u64,
+    /// Found completed.
+    #[serde(rename = "answered")]
+    pub completed: u64,
     /// Found with another request under the same key.
-    pub mistakes: u64,
-    /// Not held, as more than half of the holders could not be had.
-    pub unheld: u64,
+    #[serde(rename = "mistakes")]
+    pub key_reused: u64,
+    /// Without a quorum of the replicas.
+    #[serde(rename = "unheld")]
+    pub unavailable: u64,
     /// Lost to another owner.
     pub lost: u64,
-    /// Work that went on without a record, as its holders did not confirm it in time.
+    /// Requests that went on without a record, as its replicas did not confirm it in time.
     pub unprotected: u64,
     /// Requests of owners that are gone, offered to be finished here.
-    pub orphans: u64,
+    #[serde(rename = "orphans")]
+    pub abandoned: u64,
 }
 
-struct Open {
-    claim: Claim,
-    /// Its work has let go of it, then.
-    let_go: Option<Micros>,
+struct OpenClaim {
+    client: LedgerClient,
+    /// When its request released it.
+    released_at: Option<Micros>,
 }
 
-/// The desk.
-pub struct Desk {
-    terms: Terms,
-    own: u16,
+/// One gateway's part in the ledger.
+pub struct LedgerNode {
+    settings: LedgerSettings,
+    own_seat: u16,
     seats: usize,
-    list: u64,
-    life: u64,
-    holder: Holder,
-    claims: BTreeMap<ClaimId, Open>,
-    last: ClaimId,
-    sweep_at: Micros,
-    look_at: Micros,
+    seat_list: u64,
+    process: u64,
+    replica: Replica,
+    claims: BTreeMap<ClaimId, OpenClaim>,
+    last_claim: ClaimId,
+    next_expiry: Micros,
+    next_abandoned_look: Micros,
     /// How claims ended.
-    pub tallies: Tallies,
+    pub counts: ClaimCounts,
 }
 
-impl Desk {
-    /// For the gateway in this seat of so many; `list` stands for the list of seats, `life` is drawn at random.
-    pub fn new(terms: Terms, own: u16, seats: usize, list: u64, life: u64, now: Micros) -> Desk {
-        Desk {
-            terms,
-            own,
+impl LedgerNode {
+    /// For the gateway in this seat of so many; `seat_list` is the digest of the list of seats, `process` is drawn at
+    /// random.
+    pub fn new(
+        settings: LedgerSettings,
+        own_seat: u16,
+        seats: usize,
+        seat_list: u64,
+        process: u64,
+        now: Micros,
+    ) -> LedgerNode {
+        LedgerNode {
+            settings,
+            own_seat,
             seats,
-            list,
-            life,
-            holder: Holder::new(terms, now),
+            seat_list,
+            process,
+            replica: Replica::new(settings, now),
             claims: BTreeMap::new(),
-            last: 0,
-            sweep_at: now,
-            look_at: now,
-            tallies: Tallies::default(),
+            last_claim: 0,
+            next_expiry: now,
+            next_abandoned_look: now,
+            counts: ClaimCounts::default(),
         }
     }
 
     /// The records that it holds for others.
-    pub fn holder(&self) -> &Holder {
-        &self.holder
+    pub fn replica(&self) -> &Replica {
+        &self.replica
     }
-    /// The same, to be told of its disk.
-    pub fn holder_mut(&mut self) -> &mut Holder {
-        &mut self.holder
+
+    /// The same, to be told of its storage.
+    pub fn replica_mut(&mut self) -> &mut Replica {
+        &mut self.replica
     }
+
     /// How many claims are open.
-    pub fn claims(&self) -> usize {
+    pub fn open_claims(&self) -> usize {
         self.claims.len()
     }
 
     /// An open claim.
-    pub fn claim(&self, of: ClaimId) -> Option<&Claim> {
-        self.claims.get(&of).map(|open| &open.claim)
+    pub fn claim(&self, claim: ClaimId) -> Option<&LedgerClient> {
+        self.claims.get(&claim).map(|open| &open.client)
     }
 
     /// Claims a record; none where there are too many claims. `reachable` says which seats are worth asking.
@@ -130,194 +144,239 @@
         &mut self,
         now: Micros,
         id: RecordId,
-        digest: u64,
+        request_digest: u64,
         reachable: impl Fn(u16) -> bool,
-        out: &mut Vec<Out>,
+        out: &mut Vec<LedgerEffect>,
     ) -> Option<ClaimId> {
-        let drawn = holders(id, self.list, self.seats, self.terms.holders);
-        self.claim_of(now, (id, digest), drawn, reachable, out)
+        let replicas = replicas_of(id, self.seat_list, self.seats, self.settings.replicas);
+        self.open_at(now, id, request_digest, replicas, reachable, out)
     }
 
-    /// Claims a record that a group of the seats holds: it can be had where most of the group are, whoever else is cut
-    /// off. A group of fewer than three is none: the whole fleet holds the record.
-    pub fn open_in(
+    /// Claims a record that a group of the seats holds: it can be had where a quorum of the group is, whoever else is
+    /// cut off. A group of fewer than three is none: the whole cluster holds the record.
+    pub fn open_in_group(
         &mut self,
         now: Micros,
-        (id, group): (RecordId, &[u16]),
+        id: RecordId,
+        group: &[u16],
         reachable: impl Fn(u16) -> bool,
-        out: &mut Vec<Out>,
+        out: &mut Vec<LedgerEffect>,
     ) -> Option<ClaimId> {
-        let count = if group.len() < self.terms.holders { LEAST_GROUP } else { self.terms.holders };
-        if group.len() < LEAST_GROUP {
+        if group.len() < MIN_GROUP_SEATS {
             return self.open(now, id, 0, reachable, out);
         }
-        let drawn = holders_among(id, self.list, group.iter().copied(), count);
-        self.claim_of(now, (id, 0), drawn, reachable, out)
+        let count =
+            if group.len() < self.settings.replicas { MIN_GROUP_SEATS } else { self.settings.replicas };
+        let replicas = replicas_among(id, self.seat_list, group.iter().copied(), count);
+        self.open_at(now, id, 0, replicas, reachable, out)
     }
 
-    fn claim_of(
+    fn open_at(
         &mut self,
         now: Micros,
-        (id, digest): (RecordId, u64),
-        mut drawn: Vec<u16>,
+        id: RecordId,
+        request_digest: u64,
+        mut replicas: Vec<u16>,
         reachable: impl Fn(u16) -> bool,
-        out: &mut Vec<Out>,
+        out: &mut Vec<LedgerEffect>,
     ) -> Option<ClaimId> {
-        if self.claims.len() >= MOST_CLAIMS {
+        if self.claims.len() >= MAX_CLAIMS {
             return None;
         }
-        self.last += 1;
-        self.tallies.claims += 1;
-        let ballot = Ballot { number: 1, life: self.life, claim: self.last };
-        let near = |seat: u16| if seat == self.own { 0 } else { 1 + u8::from(!reachable(seat)) };
-        drawn.sort_by_key(|seat| near(*seat));
-        let terms = Terms { holders: drawn.len(), ..self.terms };
-        let away: Vec<u16> = drawn.iter().copied().filter(|seat| near(*seat) > 1).collect();
-        let (claim, sends) = Claim::ask(id, digest, ballot, drawn, terms, now);
-        self.claims.insert(self.last, Open { claim, let_go: None });
-        let claim = self.last;
-        self.deliver(now, sends.into_iter().filter(|(seat, _)| !away.contains(seat)).collect(), out);
+        self.last_claim += 1;
+        self.counts.claims += 1;
+        let claim = self.last_claim;
+        let ballot = Ballot { number: 1, process: self.process, claim };
+        let is_away = |seat: u16| seat != self.own_seat && !reachable(seat);
+        // The own replica first, those that are away last.
+        replicas.sort_by_key(|seat| (*seat != self.own_seat, is_away(*seat)));
+        let away: Vec<u16> = replicas.iter().copied().filter(|seat| is_away(*seat)).collect();
+        let settings = LedgerSettings { replicas: replicas.len(), ..self.settings };
+        let mut messages = Vec::new();
+        let client = LedgerClient::begin(id, request_digest, ballot, replicas, settings, now, &mut messages);
+        self.claims.insert(claim, OpenClaim { client, released_at: None });
+        messages.retain(|message| !away.contains(&message.to));
+        self.deliver(now, messages, out);
         for seat in away {
-            self.hear(now, seat, Message::Silent(id, ballot), out);
+            self.on_message(now, seat, LedgerMessage::Abstained { id, ballot }, out);
         }
         Some(claim)
     }
 
-    /// The request is to be left with the holders of its record.
-    pub fn bring(&mut self, of: ClaimId, request: Vec<u8>) {
-        self.claims.get_mut(&of).into_iter().for_each(|open| open.claim.bring(request.clone()));
+    /// The request is to be stored with the replicas of its record.
+    pub fn attach_request(&mut self, claim: ClaimId, request: Vec<u8>) {
+        if let Some(open) = self.claims.get_mut(&claim) {
+            open.client.attach_request(request);
+        }
     }
 
-    /// The holders that a claim asked are slow: the others are asked as well.
-    pub fn hurry(&mut self, now: Micros, of: ClaimId, out: &mut Vec<Out>) {
-        let mut sends = Sends::new();
-        let waits = self.claims.get_mut(&of).filter(|open| open.claim.waits());
-        waits.into_iter().for_each(|open| open.claim.hurry(&mut sends));
-        self.deliver(now, sends, out);
+    /// The replicas that a claim asked are slow: the others are asked as well.
+    pub fn contact_all(&mut self, now: Micros, claim: ClaimId, out: &mut Vec<LedgerEffect>) {
+        let mut messages = Vec::new();
+        if let Some(open) = self.claims.get_mut(&claim).filter(|open| open.client.is_waiting()) {
+            open.client.contact_all(&mut messages);
+        }
+        self.deliver(now, messages, out);
     }
 
-    /// Writes a claim's record. Returns the number of the write, or none where it may not.
-    pub fn change(&mut self, now: Micros, of: ClaimId, change: Change, out: &mut Vec<Out>) -> Option<u32> {
-        let mut sends = Sends::new();
-        let number = self.claims.get_mut(&of)?.claim.change(now, change, &mut sends);
-        self.deliver(now, sends, out);
+    /// Writes a claim's record. Returns the number of the write, or none where it may not be written.
+    pub fn write(
+        &mut self,
+        now: Micros,
+        claim: ClaimId,
+        change: RecordChange,
+        out: &mut Vec<LedgerEffect>,
+    ) -> Option<u32> {
+        let mut messages = Vec::new();
+        let number = self.claims.get_mut(&claim)?.client.write(now, change, &mut messages);
+        self.deliver(now, messages, out);
         number
     }
 
-    /// An attempt at this server surely never ran.
-    pub fn never_ran(&mut self, of: ClaimId, server: u64) {
-        self.claims.get_mut(&of).into_iter().for_each(|open| open.claim.never_ran(server));
+    /// An attempt at this endpoint surely never ran.
+    pub fn remove_attempt(&mut self, claim: ClaimId, endpoint: u64) {
+        if let Some(open) = self.claims.get_mut(&claim) {
+            open.client.remove_attempt(endpoint);
+        }
     }
 
     /// Whether a claim's owner may act now.
-    pub fn may_act(&self, now: Micros, of: ClaimId) -> bool {
-        self.claims.get(&of).is_some_and(|open| open.claim.may_act(now))
+    pub fn may_act(&self, now: Micros, claim: ClaimId) -> bool {
+        self.claim(claim).is_some_and(|client| client.may_act(now))
     }
 
-    /// The work of a claim is over here, with its answer or without: others may go on with it.
-    pub fn let_go(&mut self, now: Micros, of: ClaimId, answer: Option<Vec<u8>>, out: &mut Vec<Out>) {
-        let Some(open) = self.claims.get(&of) else { return };
-        if !open.claim.owns() {
-            self.claims.remove(&of);
+    /// A claim's request is over here, with its response or without: others may continue it.
+    pub fn release(
+        &mut self,
+        now: Micros,
+        claim: ClaimId,
+        response: Option<Vec<u8>>,
+        out: &mut Vec<LedgerEffect>,
+    ) {
+        let Some(open) = self.claims.get(&claim) else { return };
+        if !open.client.is_owner() {
+            self.claims.remove(&claim);
             return;
         }
-        self.change(now, of, answer.map_or(Change::Free, Change::Answer), out);
-        self.claims.get_mut(&of).into_iter().for_each(|open| open.let_go = Some(now));
+        let change = response.map_or(RecordChange::Release, RecordChange::Complete);
+        self.write(now, claim, change, out);
+        if let Some(open) = self.claims.get_mut(&claim) {
+            open.released_at = Some(now);
+        }
     }
 
-    /// A message came from a seat.
-    pub fn hear(&mut self, now: Micros, from: u16, message: Message, out: &mut Vec<Out>) {
+    /// Handles a message from a seat: one to the replica, or a reply to a claim.
+    pub fn on_message(
+        &mut self,
+        now: Micros,
+        from: u16,
+        message: LedgerMessage,
+        out: &mut Vec<LedgerEffect>,
+    ) {
         if usize::from(from) >= self.seats {
             return;
         }
-        if message.is_asked() {
-            if let Some(answer) = self.holder.hear(now, message) {
-                match from == self.own {
-                    true => self.hear(now, from, answer, out),
-                    false => out.push(Out::To(from, answer)),
+        match message.reply_ballot() {
+            None => {
+                if let Some(message) = self.replica.on_message(now, message) {
+                    self.deliver(now, vec![AddressedMessage { to: from, message }], out);
                 }
             }
-            return;
-        }
-        let ballot = match &message {
-            Message::Promise(_, b, _) | Message::Taken(_, b, _) | Message::Passed(_, b, _) => b,
-            Message::Silent(_, b) | Message::Written(_, b, _) => b,
-            Message::Prepare(..) | Message::Write { .. } | Message::Request(..) => return,
-        };
-        if ballot.life != self.life {
-            return;
+            Some(ballot) if ballot.process == self.process => {
+                self.on_reply(now, from, ballot.claim, message, out);
+            }
+            Some(_) => {}
         }
-        let of = ballot.claim;
-        let Some(open) = self.claims.get_mut(&of) else { return };
-        let mut sends = Sends::new();
-        let id = open.claim.id();
-        let finding = open.claim.hear(now, from, message, &mut sends);
-        let gone = open.let_go.is_some() && (open.claim.is_settled() || open.claim.is_over());
-        if gone || open.claim.is_over() {
-            self.claims.remove(&of);
+    }
+
+    fn on_reply(
+        &mut self,
+        now: Micros,
+        from: u16,
+        claim: ClaimId,
+        message: LedgerMessage,
+        out: &mut Vec<LedgerEffect>,
+    ) {
+        let Some(open) = self.claims.get_mut(&claim) else { return };
+        let mut messages = Vec::new();
+        let id = open.client.id();
+        let outcome = open.client.on_message(now, from, message, &mut messages);
+        let is_released = open.released_at.is_some() && open.client.is_confirmed();
+        if is_released || open.client.is_finished() {
+            self.claims.remove(&claim);
         }
-        if let Some(finding) = finding {
-            if matches!(finding, Finding::Answered(_)) {
-                self.holder.is_done(id);
+        if let Some(outcome) = outcome {
+            if matches!(outcome, ClaimOutcome::Completed(_)) {
+                self.replica.drop_request(id);
             }
-            self.tally(&finding);
-            out.push(Out::Found(of, finding));
+            self.resolve(claim, outcome, out);
         }
-        self.deliver(now, sends, out);
+        self.deliver(now, messages, out);
     }
 
-    fn tally(&mut self, finding: &Finding) {
-        let t = &mut self.tallies;
-        match finding {
-            Finding::Clear { found, .. } => {
-                t.clear += 1;
-                t.taken_over += u64::from(*found);
+    fn resolve(&mut self, claim: ClaimId, outcome: ClaimOutcome, out: &mut Vec<LedgerEffect>) {
+        let counts = &mut self.counts;
+        match &outcome {
+            ClaimOutcome::Acquired { existed, .. } => {
+                counts.acquired += 1;
+                counts.taken_over += u64::from(*existed);
             }
-            Finding::Running(_) => t.running += 1,
-            Finding::Answered(_) => t.answered += 1,
-            Finding::Mistake => t.mistakes += 1,
-            Finding::Unheld => t.unheld += 1,
-            Finding::Lost => t.lost += 1,
-            Finding::Confirmed(_) => {}
+            ClaimOutcome::InProgress(_) => counts.in_progress += 1,
+            ClaimOutcome::Completed(_) => counts.completed += 1,
+            ClaimOutcome::KeyReused => counts.key_reused += 1,
+            ClaimOutcome::Unavailable => counts.unavailable += 1,
+            ClaimOutcome::Lost => counts.lost += 1,
+            ClaimOutcome::Confirmed(_) => {}
         }
+        out.push(LedgerEffect::ClaimResolved { claim, outcome });
     }
 
-    fn deliver(&mut self, now: Micros, sends: Sends, out: &mut Vec<Out>) {
-        for (seat, message) in sends {
-            match seat == self.own {
-                true => self.hear(now, seat, message, out),
-                false => out.push(Out::To(seat, message)),
+    /// Messages to the own replica are handled at once, the others sent.
+    fn deliver(&mut self, now: Micros, messages: Vec<AddressedMessage>, out: &mut Vec<LedgerEffect>) {
+        for addressed in messages {
+            match addressed.to == self.own_seat {
+                true => self.on_message(now, addressed.to, addressed.message, out),
+                false => out.push(LedgerEffect::Send(addressed)),
             }
         }
     }
 
-    /// Time went by.
-    pub fn beat(&mut self, now: Micros, out: &mut Vec<Out>) {
-        let mut sends = Sends::new();
-        let mut unheld = Vec::new();
-        for (of, open) in &mut self.claims {
-            open.claim.beat(now, &mut sends);
-            unheld.extend(open.claim.press(now, &mut sends).map(|finding| (*of, finding)));
+    /// To be called as time passes.
+    pub fn tick(&mut self, now: Micros, out: &mut Vec<LedgerEffect>) {
+        let mut messages = Vec::new();
+        let mut unavailable = Vec::new();
+        for (claim, open) in &mut self.claims {
+            open.client.tick(now, &mut messages);
+            unavailable
+                .extend(open.client.retry_prepare(now, &mut messages).map(|outcome| (*claim, outcome)));
         }
-        self.claims.retain(|_, open| !open.claim.is_over() && open.let_go.is_none_or(|at| now - at < LET_GO));
-        for (of, finding) in unheld {
-            self.tally(&finding);
-            out.push(Out::Found(of, finding));
+        self.claims.retain(|_, open| {
+            !open.client.is_finished() && open.released_at.is_none_or(|at| now - at < RELEASE_TIMEOUT)
+        });
+        for (claim, outcome) in unavailable {
+            self.resolve(claim, outcome, out);
         }
-        self.deliver(now, sends, out);
-        if now >= self.look_at {
-            self.look_at = now + LOOK;
-            let (own, list, seats, count) = (self.own, self.list, self.seats, self.terms.holders);
-            let place =
-                |id| holders(id, list, seats, count).iter().position(|seat| *seat == own).unwrap_or(count);
-            for (id, digest, request) in self.holder.orphans(now, place) {
-                self.tallies.orphans += 1;
-                out.push(Out::Orphan(Orphan { id, digest, request }));
-            }
+        self.deliver(now, messages, out);
+        if now >= self.next_abandoned_look {
+            self.next_abandoned_look = now + ABANDONED_INTERVAL;
+            self.offer_abandoned(now, out);
+        }
+        if now >= self.next_expiry {
+            self.next_expiry = now + EXPIRY_INTERVAL;
+            self.replica.remove_expired(now);
         }
-        if now >= self.sweep_at {
-            self.sweep_at = now + SWEEP;
-            self.holder.sweep(now);
+    }
+
+    fn offer_abandoned(&mut self, now: Micros, out: &mut Vec<LedgerEffect>) {
+        let (own_seat, seat_list, seats, count) =
+            (self.own_seat, self.seat_list, self.seats, self.settings.replicas);
+        let rank = |id| {
+            let replicas = replicas_of(id, seat_list, seats, count);
+            replicas.iter().position(|seat| *seat == own_seat).unwrap_or(count)
+        };
+        for request in self.replica.take_abandoned(now, rank) {
+            self.counts.abandoned += 1;
+            out.push(LedgerEffect::RequestAbandoned(request));
         }
     }
 }
--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -1,41 +1,73 @@
-//! The fleet's ledger: claims of this gateway go out to the seats that hold a record, and what they say comes in.
-
-use crate::cluster::datagram::{self, Head, Stranger};
-use crate::cluster::ledger::{Change, ClaimId, Desk, Message, Out, RecordId};
-use crate::cluster::membership::identity::{Identity, LEDGER};
-use crate::cluster::membership::swim::Swim;
-use crate::cluster::storage::persistence::Word;
-use crate::cluster::{Effect, Fleet, Micros};
+//! The ledger within a cluster node: claims of this gateway go out to the seats that hold a record, and what these say
+//! comes in.
+
+use super::datagram::{self, Head, Stranger};
+use super::event::Effect;
+use super::ledger::{
+    AddressedMessage, ClaimId, ClaimOutcome, LedgerEffect, LedgerMessage, LedgerNode, RecordChange, RecordId,
+};
+use super::membership::identity::{Identity, LEDGER};
+use super::membership::swim::Swim;
+use super::storage::GatedEffect;
+use super::Fleet;
+use crate::decision::api::Micros;
 use std::net::SocketAddr;
 
 /// How often the ledger is to be called.
-pub const BEAT: Micros = Micros(20_000);
+pub const LEDGER_TICK_INTERVAL: Micros = Micros(20_000);
+/// What is written as the attempt of a record that stands for a lease alone: nothing is sent.
+const NO_ENDPOINT: u64 = 0;
+
+/// How the claim of a record that stands for a lease is doing.
+pub(super) enum LeaseProgress {
+    /// It waits for its replicas.
+    Pending,
+    /// A quorum confirmed a write.
+    Confirmed {
+        /// The first: the lease begins.
+        is_first: bool,
+    },
+    /// The lease is another's, or can't be had.
+    Failed,
+}
+
+/// How a lease stands, by the ledger.
+#[derive(Default)]
+pub(super) struct LeaseStatus {
+    /// It runs.
+    pub(super) is_held: bool,
+    /// It still runs when others hear of what is begun now.
+    pub(super) is_held_with_margin: bool,
+    /// It is over though it was held: the claim is to be released.
+    pub(super) lapsed: Option<ClaimId>,
+    /// The claim ended without a word.
+    pub(super) is_gone: bool,
+}
 
 impl Fleet {
     /// The ledger, where there is one.
-    pub fn desk(&self) -> Option<&Desk> {
-        self.desk.as_ref()
+    pub fn ledger(&self) -> Option<&LedgerNode> {
+        self.ledger.as_ref()
     }
 
-    /// Claims a record for a request of which this stands for what its client sent. None where there is no ledger,
-    /// or too much is claimed.
-    pub fn claim(
+    /// Claims a record for a request of this digest. None where there is no ledger, or too much is claimed.
+    pub fn open_claim(
         &mut self,
         now: Micros,
         id: RecordId,
-        digest: u64,
+        request_digest: u64,
         out: &mut Vec<Effect>,
     ) -> Option<ClaimId> {
         let (seats, swim) = (&self.settings.seats, &self.swim);
-        let mut outs = Vec::new();
-        let reachable = |seat| can_hold(seats, swim, seat);
-        let claimed = self.desk.as_mut()?.open(now, id, digest, reachable, &mut outs);
-        self.book(outs, out);
-        claimed
+        let reachable = |seat| is_present_replica(seats, swim, seat);
+        let mut effects = Vec::new();
+        let claim = self.ledger.as_mut()?.open(now, id, request_digest, reachable, &mut effects);
+        self.gate_ledger_effects(effects, out);
+        claim
     }
 
     /// Claims a record that a group of the seats holds.
-    pub(super) fn claim_in(
+    pub(super) fn open_claim_in_group(
         &mut self,
         now: Micros,
         id: RecordId,
@@ -43,101 +75,164 @@
         out: &mut Vec<Effect>,
     ) -> Option<ClaimId> {
         let (seats, swim) = (&self.settings.seats, &self.swim);
-        let mut outs = Vec::new();
-        let reachable = |seat| can_hold(seats, swim, seat);
-        let claimed = self.desk.as_mut()?.open_in(now, (id, group), reachable, &mut outs);
-        self.book(outs, out);
-        claimed
+        let reachable = |seat| is_present_replica(seats, swim, seat);
+        let mut effects = Vec::new();
+        let claim = self.ledger.as_mut()?.open_in_group(now, id, group, reachable, &mut effects);
+        self.gate_ledger_effects(effects, out);
+        claim
     }
 
-    /// Writes a claim's record; none where it may not.
-    pub fn change(&mut self, now: Micros, of: ClaimId, change: Change, out: &mut Vec<Effect>) -> Option<u32> {
-        let mut outs = Vec::new();
-        let number = self.desk.as_mut()?.change(now, of, change, &mut outs);
-        self.book(outs, out);
-        number
+    /// Writes a claim's record. Returns the number of the write, or none where it may not be written.
+    pub fn write_claim(
+        &mut self,
+        now: Micros,
+        claim: ClaimId,
+        change: RecordChange,
+        out: &mut Vec<Effect>,
+    ) -> Option<u32> {
+        self.with_ledger(out, |ledger, effects| ledger.write(now, claim, change, effects)).flatten()
     }
 
-    /// The request is to be left with the holders of its record, so that it is finished whoever dies.
-    pub fn bring(&mut self, of: ClaimId, request: Vec<u8>) {
-        self.desk.iter_mut().for_each(|desk| desk.bring(of, request.clone()));
+    /// The request is to be stored with the replicas of its record, so that it is finished whoever dies.
+    pub fn attach_request(&mut self, claim: ClaimId, request: Vec<u8>) {
+        if let Some(ledger) = self.ledger.as_mut() {
+            ledger.attach_request(claim, request);
+        }
     }
 
-    /// The holders that a claim asked are slow.
-    pub fn hurry(&mut self, now: Micros, of: ClaimId, out: &mut Vec<Effect>) {
-        let mut outs = Vec::new();
-        self.desk.iter_mut().for_each(|desk| desk.hurry(now, of, &mut outs));
-        self.book(outs, out);
+    /// The replicas that a claim asked are slow: the others are asked as well.
+    pub fn contact_all_replicas(&mut self, now: Micros, claim: ClaimId, out: &mut Vec<Effect>) {
+        self.with_ledger(out, |ledger, effects| ledger.contact_all(now, claim, effects));
     }
 
-    /// A claim's work goes on without a record.
-    pub fn goes_alone(&mut self) {
-        self.desk.iter_mut().for_each(|desk| desk.tallies.unprotected += 1);
+    /// A claim's request goes on without a record.
+    pub fn count_unprotected(&mut self) {
+        if let Some(ledger) = self.ledger.as_mut() {
+            ledger.counts.unprotected += 1;
+        }
     }
 
-    /// An attempt of a claim's work surely never ran.
-    pub fn never_ran(&mut self, of: ClaimId, server: u64) {
-        self.desk.iter_mut().for_each(|desk| desk.never_ran(of, server));
+    /// An attempt of a claim's request surely never ran.
+    pub fn remove_attempt(&mut self, claim: ClaimId, endpoint: u64) {
+        if let Some(ledger) = self.ledger.as_mut() {
+            ledger.remove_attempt(claim, endpoint);
+        }
     }
 
     /// Whether the owner of a claim's record may do something now that others see.
-    pub fn may_act(&self, now: Micros, of: ClaimId) -> bool {
-        self.desk.as_ref().is_some_and(|desk| desk.may_act(now, of))
+    pub fn may_act(&self, now: Micros, claim: ClaimId) -> bool {
+        self.ledger.as_ref().is_some_and(|ledger| ledger.may_act(now, claim))
     }
 
-    /// A claim's work is over here, with its answer or without.
-    pub fn let_go(&mut self, now: Micros, of: ClaimId, answer: Option<Vec<u8>>, out: &mut Vec<Effect>) {
-        let mut outs = Vec::new();
-        self.desk.iter_mut().for_each(|desk| desk.let_go(now, of, answer.clone(), &mut outs));
-        self.book(outs, out);
+    /// A claim's request is over here, with its response or without.
+    pub fn release_claim(
+        &mut self,
+        now: Micros,
+        claim: ClaimId,
+        response: Option<Vec<u8>>,
+        out: &mut Vec<Effect>,
+    ) {
+        self.with_ledger(out, |ledger, effects| ledger.release(now, claim, response, effects));
     }
 
-    pub(super) fn beat(&mut self, out: &mut Vec<Effect>) {
-        let (now, mut outs) = (self.now, Vec::new());
-        self.desk.iter_mut().for_each(|desk| desk.beat(now, &mut outs));
-        self.book(outs, out);
+    pub(super) fn tick_ledger(&mut self, out: &mut Vec<Effect>) {
+        let now = self.now;
+        self.with_ledger(out, |ledger, effects| ledger.tick(now, effects));
     }
 
-    /// A message of the ledger from a seat of that list.
-    pub(super) fn books_hear(
+    /// Handles a message of the ledger from a seat of that list.
+    pub(super) fn on_ledger_message(
         &mut self,
-        list: u64,
+        seat_list: u64,
         seat: u16,
-        message: Message,
+        message: LedgerMessage,
         out: &mut Vec<Effect>,
     ) -> Result<(), Stranger> {
-        let (now, mut outs) = (self.now, Vec::new());
-        let same = self.lending.as_ref().is_some_and(|lending| lending.list() == list);
-        let desk = self.desk.as_mut().filter(|_| same).ok_or(Stranger::Refused)?;
-        desk.hear(now, seat, message, &mut outs);
-        self.book(outs, out);
-        Ok(())
+        if !self.is_own_seat_list(seat_list) {
+            return Err(Stranger::Refused);
+        }
+        let now = self.now;
+        self.with_ledger(out, |ledger, effects| ledger.on_message(now, seat, message, effects))
+            .ok_or(Stranger::Refused)
     }
 
-    fn book(&mut self, outs: Vec<Out>, out: &mut Vec<Effect>) {
-        self.release(outs.into_iter().map(Word::Ledger).collect(), out);
+    /// Does something with the ledger, and lets out what follows.
+    fn with_ledger<T>(
+        &mut self,
+        out: &mut Vec<Effect>,
+        act: impl FnOnce(&mut LedgerNode, &mut Vec<LedgerEffect>) -> T,
+    ) -> Option<T> {
+        let mut effects = Vec::new();
+        let result = act(self.ledger.as_mut()?, &mut effects);
+        self.gate_ledger_effects(effects, out);
+        Some(result)
     }
 
-    /// One word of the ledger goes out.
-    pub(super) fn book_out(&mut self, one: Out, out: &mut Vec<Effect>) {
-        let Some((list, own)) = own_seat(self) else { return };
-        match one {
-            Out::Found(claim, finding) => {
-                if !self.rolling_found(claim, &finding, out) && !self.filing_found(claim, &finding, out) {
-                    out.push(Effect::Found(claim, finding));
+    fn gate_ledger_effects(&mut self, effects: Vec<LedgerEffect>, out: &mut Vec<Effect>) {
+        self.gate_effects(effects.into_iter().map(GatedEffect::Ledger).collect(), out);
+    }
+
+    /// Lets out one effect of the ledger.
+    pub(super) fn emit_ledger_effect(&mut self, effect: LedgerEffect, out: &mut Vec<Effect>) {
+        let Some((list, own)) = self.own_seat() else { return };
+        match effect {
+            LedgerEffect::ClaimResolved { claim, outcome } => {
+                let is_lease = self.on_rollout_claim_resolved(claim, &outcome, out)
+                    || self.on_queue_claim_resolved(claim, &outcome, out);
+                if !is_lease {
+                    out.push(Effect::Found(claim, outcome));
                 }
             }
-            Out::Orphan(orphan) => out.push(Effect::Orphan(orphan)),
-            Out::To(seat, message) => {
-                self.send_to_seat(seat, &Head::Ledger { list, seat: own, message }, out)
+            LedgerEffect::RequestAbandoned(request) => out.push(Effect::Orphan(request)),
+            LedgerEffect::Send(AddressedMessage { to, message }) => {
+                self.send_to_seat(to, &Head::Ledger { list, seat: own, message }, out);
             }
         }
     }
 
-    /// Sends a frame to a seat.
+    /// Something became of the claim of a record that stands for a lease. Once it is acquired, it is owned.
+    pub(super) fn advance_lease(
+        &mut self,
+        claim: ClaimId,
+        outcome: &ClaimOutcome,
+        out: &mut Vec<Effect>,
+    ) -> LeaseProgress {
+        let now = self.now;
+        match outcome {
+            ClaimOutcome::Acquired { .. } => {
+                match self.write_claim(now, claim, RecordChange::AddAttempt(NO_ENDPOINT), out) {
+                    Some(_) => LeaseProgress::Pending,
+                    None => LeaseProgress::Failed,
+                }
+            }
+            ClaimOutcome::Confirmed(number) => LeaseProgress::Confirmed { is_first: *number == 1 },
+            ClaimOutcome::InProgress(_)
+            | ClaimOutcome::Completed(_)
+            | ClaimOutcome::KeyReused
+            | ClaimOutcome::Unavailable
+            | ClaimOutcome::Lost => LeaseProgress::Failed,
+        }
+    }
+
+    /// How the lease of this claim stands.
+    pub(super) fn lease_status(&self, claim: Option<ClaimId>) -> LeaseStatus {
+        let Some(claim) = claim else { return LeaseStatus::default() };
+        let Some(client) = self.ledger.as_ref().and_then(|ledger| ledger.claim(claim)) else {
+            return LeaseStatus { is_gone: true, ..LeaseStatus::default() };
+        };
+        let has_lapsed = client.is_owner() && !client.may_act(self.now);
+        LeaseStatus {
+            is_held: client.has_lease(self.now),
+            is_held_with_margin: client.has_lease(self.now + self.settings.margin()),
+            lapsed: has_lapsed.then_some(claim),
+            is_gone: false,
+        }
+    }
+
+    /// Sends a datagram to a seat.
     pub(super) fn send_to_seat(&mut self, seat: u16, head: &Head, out: &mut Vec<Effect>) {
         let Some(name) = self.settings.seats.get(usize::from(seat)) else { return };
-        let known = self.swim.records().get(name.as_str()).map(|r| r.identity.clone());
+        let known = self.swim.records().get(name.as_str()).map(|record| record.identity.clone());
         let to = known.unwrap_or_else(|| Identity::unknown(name));
         let address: Option<SocketAddr> = self.addresses(&to).next();
         let frame = datagram::write(self.tag, head, &[]);
@@ -146,15 +241,20 @@
             self.send_frame(address, frame, out);
         }
     }
+
+    /// Whether this is the digest of this gateway's list of seats.
+    pub(super) fn is_own_seat_list(&self, seat_list: u64) -> bool {
+        self.lending.as_ref().is_some_and(|lending| lending.list() == seat_list)
+    }
+
+    /// The digest of this gateway's list of seats, and its seat.
+    pub(super) fn own_seat(&self) -> Option<(u64, u16)> {
+        self.lending.as_ref().map(|lending| (lending.list(), lending.seat().0 as u16))
+    }
 }
 
-/// Whether the gateway in this seat is there, and holds records.
-fn can_hold(seats: &[String], swim: &Swim, seat: u16) -> bool {
+/// Whether the gateway in this seat is present, and holds records.
+fn is_present_replica(seats: &[String], swim: &Swim, seat: u16) -> bool {
     let record = seats.get(usize::from(seat)).and_then(|name| swim.records().get(name.as_str()));
     record.is_some_and(|r| r.standing.is_present() && r.identity.about.capabilities & LEDGER != 0)
 }
-
-/// What stands for this gateway's list of seats, and its seat.
-pub(super) fn own_seat(fleet: &Fleet) -> Option<(u64, u16)> {
-    fleet.lending.as_ref().map(|lending| (lending.list(), lending.seat().0 as u16))
-}
--- a/src/cluster/membership/rejoin.rs
+++ b/src/cluster/membership/rejoin.rs
@@ -24,7 +24,10 @@
         if live && established {
             let own = self.own().incarnation;
             self.yielded = Some(incarnation);
-            (self.desk, self.steward, self.branch, self.keeping) = (None, None, None, None);
+            self.ledger = None;
+            self.rollout = None;
+            self.write_queue = None;
+            self.persistence = None;
             if self.lending.take().is_some() {
                 out.push(Effect::Shares(Shares::default()));
             }
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -14,13 +14,14 @@
 mod rollout_node;
 mod settings;
 mod storage;
+mod storage_node;
 pub mod write_queue;
 mod write_queue_node;
 
 pub use crate::decision::api::{Micros, SettingsError};
 pub use datagram::{Stranger, LONGEST};
 pub use event::{Effect, Event, Notice, Traffic};
-pub use ledger_node::BEAT;
+pub use ledger_node::LEDGER_TICK_INTERVAL;
 pub use membership::identity::{is_name, About, Identity, LEDGER, LONGEST_NAME, ROLLOUT};
 pub use membership::local_health::WAKE;
 pub use membership::swim::{Record, Standing, MOST_MEMBERS};
@@ -29,21 +30,21 @@
 pub use quota_lease::view_gossip::VALID;
 pub use quota_lease::{Agreement, ViewReport};
 pub use report::{MemberReport, Report};
-pub use rollout_node::{InForce, Taken};
+pub use rollout_node::{CommandResult, RoutingInForce};
 pub use settings::Settings;
-pub use storage::durability_gate::{Machine, Put};
-pub use write_queue_node::{Branch, Errand};
+pub use storage::{MachineId, StorageWrite};
+pub use write_queue_node::{WriteQueue, WriteQueueEffect};
 
 use datagram::Head;
-use ledger::Desk;
+use ledger::LedgerNode;
 use membership::ring_probe::{Ring, Turn};
 use membership::swim::{Outgoing, Swim};
 use quota_lease::Lending;
-use rollout::Steward;
+use rollout::RolloutController;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use storage::durability_gate::Durable;
-use storage::persistence::Keeping;
+use storage::Persistence;
+use write_queue::QueueReplica;
 
 /// How long after it came to know others a gateway stands as the one of its name.
 const ESTABLISHED: Micros = Micros(10_000_000);
@@ -93,14 +94,14 @@
     /// The seats, where the settings name them.
     lending: Option<Lending>,
     /// The ledger, where the settings want one.
-    desk: Option<Desk>,
+    ledger: Option<LedgerNode>,
     /// The part in rollouts, where the settings want one, and when it is due.
-    steward: Option<Steward>,
-    rolls_at: Micros,
-    /// The branch, where it is of one.
-    branch: Option<Branch>,
-    /// Its disk, where it has one.
-    keeping: Option<Keeping>,
+    rollout: Option<RolloutController>,
+    next_rollout_tick: Micros,
+    /// The write queue, where it is of a branch.
+    write_queue: Option<WriteQueue>,
+    /// Its storage, where it has one.
+    persistence: Option<Persistence>,
 }
 
 impl Fleet {
@@ -114,22 +115,27 @@
         // Guards against hundreds of gateways that start together and knock in step.
         let call_at = Some(now + Micros(rng.u64(0..FIRST_CALL.0)));
         let lending = Lending::new(&settings.seats, &settings.name, now, rng.u64(..));
-        let desk = lending.as_ref().zip(settings.ledger).map(|(lending, terms)| {
+        let mut ledger = lending.as_ref().zip(settings.ledger).map(|(lending, settings)| {
             let (own, seats) = lending.seat();
-            Desk::new(terms, own as u16, seats, lending.list(), rng.u64(..), now)
+            LedgerNode::new(settings, own as u16, seats, lending.list(), rng.u64(..), now)
         });
-        let steward = lending.as_ref().zip(settings.rules.clone()).map(|(lending, base)| {
+        let rollout = lending.as_ref().zip(settings.rules.clone()).map(|(lending, base)| {
             let (own, seats) = lending.seat();
-            Steward::new(own as u16, seats, settings.about.zone.clone(), base, rng.u64(..), now)
+            let zone = settings.about.zone.clone();
+            RolloutController::new(own as u16, seats, zone, base, rng.u64(..), now)
         });
-        let branch = lending.as_ref().zip(settings.branch.clone()).map(|(lending, terms)| {
-            Branch::new(write_queue::Clerk::new(lending.seat().0 as u16, terms, rng.u64(..), now), now)
+        let mut write_queue = lending.as_ref().zip(settings.branch.clone()).map(|(lending, settings)| {
+            let own = lending.seat().0 as u16;
+            WriteQueue::new(QueueReplica::new(own, settings, rng.u64(..), now), now)
         });
-        let keeping = settings.disk.map(|machine| Keeping::new(Durable::new(machine, now)));
-        let (mut desk, mut branch) = (desk, branch);
-        if keeping.is_some() {
-            desk.iter_mut().for_each(|desk| desk.holder_mut().await_disk());
-            branch.iter_mut().for_each(Branch::await_disk);
+        let persistence = settings.disk.map(|machine| Persistence::new(machine, now));
+        if persistence.is_some() {
+            if let Some(ledger) = ledger.as_mut() {
+                ledger.replica_mut().await_storage();
+            }
+            if let Some(queue) = write_queue.as_mut() {
+                queue.replica_mut().await_storage();
+            }
         }
         Ok(Fleet {
             tag: datagram::tag(&settings.fleet),
@@ -148,11 +154,11 @@
             heard_at: BTreeMap::new(),
             ring: Ring::default(),
             lending,
-            desk,
-            steward,
-            rolls_at: now,
-            branch,
-            keeping,
+            ledger,
+            rollout,
+            next_rollout_tick: now,
+            write_queue,
+            persistence,
         })
     }
 
@@ -165,9 +171,9 @@
             Event::Wake if self.yielded.is_none() => self.wake(&mut sends, out),
             Event::Wake => {}
             Event::Beat => {
-                self.beat(out);
-                self.roll(out);
-                self.tend(out);
+                self.tick_ledger(out);
+                self.tick_rollout(out);
+                self.tick_write_queue(out);
             }
             Event::Leave if self.yielded.is_none() && !self.left => {
                 (self.left, self.farewells) = (true, FAREWELLS);
@@ -178,9 +184,9 @@
                 self.settings.peers = peers;
                 (self.call_at, self.call_step) = (Some(self.now), FIRST_CALL);
             }
-            Event::DiskRead(puts) => self.remember(puts, out),
-            Event::DiskHolds(batch) => self.disk_holds(batch, out),
-            Event::DiskFailed => self.disk_failed(out),
+            Event::DiskRead(puts) => self.on_storage_loaded(&puts, out),
+            Event::DiskHolds(batch) => self.on_storage_synced(batch, out),
+            Event::DiskFailed => self.on_storage_failed(out),
         }
         self.send(sends, out);
     }
@@ -199,7 +205,7 @@
     }
     /// Whether its disk holds what it says, and how many words wait for that; none: it has no disk.
     pub fn disk(&self) -> Option<(bool, usize)> {
-        self.keeping.as_ref().map(|keeping| (keeping.way().works(), keeping.way().waits()))
+        self.persistence.as_ref().map(|persistence| (persistence.is_working(), persistence.waiting()))
     }
     /// Datagrams, bytes and what was dropped.
     pub fn traffic(&self) -> &Traffic {
@@ -295,9 +301,15 @@
                 return Ok(());
             }
             let (on_record, live, doubt) = match head {
-                Head::Ledger { list, seat, message } => return self.books_hear(list, seat, message, out),
-                Head::Rollout { list, seat, message } => return self.rolling_hear(list, seat, message, out),
-                Head::Branch { list, seat, message } => return self.filing_hear(list, seat, message, out),
+                Head::Ledger { list, seat, message } => {
+                    return self.on_ledger_message(list, seat, message, out)
+                }
+                Head::Rollout { list, seat, message } => {
+                    return self.on_rollout_message(list, seat, message, out)
+                }
+                Head::Branch { list, seat, message } => {
+                    return self.on_queue_message(list, seat, message, out)
+                }
                 Head::Swim { on_record, live, doubt } => (on_record, live, doubt),
                 Head::Knock { token } => {
                     if let Some(frame) = datagram::write(self.tag, &Head::Here { token }, &[]) {
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -1,6 +1,6 @@
 //! What operators read of the fleet.
 
-use crate::cluster::ledger::Tallies;
+use crate::cluster::ledger::ClaimCounts;
 use crate::cluster::{Fleet, Standing, Stranger, ViewReport};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -46,7 +46,7 @@
     /// The view and the shares, where the settings name the seats.
     pub view: Option<ViewReport>,
     /// How claims at the ledger ended, where one is kept.
-    pub ledger: Option<Tallies>,
+    pub ledger: Option<ClaimCounts>,
     /// Gateways that take part, this one among them.
     pub present: usize,
     /// Datagrams and bytes heard and sent.
@@ -93,7 +93,7 @@
                 .lending
                 .as_ref()
                 .map(|l| l.report(self.now, self.own().incarnation, self.swim.records())),
-            ledger: self.desk.as_ref().map(|desk| desk.tallies.clone()),
+            ledger: self.ledger.as_ref().map(|ledger| ledger.counts.clone()),
             present: self.present(),
             heard: (self.traffic.heard, self.traffic.heard_bytes),
             sent: (self.traffic.sent, self.traffic.sent_bytes),
--- a/src/cluster/rollout/command.rs
+++ b/src/cluster/rollout/command.rs
@@ -1,117 +1,148 @@
-//! What is in force of a rollout: a value that any two gateways merge to the same, whatever came first.
+//! What is in force of a rollout: a value that any two gateways merge to the same, whatever came first (a state-based
+//! CRDT, Shapiro et al. 2011).
+//!
+//! Wire and disk forms (postcard): the order of variants and fields counts, also for comparing.
 
-use crate::cluster::rollout::{Rules, Terms};
+use super::plan::{RolloutSettings, RuleSet, ALL_CUSTOMERS};
 use serde::{Deserialize, Serialize};
 
-/// Which rollout: of two the one with the greater key is in force. A rollout that more than half of the seats were
-/// once heard to know (`confirmed`) goes before one by the same number that nobody confirmed.
+/// The longest scope that another gateway may name, in bytes.
+const MAX_SCOPE_BYTES: usize = 40;
+
+/// Which rollout: of two, the one with the greater key is in force. A rollout that a quorum of the seats was once heard to
+/// know (`confirmed`) goes before one by the same number that nobody confirmed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Key {
+pub struct RolloutKey {
     /// Rises from one rollout to the next.
     pub number: u64,
-    /// More than half of the seats knew it.
+    /// A quorum of the seats knew it.
     pub confirmed: bool,
-    /// Drawn at its start; also the salt by which customers are dealt out.
+    /// Drawn at random when it starts; also the salt by which customers are assigned.
     pub id: u64,
 }
 
 /// Why a rollout was halted.
 #[derive(Debug, Clone, PartialEq, PartialOrd, Serialize, Deserialize)]
-pub enum Why {
-    /// The new arm ends badly more often: where that was seen, by which bet for it to one, against which bound.
-    Worse {
-        /// `all`, a zone's name, or a class's number.
-        place: String,
-        /// The bet, as its natural logarithm.
-        log_bet: f64,
-        /// The bound that it passed.
-        log_bound: f64,
+pub enum HaltReason {
+    /// The canary's requests fail more often.
+    CanaryWorse {
+        /// Where that was seen: `all`, a zone's name, or `class` and its number.
+        scope: String,
+        /// What the bets on it gained, as a natural logarithm.
+        log_evidence: f64,
+        /// The threshold that it passed, as a natural logarithm.
+        log_threshold: f64,
     },
     /// A stage was not passed within the longest time.
     Undecided,
 }
 
-/// How a rollout ended. Of two words the later one here counts: a halt always wins.
+/// How a rollout ended. Of two, the later one here counts: a halt always wins.
 #[derive(Debug, Clone, PartialEq, PartialOrd, Serialize, Deserialize)]
-pub enum End {
+pub enum RolloutEnd {
     /// All customers have the new rules for good.
-    Done,
-    /// People called it off: the rules before are in force.
+    Completed,
+    /// Operators aborted it: the rules before are in force.
     Aborted,
-    /// It was halted by this seat: the rules before are in force.
-    Halted(u16, Why),
+    /// It was halted: the rules before are in force.
+    Halted {
+        /// By this seat.
+        seat: u16,
+        /// Why.
+        reason: HaltReason,
+    },
+}
+
+/// Whether operators paused a rollout. Of two, the one that changed more often counts.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct Pause {
+    /// How often it was paused or resumed.
+    pub changes: u32,
+    /// Whether it is paused.
+    pub is_paused: bool,
 }
 
-/// A rollout.
+/// What is in force of a rollout.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Order {
-    /// Which.
-    pub key: Key,
-    /// The stage in force; 0: known, and nobody has the new rules.
+pub struct RolloutCommand {
+    /// Which rollout.
+    pub key: RolloutKey,
+    /// The stage in force; 0: it is known, and nobody has the new rules.
     pub stage: u8,
-    /// How often it was paused or taken up again, and whether it is paused.
-    pub paused: (u32, bool),
-    /// Its end.
-    pub end: Option<End>,
+    /// Whether it is paused.
+    pub pause: Pause,
+    /// Its end; none: it runs.
+    pub end: Option<RolloutEnd>,
     /// What is asked of it.
-    pub terms: Terms,
+    pub settings: RolloutSettings,
     /// The rules before.
-    pub old: Rules,
+    pub baseline: RuleSet,
     /// The new rules.
-    pub new: Rules,
+    pub canary: RuleSet,
 }
 
-impl Order {
-    /// Whether what another says can be an order at all.
-    pub fn is_sound(&self) -> bool {
-        let why = match &self.end {
-            Some(End::Halted(_, Why::Worse { place, log_bet, log_bound })) => {
-                place.len() <= 40 && log_bet.is_finite() && log_bound.is_finite()
-            }
+impl RolloutCommand {
+    /// Whether what another gateway says can be a command at all.
+    pub fn is_valid(&self) -> bool {
+        let end_is_valid = match &self.end {
+            Some(RolloutEnd::Halted {
+                reason: HaltReason::CanaryWorse { scope, log_evidence, log_threshold },
+                ..
+            }) => scope.len() <= MAX_SCOPE_BYTES && log_evidence.is_finite() && log_threshold.is_finite(),
             _ => true,
         };
-        let rules = self.old.check().is_ok() && self.new.check().is_ok();
-        why && rules && self.terms.check().is_ok() && usize::from(self.stage) <= self.terms.stages.len()
+        end_is_valid
+            && self.baseline.check().is_ok()
+            && self.canary.check().is_ok()
+            && self.settings.check().is_ok()
+            && usize::from(self.stage) <= self.settings.stage_shares.len()
     }
 
-    /// Whether it is the same rollout.
-    pub fn is(&self, key: Key) -> bool {
+    /// Whether it is of this rollout.
+    pub fn is_of(&self, key: RolloutKey) -> bool {
         (self.key.number, self.key.id) == (key.number, key.id)
     }
 
-    /// Takes in what another knows. Returns whether that was anything new.
-    pub fn merge(&mut self, other: &Order) -> bool {
-        if !self.is(other.key) {
-            let newer = other.key > self.key;
-            if newer {
+    /// Whether it runs.
+    pub fn is_running(&self) -> bool {
+        self.end.is_none()
+    }
+
+    /// Merges what another gateway knows. Returns whether that was anything new.
+    pub fn merge(&mut self, other: &RolloutCommand) -> bool {
+        if !self.is_of(other.key) {
+            let is_newer = other.key > self.key;
+            if is_newer {
                 *self = other.clone();
             }
-            return newer;
+            return is_newer;
         }
         let before = self.clone();
         self.key.confirmed |= other.key.confirmed;
         self.stage = self.stage.max(other.stage);
-        self.paused = self.paused.max(other.paused);
-        if other.end.as_ref().is_some_and(|theirs| self.end.as_ref().is_none_or(|own| theirs > own)) {
-            self.end = other.end.clone();
+        self.pause = self.pause.max(other.pause);
+        if let Some(end) = &other.end {
+            if self.end.as_ref().is_none_or(|own| end > own) {
+                self.end = Some(end.clone());
+            }
         }
         *self != before
     }
 
-    /// The rules that hold for every customer now, where all have the same.
-    pub fn settled(&self) -> &Rules {
+    /// The rules that hold for every customer before a next rollout.
+    pub fn settled_rules(&self) -> &RuleSet {
         match self.end {
-            Some(End::Done) => &self.new,
-            _ => &self.old,
+            Some(RolloutEnd::Completed) => &self.canary,
+            _ => &self.baseline,
         }
     }
 
-    /// The part of the customers, of 10,000, that have the new rules now.
+    /// The customers, of 10,000, that have the new rules now.
     pub fn share(&self) -> u16 {
         match self.end {
-            None => self.terms.share(self.stage),
-            Some(End::Done) => crate::cluster::rollout::ALL,
-            Some(_) => 0,
+            None => self.settings.share(self.stage),
+            Some(RolloutEnd::Completed) => ALL_CUSTOMERS,
+            Some(RolloutEnd::Aborted | RolloutEnd::Halted { .. }) => 0,
         }
     }
 }
--- a/src/cluster/rollout/controller.rs
+++ b/src/cluster/rollout/controller.rs
@@ -1,465 +1,363 @@
-//! One gateway's part in a rollout: it passes on what is in force, sends its counts to those who collect them, halts
-//! where it collects and sees cause, and, while it owns the rollout's record, leads from stage to stage.
+//! One gateway's part in a rollout: it passes on what is in force, sends its counts to those that collect them, halts
+//! where it collects and finds a reason and, while it owns the rollout's record, leads from stage to stage.
 
+mod counting;
+mod leading;
+pub(super) mod report;
+
+use super::command::{Pause, RolloutCommand, RolloutEnd, RolloutKey};
+use super::count_rows::{CollectedCounts, FRESHNESS};
+use super::message::RolloutMessage;
+use super::outcome_counts::OutcomeCounts;
+use super::plan::{RolloutRequest, RuleSet};
+use super::sequential_test::StageStart;
 use crate::cluster::ledger::ClaimId;
-use crate::cluster::rollout::sequential_test::in_force;
-use crate::cluster::rollout::{
-    halts, passes, Arm, End, Ended, Key, Message, Open, Order, Row, Rows, Rules, Start, Tally, Why, TICK,
-};
-use crate::cluster::Micros;
-use serde::Serialize;
-use xxhash_rust::xxh3::xxh3_64_with_seed;
+use crate::decision::api::Micros;
 
-/// So many of those present collect all counts, drawn by rendezvous: each side of a cut has its own.
-const COLLECTORS: usize = 3;
+/// How often a controller is to be called.
+pub const TICK_INTERVAL: Micros = Micros(500_000);
 /// So many others are told what is in force at each tick, whoever they are.
-const PASSED_ON: usize = 2;
-/// A leader that was not heard for so long is replaced; heirs come forward over some time, not all at once.
-const SILENT: Micros = Micros(2_500_000);
-const COME_FORWARD: u64 = 1_500_000;
-/// Counts are sent on for so long after the end, so that people see who has heard of it.
-const AFTER_END: Micros = Micros(30_000_000);
-/// Nobody takes the lead for so long after another was found to have it.
-const NOT_YET: Micros = Micros(1_000_000);
-
+const GOSSIP_FANOUT: usize = 2;
 /// A process that is younger may not have heard yet of a rollout that runs, and begins none.
-const HEARD: Micros = Micros(3_000_000);
+const MIN_AGE_TO_BEGIN: Micros = Micros(3_000_000);
 
-/// What a steward wants done.
+/// What a controller wants done.
 #[derive(Debug)]
-pub enum Telling {
+pub enum ControllerEffect {
     /// Send this to a seat.
-    To(u16, Message),
+    Send {
+        /// The seat.
+        to: u16,
+        /// What it is told.
+        message: RolloutMessage,
+    },
     /// Claim the rollout's record.
     Claim,
-    /// Let go of it.
-    LetGo(ClaimId),
-    /// Other rules, or another part of the customers, from now on.
-    Routing,
-    /// A line for the log.
-    Log(Told),
+    /// Release it.
+    Release(ClaimId),
+    /// Other rules, or another share of the customers, are in force from now on.
+    RoutingChanged,
+    /// Something for the log.
+    Notify(RolloutNotice),
 }
 
-/// What people should hear of a rollout.
+/// What operators should hear of a rollout.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Told {
+pub enum RolloutNotice {
     /// Another stage, or pause, is in force here.
-    Stage(Key, u8, bool),
+    StageChanged {
+        /// Of which rollout.
+        key: RolloutKey,
+        /// The stage.
+        stage: u8,
+        /// Whether it is paused.
+        paused: bool,
+    },
     /// It ended.
-    Ended(Key, End),
+    Ended {
+        /// Which rollout.
+        key: RolloutKey,
+        /// How.
+        end: RolloutEnd,
+    },
     /// This gateway leads it from now on.
-    Leads(Key),
+    Leading {
+        /// Which rollout.
+        key: RolloutKey,
+    },
+}
+
+impl RolloutNotice {
+    /// Of which rollout.
+    pub fn number(&self) -> u64 {
+        match self {
+            RolloutNotice::StageChanged { key, .. }
+            | RolloutNotice::Ended { key, .. }
+            | RolloutNotice::Leading { key } => key.number,
+        }
+    }
+}
+
+/// Another gateway that said that it leads.
+#[derive(Debug, Clone, Copy)]
+struct LeaderSighting {
+    seat: u16,
+    at: Micros,
 }
 
-/// What operators read.
-#[derive(Debug, Clone, Serialize)]
-pub struct Report {
-    /// The rollout's number.
-    pub number: u64,
-    /// More than three in four seats have known it.
-    pub confirmed: bool,
-    /// The stage here, from 1, and how many there are.
-    pub stage: (u8, usize),
-    /// The part of the customers that have the new rules here, in percent.
-    pub percent: f64,
-    /// It is paused.
-    pub paused: bool,
-    /// `running`, `done`, `aborted` or `halted`.
-    pub state: &'static str,
-    /// Why it was halted, and by whom.
-    pub why: Option<String>,
-    /// This gateway leads it.
-    pub leads: bool,
-    /// This gateway collects the counts: the rest is told by such alone.
-    pub collects: bool,
-    /// Seats heard within 2 s, and of them those that go by this stage and end.
-    pub heard: (usize, usize),
-    /// By arm (old, new): requests in time, late, failed, refused unsent.
-    pub ends: [[u64; 4]; 2],
-    /// Words of others that could not be.
-    pub refused: u64,
+/// The stage that this gateway leads.
+#[derive(Debug, Clone)]
+struct LedStage {
+    stage: u8,
+    /// Since when it leads in this stage, without a pause.
+    since: Micros,
+    /// What was counted when the stage came into force; none: it is not yet.
+    start: Option<StageStart>,
 }
 
-/// The part.
-pub struct Steward {
-    own: u16,
+/// One gateway's part in a rollout.
+pub struct RolloutController {
+    own_seat: u16,
     seats: usize,
     zone: String,
-    base: Rules,
-    born: Micros,
-    life: u64,
-    seq: u64,
+    base_rules: RuleSet,
+    started_at: Micros,
+    process: u64,
+    sequence: u64,
     rng: fastrand::Rng,
-    order: Option<Order>,
+    command: Option<RolloutCommand>,
     ended_at: Option<Micros>,
-    tally: Tally,
-    rows: Rows,
-    collects: bool,
+    outcomes: OutcomeCounts,
+    collected: CollectedCounts,
+    is_collector: bool,
     last_tick: Micros,
-    /// What came before may have lain in a buffer while this process stood still.
+    /// Messages that come before this may have been delayed while this process stood still.
     prompt_from: Micros,
-    /// Whom this one heard lead, and when.
-    leader: Option<(u16, Micros)>,
+    leader: Option<LeaderSighting>,
     claim: Option<ClaimId>,
-    claim_at: Micros,
-    led: bool,
-    /// What somebody asked for here, until its record is owned.
-    starting: Option<Start>,
-    /// Since when this one leads in this stage, and what was there when the stage was in force.
-    stage: Option<(u8, Micros, Option<Open>)>,
+    next_claim: Micros,
+    is_leading: bool,
+    /// What an operator asked for here, until its record is owned.
+    requested: Option<RolloutRequest>,
+    led_stage: Option<LedStage>,
 }
 
-impl Steward {
-    /// For the gateway in this seat of so many, where these rules were in force before any rollout.
-    pub fn new(own: u16, seats: usize, zone: String, base: Rules, life: u64, now: Micros) -> Steward {
-        Steward {
-            own,
+impl RolloutController {
+    /// For the gateway in this seat of so many, where these rules were in force before any rollout. `process` is drawn at
+    /// random.
+    pub fn new(
+        own_seat: u16,
+        seats: usize,
+        zone: String,
+        base_rules: RuleSet,
+        process: u64,
+        now: Micros,
+    ) -> RolloutController {
+        RolloutController {
+            own_seat,
             seats,
             zone,
-            base,
-            born: now,
-            life,
-            seq: 0,
-            rng: fastrand::Rng::with_seed(life),
-            order: None,
+            base_rules,
+            started_at: now,
+            process,
+            sequence: 0,
+            rng: fastrand::Rng::with_seed(process),
+            command: None,
             ended_at: None,
-            tally: Tally::default(),
-            rows: Rows::default(),
-            collects: false,
+            outcomes: OutcomeCounts::default(),
+            collected: CollectedCounts::default(),
+            is_collector: false,
             last_tick: now,
             prompt_from: now,
             leader: None,
             claim: None,
-            claim_at: now,
-            led: false,
-            starting: None,
-            stage: None,
+            next_claim: now,
+            is_leading: false,
+            requested: None,
+            led_stage: None,
         }
     }
 
     /// What is in force here; none before the first rollout that was heard of.
-    pub fn order(&self) -> Option<&Order> {
-        self.order.as_ref()
+    pub fn command(&self) -> Option<&RolloutCommand> {
+        self.command.as_ref()
     }
+
     /// The rules that were in force before any rollout.
-    pub fn base(&self) -> &Rules {
-        &self.base
+    pub fn base_rules(&self) -> &RuleSet {
+        &self.base_rules
     }
+
     /// The claim on the rollout's record.
     pub fn claim(&self) -> Option<ClaimId> {
         self.claim
     }
-    /// A rollout runs, as far as is known here.
-    pub fn runs(&self) -> bool {
-        self.order.as_ref().is_some_and(|order| order.end.is_none())
+
+    /// Whether a rollout runs, as far as is known here.
+    fn is_running(&self) -> bool {
+        self.command.as_ref().is_some_and(RolloutCommand::is_running)
     }
 
-    /// Somebody wants a rollout. Returns whether its record is to be claimed now: two never run at one time.
-    pub fn start(&mut self, now: Micros, start: Start, out: &mut Vec<Telling>) -> bool {
-        if now - self.born < HEARD || self.runs() || self.starting.is_some() || self.claim.is_some() {
+    fn running_command(&self) -> Option<&RolloutCommand> {
+        self.command.as_ref().filter(|command| command.is_running())
+    }
+
+    /// An operator wants a rollout. Returns whether its record is to be claimed now: two never run at one time.
+    pub fn request(&mut self, now: Micros, request: RolloutRequest, out: &mut Vec<ControllerEffect>) -> bool {
+        let is_young = now - self.started_at < MIN_AGE_TO_BEGIN;
+        if is_young || self.is_running() || self.requested.is_some() || self.claim.is_some() {
             return false;
         }
-        self.starting = Some(start);
-        out.push(Telling::Claim);
+        self.requested = Some(request);
+        out.push(ControllerEffect::Claim);
         true
     }
 
-    /// The record is not this one's: another leads, or the holders can't be had. Returns whether somebody had asked
-    /// for a rollout here, which is not begun.
-    pub fn give_up(&mut self, now: Micros) -> bool {
-        self.claim = None;
-        // Who led goes on at once where the record's life alone is over.
-        let wait = if self.led { 0 } else { NOT_YET.0 + self.rng.u64(0..COME_FORWARD) };
-        self.claim_at = now + Micros(wait);
-        self.starting.take().is_some()
-    }
-
-    /// The record is claimed under this number.
-    pub fn claimed(&mut self, claim: Option<ClaimId>) {
+    /// The record is claimed under this number; none: it could not be.
+    pub fn set_claim(&mut self, claim: Option<ClaimId>) {
         self.claim = claim;
     }
 
-    /// The record is this one's: what was asked for begins.
-    pub fn owns(&mut self, now: Micros, present: &[u16], out: &mut Vec<Telling>) -> Option<Key> {
-        let start = self.starting.take()?;
-        if self.runs() {
-            return None;
-        }
-        let before = self.order.as_ref();
-        let number = before.map_or(0, |order| order.key.number).saturating_add(1);
-        let old = before.map_or(&self.base, |order| order.settled()).clone();
-        let key = Key { number, confirmed: false, id: self.rng.u64(..) };
-        let (terms, new) = (start.terms, start.rules);
-        let order = Order { key, stage: 0, paused: (0, false), end: None, terms, old, new };
-        self.take(now, &order, present, out);
-        Some(key)
-    }
-
-    /// People pause it, or let it go on. Returns whether there was anything to do.
-    pub fn pause(&mut self, now: Micros, on: bool, present: &[u16], out: &mut Vec<Telling>) -> bool {
-        let Some(order) = self.order.as_ref().filter(|o| o.end.is_none() && o.paused.1 != on) else {
-            return false;
-        };
-        let paused = (order.paused.0.saturating_add(1), on);
-        self.take(now, &Order { paused, ..order.clone() }, present, out);
+    /// An operator pauses the rollout, or lets it go on. Returns whether there was anything to do.
+    pub fn pause(
+        &mut self,
+        now: Micros,
+        is_paused: bool,
+        present: &[u16],
+        out: &mut Vec<ControllerEffect>,
+    ) -> bool {
+        let running = self.running_command().filter(|command| command.pause.is_paused != is_paused);
+        let Some(mut command) = running.cloned() else { return false };
+        command.pause = Pause { changes: command.pause.changes.saturating_add(1), is_paused };
+        self.apply(now, &command, present, out);
         true
     }
 
-    /// People call it off.
-    pub fn abort(&mut self, now: Micros, present: &[u16], out: &mut Vec<Telling>) -> bool {
-        let Some(order) = self.order.as_ref().filter(|o| o.end.is_none()) else { return false };
-        self.take(now, &Order { end: Some(End::Aborted), ..order.clone() }, present, out);
+    /// An operator aborts the rollout. Returns whether there was anything to do.
+    pub fn abort(&mut self, now: Micros, present: &[u16], out: &mut Vec<ControllerEffect>) -> bool {
+        let Some(mut command) = self.running_command().cloned() else { return false };
+        command.end = Some(RolloutEnd::Aborted);
+        self.apply(now, &command, present, out);
         true
     }
 
-    /// A request ended.
-    pub fn count(&mut self, now: Micros, key: Key, class: u16, arm: Arm, ended: Ended, part_of_aim: f64) {
-        if self.order.as_ref().is_some_and(|order| order.is(key) && order.end.is_none()) {
-            self.tally.count(now, class, arm, ended, part_of_aim);
-        }
-    }
-
-    /// Takes in an order, and passes on what is new at once.
-    /// What is in force elsewhere, or was when this gateway's last process had heard of it.
-    pub fn take(&mut self, now: Micros, order: &Order, present: &[u16], out: &mut Vec<Telling>) {
-        let before = self.order.clone();
-        match &mut self.order {
-            Some(own) => {
-                if !own.merge(order) {
-                    return;
-                }
+    /// Merges a command, and passes on what is new at once: what is in force elsewhere, or was when this gateway's last
+    /// process had heard of it.
+    pub fn apply(
+        &mut self,
+        now: Micros,
+        command: &RolloutCommand,
+        present: &[u16],
+        out: &mut Vec<ControllerEffect>,
+    ) {
+        let before = self.command.clone();
+        let is_new = match &mut self.command {
+            Some(own) => own.merge(command),
+            None => {
+                self.command = Some(command.clone());
+                true
             }
-            none => *none = Some(order.clone()),
+        };
+        let Some(own) = self.command.clone().filter(|_| is_new) else { return };
+        let same_rollout = before.filter(|before| before.is_of(own.key));
+        if same_rollout.is_none() {
+            self.forget_counts();
         }
-        let Some(own) = self.order.as_ref() else { return };
-        if before.as_ref().is_none_or(|before| !before.is(own.key)) {
-            (self.tally, self.rows, self.stage) = (Tally::default(), Rows::default(), None);
-            (self.ended_at, self.leader) = (None, None);
+        self.notify_change(now, &own, same_rollout.and_then(|before| before.end), out);
+        out.push(ControllerEffect::RoutingChanged);
+        let message = RolloutMessage::Command { command: Box::new(own), is_leader: false };
+        for to in present.iter().copied().filter(|seat| *seat != self.own_seat) {
+            out.push(ControllerEffect::Send { to, message: message.clone() });
         }
-        let ended = before.as_ref().filter(|b| b.is(own.key)).and_then(|b| b.end.as_ref());
-        match &own.end {
-            Some(end) if ended != Some(end) => {
-                self.ended_at = Some(now);
-                out.push(Telling::Log(Told::Ended(own.key, end.clone())));
-                out.extend(self.claim.take().map(Telling::LetGo));
-            }
-            Some(_) => {}
-            None => out.push(Telling::Log(Told::Stage(own.key, own.stage, own.paused.1))),
+    }
+
+    /// Counts of an earlier rollout say nothing of this one.
+    fn forget_counts(&mut self) {
+        self.outcomes = OutcomeCounts::default();
+        self.collected = CollectedCounts::default();
+        self.led_stage = None;
+        self.ended_at = None;
+        self.leader = None;
+    }
+
+    fn notify_change(
+        &mut self,
+        now: Micros,
+        command: &RolloutCommand,
+        known_end: Option<RolloutEnd>,
+        out: &mut Vec<ControllerEffect>,
+    ) {
+        let RolloutCommand { key, stage, pause, end, .. } = command;
+        let Some(end) = end else {
+            let notice = RolloutNotice::StageChanged { key: *key, stage: *stage, paused: pause.is_paused };
+            out.push(ControllerEffect::Notify(notice));
+            return;
+        };
+        if known_end.as_ref() != Some(end) {
+            self.ended_at = Some(now);
+            out.push(ControllerEffect::Notify(RolloutNotice::Ended { key: *key, end: end.clone() }));
+            out.extend(self.claim.take().map(ControllerEffect::Release));
         }
-        out.push(Telling::Routing);
-        let message = Message::Order(Box::new(own.clone()), false);
-        let others = present.iter().filter(|seat| **seat != self.own);
-        out.extend(others.map(|seat| Telling::To(*seat, message.clone())));
     }
 
-    /// Another gateway speaks.
-    pub fn hear(
+    /// Handles a message of another gateway.
+    pub fn on_message(
         &mut self,
         now: Micros,
-        seat: u16,
-        message: Message,
+        from: u16,
+        message: RolloutMessage,
         present: &[u16],
-        out: &mut Vec<Telling>,
+        out: &mut Vec<ControllerEffect>,
     ) {
-        if usize::from(seat) >= self.seats {
+        if usize::from(from) >= self.seats {
             return;
         }
-        self.woke_late(now);
+        self.detect_standstill(now);
         match message {
-            Message::Order(order, leads) if order.is_sound() => {
-                let known = self.order.as_ref().is_some_and(|own| own.is(order.key));
-                self.take(now, &order, present, out);
-                if leads && (known || self.order.as_ref().is_some_and(|own| own.is(order.key))) {
-                    self.leader = Some((seat, now));
+            RolloutMessage::Command { command, is_leader } => {
+                if !command.is_valid() {
+                    self.collected.rejected += 1;
+                    return;
+                }
+                let was_known = self.is_of_command(command.key);
+                self.apply(now, &command, present, out);
+                if is_leader && (was_known || self.is_of_command(command.key)) {
+                    self.leader = Some(LeaderSighting { seat: from, at: now });
                 }
             }
-            Message::Order(..) => self.rows.refused += 1,
-            Message::Row(row) => {
-                if self.order.as_ref().is_some_and(|own| own.is(row.key)) {
-                    self.rows.hear(now, seat, *row, now >= self.prompt_from);
+            RolloutMessage::Counts(row) => {
+                if self.is_of_command(row.key) {
+                    self.collected.record(now, from, *row, now >= self.prompt_from);
                 }
             }
         }
     }
 
-    fn woke_late(&mut self, now: Micros) {
-        if now - self.last_tick > TICK + TICK {
-            self.prompt_from = now + crate::cluster::rollout::FRESH;
-        }
-    }
-
-    /// Time went by. `leads`: the rollout's record is surely this one's now. `present`: seats that take part.
-    pub fn tick(&mut self, now: Micros, leads: bool, present: &[u16], out: &mut Vec<Telling>) {
-        self.woke_late(now);
-        self.last_tick = now;
-        let Some(order) = self.order.clone() else { return };
-        let collectors = collectors(order.key.id, present);
-        self.collects = collectors.contains(&self.own);
-        if self.ended_at.is_none_or(|at| now - at < AFTER_END) {
-            self.send_rows(now, &order, &collectors, out);
-        }
-        if leads && !self.led {
-            out.push(Telling::Log(Told::Leads(order.key)));
-        }
-        self.led = leads;
-        if order.end.is_none() {
-            self.judge(now, leads, &order, present, out);
-            self.come_forward(now, &collectors, out);
-        } else if let Some(claim) = self.claim.take() {
-            out.push(Telling::LetGo(claim));
-        }
-        self.pass_on(leads, present, out);
+    fn is_of_command(&self, key: RolloutKey) -> bool {
+        self.command.as_ref().is_some_and(|command| command.is_of(key))
     }
 
-    /// The own counts go to those who collect, and to the leader.
-    fn send_rows(&mut self, now: Micros, order: &Order, collectors: &[u16], out: &mut Vec<Telling>) {
-        let leader = self.leader.filter(|(_, at)| now - *at < SILENT).map(|(seat, _)| seat);
-        let mut to: Vec<u16> = collectors.iter().copied().chain(leader).chain([self.own]).collect();
-        to.sort_unstable();
-        to.dedup();
-        let cells: Vec<(u16, crate::cluster::rollout::Cell)> =
-            self.tally.cells(now).map(|(class, cell)| (class, cell.clone())).collect();
-        let parts = cells
-            .chunks(crate::cluster::rollout::count_rows::MOST_CELLS)
-            .chain(cells.is_empty().then_some(&cells[..]));
-        for part in parts {
-            self.seq += 1;
-            let row = Row {
-                key: order.key,
-                life: self.life,
-                seq: self.seq,
-                zone: self.zone.clone(),
-                stage: order.stage,
-                ended: order.end.is_some(),
-                cells: part.to_vec(),
-            };
-            for seat in &to {
-                match *seat == self.own {
-                    true => self.rows.hear(now, self.own, row.clone(), true),
-                    false => out.push(Telling::To(*seat, Message::Row(Box::new(row.clone())))),
-                }
-            }
+    /// After a standstill messages may have waited in a buffer: for some time none counts as prompt.
+    fn detect_standstill(&mut self, now: Micros) {
+        if now - self.last_tick > TICK_INTERVAL + TICK_INTERVAL {
+            self.prompt_from = now + FRESHNESS;
         }
     }
 
-    /// Halts where there is cause; leads on where that is this one's to do.
-    fn judge(&mut self, now: Micros, leads: bool, order: &Order, present: &[u16], out: &mut Vec<Telling>) {
-        let halt = |why| Order { end: Some(End::Halted(self.own, why)), ..order.clone() };
-        if (self.collects || leads) && order.stage > 0 {
-            if let Some(why) = halts(&self.rows, &order.terms) {
-                let halted = halt(why);
-                return self.take(now, &halted, present, out);
-            }
-        }
-        if !leads {
-            self.stage = None;
-            return;
-        }
-        if self.stage.as_ref().is_none_or(|(stage, ..)| *stage != order.stage) {
-            self.stage = Some((order.stage, now, None));
-        }
-        let Some((_, since, open)) = self.stage.as_mut() else { return };
-        let terms = &order.terms;
-        // A pause is nobody's verdict.
-        if order.paused.1 {
-            *since = now;
-            *open = None;
-            return;
-        }
-        let follows = in_force(now, &self.rows, order.stage, self.seats);
-        if follows && open.is_none() {
-            *open = Some(Open::new(now, &self.rows));
-        }
-        let seconds = |span: u32| Micros(u64::from(span) * 1_000_000);
-        let baked = open.as_ref().filter(|open| follows && now - open.since >= seconds(terms.bake_s));
-        let next = match baked {
-            _ if order.stage == 0 && follows => {
-                let key = Key { confirmed: true, ..order.key };
-                Some(Order { key, stage: 1, ..order.clone() })
-            }
-            Some(_) if terms.is_last(order.stage) => Some(Order { end: Some(End::Done), ..order.clone() }),
-            Some(open) if passes(now, &self.rows, open, terms) => {
-                Some(Order { stage: order.stage + 1, ..order.clone() })
-            }
-            _ if now - *since >= seconds(terms.longest_s) => Some(halt(Why::Undecided)),
-            _ => None,
-        };
-        next.into_iter().for_each(|next| self.take(now, &next, present, out));
-    }
-
-    /// Claims the record where nobody leads.
-    fn come_forward(&mut self, now: Micros, collectors: &[u16], out: &mut Vec<Telling>) {
-        let silent = self.leader.is_none_or(|(_, at)| now - at >= SILENT);
-        if self.claim.is_some() || self.led || !silent || !collectors.contains(&self.own) {
-            return;
+    /// To be called every `TICK_INTERVAL`. `has_lease`: the rollout's record is surely this one's now. `present`: seats
+    /// that take part.
+    pub fn tick(&mut self, now: Micros, has_lease: bool, present: &[u16], out: &mut Vec<ControllerEffect>) {
+        self.detect_standstill(now);
+        self.last_tick = now;
+        let Some(command) = self.command.clone() else { return };
+        let collectors = counting::collectors(command.key.id, present);
+        self.is_collector = collectors.contains(&self.own_seat);
+        self.send_counts(now, &command, &collectors, out);
+        if has_lease && !self.is_leading {
+            out.push(ControllerEffect::Notify(RolloutNotice::Leading { key: command.key }));
         }
-        if now >= self.claim_at {
-            self.claim_at = now + NOT_YET + Micros(self.rng.u64(0..COME_FORWARD));
-            out.push(Telling::Claim);
+        self.is_leading = has_lease;
+        if command.is_running() {
+            self.judge(now, &command, present, out);
+            self.claim_if_leaderless(now, &collectors, out);
+        } else {
+            out.extend(self.claim.take().map(ControllerEffect::Release));
         }
+        self.gossip(present, out);
     }
 
-    /// What is in force goes to some at each tick; from the leader to all, who then know that it leads.
-    fn pass_on(&mut self, leads: bool, present: &[u16], out: &mut Vec<Telling>) {
-        let Some(order) = &self.order else { return };
-        let others: Vec<u16> = present.iter().copied().filter(|seat| *seat != self.own).collect();
-        let to = match leads {
-            true => others,
-            false => self.rng.choose_multiple(others, PASSED_ON),
+    /// What is in force goes to some at each tick; from the leader to all, which then know that it leads.
+    fn gossip(&mut self, present: &[u16], out: &mut Vec<ControllerEffect>) {
+        let Some(command) = &self.command else { return };
+        let others = present.iter().copied().filter(|seat| *seat != self.own_seat);
+        let receivers = match self.is_leading {
+            true => others.collect(),
+            false => self.rng.choose_multiple(others.collect::<Vec<u16>>(), GOSSIP_FANOUT),
         };
-        let message = Message::Order(Box::new(order.clone()), leads);
-        out.extend(to.into_iter().map(|seat| Telling::To(seat, message.clone())));
-    }
-
-    /// What operators read; none before the first rollout that was heard of.
-    pub fn report(&self, now: Micros) -> Option<Report> {
-        let order = self.order.as_ref()?;
-        let fresh = self.rows.fresh(now);
-        let follows = |heard: &&&crate::cluster::rollout::count_rows::Heard| {
-            heard.stage == order.stage && heard.ended == order.end.is_some()
-        };
-        let mut ends = [[0; 4]; 2];
-        for (_, _, heard) in self.rows.lives() {
-            for (_, cell) in heard.cells.values() {
-                let sums = ends.iter_mut().flatten().zip(cell.ends.iter().flatten());
-                sums.for_each(|(sum, n): (&mut u64, &u64)| *sum += n);
-            }
+        let command = Box::new(command.clone());
+        let message = RolloutMessage::Command { command, is_leader: self.is_leading };
+        for to in receivers {
+            out.push(ControllerEffect::Send { to, message: message.clone() });
         }
-        let why = match &order.end {
-            Some(End::Halted(seat, Why::Worse { place, log_bet, log_bound })) => Some(format!(
-                "seat {seat}: the new arm is worse in {place}: bet {log_bet:.2}, bound {log_bound:.2} (logarithms)"
-            )),
-            Some(End::Halted(seat, Why::Undecided)) => {
-                Some(format!("seat {seat}: not passed within {} s", order.terms.longest_s))
-            }
-            _ => None,
-        };
-        Some(Report {
-            number: order.key.number,
-            confirmed: order.key.confirmed,
-            stage: (order.stage, order.terms.stages.len()),
-            percent: f64::from(order.share()) / 100.0,
-            paused: order.paused.1,
-            state: match order.end {
-                None => "running",
-                Some(End::Done) => "done",
-                Some(End::Aborted) => "aborted",
-                Some(End::Halted(..)) => "halted",
-            },
-            why,
-            leads: self.led,
-            collects: self.collects,
-            heard: (fresh.len(), fresh.values().filter(follows).count()),
-            ends,
-            refused: self.rows.refused,
-        })
     }
 }
-
-/// Who collects the counts of this rollout, of those present.
-fn collectors(id: u64, present: &[u16]) -> Vec<u16> {
-    let mut drawn: Vec<(u64, u16)> =
-        present.iter().map(|seat| (xxh3_64_with_seed(&seat.to_le_bytes(), id), *seat)).collect();
-    drawn.sort_unstable();
-    drawn.into_iter().take(COLLECTORS).map(|(_, seat)| seat).collect()
-}
