--- a/src/cluster/rollout/count_rows.rs
+++ b/src/cluster/rollout/count_rows.rs
@@ -1,109 +1,150 @@
-//! What was heard of all gateways' counts: by each life of a gateway its newest, so that loss, doubles, order and
-//! late news change nothing.
+//! What was heard of all gateways' counts: of each process the newest, so that loss, duplicates, order and late messages
+//! change nothing.
 
-use crate::cluster::rollout::{Cell, Key};
-use crate::cluster::Micros;
+use super::command::RolloutKey;
+use super::outcome_counts::{ClassCounts, MAX_CLASSES};
+use crate::decision::api::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Older counts say nothing of now: no stage is passed on them. They still speak against a rollout.
-pub const FRESH: Micros = Micros(2_000_000);
-/// The most lives of one gateway that are remembered in one rollout.
-const MOST_LIVES: usize = 16;
+pub const FRESHNESS: Micros = Micros(2_000_000);
+/// The most processes of one gateway that are remembered in one rollout.
+const MAX_PROCESSES: usize = 16;
 /// The most classes in one message.
-pub const MOST_CELLS: usize = 5;
+pub const MAX_CLASSES_PER_ROW: usize = 5;
+/// The longest name of a zone, in bytes.
+const MAX_ZONE_BYTES: usize = 32;
 
-/// One gateway's word: what it goes by, and a part of its counts.
+/// The counts of one class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Row {
+pub struct ClassRow {
+    /// The class.
+    pub class: u16,
+    /// Its counts.
+    pub counts: ClassCounts,
+}
+
+/// One gateway's message: what it goes by, and a part of its counts. A wire form (postcard): the order of fields counts.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct CountRow {
     /// Of which rollout.
-    pub key: Key,
-    /// Its process, drawn at its start.
-    pub life: u64,
-    /// Which word of that process's; rises.
-    pub seq: u64,
+    pub key: RolloutKey,
+    /// Its process, drawn at random when it starts.
+    pub process: u64,
+    /// Which message of that process's; rises.
+    pub sequence: u64,
     /// Its zone.
     pub zone: String,
-    /// The stage that it goes by, and whether the rollout has ended there.
+    /// The stage that it goes by.
     pub stage: u8,
     /// It knows the rollout's end.
-    pub ended: bool,
-    /// Counts by class, at most `MOST_CELLS` of them.
-    pub cells: Vec<(u16, Cell)>,
+    pub has_ended: bool,
+    /// Counts by class, at most `MAX_CLASSES_PER_ROW` of them.
+    pub classes: Vec<ClassRow>,
+}
+
+impl CountRow {
+    fn is_valid(&self) -> bool {
+        let class_is_valid = |row: &ClassRow| row.class < MAX_CLASSES && row.counts.is_valid();
+        self.classes.len() <= MAX_CLASSES_PER_ROW
+            && self.zone.len() <= MAX_ZONE_BYTES
+            && self.classes.iter().all(class_is_valid)
+    }
 }
 
-/// One life of a gateway's, as heard.
+/// A value with the number of the message that it came with.
+#[derive(Debug, Clone, Default)]
+pub struct Sequenced<T> {
+    sequence: u64,
+    /// The value.
+    pub value: T,
+}
+
+/// What one process of a gateway was heard to say.
 #[derive(Debug, Clone)]
-pub struct Heard {
+pub struct ProcessCounts {
     /// Its zone.
     pub zone: String,
-    seq: u64,
-    /// When the newest word came; none where it may have lain somewhere.
-    pub at: Option<Micros>,
-    /// By that word, the stage that it goes by.
+    sequence: u64,
+    /// When the newest message came; none where it may have been delayed.
+    pub heard_at: Option<Micros>,
+    /// By that message, the stage that it goes by.
     pub stage: u8,
-    /// By that word, it knows the end.
-    pub ended: bool,
-    /// Counts by class, each with the number of its word.
-    pub cells: BTreeMap<u16, (u64, Cell)>,
+    /// By that message, it knows the end.
+    pub has_ended: bool,
+    /// Counts by class.
+    pub classes: BTreeMap<u16, Sequenced<ClassCounts>>,
 }
 
-/// All that was heard.
+impl ProcessCounts {
+    fn new(zone: String) -> ProcessCounts {
+        let (sequence, heard_at, stage, has_ended) = (0, None, 0, false);
+        ProcessCounts { zone, sequence, heard_at, stage, has_ended, classes: BTreeMap::new() }
+    }
+}
+
+/// Which process of which gateway.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ProcessKey {
+    /// The gateway's seat.
+    pub seat: u16,
+    /// Its process.
+    pub process: u64,
+}
+
+/// All counts that were heard.
 #[derive(Debug, Clone, Default)]
-pub struct Rows {
-    lives: BTreeMap<(u16, u64), Heard>,
-    /// Words that could not be.
-    pub refused: u64,
+pub struct CollectedCounts {
+    processes: BTreeMap<ProcessKey, ProcessCounts>,
+    /// Messages that could not be valid.
+    pub rejected: u64,
 }
 
-impl Rows {
-    /// Takes a gateway's word. `prompt`: it was surely not under way for long.
-    pub fn hear(&mut self, now: Micros, seat: u16, row: Row, prompt: bool) {
-        let sound = row.cells.iter().all(|(class, cell)| {
-            *class < crate::cluster::rollout::outcome_counts::MOST_CLASSES && cell.is_sound()
-        });
-        if !sound || row.cells.len() > MOST_CELLS || row.zone.len() > crate::cluster::LONGEST_NAME {
-            self.refused += 1;
+impl CollectedCounts {
+    /// Takes a gateway's message. `prompt`: it was surely not under way for long.
+    pub fn record(&mut self, now: Micros, seat: u16, row: CountRow, prompt: bool) {
+        let key = ProcessKey { seat, process: row.process };
+        if !row.is_valid() || !self.has_capacity(key) {
+            self.rejected += 1;
             return;
         }
-        let lives = self.lives.range((seat, 0)..=(seat, u64::MAX)).count();
-        if lives >= MOST_LIVES && !self.lives.contains_key(&(seat, row.life)) {
-            self.refused += 1;
-            return;
-        }
-        let heard = self.lives.entry((seat, row.life)).or_insert_with(|| Heard {
-            zone: row.zone.clone(),
-            seq: 0,
-            at: None,
-            stage: 0,
-            ended: false,
-            cells: BTreeMap::new(),
-        });
-        if row.seq > heard.seq {
-            (heard.seq, heard.stage, heard.ended) = (row.seq, row.stage, row.ended);
-            heard.at = Some(now).filter(|_| prompt).or(heard.at);
+        let counts = self.processes.entry(key).or_insert_with(|| ProcessCounts::new(row.zone));
+        if row.sequence > counts.sequence {
+            counts.sequence = row.sequence;
+            counts.stage = row.stage;
+            counts.has_ended = row.has_ended;
+            if prompt {
+                counts.heard_at = Some(now);
+            }
         }
-        for (class, cell) in row.cells {
-            let held = heard.cells.entry(class).or_default();
-            if row.seq > held.0 {
-                *held = (row.seq, cell);
+        for ClassRow { class, counts: value } in row.classes {
+            let held = counts.classes.entry(class).or_default();
+            if row.sequence > held.sequence {
+                *held = Sequenced { sequence: row.sequence, value };
             }
         }
     }
 
-    /// All lives, by seat.
-    pub fn lives(&self) -> impl Iterator<Item = (u16, u64, &Heard)> {
-        self.lives.iter().map(|((seat, life), heard)| (*seat, *life, heard))
+    fn has_capacity(&self, key: ProcessKey) -> bool {
+        let first = ProcessKey { process: 0, ..key };
+        let last = ProcessKey { process: u64::MAX, ..key };
+        self.processes.contains_key(&key) || self.processes.range(first..=last).count() < MAX_PROCESSES
+    }
+
+    /// All processes, by seat.
+    pub fn processes(&self) -> impl Iterator<Item = (ProcessKey, &ProcessCounts)> {
+        self.processes.iter().map(|(key, counts)| (*key, counts))
     }
 
-    /// The seats whose newest word is fresh, each with its zone, stage and whether it knows the end.
-    pub fn fresh(&self, now: Micros) -> BTreeMap<u16, &Heard> {
-        let mut fresh: BTreeMap<u16, &Heard> = BTreeMap::new();
-        for ((seat, _), heard) in &self.lives {
-            let Some(at) = heard.at.filter(|at| now - *at <= FRESH) else { continue };
-            let held = fresh.entry(*seat).or_insert(heard);
-            if held.at < Some(at) {
-                *held = heard;
+    /// The seats whose newest message is fresh, each with its process that was heard last.
+    pub fn fresh(&self, now: Micros) -> BTreeMap<u16, &ProcessCounts> {
+        let mut fresh: BTreeMap<u16, &ProcessCounts> = BTreeMap::new();
+        for (key, counts) in &self.processes {
+            let Some(at) = counts.heard_at.filter(|at| now - *at <= FRESHNESS) else { continue };
+            let newest = fresh.entry(key.seat).or_insert(counts);
+            if newest.heard_at < Some(at) {
+                *newest = counts;
             }
         }
         fresh
--- a/src/cluster/rollout/mod.rs
+++ b/src/cluster/rollout/mod.rs
@@ -1,34 +1,28 @@
-//! Rules of routing that are rolled out in stages, and halted by what all gateways together see of them.
+//! Routing rules that are rolled out in stages (a canary release), and halted by what all gateways together see of them.
 //!
-//! No I/O, no clock, no global randomness. `docs/decisions/0007-rules-rollout.md` says why it is so.
+//! No I/O, no clock, no global randomness. `docs/decisions/0007-rules-rollout.md` gives the reasons.
+//!
+//! * [`RolloutRequest`] is what operators ask for; [`RolloutCommand`] is what is in force of it.
+//! * [`RolloutController`] is one gateway's part: it passes the command on, counts, halts, and leads.
+//! * [`OutcomeCounts`] are one gateway's counts, [`CollectedCounts`] those of all.
+//! * [`sequential_test`] decides on a halt, and on the next stage.
 
 mod command;
 mod controller;
 mod count_rows;
+mod lease;
+mod message;
 mod outcome_counts;
 mod plan;
-mod sequential_test;
-
-pub use command::{End, Key, Order, Why};
-pub use controller::{Report, Steward, Telling, Told};
-pub use count_rows::{Row, Rows, FRESH};
-pub use outcome_counts::{Arm, Cell, Ended, Tally, TILTS};
-pub use plan::{Rule, Rules, Start, Terms, ALL};
-pub use sequential_test::{halts, passes, Open};
-
-use crate::cluster::ledger::RecordId;
-use serde::{Deserialize, Serialize};
-
-/// The record whose owner leads a rollout. No customer has this number.
-pub const RECORD: RecordId = RecordId { customer: u64::MAX, key: 1 };
-/// How often a gateway's part in a rollout is to be called.
-pub const TICK: crate::cluster::Micros = crate::cluster::Micros(500_000);
+pub mod sequential_test;
 
-/// What gateways say to each other of a rollout.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Message {
-    /// The order as the sender knows it, and whether the sender leads it.
-    Order(Box<Order>, bool),
-    /// The sender's counts.
-    Row(Box<Row>),
-}
+pub use command::{HaltReason, Pause, RolloutCommand, RolloutEnd, RolloutKey};
+pub use controller::report::{RolloutReport, RolloutState};
+pub use controller::{ControllerEffect, RolloutController, RolloutNotice, TICK_INTERVAL};
+pub use count_rows::{ClassRow, CollectedCounts, CountRow};
+pub use lease::ROLLOUT_RECORD;
+pub use message::RolloutMessage;
+pub use outcome_counts::{
+    Arm, ClassCounts, OutcomeCounts, OutcomeTotals, PerArm, RequestOutcome, BET_LOG_ODDS,
+};
+pub use plan::{RolloutRequest, RolloutSettings, RuleConfig, RuleSet, ALL_CUSTOMERS};
--- a/src/cluster/rollout/plan.rs
+++ b/src/cluster/rollout/plan.rs
@@ -1,96 +1,123 @@
-//! What people write of a rollout: rules of routing within their bounds, stages, and what is asked of them.
+//! What operators write of a rollout: routing rules within their bounds, stages, and what is asked of them.
+//!
+//! The names in TOML are the operators' (`rename`). On the wire and on disk (postcard) the order of fields counts.
 
 use crate::decision::api::SettingsError;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use std::ops::RangeInclusive;
+use std::fmt::Display;
+use std::ops::{Range, RangeInclusive};
+use toml::Spanned;
 
-/// All customers, in parts of a stage.
-pub const ALL: u16 = 10_000;
-/// The most rules of a set, and the longest set in bytes: two sets fit into one datagram with all around them.
-const MOST_RULES: usize = 8;
-const LONGEST: usize = 400;
-const MOST_STAGES: usize = 8;
+/// All customers, in the parts in which a stage's share is given.
+pub const ALL_CUSTOMERS: u16 = 10_000;
+/// Parts of all customers in a percent.
+const PARTS_PER_PERCENT: f64 = 100.0;
+/// The most rules of a set.
+const MAX_RULES: usize = 8;
+/// The longest set, in bytes: two sets fit into one datagram with all around them.
+const MAX_RULE_SET_BYTES: usize = 400;
+const MAX_STAGES: usize = 8;
+/// Bounds of an endpoint's weight, in percent.
+const WEIGHT_PERCENT: RangeInclusive<u16> = 5..=400;
+const ATTEMPTS: RangeInclusive<u8> = 1..=8;
+const GIVE_UP_PERCENT: RangeInclusive<u8> = 30..=70;
+const SLOW_START_PERCENT: RangeInclusive<u8> = 0..=100;
+const MAX_BAKE_S: u32 = 86_400;
+const MAX_STAGE_S: u32 = 604_800;
+const FALSE_HALT_RATE: RangeInclusive<f64> = 0.000_1..=0.1;
+const MARGIN: RangeInclusive<f64> = 0.001..=0.2;
+const MIN_REQUESTS: RangeInclusive<u32> = 1..=10_000_000;
 
 /// One rule: for which requests, and how these are routed. All parts are percentages.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Rule {
+pub struct RuleConfig {
     /// Only requests of this class.
     pub class: Option<String>,
     /// Only customers of this plan.
     pub plan: Option<String>,
     /// Only at gateways of this zone.
     pub zone: Option<String>,
-    /// Weights of servers by their zone, 5 to 400; 100 where none is named.
-    pub zones: BTreeMap<String, u16>,
-    /// Weights of servers by their label, 5 to 400; 100 where none is named.
-    pub labels: BTreeMap<String, u16>,
+    /// Weights of endpoints by their zone, 5 to 400; 100 where none is named.
+    #[serde(rename = "zones")]
+    pub zone_weights: BTreeMap<String, u16>,
+    /// Weights of endpoints by their label, 5 to 400; 100 where none is named.
+    #[serde(rename = "labels")]
+    pub label_weights: BTreeMap<String, u16>,
     /// The most attempts, 1 to 8; never more than the site's.
-    pub attempts: Option<u8>,
-    /// An attempt at a server that failed of late is given up after this part of the aim, 30 to 70.
-    pub give_up: Option<u8>,
-    /// The part of what a cold server may get that it does get, 0 to 100.
-    pub cold: Option<u8>,
+    #[serde(rename = "attempts")]
+    pub max_attempts: Option<u8>,
+    /// An attempt at an endpoint that failed of late times out after this part of the latency objective, 30 to 70.
+    #[serde(rename = "give_up")]
+    pub give_up_percent: Option<u8>,
+    /// The part of what an endpoint that warms up may get that it does get, 0 to 100.
+    #[serde(rename = "cold")]
+    pub slow_start_percent: Option<u8>,
 }
 
 /// A set of rules; of those that fit a request the first counts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rules(pub Vec<Rule>);
+pub struct RuleSet(pub Vec<RuleConfig>);
 
 /// What is asked of a rollout.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Terms {
+pub struct RolloutSettings {
     /// The customers of each stage, of 10,000; rising, all at the end.
-    pub stages: Vec<u16>,
+    pub stage_shares: Vec<u16>,
     /// The least time of a stage, in seconds.
     pub bake_s: u32,
-    /// A stage that is not passed within this is halted.
-    pub longest_s: u32,
-    /// The part of sound rollouts that may be halted, all stages together.
-    pub false_halts: f64,
-    /// By so much more of the requests may end badly, at the most, for a stage to be passed.
+    /// A stage that is not passed within this is halted, in seconds.
+    pub max_stage_s: u32,
+    /// The fraction of sound rollouts that may be halted, all stages together.
+    pub false_halt_rate: f64,
+    /// The canary may have at most this fraction of failures more than the baseline for a stage to be passed.
     pub margin: f64,
-    /// So many requests of the new arm are seen in each stage, at least.
-    pub least: u32,
+    /// So many requests of the canary are counted in each stage, at least.
+    pub min_canary_requests: u32,
 }
 
 /// A rollout as it is asked for.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Start {
+pub struct RolloutRequest {
     /// The new rules.
-    pub rules: Rules,
-    /// The terms.
-    pub terms: Terms,
+    pub rules: RuleSet,
+    /// What is asked of the rollout.
+    pub settings: RolloutSettings,
 }
 
+/// What operators write, with their keys and defaults.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Document {
-    stages: Vec<f64>,
+    #[serde(rename = "stages")]
+    stage_percents: Vec<f64>,
     bake_s: u32,
-    longest_s: u32,
-    false_halts: f64,
+    #[serde(rename = "longest_s")]
+    max_stage_s: u32,
+    #[serde(rename = "false_halts")]
+    false_halt_rate: f64,
     margin: f64,
-    least: u32,
-    rule: Vec<toml::Spanned<Rule>>,
+    #[serde(rename = "least")]
+    min_canary_requests: u32,
+    rule: Vec<Spanned<RuleConfig>>,
 }
 
 impl Default for Document {
     fn default() -> Document {
         Document {
-            stages: vec![1.0, 5.0, 25.0, 100.0],
+            stage_percents: vec![1.0, 5.0, 25.0, 100.0],
             bake_s: 60,
-            longest_s: 1800,
-            false_halts: 0.01,
+            max_stage_s: 1800,
+            false_halt_rate: 0.01,
             margin: 0.02,
-            least: 300,
+            min_canary_requests: 300,
             rule: Vec::new(),
         }
     }
 }
 
-fn bounded<T: PartialOrd + std::fmt::Display>(
+fn check_bounds<T: PartialOrd + Display>(
     what: &str,
     value: T,
     bounds: RangeInclusive<T>,
@@ -104,85 +131,126 @@
     }
 }
 
-impl Rule {
-    /// Whether its values are within the bounds that no rule may leave.
+impl RuleConfig {
+    /// Checks that its values are within the bounds that no rule may leave.
+    ///
+    /// # Errors
+    /// Names the key, the bounds and the value.
     pub fn check(&self) -> Result<(), SettingsError> {
-        for (table, weights) in [("zones", &self.zones), ("labels", &self.labels)] {
+        for (table, weights) in [("zones", &self.zone_weights), ("labels", &self.label_weights)] {
             for (name, weight) in weights {
-                bounded(&format!("{table}.{name}"), *weight, 5..=400)?;
+                check_bounds(&format!("{table}.{name}"), *weight, WEIGHT_PERCENT)?;
             }
         }
-        self.attempts.map_or(Ok(()), |v| bounded("attempts", v, 1..=8))?;
-        self.give_up.map_or(Ok(()), |v| bounded("give_up", v, 30..=70))?;
-        self.cold.map_or(Ok(()), |v| bounded("cold", v, 0..=100))
+        if let Some(attempts) = self.max_attempts {
+            check_bounds("attempts", attempts, ATTEMPTS)?;
+        }
+        if let Some(percent) = self.give_up_percent {
+            check_bounds("give_up", percent, GIVE_UP_PERCENT)?;
+        }
+        if let Some(percent) = self.slow_start_percent {
+            check_bounds("cold", percent, SLOW_START_PERCENT)?;
+        }
+        Ok(())
     }
 }
 
-impl Rules {
-    /// Whether all rules are within bounds, and the set is not too long.
+impl RuleSet {
+    /// Checks that all rules are within bounds, and that the set is not too long.
+    ///
+    /// # Errors
+    /// Names the key, the bounds and the value.
     pub fn check(&self) -> Result<(), SettingsError> {
-        bounded("rule: how many", self.0.len(), 0..=MOST_RULES)?;
-        self.0.iter().try_for_each(Rule::check)?;
+        check_bounds("rule: how many", self.0.len(), 0..=MAX_RULES)?;
+        self.0.iter().try_for_each(RuleConfig::check)?;
         let length = postcard::to_allocvec(self).map_or(usize::MAX, |bytes| bytes.len());
-        bounded("rule: bytes of all", length, 0..=LONGEST)
+        check_bounds("rule: bytes of all", length, 0..=MAX_RULE_SET_BYTES)
     }
 }
 
-impl Terms {
-    /// Whether the terms make sense.
+impl RolloutSettings {
+    /// Checks that the settings make sense.
+    ///
+    /// # Errors
+    /// Names the key, the bounds and the value.
     pub fn check(&self) -> Result<(), SettingsError> {
-        bounded("stages: how many", self.stages.len(), 1..=MOST_STAGES)?;
-        let rising = self.stages.windows(2).all(|pair| pair[0] < pair[1]);
-        if !rising || self.stages.first() == Some(&0) || self.stages.last() != Some(&ALL) {
+        check_bounds("stages: how many", self.stage_shares.len(), 1..=MAX_STAGES)?;
+        let is_rising = self.stage_shares.windows(2).all(|pair| pair[0] < pair[1]);
+        let first_is_empty = self.stage_shares.first() == Some(&0);
+        let last_is_all = self.stage_shares.last() == Some(&ALL_CUSTOMERS);
+        if !is_rising || first_is_empty || !last_is_all {
             return Err(SettingsError("stages: expected rising parts above 0 that end with 100".into()));
         }
-        bounded("bake_s", self.bake_s, 1..=86_400)?;
-        bounded("longest_s", self.longest_s, self.bake_s.saturating_add(1)..=604_800)?;
-        bounded("false_halts", self.false_halts, 0.000_1..=0.1)?;
-        bounded("margin", self.margin, 0.001..=0.2)?;
-        bounded("least", self.least, 1..=10_000_000)
+        check_bounds("bake_s", self.bake_s, 1..=MAX_BAKE_S)?;
+        check_bounds("longest_s", self.max_stage_s, self.bake_s.saturating_add(1)..=MAX_STAGE_S)?;
+        check_bounds("false_halts", self.false_halt_rate, FALSE_HALT_RATE)?;
+        check_bounds("margin", self.margin, MARGIN)?;
+        check_bounds("least", self.min_canary_requests, MIN_REQUESTS)
     }
 
-    /// The part of the customers, of 10,000, that have the new arm in this stage; stage 0 comes before the first.
+    /// The customers, of 10,000, that have the new rules in this stage; stage 0 comes before the first.
     pub fn share(&self, stage: u8) -> u16 {
-        usize::from(stage).checked_sub(1).and_then(|i| self.stages.get(i)).copied().unwrap_or(0)
+        let index = usize::from(stage).checked_sub(1);
+        index.and_then(|index| self.stage_shares.get(index)).copied().unwrap_or(0)
     }
+
     /// Whether this stage is the last.
     pub fn is_last(&self, stage: u8) -> bool {
-        usize::from(stage) >= self.stages.len()
+        usize::from(stage) >= self.stage_shares.len()
+    }
+}
+
+impl RolloutRequest {
+    /// Reads a rollout from TOML.
+    ///
+    /// # Errors
+    /// What is wrong, in one line, with the line and the key.
+    pub fn parse(text: &str) -> Result<RolloutRequest, SettingsError> {
+        let document: Document = toml::from_str(text).map_err(|error| syntax_error(text, &error))?;
+        let rules = document.rules(text)?;
+        let settings = document.settings()?;
+        Ok(RolloutRequest { rules, settings })
     }
 }
 
-impl Start {
-    /// Reads a rollout. What is wrong is one line, with the line and the key.
-    pub fn parse(text: &str) -> Result<Start, SettingsError> {
-        let line = |at: usize| 1 + text[..at.min(text.len())].matches('\n').count();
-        let document: Document = toml::from_str(text).map_err(|e| {
-            let words = e.message().lines().collect::<Vec<_>>().join(" ");
-            SettingsError(format!("line {}: {words}", e.span().map_or(1, |span| line(span.start))))
-        })?;
-        for rule in &document.rule {
-            let at = line(rule.span().start);
-            rule.get_ref().check().map_err(|e| SettingsError(format!("line {at}: rule: {e}")))?;
+fn line_of(text: &str, span: &Range<usize>) -> usize {
+    1 + text[..span.start.min(text.len())].matches('\n').count()
+}
+
+fn syntax_error(text: &str, error: &toml::de::Error) -> SettingsError {
+    let message = error.message().lines().collect::<Vec<_>>().join(" ");
+    let line = error.span().map_or(1, |span| line_of(text, &span));
+    SettingsError(format!("line {line}: {message}"))
+}
+
+impl Document {
+    fn rules(&self, text: &str) -> Result<RuleSet, SettingsError> {
+        for rule in &self.rule {
+            let line = line_of(text, &rule.span());
+            rule.get_ref().check().map_err(|error| SettingsError(format!("line {line}: rule: {error}")))?;
         }
-        if document.rule.is_empty() {
+        if self.rule.is_empty() {
             return Err(SettingsError("rule: expected one at least, found none".into()));
         }
-        let rules = Rules(document.rule.into_iter().map(toml::Spanned::into_inner).collect());
+        let rules = RuleSet(self.rule.iter().map(|rule| rule.get_ref().clone()).collect());
         rules.check()?;
-        let sound = document.stages.iter().all(|part| (0.0..=100.0).contains(part));
-        if !sound {
+        Ok(rules)
+    }
+
+    fn settings(&self) -> Result<RolloutSettings, SettingsError> {
+        if !self.stage_percents.iter().all(|percent| (0.0..=100.0).contains(percent)) {
             return Err(SettingsError("stages: expected parts of 0 to 100".into()));
         }
-        let terms = Terms {
-            stages: document.stages.iter().map(|part| (part * 100.0).round() as u16).collect(),
-            bake_s: document.bake_s,
-            longest_s: document.longest_s,
-            false_halts: document.false_halts,
-            margin: document.margin,
-            least: document.least,
+        let share = |percent: &f64| (percent * PARTS_PER_PERCENT).round() as u16;
+        let settings = RolloutSettings {
+            stage_shares: self.stage_percents.iter().map(share).collect(),
+            bake_s: self.bake_s,
+            max_stage_s: self.max_stage_s,
+            false_halt_rate: self.false_halt_rate,
+            margin: self.margin,
+            min_canary_requests: self.min_canary_requests,
         };
-        terms.check()?;
-        Ok(Start { rules, terms })
+        settings.check()?;
+        Ok(settings)
     }
 }
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -1,226 +1,270 @@
-//! The fleet's rollout: its messages go out to the seats present, and its record is claimed at the ledger.
-
-use crate::cluster::datagram::{Head, Stranger};
-use crate::cluster::ledger::{Change, ClaimId, Finding};
-use crate::cluster::ledger_node::own_seat;
-use crate::cluster::membership::identity::ROLLOUT;
-use crate::cluster::rollout::{
-    Arm, Ended, Key, Message, Order, Report, Rules, Start, Steward, Telling, Told, RECORD, TICK,
+//! The rollout within a cluster node: its messages go out to the seats present, and its record is claimed at the ledger.
+
+use super::datagram::{Head, Stranger};
+use super::event::Effect;
+use super::ledger::{ClaimId, ClaimOutcome};
+use super::ledger_node::LeaseProgress;
+use super::membership::identity::ROLLOUT;
+use super::rollout::{
+    Arm, ControllerEffect, RequestOutcome, RolloutCommand, RolloutController, RolloutKey, RolloutMessage,
+    RolloutReport, RolloutRequest, RuleSet, ROLLOUT_RECORD, TICK_INTERVAL,
 };
-use crate::cluster::{Effect, Fleet, Micros};
+use super::Fleet;
+use crate::decision::api::Micros;
 
-/// What is in force, for whoever routes.
+/// The routing rules in force.
 #[derive(Debug, Clone, PartialEq)]
-pub struct InForce {
+pub struct RoutingInForce {
     /// Of which rollout; none where there was none yet.
-    pub key: Option<Key>,
+    pub key: Option<RolloutKey>,
     /// Outcomes are counted.
-    pub counts: bool,
+    pub counts_outcomes: bool,
     /// The rules of those customers that do not have the new ones.
-    pub old: Rules,
+    pub baseline: RuleSet,
     /// The new rules.
-    pub new: Rules,
-    /// The part of the customers, of 10,000, that have the new ones.
-    pub share: u16,
+    pub canary: RuleSet,
+    /// The customers, of 10,000, that have the new ones.
+    pub canary_share: u16,
 }
 
-/// How an order of an operator's was taken.
+/// What became of an operator's command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum CommandResult {
     /// It is done, or begun.
     Done,
     /// It can't be: another rollout runs, or none does.
     Conflict,
     /// There is no rollout without a ledger.
-    Off,
+    Disabled,
 }
 
-impl Fleet {
-    /// Somebody wants a rollout. What becomes of it is told by `Effect::Begun`.
-    pub fn start_rollout(&mut self, now: Micros, start: Start, out: &mut Vec<Effect>) -> Taken {
-        let mut tellings = Vec::new();
-        let Some(steward) = self.steward.as_mut() else { return Taken::Off };
-        let begun = steward.start(now, start, &mut tellings);
-        self.do_all(now, tellings, out);
-        if begun {
-            Taken::Done
-        } else {
-            Taken::Conflict
+impl CommandResult {
+    fn done_if(done: Option<bool>) -> CommandResult {
+        match done {
+            Some(true) => CommandResult::Done,
+            Some(false) => CommandResult::Conflict,
+            None => CommandResult::Disabled,
         }
     }
+}
 
-    /// People pause the rollout, or let it go on.
-    pub fn pause_rollout(&mut self, now: Micros, on: bool, out: &mut Vec<Effect>) -> Taken {
-        self.order(now, out, |steward, present, tellings| steward.pause(now, on, present, tellings))
+impl Fleet {
+    /// An operator wants a rollout. What becomes of it is told by `Effect::Begun`.
+    pub fn start_rollout(
+        &mut self,
+        now: Micros,
+        request: RolloutRequest,
+        out: &mut Vec<Effect>,
+    ) -> CommandResult {
+        let begins = self
+            .with_controller(now, out, |controller, _, effects| controller.request(now, request, effects));
+        CommandResult::done_if(begins)
+    }
+
+    /// An operator pauses the rollout, or lets it go on.
+    pub fn pause_rollout(&mut self, now: Micros, is_paused: bool, out: &mut Vec<Effect>) -> CommandResult {
+        let done = self.with_controller(now, out, |controller, present, effects| {
+            controller.pause(now, is_paused, present, effects)
+        });
+        CommandResult::done_if(done)
     }
 
-    /// People call the rollout off.
-    pub fn abort_rollout(&mut self, now: Micros, out: &mut Vec<Effect>) -> Taken {
-        self.order(now, out, |steward, present, tellings| steward.abort(now, present, tellings))
+    /// An operator aborts the rollout.
+    pub fn abort_rollout(&mut self, now: Micros, out: &mut Vec<Effect>) -> CommandResult {
+        let done = self.with_controller(now, out, |controller, present, effects| {
+            controller.abort(now, present, effects)
+        });
+        CommandResult::done_if(done)
     }
 
-    fn order(
+    /// A request that went by the rules of this rollout ended, so much of its latency objective after it came.
+    pub fn record_outcome(
         &mut self,
         now: Micros,
-        out: &mut Vec<Effect>,
-        give: impl FnOnce(&mut Steward, &[u16], &mut Vec<Telling>) -> bool,
-    ) -> Taken {
-        let (present, mut tellings) = (self.present_seats(), Vec::new());
-        let Some(steward) = self.steward.as_mut() else { return Taken::Off };
-        let done = give(steward, &present, &mut tellings);
-        self.do_all(now, tellings, out);
-        if done {
-            Taken::Done
-        } else {
-            Taken::Conflict
+        key: RolloutKey,
+        class: u16,
+        arm: Arm,
+        outcome: RequestOutcome,
+        fraction_of_objective: f64,
+    ) {
+        if let Some(controller) = self.rollout.as_mut() {
+            controller.record_outcome(now, key, class, arm, outcome, fraction_of_objective);
         }
     }
 
-    /// A request that went by the rules of this rollout ended.
-    pub fn count(&mut self, now: Micros, key: Key, class: u16, arm: Arm, ended: Ended, part_of_aim: f64) {
-        let steward = self.steward.iter_mut();
-        steward.for_each(|steward| steward.count(now, key, class, arm, ended, part_of_aim));
+    /// What operators read of the rollout.
+    pub fn rollout_report(&self, now: Micros) -> Option<RolloutReport> {
+        self.rollout.as_ref()?.report(now)
     }
 
-    /// What operators read of the rollout.
-    pub fn rollout(&self, now: Micros) -> Option<Report> {
-        self.steward.as_ref()?.report(now)
-    }
-
-    /// What is in force.
-    pub fn in_force(&self) -> Option<InForce> {
-        let steward = self.steward.as_ref()?;
-        Some(match steward.order() {
-            Some(order) => InForce {
-                key: Some(order.key),
-                counts: order.end.is_none() && order.stage > 0,
-                old: order.old.clone(),
-                new: order.new.clone(),
-                share: order.share(),
+    /// The routing rules in force.
+    pub fn routing_in_force(&self) -> Option<RoutingInForce> {
+        let controller = self.rollout.as_ref()?;
+        Some(match controller.command() {
+            Some(command) => RoutingInForce {
+                key: Some(command.key),
+                counts_outcomes: command.is_running() && command.stage > 0,
+                baseline: command.baseline.clone(),
+                canary: command.canary.clone(),
+                canary_share: command.share(),
             },
-            None => InForce {
+            None => RoutingInForce {
                 key: None,
-                counts: false,
-                old: steward.base().clone(),
-                new: Rules::default(),
-                share: 0,
+                counts_outcomes: false,
+                baseline: controller.base_rules().clone(),
+                canary: RuleSet::default(),
+                canary_share: 0,
             },
         })
     }
 
-    /// A message of the rollout from a seat.
-    pub(super) fn rolling_hear(
+    /// Handles a message of the rollout from a seat.
+    pub(super) fn on_rollout_message(
         &mut self,
-        list: u64,
+        seat_list: u64,
         seat: u16,
-        message: Message,
+        message: RolloutMessage,
         out: &mut Vec<Effect>,
     ) -> Result<(), Stranger> {
-        let (now, present, mut tellings) = (self.now, self.present_seats(), Vec::new());
-        let same = self.lending.as_ref().is_some_and(|lending| lending.list() == list);
-        let steward = self.steward.as_mut().filter(|_| same).ok_or(Stranger::Refused)?;
-        steward.hear(now, seat, message, &present, &mut tellings);
-        self.do_all(now, tellings, out);
-        Ok(())
+        if !self.is_own_seat_list(seat_list) {
+            return Err(Stranger::Refused);
+        }
+        let now = self.now;
+        self.with_controller(now, out, |controller, present, effects| {
+            controller.on_message(now, seat, message, present, effects);
+        })
+        .ok_or(Stranger::Refused)
     }
 
-    /// A claim at the ledger found out; whether it was the rollout's.
-    pub(super) fn rolling_found(&mut self, of: ClaimId, finding: &Finding, out: &mut Vec<Effect>) -> bool {
-        if self.steward.as_ref().is_none_or(|steward| steward.claim() != Some(of)) {
+    /// Something became of a claim at the ledger; whether it was the rollout's.
+    pub(super) fn on_rollout_claim_resolved(
+        &mut self,
+        claim: ClaimId,
+        outcome: &ClaimOutcome,
+        out: &mut Vec<Effect>,
+    ) -> bool {
+        if self.rollout.as_ref().is_none_or(|controller| controller.claim() != Some(claim)) {
             return false;
         }
-        let (now, mut tellings) = (self.now, Vec::new());
-        match finding {
-            // The record says no more than that it is owned.
-            Finding::Clear { .. } if self.change(now, of, Change::Send(0), out).is_some() => {}
-            Finding::Confirmed(1) => {
-                let present = self.present_seats();
-                let begun = self.steward.as_mut().and_then(|s| s.owns(now, &present, &mut tellings));
-                out.extend(begun.map(|key| Effect::Begun(Some(key))));
-            }
-            Finding::Confirmed(_) => {}
-            _ => {
-                let wanted = self.steward.as_mut().is_some_and(|steward| steward.give_up(now));
-                out.extend(wanted.then_some(Effect::Begun(None)));
-                self.let_go(now, of, None, out);
+        let now = self.now;
+        match self.advance_lease(claim, outcome, out) {
+            LeaseProgress::Pending | LeaseProgress::Confirmed { is_first: false } => {}
+            LeaseProgress::Confirmed { is_first: true } => self.begin_requested_rollout(out),
+            LeaseProgress::Failed => {
+                self.on_rollout_claim_failed(out);
+                self.release_claim(now, claim, None, out);
             }
         }
-        self.do_all(now, tellings, out);
         true
     }
 
-    /// Time went by for the rollout.
-    pub(super) fn roll(&mut self, out: &mut Vec<Effect>) {
+    fn begin_requested_rollout(&mut self, out: &mut Vec<Effect>) {
+        let present = self.seats_in_rollouts();
+        let mut effects = Vec::new();
+        let Some(controller) = self.rollout.as_mut() else { return };
+        let begun = controller.on_claim_confirmed(self.now, &present, &mut effects);
+        out.extend(begun.map(|key| Effect::Begun(Some(key))));
+        self.emit_controller_effects(self.now, effects, out);
+    }
+
+    fn on_rollout_claim_failed(&mut self, out: &mut Vec<Effect>) {
         let now = self.now;
-        let Some(steward) = self.steward.as_ref().filter(|_| now >= self.rolls_at) else { return };
-        self.rolls_at = now + TICK;
+        let was_requested = self.rollout.as_mut().is_some_and(|controller| controller.on_claim_failed(now));
+        if was_requested {
+            out.push(Effect::Begun(None));
+        }
+    }
+
+    /// To be called as time passes.
+    pub(super) fn tick_rollout(&mut self, out: &mut Vec<Effect>) {
+        let now = self.now;
+        let Some(controller) = self.rollout.as_ref().filter(|_| now >= self.next_rollout_tick) else {
+            return;
+        };
+        self.next_rollout_tick = now + TICK_INTERVAL;
+        let claim = controller.claim();
         if self.left {
             // Another leads on at once.
-            let claim = steward.claim();
-            self.steward = None;
-            return claim.into_iter().for_each(|of| self.let_go(now, of, None, out));
+            self.rollout = None;
+            if let Some(claim) = claim {
+                self.release_claim(now, claim, None, out);
+            }
+            return;
         }
-        let claim = steward.claim().and_then(|of| self.desk.as_ref()?.claim(of).map(|claim| (of, claim)));
-        let leads = claim.as_ref().is_some_and(|(_, claim)| claim.is_held(now));
-        // A record lives for a while only: its owner takes it anew, or another does.
-        let lapsed = claim.as_ref().filter(|(_, c)| c.owns() && !c.may_act(now)).map(|(of, _)| *of);
-        if lapsed.is_some() || steward.claim().is_some() && claim.is_none() {
-            let wanted = self.steward.as_mut().is_some_and(|steward| steward.give_up(now));
-            out.extend(wanted.then_some(Effect::Begun(None)));
-            lapsed.into_iter().for_each(|of| self.let_go(now, of, None, out));
+        let lease = self.lease_status(claim);
+        // A record lives for a while only: its owner claims it anew, or another does.
+        if lease.lapsed.is_some() || lease.is_gone {
+            self.on_rollout_claim_failed(out);
+            if let Some(claim) = lease.lapsed {
+                self.release_claim(now, claim, None, out);
+            }
         }
-        let (present, mut tellings) = (self.present_seats(), Vec::new());
-        self.steward.iter_mut().for_each(|steward| steward.tick(now, leads, &present, &mut tellings));
-        self.do_all(now, tellings, out);
+        self.with_controller(now, out, |controller, present, effects| {
+            controller.tick(now, lease.is_held, present, effects);
+        });
     }
 
-    /// What the disk held of a rollout is in force again, as far as nothing newer was heard.
-    pub(super) fn take_up_rollout(&mut self, order: Option<Order>, out: &mut Vec<Effect>) {
-        let (now, present, mut tellings) = (self.now, self.present_seats(), Vec::new());
-        for (steward, order) in self.steward.iter_mut().zip(order.filter(Order::is_sound)) {
-            steward.take(now, &order, &present, &mut tellings);
-        }
-        self.do_all(now, tellings, out);
+    /// What was stored of a rollout is in force again, as far as nothing newer was heard.
+    pub(super) fn restore_rollout(&mut self, command: Option<RolloutCommand>, out: &mut Vec<Effect>) {
+        let Some(command) = command.filter(RolloutCommand::is_valid) else { return };
+        let now = self.now;
+        self.with_controller(now, out, |controller, present, effects| {
+            controller.apply(now, &command, present, effects);
+        });
     }
 
-    /// The seats that take part in rollouts and are there, this one among them.
-    fn present_seats(&self) -> Vec<u16> {
+    /// The seats that take part in rollouts and are present, this one among them.
+    fn seats_in_rollouts(&self) -> Vec<u16> {
         let records = self.swim.records();
-        let there = |name: &String| {
+        let takes_part = |name: &String| {
             *name == self.settings.name
                 || records
                     .get(name.as_str())
                     .is_some_and(|r| r.standing.is_present() && r.identity.about.capabilities & ROLLOUT != 0)
         };
-        let seats = self.settings.seats.iter().enumerate().filter(|(_, name)| there(name));
+        let seats = self.settings.seats.iter().enumerate().filter(|(_, name)| takes_part(name));
         seats.map(|(seat, _)| seat as u16).collect()
     }
 
-    fn do_all(&mut self, now: Micros, tellings: Vec<Telling>, out: &mut Vec<Effect>) {
-        for telling in tellings {
-            match telling {
-                Telling::To(seat, message) => {
-                    let Some((list, own)) = own_seat(self) else { continue };
-                    self.send_to_seat(seat, &Head::Rollout { list, seat: own, message }, out);
+    /// Does something with the controller and the seats that are present, and lets out what follows.
+    fn with_controller<T>(
+        &mut self,
+        now: Micros,
+        out: &mut Vec<Effect>,
+        act: impl FnOnce(&mut RolloutController, &[u16], &mut Vec<ControllerEffect>) -> T,
+    ) -> Option<T> {
+        let present = self.seats_in_rollouts();
+        let mut effects = Vec::new();
+        let result = act(self.rollout.as_mut()?, &present, &mut effects);
+        self.emit_controller_effects(now, effects, out);
+        Some(result)
+    }
+
+    fn emit_controller_effects(
+        &mut self,
+        now: Micros,
+        effects: Vec<ControllerEffect>,
+        out: &mut Vec<Effect>,
+    ) {
+        for effect in effects {
+            match effect {
+                ControllerEffect::Send { to, message } => {
+                    let Some((list, own)) = self.own_seat() else { continue };
+                    self.send_to_seat(to, &Head::Rollout { list, seat: own, message }, out);
                 }
-                Telling::Claim => {
-                    let claimed = self.claim(now, RECORD, 0, out);
-                    // A claim may have found out all by itself already, with this one's own word.
-                    self.steward.iter_mut().for_each(|steward| steward.claimed(claimed));
+                ControllerEffect::Claim => {
+                    let claim = self.open_claim(now, ROLLOUT_RECORD, 0, out);
+                    // It may have been resolved already, with this one's own reply.
+                    if let Some(controller) = self.rollout.as_mut() {
+                        controller.set_claim(claim);
+                    }
                 }
-                Telling::LetGo(claim) => self.let_go(now, claim, None, out),
-                Telling::Routing => out.extend(self.in_force().map(|f| Effect::Routing(Box::new(f)))),
-                Telling::Log(told) => out.push(Effect::Rollout(told)),
+                ControllerEffect::Release(claim) => self.release_claim(now, claim, None, out),
+                ControllerEffect::RoutingChanged => {
+                    out.extend(self.routing_in_force().map(|rules| Effect::Routing(Box::new(rules))));
+                }
+                ControllerEffect::Notify(notice) => out.push(Effect::Rollout(notice)),
             }
         }
     }
 }
-
-impl Told {
-    /// Of which rollout.
-    pub fn number(&self) -> u64 {
-        match self {
-            Told::Stage(key, ..) | Told::Ended(key, _) | Told::Leads(key) => key.number,
-        }
-    }
-}
--- a/src/cluster/settings.rs
+++ b/src/cluster/settings.rs
@@ -1,9 +1,9 @@
 //! What a gateway is told of its fleet, and whether that makes sense.
 
-use crate::cluster::ledger::Terms;
+use crate::cluster::ledger::LedgerSettings;
 use crate::cluster::membership::identity::{is_name, About};
-use crate::cluster::rollout::Rules;
-use crate::cluster::{write_queue, Machine, Micros, SettingsError, MOST_MEMBERS, MOST_SEATS};
+use crate::cluster::rollout::RuleSet;
+use crate::cluster::{write_queue, MachineId, Micros, SettingsError, MOST_MEMBERS, MOST_SEATS};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,13 +25,13 @@
     /// no share is lent.
     pub seats: Vec<String>,
     /// Records of work are kept by these terms; none: none are.
-    pub ledger: Option<Terms>,
+    pub ledger: Option<LedgerSettings>,
     /// Rules of routing may be rolled out, and these are in force before; none: it takes no part in rollouts.
-    pub rules: Option<Rules>,
+    pub rules: Option<RuleSet>,
     /// This gateway is of a branch that accepts writes while it is cut off.
-    pub branch: Option<write_queue::Terms>,
+    pub branch: Option<write_queue::WriteQueueSettings>,
     /// It has a disk, and this is its machine; none: it forgets all at its end.
-    pub disk: Option<Machine>,
+    pub disk: Option<MachineId>,
 }
 
 impl Settings {
--- a/src/cluster/storage/durability_gate.rs
+++ b/src/cluster/storage/durability_gate.rs
@@ -1,163 +1,131 @@
-//! What goes out only once this gateway's disk holds what it rests on, where the gateway has a disk.
+//! Effects that go out only once this gateway's storage holds the changes that they rest on (a write-ahead log's rule).
 //!
-//! Parts change what they hold at once, in memory; every word, answer or send that follows waits here, in its order, until
-//! all changes before it are on the disk. So whatever a process has said, the next one under its name remembers.
+//! Parts change what they hold at once, in memory; each message and answer that follows waits here, in its order, until
+//! all changes before it are stored. So whatever a process has said, the next one under its name remembers.
 
-use crate::cluster::Micros;
-use serde::{Deserialize, Serialize};
+use crate::decision::api::Micros;
 use std::collections::VecDeque;
 
-/// So many words wait for the disk at the most, each of about 1 kB; one that stands still for longer has failed.
-pub const MOST_HELD: usize = 8000;
+/// So many effects wait for the storage at most, each of about 1 kB; one that stands still for longer has failed.
+pub const MAX_WAITING: usize = 8000;
 /// With so many waiting, no write of a client's is begun.
-pub const BUSY: usize = 2000;
-
-/// What becomes of one key on the disk.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Put {
-    /// The key.
-    pub key: Vec<u8>,
-    /// Its value; none: it is forgotten.
-    pub value: Option<Vec<u8>>,
-}
+pub const BUSY_WAITING: usize = 2000;
 
-/// The machine's own time, by which what is on the disk is dated: the next process on it reads the same clock.
+/// The machine's own clock, by which stored times are told: the next process on it reads the same one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Machine {
-    /// Stands for this start of the machine.
+pub struct MachineId {
+    /// Names this start of the machine.
     pub boot: u64,
-    /// How long it was up when this process' fleet part began.
+    /// How long it was up when this process' part in the cluster began.
     pub uptime: Micros,
 }
 
-/// On which list of seats, in which seat, and since which start of the machine a disk was written.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
-    /// The form of all that follows.
-    pub form: u32,
-    /// Stands for the list of seats.
-    pub list: u64,
-    /// The seat.
-    pub seat: u16,
-    /// Stands for the start of the machine.
-    pub boot: u64,
-}
-
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     /// It is being opened and read: nothing may be changed before.
-    Awaited,
-    Works,
+    Opening,
+    Working,
     Failed,
 }
 
-/// The way of all that rests on the disk.
+/// Holds effects back until the storage has what they rest on.
 #[derive(Debug)]
-pub struct Durable<T> {
+pub struct DurabilityGate<T> {
     state: State,
-    machine: Machine,
-    /// When this fleet part began.
+    machine: MachineId,
+    /// When this process' part in the cluster began.
     began: Micros,
-    /// The last batch given to the disk, and the last that it holds.
-    given: u64,
-    kept: u64,
-    held: VecDeque<(u64, T)>,
+    /// The last batch that was given to the storage, and the last that it holds.
+    last_batch: u64,
+    stored_batch: u64,
+    /// Each with the batch that it rests on.
+    waiting: VecDeque<(u64, T)>,
 }
 
-impl<T> Durable<T> {
-    /// A disk that is being opened.
-    pub fn new(machine: Machine, began: Micros) -> Durable<T> {
-        Durable { state: State::Awaited, machine, began, given: 0, kept: 0, held: VecDeque::new() }
+impl<T> DurabilityGate<T> {
+    /// For storage that is being opened.
+    pub fn new(machine: MachineId, began: Micros) -> DurabilityGate<T> {
+        DurabilityGate {
+            state: State::Opening,
+            machine,
+            began,
+            last_batch: 0,
+            stored_batch: 0,
+            waiting: VecDeque::new(),
+        }
     }
 
-    /// It is being opened and read.
-    pub fn is_awaited(&self) -> bool {
-        self.state == State::Awaited
+    /// Whether the storage is being opened and read.
+    pub fn is_opening(&self) -> bool {
+        self.state == State::Opening
     }
-    /// It is open, and nothing has gone wrong with it.
-    pub fn works(&self) -> bool {
-        self.state == State::Works
+
+    /// Whether the storage is open, and nothing has gone wrong with it.
+    pub fn is_working(&self) -> bool {
+        self.state == State::Working
     }
-    /// How many words wait for it.
-    pub fn waits(&self) -> usize {
-        self.held.len()
+
+    /// How many effects wait for it.
+    pub fn waiting(&self) -> usize {
+        self.waiting.len()
     }
-    /// Which start of the machine this is.
+
+    /// Names this start of the machine.
     pub fn boot(&self) -> u64 {
         self.machine.boot
     }
-    /// It was opened and read.
-    pub fn opened(&mut self) {
-        self.state = State::Works;
+
+    /// The storage was opened and read.
+    pub fn on_opened(&mut self) {
+        self.state = State::Working;
     }
 
-    /// This moment as the machine counts.
-    pub fn dated(&self, at: Micros) -> Micros {
+    /// A time of this process on the machine's clock.
+    pub fn local_to_machine_time(&self, at: Micros) -> Micros {
         self.machine.uptime + (at - self.began)
     }
-    /// What was dated so, on this process' clock; what is older than that clock, at its beginning.
-    pub fn undated(&self, dated: Micros) -> Micros {
-        match dated > self.machine.uptime {
-            true => self.began + (dated - self.machine.uptime),
-            false => self.began - (self.machine.uptime - dated),
+
+    /// A time of the machine's clock on this process' clock; what is older than that clock, at its beginning.
+    pub fn machine_to_local_time(&self, at: Micros) -> Micros {
+        match at > self.machine.uptime {
+            true => self.began + (at - self.machine.uptime),
+            false => self.began - (self.machine.uptime - at),
         }
     }
 
-    /// Changes go to the disk as one batch, of this number.
-    pub fn give(&mut self) -> u64 {
-        self.given += 1;
-        self.given
+    /// The number of a next batch of changes.
+    pub fn next_batch(&mut self) -> u64 {
+        self.last_batch += 1;
+        self.last_batch
     }
 
-    /// Takes what was to go out, and returns what rests on nothing that the disk does not hold yet.
-    pub fn hold(&mut self, things: Vec<T>) -> Vec<T> {
-        if self.state != State::Works || self.kept == self.given && self.held.is_empty() {
-            return things;
+    /// Takes effects, and returns those that rest on nothing that is not stored yet.
+    pub fn pass(&mut self, effects: Vec<T>) -> Vec<T> {
+        let nothing_waits = self.stored_batch == self.last_batch && self.waiting.is_empty();
+        if !self.is_working() || nothing_waits {
+            return effects;
         }
-        let given = self.given;
-        self.held.extend(things.into_iter().map(|thing| (given, thing)));
+        let rests_on = self.last_batch;
+        self.waiting.extend(effects.into_iter().map(|effect| (rests_on, effect)));
         Vec::new()
     }
 
-    /// The disk holds all up to this batch: returns what may go out.
-    pub fn holds(&mut self, batch: u64) -> Vec<T> {
-        self.kept = self.kept.max(batch.min(self.given));
-        let free = self.held.iter().take_while(|(rests_on, _)| *rests_on <= self.kept).count();
-        self.held.drain(..free).map(|(_, thing)| thing).collect()
+    /// The storage holds all up to this batch: returns what may go out.
+    pub fn on_stored(&mut self, batch: u64) -> Vec<T> {
+        self.stored_batch = self.stored_batch.max(batch.min(self.last_batch));
+        let stored = self.stored_batch;
+        let released = self.waiting.iter().take_while(|(rests_on, _)| *rests_on <= stored).count();
+        self.waiting.drain(..released).map(|(_, effect)| effect).collect()
     }
 
-    /// It takes nothing any more: what waits is never said. Returns whether that is news.
-    pub fn fail(&mut self) -> bool {
-        self.held.clear();
-        std::mem::replace(&mut self.state, State::Failed) != State::Failed
+    /// The storage takes nothing any more: what waits never goes out. Returns whether that is news.
+    pub fn on_failed(&mut self) -> bool {
+        let is_news = self.state != State::Failed;
+        self.waiting.clear();
+        self.state = State::Failed;
+        is_news
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn words_wait_for_all_changes_before_them_and_keep_their_order() {
-        let mut disk: Durable<u32> = Durable::new(Machine { boot: 1, uptime: Micros(50) }, Micros(1000));
-        disk.opened();
-        assert_eq!(disk.hold(vec![1, 2]), [1, 2], "nothing was changed");
-        let first = disk.give();
-        assert!(disk.hold(vec![3]).is_empty());
-        let second = disk.give();
-        assert!(disk.hold(vec![4, 5]).is_empty());
-        assert_eq!(disk.holds(first), [3]);
-        assert!(disk.hold(vec![6]).is_empty(), "behind those before it");
-        assert_eq!(disk.holds(second + 7), [4, 5, 6], "no batch that was never given counts");
-        let third = disk.give();
-        assert!(disk.hold(vec![7]).is_empty());
-        assert!(disk.fail() && !disk.fail());
-        assert_eq!(
-            (disk.holds(third), disk.waits()),
-            (vec![], 0),
-            "what a broken disk did not hold is never said"
-        );
-        assert_eq!((disk.dated(Micros(1010)), disk.undated(Micros(60))), (Micros(60), Micros(1010)));
-        assert_eq!(disk.undated(Micros(20)), Micros(970), "from before this process");
-    }
-}
+mod tests;
--- a/src/cluster/storage/persistence.rs
+++ b/src/cluster/storage/persistence.rs
@@ -1,239 +1,233 @@
-//! What the fleet's parts put on the gateway's disk, and what they remember from it at the start.
-
-use crate::cluster::ledger::{Entry as Kept, Out, RecordId};
-use crate::cluster::rollout::Order;
-use crate::cluster::storage::durability_gate::{Durable, Head, Put, MOST_HELD};
-use crate::cluster::write_queue::{Entry as Held, Telling};
-use crate::cluster::{Effect, Fleet, Micros, Notice};
-use serde::de::DeserializeOwned;
-use serde::{Deserialize, Serialize};
-
-/// The form of what is written; another form is as good as nothing.
-const FORM: u32 = 1;
-const HEAD: &[u8] = b"head";
-const ORDER: &[u8] = b"order";
-/// An earlier life had a vote in the branch, at the ledger: what it said is all here.
-const BRANCH_VOTED: &[u8] = b"voted/branch";
-const LEDGER_VOTED: &[u8] = b"voted/ledger";
-/// The first letters of the keys of writes and records.
-const WRITE: u8 = b'w';
-const RECORD: u8 = b'r';
-
-/// What goes out once the disk holds what it rests on.
+//! What the parts of a gateway store, and what they remember from it at the start.
+
+use super::durability_gate::{DurabilityGate, MachineId, MAX_WAITING};
+use super::stored_form::{decode, encode, StorageHeader, StorageWrite, StoredKey, StoredWrite, FORM_VERSION};
+use crate::cluster::ledger::{LedgerEffect, RecordId, Replica, ReplicaEntry};
+use crate::cluster::rollout::RolloutCommand;
+use crate::cluster::write_queue::{LogEntry, QueueEffect, QueueReplica};
+use crate::decision::api::Micros;
+
+/// An effect that goes out once the storage holds what it rests on.
 #[derive(Debug)]
-pub(in crate::cluster) enum Word {
-    Branch(Telling),
-    Ledger(Out),
+pub enum GatedEffect {
+    /// Of the branch's write queue.
+    WriteQueue(QueueEffect),
+    /// Of the ledger.
+    Ledger(LedgerEffect),
 }
 
-/// A gateway's disk, and what is on it that is not asked of the parts again.
-pub(in crate::cluster) struct Keeping {
-    way: Durable<Word>,
-    branch_voted: bool,
-    ledger_voted: bool,
-    order: Option<Order>,
+/// A gateway's storage, and what is on it that is not asked of the parts again.
+pub struct Persistence {
+    gate: DurabilityGate<GatedEffect>,
+    queue_vote_stored: bool,
+    ledger_vote_stored: bool,
+    command: Option<RolloutCommand>,
 }
 
-/// A write with the moment at which it was put there, both as the machine counts.
-#[derive(Serialize, Deserialize)]
-struct Dated {
-    at: Micros,
-    held: Held,
+/// What earlier processes of this gateway stored.
+#[derive(Default)]
+pub struct Restored {
+    /// Writes of the branch.
+    pub writes: Vec<LogEntry>,
+    /// They are all that was ever said in the branch, so that it has its vote at once.
+    pub writes_complete: bool,
+    /// Records of the ledger.
+    pub records: Vec<(RecordId, ReplicaEntry)>,
+    /// They are all that was ever said at the ledger.
+    pub records_complete: bool,
+    /// What was in force of a rollout.
+    pub command: Option<RolloutCommand>,
+    /// Something could not be read.
+    has_unreadable: bool,
 }
 
-impl Keeping {
-    pub(in crate::cluster) fn new(way: Durable<Word>) -> Keeping {
-        Keeping { way, branch_voted: false, ledger_voted: false, order: None }
+/// How stored times are told on this process' clock.
+struct Reader<'a> {
+    gate: &'a DurabilityGate<GatedEffect>,
+    now: Micros,
+    /// It was written by this gateway.
+    is_own: bool,
+    /// It was written since the last start of the machine.
+    is_same_boot: bool,
+}
+
+impl Persistence {
+    /// For storage that is being opened.
+    pub fn new(machine: MachineId, began: Micros) -> Persistence {
+        Persistence {
+            gate: DurabilityGate::new(machine, began),
+            queue_vote_stored: false,
+            ledger_vote_stored: false,
+            command: None,
+        }
     }
-    pub(in crate::cluster) fn way(&self) -> &Durable<Word> {
-        &self.way
+
+    /// Whether the storage is being opened and read: until then nothing that it may hold is answered or changed.
+    pub fn is_opening(&self) -> bool {
+        self.gate.is_opening()
     }
-}
 
-fn bytes<T: Serialize>(value: &T) -> Option<Vec<u8>> {
-    postcard::to_allocvec(value).ok()
-}
+    /// Whether the storage is open, and nothing has gone wrong with it.
+    pub fn is_working(&self) -> bool {
+        self.gate.is_working()
+    }
 
-fn key<T: Serialize>(letter: u8, name: &T) -> Vec<u8> {
-    let mut key = vec![letter];
-    key.extend(bytes(name).unwrap_or_default());
-    key
-}
+    /// How many effects wait for the storage.
+    pub fn waiting(&self) -> usize {
+        self.gate.waiting()
+    }
 
-fn read<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    postcard::from_bytes(bytes).ok()
-}
+    /// Whether more effects wait than a storage that works lets wait.
+    pub fn is_overrun(&self) -> bool {
+        self.gate.waiting() > MAX_WAITING
+    }
 
-fn timed(held: Held, told: impl Fn(Micros) -> Micros) -> Held {
-    Held { born: told(held.born), sent: held.sent.map(&told), over: held.over.map(&told), ..held }
-}
+    /// The number of a next batch of changes.
+    pub fn next_batch(&mut self) -> u64 {
+        self.gate.next_batch()
+    }
 
-impl Fleet {
-    /// Whether the disk is being opened and read: until then nothing that it may hold is answered or changed.
-    pub(in crate::cluster) fn awaits_disk(&self) -> bool {
-        self.keeping.as_ref().is_some_and(|keeping| keeping.way.is_awaited())
+    /// Takes effects, and returns those that rest on nothing that is not stored yet.
+    pub fn pass(&mut self, effects: Vec<GatedEffect>) -> Vec<GatedEffect> {
+        self.gate.pass(effects)
     }
 
-    /// What was to go out, as far as it may.
-    pub(in crate::cluster) fn release(&mut self, words: Vec<Word>, out: &mut Vec<Effect>) {
-        self.journal(out);
-        let (mut free, mut choked) = (Vec::new(), false);
-        match self.keeping.as_mut() {
-            Some(keeping) => {
-                free = keeping.way.hold(words);
-                choked = keeping.way.waits() > MOST_HELD;
-            }
-            None => free.extend(words),
+    /// The storage holds all up to this batch: returns what may go out.
+    pub fn on_stored(&mut self, batch: u64) -> Vec<GatedEffect> {
+        self.gate.on_stored(batch)
+    }
+
+    /// The storage takes nothing any more. Returns whether that is news.
+    pub fn on_failed(&mut self) -> bool {
+        self.gate.on_failed()
+    }
+
+    /// What has changed in the branch's write queue and is to be stored.
+    pub fn queue_changes(&mut self, now: Micros, queue: &mut QueueReplica) -> Vec<StorageWrite> {
+        let stored_at = self.gate.local_to_machine_time(now);
+        let mut writes = Vec::new();
+        for (dot, entry) in queue.take_changed() {
+            let value = entry.and_then(|entry| {
+                let entry = entry.with_times(|time| self.gate.local_to_machine_time(time));
+                encode(&StoredWrite { stored_at, entry })
+            });
+            writes.push(StoredKey::Write(&encode(&dot).unwrap_or_default()).put(value));
         }
-        free.into_iter().for_each(|word| self.let_out(word, out));
-        if choked {
-            self.disk_failed(out);
+        if queue.has_vote() && !self.queue_vote_stored {
+            self.queue_vote_stored = true;
+            writes.push(StoredKey::QueueVote.put(Some(Vec::new())));
         }
+        writes
     }
 
-    fn let_out(&mut self, word: Word, out: &mut Vec<Effect>) {
-        match word {
-            Word::Branch(telling) => self.file_out(telling, out),
-            Word::Ledger(one) => self.book_out(one, out),
+    /// What has changed in the replica of the ledger and is to be stored.
+    pub fn ledger_changes(&mut self, now: Micros, replica: &mut Replica) -> Vec<StorageWrite> {
+        let mut writes = Vec::new();
+        for (id, entry) in replica.take_changed() {
+            let value = entry
+                .and_then(|entry| encode(&entry.with_times(|time| self.gate.local_to_machine_time(time))));
+            writes.push(StoredKey::Record(&encode(&id).unwrap_or_default()).put(value));
+        }
+        if replica.has_vote(now) && !self.ledger_vote_stored {
+            self.ledger_vote_stored = true;
+            writes.push(StoredKey::LedgerVote.put(Some(Vec::new())));
         }
+        writes
     }
 
-    /// The disk holds all up to this batch.
-    pub(in crate::cluster) fn disk_holds(&mut self, batch: u64, out: &mut Vec<Effect>) {
-        let free = self.keeping.as_mut().map(|keeping| keeping.way.holds(batch)).unwrap_or_default();
-        free.into_iter().for_each(|word| self.let_out(word, out));
+    /// What is in force of a rollout, if it has changed and is to be stored.
+    pub fn command_change(&mut self, command: &RolloutCommand) -> Option<StorageWrite> {
+        if self.command.as_ref() == Some(command) {
+            return None;
+        }
+        self.command = Some(command.clone());
+        Some(StoredKey::RolloutCommand.put(encode(command)))
     }
 
-    /// The disk takes nothing any more: the gateway gives up its votes, and serves on.
-    pub(in crate::cluster) fn disk_failed(&mut self, out: &mut Vec<Effect>) {
-        if !self.keeping.as_mut().is_some_and(|keeping| keeping.way.fail()) {
-            return;
+    /// The storage was opened and held this. Returns what earlier processes of this gateway said, and what is to be stored
+    /// for it: the own header, and the removal of what is of other seats or can't be read. Records are removed, too, where
+    /// the machine was started since, as their times say nothing then.
+    pub fn restore(
+        &mut self,
+        now: Micros,
+        seat_list: u64,
+        seat: u16,
+        stored: &[StorageWrite],
+    ) -> (Restored, Vec<StorageWrite>) {
+        self.gate.on_opened();
+        let header = StorageHeader { form: FORM_VERSION, seat_list, seat, boot: self.gate.boot() };
+        let before = stored_header(stored);
+        let is_own = before.as_ref().is_some_and(|before| before.is_own(&header));
+        let is_same_boot = is_own && before.is_some_and(|before| before.boot == header.boot);
+        let reader = Reader { gate: &self.gate, now, is_own, is_same_boot };
+        let mut writes = vec![StoredKey::Header.put(encode(&header))];
+        let mut restored = Restored::default();
+        for StorageWrite { key, value } in stored {
+            let value = value.as_deref().unwrap_or_default();
+            if !reader.read(key, value, &mut restored) {
+                writes.push(StorageWrite { key: key.clone(), value: None });
+            }
         }
-        self.desk.iter_mut().for_each(|desk| desk.holder_mut().lose_disk());
-        let (now, mut tellings) = (self.now, Vec::new());
-        self.branch.iter_mut().for_each(|branch| branch.lose_disk(now, &mut tellings));
-        out.push(Effect::Tell(Notice::DiskLost));
-        self.file(tellings, out);
-    }
-
-    /// Puts what has changed on the disk.
-    fn journal(&mut self, out: &mut Vec<Effect>) {
-        let Some(keeping) = self.keeping.as_mut().filter(|keeping| keeping.way.works()) else { return };
-        let (now, mut puts) = (self.now, Vec::new());
-        let mut put = |key: Vec<u8>, value: Option<Vec<u8>>| puts.push(Put { key, value });
-        if let Some(branch) = self.branch.as_mut() {
-            let at = keeping.way.dated(now);
-            for (dot, held) in branch.changed() {
-                let held = held.map(|held| Dated { at, held: timed(held, |time| keeping.way.dated(time)) });
-                put(key(WRITE, &dot), held.and_then(|dated| bytes(&dated)));
+        restored.writes_complete &= !restored.has_unreadable;
+        restored.records_complete &= !restored.has_unreadable;
+        self.queue_vote_stored = restored.writes_complete;
+        self.ledger_vote_stored = restored.records_complete;
+        self.command.clone_from(&restored.command);
+        (restored, writes)
+    }
+}
+
+fn stored_header(stored: &[StorageWrite]) -> Option<StorageHeader> {
+    let header = stored.iter().find(|one| StoredKey::parse(&one.key) == Some(StoredKey::Header))?;
+    decode(header.value.as_deref()?)
+}
+
+impl Reader<'_> {
+    /// Reads one key and its value; whether it stays on the disk.
+    fn read(&self, key: &[u8], value: &[u8], restored: &mut Restored) -> bool {
+        match StoredKey::parse(key) {
+            Some(StoredKey::Header) => true,
+            Some(StoredKey::QueueVote) if self.is_own => {
+                restored.writes_complete = true;
+                true
             }
-            if branch.clerk().votes() && !std::mem::replace(&mut keeping.branch_voted, true) {
-                put(BRANCH_VOTED.to_vec(), Some(Vec::new()));
+            Some(StoredKey::LedgerVote) if self.is_same_boot => {
+                restored.records_complete = true;
+                true
             }
-        }
-        if let Some(desk) = self.desk.as_mut() {
-            for (id, kept) in desk.holder_mut().take_changed() {
-                let kept = kept.map(|kept| kept.timed(|time| keeping.way.dated(time)));
-                put(key(RECORD, &id), kept.and_then(|kept| bytes(&kept)));
+            Some(StoredKey::RolloutCommand) if self.is_own => {
+                restored.command = decode(value);
+                restored.command.is_some()
             }
-            if desk.holder().votes(now) && !std::mem::replace(&mut keeping.ledger_voted, true) {
-                put(LEDGER_VOTED.to_vec(), Some(Vec::new()));
+            Some(StoredKey::Write(_)) if self.is_own => {
+                let write = self.write(value);
+                restored.has_unreadable |= write.is_none();
+                let stays = write.is_some();
+                restored.writes.extend(write);
+                stays
             }
-        }
-        if let Some(order) = self.steward.as_ref().and_then(|steward| steward.order()) {
-            if keeping.order.as_ref() != Some(order) {
-                keeping.order = Some(order.clone());
-                put(ORDER.to_vec(), bytes(order));
+            Some(StoredKey::Record(name)) if self.is_same_boot => {
+                let record = self.record(name, value);
+                restored.has_unreadable |= record.is_none();
+                let stays = record.is_some();
+                restored.records.extend(record);
+                stays
             }
-        }
-        if !puts.is_empty() {
-            out.push(Effect::Keep(keeping.way.give(), puts));
+            _ => false,
         }
     }
 
-    /// The disk was opened and held this: what the parts said in an earlier life they remember. What is of other seats,
-    /// or can't be read, is dropped from it; records are, too, where the machine was started since, as their times say
-    /// nothing then.
-    pub(in crate::cluster) fn remember(&mut self, on_disk: Vec<Put>, out: &mut Vec<Effect>) {
-        let Some((list, seat)) = crate::cluster::ledger_node::own_seat(self) else { return };
-        let now = self.now;
-        let Some(keeping) = self.keeping.as_mut().filter(|keeping| keeping.way.is_awaited()) else { return };
-        keeping.way.opened();
-        let way = &keeping.way;
-        let head = Head { form: FORM, list, seat, boot: way.boot() };
-        let found =
-            |name: &[u8]| on_disk.iter().find(|put| put.key == name).and_then(|put| put.value.as_deref());
-        let before: Option<Head> = found(HEAD).and_then(read);
-        let ours = before.as_ref().is_some_and(|b| (b.form, b.list, b.seat) == (FORM, list, seat));
-        let same_boot = ours && before.is_some_and(|before| before.boot == head.boot);
-        let mut puts = vec![Put { key: HEAD.to_vec(), value: bytes(&head) }];
-        let (mut writes, mut records, mut order) = (Vec::new(), Vec::new(), None);
-        let (mut all_writes, mut all_records) = (false, false);
-        let mut unread = false;
-        for put in &on_disk {
-            let value = put.value.as_deref().unwrap_or_default();
-            let name = put.key.split_first().filter(|_| ours);
-            let taken = match name {
-                _ if put.key == HEAD => true,
-                _ if put.key == BRANCH_VOTED && ours => {
-                    all_writes = true;
-                    true
-                }
-                _ if put.key == LEDGER_VOTED && same_boot => {
-                    all_records = true;
-                    true
-                }
-                _ if put.key == ORDER && ours => {
-                    order = read::<Order>(value);
-                    order.is_some()
-                }
-                Some((&WRITE, _)) => match read::<Dated>(value) {
-                    Some(Dated { at, held }) => {
-                        // Over a start of the machine only the time before it is known.
-                        let told = |time| match same_boot {
-                            true => way.undated(time),
-                            false => now - (at - time),
-                        };
-                        writes.push(timed(held, told));
-                        true
-                    }
-                    None => {
-                        unread = true;
-                        false
-                    }
-                },
-                Some((&RECORD, name)) if same_boot => match (read::<RecordId>(name), read::<Kept>(value)) {
-                    (Some(id), Some(kept)) => {
-                        records.push((id, kept.timed(|time| way.undated(time))));
-                        true
-                    }
-                    _ => {
-                        unread = true;
-                        false
-                    }
-                },
-                _ => false,
-            };
-            if !taken {
-                puts.push(Put { key: put.key.clone(), value: None });
-            }
-        }
-        (all_writes, all_records) = (all_writes && !unread, all_records && !unread);
-        (keeping.branch_voted, keeping.ledger_voted) = (all_writes, all_records);
-        keeping.order = order.clone();
-        out.push(Effect::Keep(keeping.way.give(), puts));
-        let (held, kept) = (writes.len(), records.len());
-        if let Some(branch) = self.branch.as_mut() {
-            branch.remember(now, writes, all_writes);
-        }
-        if let Some(desk) = self.desk.as_mut() {
-            desk.holder_mut().remember(now, records, all_records);
-        }
-        out.push(Effect::Tell(Notice::DiskRead {
-            writes: held,
-            records: kept,
-            votes: (all_writes, all_records),
-        }));
-        self.take_up_rollout(order, out);
+    fn write(&self, value: &[u8]) -> Option<LogEntry> {
+        let StoredWrite { stored_at, entry } = decode(value)?;
+        // Over a start of the machine only the time before it is known.
+        Some(entry.with_times(|time| match self.is_same_boot {
+            true => self.gate.machine_to_local_time(time),
+            false => self.now - (stored_at - time),
+        }))
+    }
+
+    fn record(&self, name: &[u8], value: &[u8]) -> Option<(RecordId, ReplicaEntry)> {
+        let entry: ReplicaEntry = decode(value)?;
+        Some((decode(name)?, entry.with_times(|time| self.gate.machine_to_local_time(time))))
     }
 }
--- /dev/null
+++ b/src/cluster/storage_node.rs
@@ -0,0 +1,105 @@
+//! The storage within a cluster node: what the parts change is stored, and what they say waits for that.
+
+use super::event::{Effect, Notice};
+use super::storage::{GatedEffect, StorageWrite};
+use super::Fleet;
+
+impl Fleet {
+    /// Whether the storage is being opened and read: until then nothing that it may hold is answered or changed.
+    pub(super) fn is_storage_opening(&self) -> bool {
+        self.persistence.as_ref().is_some_and(|persistence| persistence.is_opening())
+    }
+
+    /// Stores what has changed, and lets out of these effects what may go.
+    pub(super) fn gate_effects(&mut self, effects: Vec<GatedEffect>, out: &mut Vec<Effect>) {
+        self.store_changes(out);
+        let Some(persistence) = self.persistence.as_mut() else {
+            return self.emit_gated_effects(effects, out);
+        };
+        let released = persistence.pass(effects);
+        let is_overrun = persistence.is_overrun();
+        self.emit_gated_effects(released, out);
+        if is_overrun {
+            self.on_storage_failed(out);
+        }
+    }
+
+    fn emit_gated_effects(&mut self, effects: Vec<GatedEffect>, out: &mut Vec<Effect>) {
+        for effect in effects {
+            match effect {
+                GatedEffect::WriteQueue(effect) => self.emit_queue_effect(effect, out),
+                GatedEffect::Ledger(effect) => self.emit_ledger_effect(effect, out),
+            }
+        }
+    }
+
+    /// The storage holds all up to this batch.
+    pub(super) fn on_storage_synced(&mut self, batch: u64, out: &mut Vec<Effect>) {
+        if let Some(persistence) = self.persistence.as_mut() {
+            let released = persistence.on_stored(batch);
+            self.emit_gated_effects(released, out);
+        }
+    }
+
+    /// The storage takes nothing any more: the gateway gives up its votes, and serves on.
+    pub(super) fn on_storage_failed(&mut self, out: &mut Vec<Effect>) {
+        if !self.persistence.as_mut().is_some_and(|persistence| persistence.on_failed()) {
+            return;
+        }
+        if let Some(ledger) = self.ledger.as_mut() {
+            ledger.replica_mut().lose_storage();
+        }
+        let mut effects = Vec::new();
+        if let Some(queue) = self.write_queue.as_mut() {
+            queue.replica_mut().lose_storage(self.now, &mut effects);
+        }
+        out.push(Effect::Tell(Notice::DiskLost));
+        self.gate_queue_effects(effects, out);
+    }
+
+    /// Gives what has changed to the storage, in one batch.
+    fn store_changes(&mut self, out: &mut Vec<Effect>) {
+        let Some(persistence) = self.persistence.as_mut().filter(|persistence| persistence.is_working())
+        else {
+            return;
+        };
+        let mut writes = Vec::new();
+        if let Some(queue) = self.write_queue.as_mut() {
+            writes.extend(persistence.queue_changes(self.now, queue.replica_mut()));
+        }
+        if let Some(ledger) = self.ledger.as_mut() {
+            writes.extend(persistence.ledger_changes(self.now, ledger.replica_mut()));
+        }
+        if let Some(command) = self.rollout.as_ref().and_then(|controller| controller.command()) {
+            writes.extend(persistence.command_change(command));
+        }
+        if !writes.is_empty() {
+            out.push(Effect::Keep(persistence.next_batch(), writes));
+        }
+    }
+
+    /// The storage was opened and held this: what the parts said in earlier processes they remember.
+    pub(super) fn on_storage_loaded(&mut self, stored: &[StorageWrite], out: &mut Vec<Effect>) {
+        let now = self.now;
+        let Some((seat_list, seat)) = self.own_seat() else { return };
+        let Some(persistence) = self.persistence.as_mut().filter(|persistence| persistence.is_opening())
+        else {
+            return;
+        };
+        let (restored, writes) = persistence.restore(now, seat_list, seat, stored);
+        out.push(Effect::Keep(persistence.next_batch(), writes));
+        let notice = Notice::DiskRead {
+            writes: restored.writes.len(),
+            records: restored.records.len(),
+            votes: (restored.writes_complete, restored.records_complete),
+        };
+        if let Some(queue) = self.write_queue.as_mut() {
+            queue.replica_mut().restore(now, &restored.writes, restored.writes_complete);
+        }
+        if let Some(ledger) = self.ledger.as_mut() {
+            ledger.replica_mut().restore(now, restored.records, restored.records_complete);
+        }
+        out.push(Effect::Tell(notice));
+        self.restore_rollout(restored.command, out);
+    }
+}
--- a/src/cluster/write_queue/replay.rs
+++ b/src/cluster/write_queue/replay.rs
@@ -1,233 +1,234 @@
-//! What goes out next after the heal: in the order of cause and effect, at a bounded pace, each on record before it goes.
+//! Which writes are forwarded next, once the uplink is back: in causal order, at a bounded rate, each announced first.
 
-use crate::cluster::write_queue::{Dot, End, Shelf, State, Terms};
-use crate::cluster::Micros;
+use super::send_rate::{SendRate, TokenBucket};
+use super::settings::WriteQueueSettings;
+use super::write::{Dot, WriteOutcome, WriteState};
+use super::write_log::{LogEntry, WriteLog};
+use crate::decision::api::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A write that was refused is tried again after this, doubled each time.
-const AGAIN: Micros = Micros(200_000);
-const LONGEST_AGAIN: Micros = Micros(2_000_000);
-
-/// The part of `per_s` with which sending on begins: many branches may heal in one second. Each that is answered adds a
-/// part to the pace, and once it was too much less: a part of `per_s` in a second. Where more than a part of the last were
-/// refused, it is halved, no more often than this, down to one a second.
-const BEGINS: f64 = 0.1;
-const GROWS: f64 = 0.05;
-const GROWS_ON: f64 = 0.1;
-const REFUSED_PART: f64 = 0.3;
-const HALVED_EVERY: Micros = Micros(300_000);
-const LEAST_PACE: f64 = 1.0;
-/// Weight of the last in the part that was refused.
-const SMOOTH: f64 = 0.1;
-
-/// So many of those that wait are looked at each time, the earliest first.
-const SCAN: usize = 1000;
-
-/// How a send ended.
+/// A write that was rejected is tried again after this, doubled each time.
+const FIRST_RETRY_DELAY: Micros = Micros(200_000);
+const MAX_RETRY_DELAY: Micros = Micros(2_000_000);
+/// So many pending writes are looked at each time, the earliest first; and so many dependencies of one.
+const SCAN_LIMIT: usize = 1000;
+
+/// How a forwarded write ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum ForwardOutcome {
     /// A backend answered with this status.
     Answered(u16),
-    /// It was refused here: it surely never ran, and may be tried again.
-    Refused,
+    /// It was rejected here: it surely never ran, and may be tried again.
+    NotExecuted,
     /// It may have run, and nobody answered.
-    Lost,
+    Unknown,
 }
 
 /// What is done with a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
-    /// Say that it is about to be sent, then send it.
-    Begin(Dot, u16),
-    /// Say that it ended.
-    End(Dot, End),
+pub enum ReplayStep {
+    /// Announce that it is about to be forwarded in this attempt, then forward it.
+    Forward {
+        /// The write.
+        dot: Dot,
+        /// Which attempt.
+        attempt: u16,
+    },
+    /// Announce that it ended.
+    End {
+        /// The write.
+        dot: Dot,
+        /// How.
+        outcome: WriteOutcome,
+    },
 }
 
-/// The leader's side of it.
-#[derive(Debug, Clone, Default)]
-pub struct Replay {
-    /// Begun and not ended here.
-    out: BTreeSet<Dot>,
-    /// Not before then.
-    not_before: BTreeMap<Dot, (Micros, Micros)>,
-    pace: Pace,
-    /// Tokens for the pace.
-    tokens: f64,
-    filled: Micros,
+/// When a write that was rejected may be tried again.
+#[derive(Debug, Clone, Copy)]
+struct Retry {
+    not_before: Micros,
+    delay: Micros,
 }
 
-/// How many go out each second: as many as are borne, whoever else sends.
+/// The forwarding of a branch's writes, at the gateway that owns the branch's record.
 #[derive(Debug, Clone, Default)]
-struct Pace {
-    /// None before the first of a drain.
-    per_s: Option<f64>,
-    refused: f64,
-    halved: Micros,
-}
-
-impl Pace {
-    fn now(&self, terms: &Terms) -> f64 {
-        let most = f64::from(terms.per_s);
-        self.per_s.unwrap_or(most * BEGINS).clamp(LEAST_PACE.min(most), most)
-    }
-
-    fn ended(&mut self, now: Micros, terms: &Terms, borne: bool) {
-        let pace = self.now(terms);
-        self.refused += SMOOTH * (f64::from(u8::from(!borne)) - self.refused);
-        if borne {
-            let most = f64::from(terms.per_s);
-            let more = if self.halved > Micros(0) { most * GROWS_ON / pace } else { pace * GROWS };
-            self.per_s = Some(pace + more);
-        } else if self.refused > REFUSED_PART && now - self.halved >= HALVED_EVERY {
-            (self.per_s, self.halved) = (Some(pace / 2.0), now);
-        }
-    }
+pub struct Replay {
+    /// Begun and not ended here.
+    in_flight: BTreeSet<Dot>,
+    retries: BTreeMap<Dot, Retry>,
+    rate: SendRate,
+    bucket: TokenBucket,
 }
 
 impl Replay {
-    /// How many are out.
-    pub fn out(&self) -> usize {
-        self.out.len()
+    /// How many writes are in flight.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len()
     }
 
-    /// One that was begun was not sent from here.
+    /// One that was begun was not forwarded from here.
     pub fn forget(&mut self, dot: Dot) {
-        self.out.remove(&dot);
+        self.in_flight.remove(&dot);
     }
 
-    /// A send ended; what is to be said of it.
-    pub fn finished(&mut self, now: Micros, dot: Dot, tries: u16, fate: Fate, terms: &Terms) -> State {
-        self.out.remove(&dot);
-        // A customer beyond its quota is refused now and then; a fleet that can bear no more refuses many.
-        self.pace.ended(now, terms, matches!(fate, Fate::Answered(_)));
-        match fate {
-            Fate::Answered(status) => State::Ended(End::Done(status)),
-            Fate::Lost => State::Ended(End::Unknown),
-            Fate::Refused => {
-                let wait =
-                    self.not_before.get(&dot).map_or(AGAIN, |(_, wait)| (*wait + *wait).min(LONGEST_AGAIN));
-                self.not_before.insert(dot, (now + wait, wait));
-                State::Waiting(tries.saturating_add(1))
+    /// A forwarded write ended; its state from now on.
+    pub fn on_forwarded(
+        &mut self,
+        now: Micros,
+        dot: Dot,
+        attempt: u16,
+        outcome: ForwardOutcome,
+        settings: &WriteQueueSettings,
+    ) -> WriteState {
+        self.in_flight.remove(&dot);
+        // A customer beyond its quota is rejected now and then; a cluster without capacity rejects many.
+        self.rate.record(now, matches!(outcome, ForwardOutcome::Answered(_)), settings);
+        match outcome {
+            ForwardOutcome::Answered(status) => WriteState::Ended(WriteOutcome::Completed(status)),
+            ForwardOutcome::Unknown => WriteState::Ended(WriteOutcome::Unknown),
+            ForwardOutcome::NotExecuted => {
+                self.retry_later(now, dot);
+                WriteState::Pending(attempt.saturating_add(1))
             }
         }
     }
 
-    /// What to do now. `void`: nobody of more than half holds this one, so that it was never accepted.
-    pub fn next(
+    fn retry_later(&mut self, now: Micros, dot: Dot) {
+        let doubled = |retry: &Retry| (retry.delay + retry.delay).min(MAX_RETRY_DELAY);
+        let delay = self.retries.get(&dot).map_or(FIRST_RETRY_DELAY, doubled);
+        self.retries.insert(dot, Retry { not_before: now + delay, delay });
+    }
+
+    /// What to do now. `is_void`: no quorum holds this write, so that it was never accepted.
+    pub fn next_steps(
         &mut self,
         now: Micros,
-        shelf: &Shelf,
-        terms: &Terms,
-        void: impl Fn(Dot) -> bool,
-    ) -> Vec<Step> {
-        if self.out.is_empty() && shelf.open() == 0 {
-            self.pace = Pace::default();
+        log: &WriteLog,
+        settings: &WriteQueueSettings,
+        is_void: impl Fn(Dot) -> bool,
+    ) -> Vec<ReplayStep> {
+        if self.in_flight.is_empty() && log.pending_count() == 0 {
+            self.rate = SendRate::default();
         }
-        let pace = self.pace.now(terms);
-        self.tokens = (self.tokens + pace * (now - self.filled).secs()).min((pace / 10.0).max(1.0));
-        self.filled = now;
-        self.not_before.retain(|dot, _| shelf.get(*dot).is_some_and(|e| !e.state.is_over()));
+        self.bucket.fill(now, self.rate.per_second(settings));
+        self.retries.retain(|dot, _| log.get(*dot).is_some_and(|entry| !entry.state.is_ended()));
         let mut steps = Vec::new();
-        for entry in shelf.waiting().take(SCAN) {
+        for entry in log.pending().take(SCAN_LIMIT) {
             let dot = entry.write.dot;
-            if self.out.contains(&dot) || self.not_before.get(&dot).is_some_and(|(at, _)| now < *at) {
+            let must_wait = self.retries.get(&dot).is_some_and(|retry| now < retry.not_before);
+            if must_wait || self.in_flight.contains(&dot) {
                 continue;
             }
-            match self.judge(now, shelf, entry, terms, &void) {
-                Some(Step::Begin(dot, tries)) => {
-                    if self.out.len() >= terms.out || self.tokens < 1.0 {
-                        break;
-                    }
-                    self.tokens -= 1.0;
-                    self.out.insert(dot);
-                    steps.push(Step::Begin(dot, tries));
+            let Some(step) = next_step(now, log, entry, settings, &is_void) else { continue };
+            if let ReplayStep::Forward { .. } = step {
+                if self.in_flight.len() >= settings.max_in_flight || !self.bucket.try_take() {
+                    break;
                 }
-                Some(end) => steps.push(end),
-                None => {}
+                self.in_flight.insert(dot);
             }
+            steps.push(step);
         }
         steps
     }
+}
 
-    fn judge(
-        &self,
-        now: Micros,
-        shelf: &Shelf,
-        entry: &crate::cluster::write_queue::Entry,
-        terms: &Terms,
-        void: &impl Fn(Dot) -> bool,
-    ) -> Option<Step> {
-        let dot = entry.write.dot;
-        let tries = match entry.state {
-            // An owner before this one may have sent it, and may yet hear how that ends.
-            State::Sent(_) if entry.sent.is_some_and(|at| now - at < terms.patience) => return None,
-            State::Sent(tries) => return Some(Step::Begin(dot, tries.saturating_add(1))),
-            State::Waiting(tries) => tries,
-            State::Ended(_) => return None,
-        };
-        match passed(shelf, &entry.write.after, terms, void) {
-            Passed::Yes => {}
-            Passed::NotYet => return None,
-            Passed::Never(of) => return Some(Step::End(dot, End::Stopped(of))),
+/// What is to be done with a write that is not in flight here.
+fn next_step(
+    now: Micros,
+    log: &WriteLog,
+    entry: &LogEntry,
+    settings: &WriteQueueSettings,
+    is_void: &impl Fn(Dot) -> bool,
+) -> Option<ReplayStep> {
+    let dot = entry.write.dot;
+    let attempt = match entry.state {
+        // An owner before this one may have forwarded it, and may yet hear how that ends.
+        WriteState::Sent(_) if entry.first_sent_at.is_some_and(|at| now - at < settings.send_timeout) => {
+            return None
         }
-        if entry.sent.is_none() && now - entry.born >= terms.longest {
-            return Some(Step::End(dot, End::Expired));
+        WriteState::Sent(attempt) => {
+            return Some(ReplayStep::Forward { dot, attempt: attempt.saturating_add(1) })
         }
-        // Of two on one object that know nothing of each other the later place stands, at every gateway.
-        let later = shelf
-            .on_object(entry.write.object)
-            .filter(|o| (o.write.place, o.write.dot) > (entry.write.place, dot))
-            .find(|o| !knows(shelf, &o.write.after, dot));
-        if let Some(rival) = later.filter(|_| entry.sent.is_none()) {
-            return Some(Step::End(dot, End::Superseded(rival.write.dot)));
-        }
-        Some(Step::Begin(dot, tries))
+        WriteState::Pending(attempts) => attempts,
+        WriteState::Ended(_) => return None,
+    };
+    match readiness(log, &entry.write.dependencies, settings, is_void) {
+        Readiness::Ready => {}
+        Readiness::Waiting => return None,
+        Readiness::Blocked(by) => return Some(ReplayStep::End { dot, outcome: WriteOutcome::Blocked(by) }),
+    }
+    let was_sent = entry.first_sent_at.is_some();
+    if !was_sent && now - entry.accepted_at >= settings.max_age {
+        return Some(ReplayStep::End { dot, outcome: WriteOutcome::Expired });
+    }
+    if let Some(rival) = superseding(log, entry).filter(|_| !was_sent) {
+        return Some(ReplayStep::End { dot, outcome: WriteOutcome::Superseded(rival) });
     }
+    Some(ReplayStep::Forward { dot, attempt })
 }
 
-enum Passed {
-    Yes,
-    NotYet,
-    Never(Dot),
+/// Of two concurrent writes on one object the later position stands, at every gateway alike.
+fn superseding(log: &WriteLog, entry: &LogEntry) -> Option<Dot> {
+    let own = (entry.write.position, entry.write.dot);
+    let mut later = log
+        .pending_on_object(entry.write.object)
+        .filter(|other| (other.write.position, other.write.dot) > own)
+        .filter(|other| !depends_on(log, &other.write.dependencies, entry.write.dot));
+    later.next().map(|other| other.write.dot)
 }
 
-/// Whether all of these have an end, and whether that lets what comes after them go. One that was given up before its
-/// turn says nothing of those before it: these are looked at as well.
-fn passed(shelf: &Shelf, after: &[Dot], terms: &Terms, void: &impl Fn(Dot) -> bool) -> Passed {
-    let (mut open, mut seen) = (after.to_vec(), BTreeSet::new());
-    while let Some(dot) = open.pop().filter(|_| seen.len() < SCAN) {
-        if !seen.insert(dot) {
+/// Whether a write's dependencies let it go.
+enum Readiness {
+    Ready,
+    Waiting,
+    Blocked(Dot),
+}
+
+/// Whether all of these have an end, and one that lets the writes behind them go. One that expired before its turn says
+/// nothing of those that it depends on: these are looked at as well.
+fn readiness(
+    log: &WriteLog,
+    dependencies: &[Dot],
+    settings: &WriteQueueSettings,
+    is_void: &impl Fn(Dot) -> bool,
+) -> Readiness {
+    let mut to_check = dependencies.to_vec();
+    let mut checked = BTreeSet::new();
+    while let Some(dot) = to_check.pop().filter(|_| checked.len() < SCAN_LIMIT) {
+        if !checked.insert(dot) {
             continue;
         }
-        let Some(entry) = shelf.get(dot) else {
-            if void(dot) {
+        let Some(entry) = log.get(dot) else {
+            if is_void(dot) {
                 continue;
             }
-            return Passed::NotYet;
+            return Readiness::Waiting;
         };
-        match entry.state {
-            State::Ended(End::Done(status)) if status < 400 => {}
-            State::Ended(End::Superseded(_)) => {}
-            State::Ended(End::Expired) if entry.sent.is_none() => open.extend(&entry.write.after),
-            State::Ended(_) if !terms.stop.contains(&entry.write.class) => {}
-            State::Ended(_) => return Passed::Never(dot),
-            State::Waiting(_) | State::Sent(_) => return Passed::NotYet,
+        let WriteState::Ended(outcome) = entry.state else { return Readiness::Waiting };
+        match outcome {
+            WriteOutcome::Completed(_) if outcome.is_success() => {}
+            WriteOutcome::Superseded(_) => {}
+            WriteOutcome::Expired if entry.first_sent_at.is_none() => {
+                to_check.extend(&entry.write.dependencies);
+            }
+            _ if settings.blocking_classes.contains(&entry.write.class) => return Readiness::Blocked(dot),
+            _ => {}
         }
     }
-    Passed::Yes
+    Readiness::Ready
 }
 
-/// Whether one of these comes after that one, however far back, or may: what is not held here can't be looked through.
-fn knows(shelf: &Shelf, after: &[Dot], of: Dot) -> bool {
-    let mut open: Vec<Dot> = after.to_vec();
-    let mut seen = BTreeSet::new();
-    while let Some(dot) = open.pop() {
-        if dot == of {
+/// Whether one of these depends on that write, however far back, or may: what is not held here can't be looked through.
+fn depends_on(log: &WriteLog, dependencies: &[Dot], on: Dot) -> bool {
+    let mut to_check = dependencies.to_vec();
+    let mut checked = BTreeSet::new();
+    while let Some(dot) = to_check.pop() {
+        if dot == on {
             return true;
         }
-        if seen.insert(dot) {
-            let Some(entry) = shelf.get(dot) else { return true };
-            open.extend(&entry.write.after);
+        if checked.insert(dot) {
+            let Some(entry) = log.get(dot) else { return true };
+            to_check.extend(&entry.write.dependencies);
         }
     }
     false
--- a/src/cluster/write_queue/replica.rs
+++ b/src/cluster/write_queue/replica.rs
@@ -1,350 +1,370 @@
-//! One gateway's part in its branch: it accepts writes with the others' votes, holds theirs, keeps up with them, and,
-//! while it owns the branch's record, sends them on.
+//! One gateway's part in its branch: it accepts writes with the others' votes, holds theirs, keeps up with them and,
+//! while it owns the branch's record, forwards them.
 
 mod accept;
 mod catch_up;
 mod notify;
-use crate::cluster::write_queue::replay::{Replay, Step};
-use crate::cluster::write_queue::write::{LONGEST, MOST_AFTER};
-use crate::cluster::write_queue::{Dot, End, Entry, Fate, Line, Message, Shelf, State, Terms, Write};
-use crate::cluster::Micros;
+mod store;
+
+use super::message::QueueMessage;
+use super::replay::Replay;
+use super::settings::WriteQueueSettings;
+use super::uplink::UplinkMonitor;
+use super::write::{Dot, Write, WriteOutcome, WriteState};
+use super::write_log::{LogEntry, WriteLog};
+use crate::decision::api::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A write that has not the votes by then is refused, as without a branch.
-const ACCEPT: Micros = Micros(400_000);
-/// What is not answered is said again after this.
-const AGAIN: Micros = Micros(60_000);
-/// Between two rounds of asking all others for what they hold.
-const ROUND: Micros = Micros(1_000_000);
-/// Names in one page.
-const PAGE: usize = 40;
+/// What is not answered is sent again after this.
+const RESEND_AFTER: Micros = Micros(60_000);
 /// The most writes that are asked for or sent at once.
-const FETCH: usize = 20;
-/// Writes that wait for their votes at once.
-const MOST_OPEN: usize = 500;
-/// Between two words on the line.
-const LINE: Micros = Micros(250_000);
-/// A branch of which all are new, as far as they see, begins anew after this: nobody holds anything.
-const ALL_NEW: Micros = Micros(5_000_000);
-/// A time that was told is off by no more than a datagram may be under way.
-const UNDER_WAY: Micros = Micros(100_000);
-const SWEEP: Micros = Micros(1_000_000);
+const FETCH_LIMIT: usize = 20;
+/// Writes in one page of what a replica holds.
+const PAGE_LIMIT: usize = 40;
+/// Between two messages on the own uplink.
+const UPLINK_REPORT_INTERVAL: Micros = Micros(250_000);
+/// Between two looks for writes that have expired.
+const EXPIRY_INTERVAL: Micros = Micros(1_000_000);
 
-/// What a clerk wants done.
+/// What a replica wants done.
 #[derive(Debug)]
-pub enum Telling {
+pub enum QueueEffect {
     /// Send this to a seat.
-    To(u16, Message),
+    Send {
+        /// The seat.
+        to: u16,
+        /// What it is told.
+        message: QueueMessage,
+    },
     /// A write that was asked for here is accepted under this name, or not.
-    Accepted(Dot, bool),
-    /// Send this write on, in this try; it may have been sent before, at this time first.
-    Send(Write, u16, Option<Micros>),
-    /// A write that was accepted ended otherwise than done.
-    NotDone(Dot, End),
-    /// The branch is cut off from now on, or no longer; the last answer came so long ago.
-    Cut(bool, Micros),
+    Decided {
+        /// The write.
+        dot: Dot,
+        /// Whether it is accepted.
+        accepted: bool,
+    },
+    /// Forward this write.
+    Forward {
+        /// The write.
+        write: Write,
+        /// In which attempt.
+        attempt: u16,
+        /// When it was first forwarded, where an owner before may have done so.
+        first_sent_at: Option<Micros>,
+    },
+    /// A write that was accepted ended otherwise than completed.
+    NotCompleted {
+        /// The write.
+        dot: Dot,
+        /// How it ended.
+        outcome: WriteOutcome,
+    },
+    /// The branch is isolated from now on, or no longer.
+    IsolationChanged {
+        /// Whether it is.
+        isolated: bool,
+        /// How long ago the last response came.
+        since_response: Micros,
+    },
 }
 
 /// What a client that asks for a write is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Status {
+pub enum WriteStatus {
     /// What is known of it.
-    Known(State),
+    Known(WriteState),
     /// Nobody here knows it: too old, lost with all that held it, or never accepted.
     Lost,
 }
 
-/// Figures.
+/// How many writes came to what.
 #[derive(Debug, Clone, Default)]
-pub struct Tallies {
-    /// Writes accepted here, and refused for want of votes or room.
+pub struct QueueCounts {
+    /// Accepted here.
     pub accepted: u64,
-    /// Refused.
-    pub refused: u64,
-    /// Writes that were sent on from here, and how they ended.
-    pub sent: u64,
-    /// Done.
-    pub done: u64,
+    /// Rejected here for want of votes or capacity.
+    pub rejected: u64,
+    /// Forwarded from here.
+    pub forwarded: u64,
+    /// Of them, completed.
+    pub completed: u64,
     /// Ended otherwise.
-    pub not_done: u64,
+    pub not_completed: u64,
+}
+
+/// What a replica says of its writes for one customer and object.
+struct Heads {
+    newest: Vec<Dot>,
+    position: u64,
 }
 
 /// A write that waits for its votes.
-struct Opening {
+struct PendingAccept {
     write: Write,
     since: Micros,
-    said: Micros,
-    /// Heads heard, by seat; once more than half have spoken, who holds it.
-    heads: BTreeMap<u16, (Vec<Dot>, u64)>,
-    held: Option<BTreeSet<u16>>,
+    /// When its messages were last sent.
+    sent_at: Micros,
+    /// By seat, this one among them.
+    heads: BTreeMap<u16, Heads>,
+    /// Who holds the write, once a quorum has told its heads.
+    held_by: Option<BTreeSet<u16>>,
 }
 
-/// A state that is said until more than half have it.
-struct Saying {
-    state: State,
-    held: BTreeSet<u16>,
-    said: Micros,
-    /// It is sent on once they have; `Some(true)`: an owner before may have sent it already.
-    then_send: Option<bool>,
+/// A state of a write that is announced until a quorum holds it.
+struct Announcement {
+    state: WriteState,
+    held_by: BTreeSet<u16>,
+    /// When it was last sent.
+    sent_at: Micros,
+    /// What follows once a quorum holds it.
+    then: AfterAnnouncement,
 }
 
-/// A round of asking one other for all it holds.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum AfterAnnouncement {
+    Nothing,
+    /// The write is forwarded.
+    Forward {
+        /// An owner before this one may have forwarded it already.
+        may_have_run: bool,
+    },
+}
+
+/// A walk through all that another replica holds, page by page.
 #[derive(Default)]
-struct Walk {
+struct CatchUp {
+    /// The token of the page that is asked for; 0: none is.
     round: u64,
-    /// Where this page begins and, once it is here, where it ends.
+    /// Where the page begins.
     after: Option<Dot>,
-    to: Option<Dot>,
-    asked: Micros,
-    /// Rounds that came to their end, all of it being here then.
-    ended: u64,
-    voted: bool,
-    /// Names of this page of which the other knows more.
+    /// Where it ends, once it is here.
+    until: Option<Dot>,
+    asked_at: Micros,
+    /// Walks that came to their end, all of it being here then.
+    completed: u64,
+    peer_has_vote: bool,
+    /// Writes of this page of which the other knows more.
     missing: BTreeSet<Dot>,
-    last: bool,
+    is_last_page: bool,
+}
+
+impl CatchUp {
+    fn is_walking(&self) -> bool {
+        self.round > 0
+    }
 }
 
-/// The part.
-pub struct Clerk {
-    own: u16,
-    terms: Terms,
-    life: u32,
-    number: u32,
-    token: u64,
-    shelf: Shelf,
+/// One gateway's part in its branch.
+pub struct QueueReplica {
+    own_seat: u16,
+    settings: WriteQueueSettings,
+    process: u32,
+    last_number: u32,
+    last_token: u64,
+    log: WriteLog,
     /// It holds all that it could have held before its start.
-    votes: bool,
-    /// Its disk is not read yet, or takes nothing more: it has no vote, whatever it holds.
-    barred: bool,
-    born: Micros,
-    walks: BTreeMap<u16, Walk>,
-    /// When the last rounds at more than half began and how many such there were.
-    rounds: u64,
-    opening: BTreeMap<u64, Opening>,
-    saying: BTreeMap<Dot, Saying>,
+    has_vote: bool,
+    /// Its storage is not read yet, or takes nothing more: it has no vote, whatever it holds.
+    is_barred: bool,
+    started_at: Micros,
+    catch_ups: BTreeMap<u16, CatchUp>,
+    /// How many walks a quorum, this one among it, has completed.
+    completed_walks: u64,
+    pending_accepts: BTreeMap<u64, PendingAccept>,
+    announcements: BTreeMap<Dot, Announcement>,
     replay: Replay,
-    /// Rounds that were over when this one took the lead, and when each missing name was first missed.
-    led_from: Option<u64>,
-    missed: BTreeMap<Dot, u64>,
-    line: Line,
-    line_at: Micros,
-    sweep_at: Micros,
-    cut: bool,
-    /// Figures.
-    pub tallies: Tallies,
+    /// `completed_walks` when this one took the lead.
+    leads_since_walk: Option<u64>,
+    /// `completed_walks` when each missing dependency was first missed.
+    missing_since_walk: BTreeMap<Dot, u64>,
+    uplink: UplinkMonitor,
+    uplink_reported_at: Micros,
+    next_expiry: Micros,
+    is_isolated: bool,
+    /// How many writes came to what.
+    pub counts: QueueCounts,
 }
 
-impl Clerk {
-    /// For the gateway in this seat.
-    pub fn new(own: u16, terms: Terms, life: u64, now: Micros) -> Clerk {
-        let others = terms.seats.iter().filter(|seat| **seat != own);
-        let walks = others.map(|seat| (*seat, Walk { asked: Micros(0), ..Walk::default() })).collect();
-        Clerk {
-            own,
-            votes: terms.seats.len() == 1,
-            walks,
-            terms,
-            life: life as u32,
-            number: 0,
-            token: life,
-            shelf: Shelf::default(),
-            barred: false,
-            born: now,
-            rounds: 0,
-            opening: BTreeMap::new(),
-            saying: BTreeMap::new(),
+impl QueueReplica {
+    /// For the gateway in this seat; `process` is drawn at random.
+    pub fn new(own_seat: u16, settings: WriteQueueSettings, process: u64, now: Micros) -> QueueReplica {
+        let others = settings.seats.iter().filter(|seat| **seat != own_seat);
+        QueueReplica {
+            own_seat,
+            has_vote: settings.is_single(),
+            catch_ups: others.map(|seat| (*seat, CatchUp::default())).collect(),
+            settings,
+            process: process as u32,
+            last_number: 0,
+            last_token: process,
+            log: WriteLog::default(),
+            is_barred: false,
+            started_at: now,
+            completed_walks: 0,
+            pending_accepts: BTreeMap::new(),
+            announcements: BTreeMap::new(),
             replay: Replay::default(),
-            led_from: None,
-            missed: BTreeMap::new(),
-            line: Line::new(now),
-            line_at: now,
-            sweep_at: now,
-            cut: false,
-            tallies: Tallies::default(),
+            leads_since_walk: None,
+            missing_since_walk: BTreeMap::new(),
+            uplink: UplinkMonitor::new(now),
+            uplink_reported_at: now,
+            next_expiry: now,
+            is_isolated: false,
+            counts: QueueCounts::default(),
         }
     }
 
-    /// It has no vote until its disk is read, and notes what changes from then on.
-    pub fn await_disk(&mut self) {
-        (self.barred, self.votes) = (true, false);
-        self.shelf.note_changes();
+    /// It has no vote until its storage is read, and notes what changes from then on.
+    pub fn await_storage(&mut self) {
+        self.is_barred = true;
+        self.has_vote = false;
+        self.log.track_changes();
     }
-    /// Its disk is read and held this. `all`: an earlier life had a vote, and all that it said is among it.
-    pub fn remember(&mut self, now: Micros, entries: Vec<Entry>, all: bool) {
-        for entry in entries.iter().filter(|entry| entry.write.is_sound()) {
-            self.shelf.take(now, &entry.write, entry.state, entry.born, entry.sent);
+
+    /// Its storage is read and held these. `complete`: an earlier process had a vote, and all that it said is among them.
+    pub fn restore(&mut self, now: Micros, entries: &[LogEntry], complete: bool) {
+        for entry in entries.iter().filter(|entry| entry.write.fits()) {
+            self.log.merge(now, &entry.write, entry.state, entry.accepted_at, entry.first_sent_at);
         }
-        // It is there already.
-        self.shelf.take_changed();
-        (self.barred, self.born) = (false, now);
-        self.votes = all || self.terms.seats.len() == 1;
+        // It is stored already.
+        self.log.take_changed();
+        self.is_barred = false;
+        self.started_at = now;
+        self.has_vote = complete || self.settings.is_single();
     }
-    /// Its disk takes nothing more: it gives up its vote, and holds on to what it holds. What waits for votes is refused,
-    /// and what was not sent by now is not sent from here: its own word on them was never on the disk.
-    pub fn lose_disk(&mut self, now: Micros, out: &mut Vec<Telling>) {
-        (self.barred, self.votes) = (true, false);
-        self.shelf.note_no_changes();
-        self.saying.retain(|_, saying| saying.then_send.is_none());
-        self.opening.values_mut().for_each(|opening| opening.since = Micros(0));
-        self.openings(now, out);
+
+    /// Its storage takes nothing more: it gives up its vote, and keeps what it holds. Writes that wait for votes are
+    /// rejected, and what was not forwarded by now is not forwarded from here: its own word on them was never stored.
+    pub fn lose_storage(&mut self, now: Micros, out: &mut Vec<QueueEffect>) {
+        self.is_barred = true;
+        self.has_vote = false;
+        self.log.stop_tracking_changes();
+        self.cancel_forwards();
+        for pending in self.pending_accepts.values_mut() {
+            pending.since = Micros(0);
+        }
+        self.tick_accepts(now, out);
     }
+
     /// What has changed since this was last called, and what is held of it now.
-    pub fn take_changed(&mut self) -> Vec<(Dot, Option<Entry>)> {
-        let changed = self.shelf.take_changed();
-        changed.into_iter().map(|dot| (dot, self.shelf.get(dot).cloned())).collect()
+    pub fn take_changed(&mut self) -> Vec<(Dot, Option<LogEntry>)> {
+        let changed = self.log.take_changed();
+        changed.into_iter().map(|dot| (dot, self.log.get(dot).cloned())).collect()
     }
 
     /// What it holds.
-    pub fn shelf(&self) -> &Shelf {
-        &self.shelf
+    pub fn log(&self) -> &WriteLog {
+        &self.log
     }
+
     /// Whether it has a vote.
-    pub fn votes(&self) -> bool {
-        self.votes
+    pub fn has_vote(&self) -> bool {
+        self.has_vote
     }
-    /// Whether the branch is cut off.
-    pub fn is_cut(&self) -> bool {
-        self.cut
+
+    /// Whether the branch is isolated from the backends.
+    pub fn is_isolated(&self) -> bool {
+        self.is_isolated
     }
-    /// How many are out.
-    pub fn out(&self) -> usize {
-        self.replay.out()
+
+    /// How many writes are in flight from here.
+    pub fn in_flight(&self) -> usize {
+        self.replay.in_flight()
     }
+
     /// What became of a write.
-    pub fn status(&self, dot: Dot) -> Status {
-        self.shelf.get(dot).map_or(Status::Lost, |entry| Status::Known(entry.state))
+    pub fn status(&self, dot: Dot) -> WriteStatus {
+        self.log.get(dot).map_or(WriteStatus::Lost, |entry| WriteStatus::Known(entry.state))
     }
-    /// Whether a write is to be accepted rather than sent: the branch is cut off, or writes of this customer or on
-    /// this object wait still.
-    pub fn takes(&self, customer: u64, object: u64) -> bool {
-        self.cut || self.shelf.lines_up(customer, object)
+
+    /// Whether a write is to be queued rather than sent: the branch is isolated, or writes of this customer or on this
+    /// object are pending still.
+    pub fn should_queue(&self, customer: u64, object: u64) -> bool {
+        self.is_isolated || self.log.has_pending_for(customer, object)
+    }
+
+    /// An attempt at a backend got a response, or none.
+    pub fn record_attempt(&mut self, now: Micros, responded: bool) {
+        self.uplink.record_attempt(now, responded, &self.settings);
     }
 
-    /// An attempt outside was answered, or not.
-    pub fn saw(&mut self, now: Micros, answered: bool) {
-        self.line.saw(now, answered, &self.terms);
+    fn peers(&self) -> Vec<u16> {
+        self.catch_ups.keys().copied().collect()
     }
 
-    fn others(&self) -> Vec<u16> {
-        self.walks.keys().copied().collect()
+    fn next_token(&mut self) -> u64 {
+        self.last_token += 1;
+        self.last_token
     }
 
-    /// Another gateway of the branch speaks.
-    pub fn hear(&mut self, now: Micros, seat: u16, message: Message, out: &mut Vec<Telling>) {
-        if !self.walks.contains_key(&seat) {
+    /// Handles a message of another gateway of the branch.
+    pub fn on_message(&mut self, now: Micros, from: u16, message: QueueMessage, out: &mut Vec<QueueEffect>) {
+        if !self.catch_ups.contains_key(&from) {
             return;
         }
         match message {
-            Message::Ask(token, customer, object) => {
-                let heads = self.shelf.heads(now, customer, object);
-                let heads = Message::Heads(token, heads, self.shelf.place(), self.votes);
-                out.push(Telling::To(seat, heads));
-            }
-            Message::Heads(token, heads, place, votes) => {
-                if let Some(opening) = self.opening.get_mut(&token).filter(|_| votes) {
-                    opening.heads.insert(seat, (heads, place));
-                    self.go_on(now, token, out);
-                }
-            }
-            Message::Hold(write, state, age, sent_ago) => {
-                self.hold(now, seat, &write, state, age, sent_ago, out)
+            QueueMessage::QueryHeads { token, customer, object } => {
+                let heads = self.log.heads(now, customer, object);
+                let position = self.log.highest_position();
+                let message = QueueMessage::Heads { token, heads, position, has_vote: self.has_vote };
+                out.push(QueueEffect::Send { to: from, message });
             }
-            Message::Held(dot, state) => self.held(now, seat, dot, state, out),
-            Message::Full(_) => {}
-            Message::Want(round, after) => {
-                let (page, more) = self.shelf.behind(after, PAGE);
-                out.push(Telling::To(seat, Message::Page(round, page, more, self.votes)));
+            QueueMessage::Heads { token, heads, position, has_vote } => {
+                let heads = Heads { newest: heads, position };
+                self.on_heads(now, from, token, heads, has_vote, out);
             }
-            Message::Page(round, page, more, votes) => self.page(now, seat, (round, page, more, votes), out),
-            Message::Fetch(dots) => {
-                for dot in dots.into_iter().take(FETCH) {
-                    out.extend(self.hold_of(now, dot).map(|hold| Telling::To(seat, hold)));
+            QueueMessage::Replicate(replicated) => self.on_replicate(now, from, &replicated, out),
+            QueueMessage::Acknowledge { dot, state } => self.on_acknowledge(now, from, dot, state, out),
+            QueueMessage::Rejected { .. } => {}
+            QueueMessage::QueryPage { round, after } => self.send_page(from, round, after, out),
+            QueueMessage::Page(page) => self.on_page(now, from, &page, out),
+            QueueMessage::Fetch(dots) => {
+                for dot in dots.into_iter().take(FETCH_LIMIT) {
+                    let message = self.replicate_message(now, dot);
+                    out.extend(message.map(|message| QueueEffect::Send { to: from, message }));
                 }
             }
-            Message::Line(_, down) => self.line.hear(now, seat, down),
+            QueueMessage::UplinkStatus { is_down, .. } => {
+                self.uplink.record_peer_status(now, from, is_down);
+            }
         }
     }
 
-    #[allow(clippy::too_many_arguments)]
-    fn hold(
-        &mut self,
-        now: Micros,
-        seat: u16,
-        write: &Write,
-        state: State,
-        age: Micros,
-        sent_ago: Option<Micros>,
-        out: &mut Vec<Telling>,
-    ) {
-        let dot = write.dot;
-        let known = self.shelf.get(dot).is_some();
-        // What all forget after a while must not go round for ever.
-        let stale = !known
-            && state.is_over()
-            && age >= crate::cluster::write_queue::write_log::REMEMBERED + self.terms.longest;
-        if stale {
-            self.has_come(seat, dot);
-            return self.walk_on(now, seat, out);
-        }
-        if !write.is_sound() || !known && !state.is_over() && self.shelf.open() >= self.terms.most * 2 {
-            return out.push(Telling::To(seat, Message::Full(dot)));
+    /// To be called as time passes. `acts`: the branch's record is surely this one's now; `leads`: and for a while.
+    pub fn tick(&mut self, now: Micros, leads: bool, acts: bool, out: &mut Vec<QueueEffect>) {
+        self.tick_accepts(now, out);
+        self.tick_announcements(now, out);
+        self.tick_catch_ups(now, out);
+        self.tick_uplink(now, out);
+        if now >= self.next_expiry {
+            self.next_expiry = now + EXPIRY_INTERVAL;
+            self.log.remove_expired(now, &self.settings);
         }
-        // Somewhat earlier rather than later: the time in which repeats are dropped must not seem longer.
-        let sent = sent_ago.map(|ago| now - ago - UNDER_WAY);
-        self.shelf.take(now, write, state, now - age, sent);
-        self.has_come(seat, dot);
-        self.missed.remove(&dot);
-        // One that is new has a vote here once all is here that it comes after.
-        let missing = if state == State::Waiting(0) { self.shelf.missing(&write.after) } else { Vec::new() };
-        match self.shelf.get(dot).map(|e| e.state) {
-            Some(state) if self.votes && missing.is_empty() => {
-                out.push(Telling::To(seat, Message::Held(dot, state)));
-            }
-            _ if !missing.is_empty() => out.push(Telling::To(seat, Message::Fetch(missing))),
-            _ => {}
-        }
-        if !known {
-            let lacked: Vec<u64> =
-                self.opening.iter().filter(|(_, o)| o.held.is_none()).map(|(token, _)| *token).collect();
-            lacked.into_iter().for_each(|token| self.go_on(now, token, out));
+        self.update_vote(now);
+        if leads && acts && !self.is_isolated && self.has_vote {
+            self.forward_next(now, out);
+        } else if !acts {
+            // Whoever leads now may begin the same: what was not forwarded by then is not forwarded from here.
+            self.leads_since_walk = None;
+            self.cancel_forwards();
         }
-        self.walk_on(now, seat, out);
     }
 
-    /// Time went by. `acts`: the branch's record is surely this one's now; `leads`: and for a while.
-    pub fn tick(&mut self, now: Micros, leads: bool, acts: bool, out: &mut Vec<Telling>) {
-        self.openings(now, out);
-        self.sayings(now, out);
-        self.ask_rounds(now, out);
-        if now - self.line_at >= LINE {
-            self.line_at = now;
-            let (down, answered) = self.line.own(now);
-            out.extend(
-                self.others().into_iter().map(|seat| Telling::To(seat, Message::Line(answered, down))),
-            );
-            let cut = self.line.update(now, &self.terms);
-            if std::mem::replace(&mut self.cut, cut) != cut {
-                out.push(Telling::Cut(cut, answered));
-            }
+    fn tick_uplink(&mut self, now: Micros, out: &mut Vec<QueueEffect>) {
+        if now - self.uplink_reported_at < UPLINK_REPORT_INTERVAL {
+            return;
         }
-        if now >= self.sweep_at {
-            self.sweep_at = now + SWEEP;
-            self.shelf.sweep(now, &self.terms);
+        self.uplink_reported_at = now;
+        let is_down = self.uplink.is_down();
+        let since_response = self.uplink.since_response(now);
+        for to in self.peers() {
+            let message = QueueMessage::UplinkStatus { since_response, is_down };
+            out.push(QueueEffect::Send { to, message });
         }
-        self.rounds_over(now);
-        if leads && acts && !self.cut && self.votes {
-            self.send_on(now, out);
-        } else if !acts {
-            // Who leads now may begin the same: what was not sent by then is not sent from here.
-            self.led_from = None;
-            self.saying.retain(|_, saying| saying.then_send.is_none());
+        let isolated = self.uplink.update(now, &self.settings);
+        if isolated != self.is_isolated {
+            self.is_isolated = isolated;
+            out.push(QueueEffect::IsolationChanged { isolated, since_response });
         }
     }
 }
-
-/// What is said of a write.
-fn hold_of(shelf: &Shelf, now: Micros, dot: Dot) -> Option<Message> {
-    let entry = shelf.get(dot)?;
-    let sent_ago = entry.sent.map(|at| now - at);
-    Some(Message::Hold(Box::new(entry.write.clone()), entry.state, now - entry.born, sent_ago))
-}
--- a/src/cluster/write_queue/replica/accept.rs
+++ b/src/cluster/write_queue/replica/accept.rs
@@ -1,151 +1,232 @@
-//! Writes that wait for their votes: asked for, held by more than half, then accepted, or given up.
+//! Writes that wait for their votes: asked for, held by a quorum, then accepted, or rejected.
+//!
+//! Two rounds: a quorum tells the newest writes of the customer and of the object, on which the new one then depends;
+//! then a quorum holds it with all that it depends on.
 
-use crate::cluster::write_queue::replica::*;
+use super::{Heads, PendingAccept, QueueEffect, QueueReplica};
+use crate::cluster::write_queue::message::{QueueMessage, ReplicatedWrite};
+use crate::cluster::write_queue::write::{
+    Dot, Write, WriteOutcome, WriteRequest, WriteState, MAX_DEPENDENCIES, MAX_WRITE_BYTES,
+};
+use crate::decision::api::Micros;
+use std::collections::{BTreeMap, BTreeSet};
 
-impl Clerk {
+/// A write that has not the votes by then is rejected, as without a branch.
+const ACCEPT_TIMEOUT: Micros = Micros(400_000);
+/// The most writes that wait for their votes at once.
+const MAX_PENDING_ACCEPTS: usize = 500;
+/// What dependencies and a position add to a write, in bytes at most.
+const DEPENDENCY_BYTES: usize = 120;
+
+impl QueueReplica {
     /// A write is to be accepted; whether it is, is told later under this name. None: it can't be.
-    pub fn accept(
-        &mut self,
-        now: Micros,
-        (customer, object, class, key): (u64, u64, u16, u64),
-        payload: Vec<u8>,
-        out: &mut Vec<Telling>,
-    ) -> Option<Dot> {
-        // A client that comes again with its key meets its write, once more than half hold it.
-        if let Some(held) = self.shelf.same(customer, key).filter(|_| self.votes) {
-            let (write, dot) = (held.write.clone(), held.write.dot);
-            self.token += 1;
-            let held = Some(BTreeSet::from([self.own]));
-            let (since, said) = (now, Micros(0));
-            self.opening.insert(self.token, Opening { write, since, said, heads: BTreeMap::new(), held });
-            self.go_on(now, self.token, out);
-            return Some(dot);
-        }
-        let room = self.votes && self.opening.len() < MOST_OPEN && self.shelf.has_room(customer, &self.terms);
-        let dot = Dot { seat: self.own, life: self.life, number: self.number.checked_add(1)? };
-        let write = Write { dot, customer, object, class, key, place: 0, after: Vec::new(), payload };
-        if !room || postcard::to_allocvec(&write).map_or(true, |b| b.len() + 120 > LONGEST) {
-            self.tallies.refused += 1;
+    pub fn accept(&mut self, now: Micros, request: WriteRequest, out: &mut Vec<QueueEffect>) -> Option<Dot> {
+        // A client that comes again with its key meets its write, once a quorum holds it.
+        let known = self.log.find_by_key(request.customer, request.key).filter(|_| self.has_vote);
+        if let Some(write) = known.map(|entry| entry.write.clone()) {
+            return Some(self.accept_again(now, write, out));
+        }
+        let has_capacity = self.has_vote
+            && self.pending_accepts.len() < MAX_PENDING_ACCEPTS
+            && self.log.has_capacity(request.customer, &self.settings);
+        let number = self.last_number.checked_add(1)?;
+        let dot = Dot { seat: self.own_seat, process: self.process, number };
+        let WriteRequest { customer, object, class, key, payload } = request;
+        let (position, dependencies) = (0, Vec::new());
+        let write = Write { dot, customer, object, class, key, position, dependencies, payload };
+        let fits = postcard::to_allocvec(&write)
+            .is_ok_and(|bytes| bytes.len() + DEPENDENCY_BYTES <= MAX_WRITE_BYTES);
+        if !has_capacity || !fits {
+            self.counts.rejected += 1;
             return None;
         }
-        self.number = dot.number;
-        self.token += 1;
-        let token = self.token;
-        let own = (self.shelf.heads(now, customer, object), self.shelf.place());
-        let heads = BTreeMap::from([(self.own, own)]);
-        let opening = Opening { write, since: now, said: now, heads, held: None };
-        let ask = |seat| Telling::To(seat, Message::Ask(token, customer, object));
-        out.extend(self.others().into_iter().map(ask));
-        self.opening.insert(token, opening);
-        self.go_on(now, token, out);
+        self.last_number = number;
+        let token = self.next_token();
+        let own =
+            Heads { newest: self.log.heads(now, customer, object), position: self.log.highest_position() };
+        let heads = BTreeMap::from([(self.own_seat, own)]);
+        for to in self.peers() {
+            let message = QueueMessage::QueryHeads { token, customer, object };
+            out.push(QueueEffect::Send { to, message });
+        }
+        let pending = PendingAccept { write, since: now, sent_at: now, heads, held_by: None };
+        self.pending_accepts.insert(token, pending);
+        self.advance(now, token, out);
         Some(dot)
     }
 
-    /// Looks whether an opening has the votes for its next step.
-    pub(super) fn go_on(&mut self, now: Micros, token: u64, out: &mut Vec<Telling>) {
-        let majority = self.terms.majority();
-        let Some(opening) = self.opening.get_mut(&token) else { return };
-        if opening.held.is_none() && opening.heads.len() >= majority {
-            // Whatever was accepted before is known to one of them.
-            let mut after: Vec<Dot> =
-                opening.heads.values().flat_map(|(heads, _)| heads.iter().copied()).collect();
-            after.sort_unstable();
-            after.dedup();
-            if after.len() > MOST_AFTER {
-                // Too many at one time; the client comes again.
-                let dot = opening.write.dot;
-                self.opening.remove(&token);
-                self.tallies.refused += 1;
-                return out.push(Telling::Accepted(dot, false));
-            }
-            // It is held with all that it comes after, or that could be lost behind one that nobody accepted.
-            let mut lacks = false;
-            for (seat, (heads, _)) in &opening.heads {
-                let missing = self.shelf.missing(heads);
-                lacks |= !missing.is_empty();
-                if !missing.is_empty() && *seat != self.own {
-                    out.push(Telling::To(*seat, Message::Fetch(missing)));
-                }
-            }
-            if lacks {
-                return;
+    /// Asks for the votes of a write that is held already.
+    fn accept_again(&mut self, now: Micros, write: Write, out: &mut Vec<QueueEffect>) -> Dot {
+        let dot = write.dot;
+        let token = self.next_token();
+        let held_by = Some(BTreeSet::from([self.own_seat]));
+        let (since, sent_at) = (now, Micros(0));
+        let pending = PendingAccept { write, since, sent_at, heads: BTreeMap::new(), held_by };
+        self.pending_accepts.insert(token, pending);
+        self.advance(now, token, out);
+        dot
+    }
+
+    pub(super) fn on_heads(
+        &mut self,
+        now: Micros,
+        from: u16,
+        token: u64,
+        heads: Heads,
+        has_vote: bool,
+        out: &mut Vec<QueueEffect>,
+    ) {
+        if let Some(pending) = self.pending_accepts.get_mut(&token).filter(|_| has_vote) {
+            pending.heads.insert(from, heads);
+            self.advance(now, token, out);
+        }
+    }
+
+    /// Looks whether a pending write has the votes for its next step.
+    fn advance(&mut self, now: Micros, token: u64, out: &mut Vec<QueueEffect>) {
+        let quorum = self.settings.quorum();
+        let Some(pending) = self.pending_accepts.get(&token) else { return };
+        let heads_complete = pending.held_by.is_none() && pending.heads.len() >= quorum;
+        if heads_complete && !self.replicate_first(now, token, out) {
+            return;
+        }
+        let Some(pending) = self.pending_accepts.get(&token) else { return };
+        if pending.held_by.as_ref().is_some_and(|held_by| held_by.len() >= quorum) {
+            let dot = pending.write.dot;
+            self.pending_accepts.remove(&token);
+            self.counts.accepted += 1;
+            out.push(QueueEffect::Decided { dot, accepted: true });
+        }
+    }
+
+    /// Gives a write its dependencies and its position, and sends it to all; whether it was.
+    fn replicate_first(&mut self, now: Micros, token: u64, out: &mut Vec<QueueEffect>) -> bool {
+        let Some(pending) = self.pending_accepts.get_mut(&token) else { return false };
+        // Whatever was accepted before is known to one of them.
+        let all_heads = pending.heads.values().flat_map(|heads| heads.newest.iter().copied());
+        let dependencies: BTreeSet<Dot> = all_heads.collect();
+        if dependencies.len() > MAX_DEPENDENCIES {
+            // Too many at one time; the client comes again.
+            self.reject(token, out);
+            return false;
+        }
+        // It is held with all that it depends on, or that could be lost behind one that nobody accepted.
+        let mut lacks_any = false;
+        for (seat, heads) in &pending.heads {
+            let missing = self.log.missing(&heads.newest);
+            lacks_any |= !missing.is_empty();
+            if !missing.is_empty() && *seat != self.own_seat {
+                out.push(QueueEffect::Send { to: *seat, message: QueueMessage::Fetch(missing) });
             }
-            let place = opening.heads.values().map(|(_, place)| *place).max().unwrap_or(0).saturating_add(1);
-            (opening.write.after, opening.write.place) = (after, place);
-            opening.held = Some(BTreeSet::from([self.own]));
-            let write = opening.write.clone();
-            self.shelf.take(now, &write, State::Waiting(0), now, None);
-            let hold = Message::Hold(Box::new(write), State::Waiting(0), Micros(0), None);
-            out.extend(self.others().into_iter().map(|seat| Telling::To(seat, hold.clone())));
-        }
-        let Some(opening) = self.opening.get(&token) else { return };
-        if opening.held.as_ref().is_some_and(|held| held.len() >= majority) {
-            let dot = opening.write.dot;
-            self.opening.remove(&token);
-            self.tallies.accepted += 1;
-            out.push(Telling::Accepted(dot, true));
         }
+        if lacks_any {
+            return false;
+        }
+        let highest = pending.heads.values().map(|heads| heads.position).max().unwrap_or(0);
+        pending.write.position = highest.saturating_add(1);
+        pending.write.dependencies = dependencies.into_iter().collect();
+        pending.held_by = Some(BTreeSet::from([self.own_seat]));
+        let write = pending.write.clone();
+        let state = WriteState::Pending(0);
+        self.log.merge(now, &write, state, now, None);
+        let (age, since_first_send) = (Micros(0), None);
+        let replicated = ReplicatedWrite { write: Box::new(write), state, age, since_first_send };
+        for to in self.peers() {
+            let message = QueueMessage::Replicate(replicated.clone());
+            out.push(QueueEffect::Send { to, message });
+        }
+        true
+    }
+
+    /// A pending write is not accepted. Returns its name.
+    fn reject(&mut self, token: u64, out: &mut Vec<QueueEffect>) -> Option<Dot> {
+        let dot = self.pending_accepts.remove(&token)?.write.dot;
+        self.counts.rejected += 1;
+        out.push(QueueEffect::Decided { dot, accepted: false });
+        Some(dot)
     }
 
-    pub(super) fn held(&mut self, now: Micros, seat: u16, dot: Dot, state: State, out: &mut Vec<Telling>) {
-        let opened = self.opening.iter_mut().find(|(_, o)| o.write.dot == dot);
-        if let Some((token, held)) = opened.and_then(|(t, o)| Some((*t, o.held.as_mut()?))) {
-            if state == State::Ended(End::Expired) {
+    /// Another gateway holds a write in this state, with a vote.
+    pub(super) fn on_acknowledge(
+        &mut self,
+        now: Micros,
+        from: u16,
+        dot: Dot,
+        state: WriteState,
+        out: &mut Vec<QueueEffect>,
+    ) {
+        let of_dot = self.pending_accepts.iter_mut().find(|(_, pending)| pending.write.dot == dot);
+        if let Some((token, held_by)) = of_dot.and_then(|(t, p)| Some((*t, p.held_by.as_mut()?))) {
+            if state == WriteState::Ended(WriteOutcome::Expired) {
                 // It was withdrawn meanwhile.
-                self.opening.remove(&token);
-                self.tallies.refused += 1;
-                out.push(Telling::Accepted(dot, false));
+                self.reject(token, out);
             } else {
-                held.insert(seat);
-                self.go_on(now, token, out);
+                held_by.insert(from);
+                self.advance(now, token, out);
             }
         }
-        let Some(saying) = self.saying.get_mut(&dot) else { return };
-        if state.rank() > saying.state.rank() {
-            // Another knows better.
-            self.saying.remove(&dot);
-            return;
-        }
-        if state == saying.state {
-            saying.held.insert(seat);
-            self.said(dot, out);
+        self.on_announcement_held(from, dot, state, out);
+    }
+
+    /// Something that a pending write depends on may be here now.
+    pub(super) fn resume_accepts(&mut self, now: Micros, out: &mut Vec<QueueEffect>) {
+        let without_holders = self.pending_accepts.iter().filter(|(_, pending)| pending.held_by.is_none());
+        let tokens: Vec<u64> = without_holders.map(|(token, _)| *token).collect();
+        for token in tokens {
+            self.advance(now, token, out);
         }
     }
 
-    pub(super) fn openings(&mut self, now: Micros, out: &mut Vec<Telling>) {
-        let late: Vec<u64> =
-            self.opening.iter().filter(|(_, o)| now - o.since >= ACCEPT).map(|(token, _)| *token).collect();
+    /// Rejects what has waited for too long, and sends again what was not answered.
+    pub(super) fn tick_accepts(&mut self, now: Micros, out: &mut Vec<QueueEffect>) {
+        let is_late = |pending: &PendingAccept| now - pending.since >= ACCEPT_TIMEOUT;
+        let late = self.pending_accepts.iter().filter(|(_, pending)| is_late(pending));
+        let late: Vec<u64> = late.map(|(token, _)| *token).collect();
         for token in late {
-            if let Some(opening) = self.opening.remove(&token) {
-                self.tallies.refused += 1;
-                let dot = opening.write.dot;
-                out.push(Telling::Accepted(dot, false));
-                // Some may hold it: its client was told that it was not taken, and may come again.
-                self.say(now, dot, State::Ended(End::Expired), None, out);
+            if let Some(dot) = self.reject(token, out) {
+                // Some may hold it: its client was told that it was not accepted, and may come again.
+                self.announce(now, dot, WriteState::Ended(WriteOutcome::Expired), out);
             }
         }
-        let others = self.others();
-        let lacking: Vec<u64> = self
-            .opening
-            .iter()
-            .filter(|(_, o)| now - o.said >= AGAIN && o.held.is_none())
-            .map(|(token, _)| *token)
-            .collect();
-        lacking.into_iter().for_each(|token| self.go_on(now, token, out));
-        for (token, opening) in self.opening.iter_mut().filter(|(_, o)| now - o.said >= AGAIN) {
-            opening.said = now;
-            let write = &opening.write;
-            for seat in &others {
-                match &opening.held {
-                    None if !opening.heads.contains_key(seat) => {
-                        out.push(Telling::To(*seat, Message::Ask(*token, write.customer, write.object)));
-                    }
-                    Some(held) if !held.contains(seat) => {
-                        out.extend(hold_of(&self.shelf, now, write.dot).map(|hold| Telling::To(*seat, hold)));
-                    }
-                    _ => {}
-                }
+        let unsent = self.pending_accepts.iter();
+        let unsent = unsent.filter(|(_, p)| p.held_by.is_none() && Self::is_due(now, p.sent_at));
+        let unsent: Vec<u64> = unsent.map(|(token, _)| *token).collect();
+        for token in unsent {
+            self.advance(now, token, out);
+        }
+        self.resend_accepts(now, out);
+    }
+
+    fn resend_accepts(&mut self, now: Micros, out: &mut Vec<QueueEffect>) {
+        let peers = self.peers();
+        let due = self.pending_accepts.iter().filter(|(_, pending)| Self::is_due(now, pending.sent_at));
+        let due: Vec<u64> = due.map(|(token, _)| *token).collect();
+        for token in due {
+            let Some(pending) = self.pending_accepts.get_mut(&token) else { continue };
+            pending.sent_at = now;
+            let Some(pending) = self.pending_accepts.get(&token) else { continue };
+            for to in &peers {
+                let message = self.accept_message(now, token, pending, *to);
+                out.extend(message.map(|message| QueueEffect::Send { to: *to, message }));
+            }
+        }
+    }
+
+    /// What a peer has not answered yet of a pending write.
+    fn accept_message(
+        &self,
+        now: Micros,
+        token: u64,
+        pending: &PendingAccept,
+        to: u16,
+    ) -> Option<QueueMessage> {
+        let Write { dot, customer, object, .. } = pending.write;
+        match &pending.held_by {
+            None if !pending.heads.contains_key(&to) => {
+                Some(QueueMessage::QueryHeads { token, customer, object })
             }
+            Some(held_by) if !held_by.contains(&to) => self.replicate_message(now, dot),
+            _ => None,
         }
     }
 }
--- a/src/cluster/write_queue/replica/notify.rs
+++ b/src/cluster/write_queue/replica/notify.rs
@@ -1,116 +1,174 @@
-//! What became of writes, told until more than half have it; and, for the branch's owner, what goes out next.
+//! What became of writes, announced until a quorum holds it; and, for the branch's owner, what is forwarded next.
 
-use crate::cluster::write_queue::replica::*;
+use super::{AfterAnnouncement, Announcement, QueueEffect, QueueReplica};
+use crate::cluster::write_queue::replay::{ForwardOutcome, ReplayStep};
+use crate::cluster::write_queue::write::{Dot, WriteOutcome, WriteState};
+use crate::decision::api::Micros;
+use std::collections::BTreeSet;
 
-impl Clerk {
-    pub(super) fn hold_of(&self, now: Micros, dot: Dot) -> Option<Message> {
-        hold_of(&self.shelf, now, dot)
+/// A dependency that nobody of a quorum had in so many walks was never accepted.
+const WALKS_UNTIL_VOID: u64 = 2;
+
+impl QueueReplica {
+    /// Announces what became of a write, until a quorum holds it.
+    pub(super) fn announce(&mut self, now: Micros, dot: Dot, state: WriteState, out: &mut Vec<QueueEffect>) {
+        self.announce_then(now, dot, state, AfterAnnouncement::Nothing, out);
     }
 
-    /// Looks whether what was said of a write is held by more than half.
-    pub(super) fn said(&mut self, dot: Dot, out: &mut Vec<Telling>) {
-        let majority = self.terms.majority();
-        let Some(saying) = self.saying.get(&dot).filter(|s| s.held.len() >= majority) else { return };
-        let (state, then_send) = (saying.state, saying.then_send);
-        self.saying.remove(&dot);
-        if let (State::Sent(tries), Some(sent), Some(entry)) = (state, then_send, self.shelf.get(dot)) {
-            self.tallies.sent += 1;
-            out.push(Telling::Send(entry.write.clone(), tries, entry.sent.filter(|_| sent)));
+    fn announce_then(
+        &mut self,
+        now: Micros,
+        dot: Dot,
+        state: WriteState,
+        then: AfterAnnouncement,
+        out: &mut Vec<QueueEffect>,
+    ) {
+        let Some(entry) = self.log.get(dot).cloned() else { return };
+        let first_sent_at = match state {
+            WriteState::Sent(_) => Some(now),
+            WriteState::Pending(_) | WriteState::Ended(_) => entry.first_sent_at,
+        };
+        self.log.merge(now, &entry.write, state, entry.accepted_at, first_sent_at);
+        let held_by = BTreeSet::from([self.own_seat]);
+        self.announcements.insert(dot, Announcement { state, held_by, sent_at: now, then });
+        self.send_announcement(now, dot, out);
+        self.conclude_announcement(dot, out);
+    }
+
+    fn send_announcement(&self, now: Micros, dot: Dot, out: &mut Vec<QueueEffect>) {
+        let Some(message) = self.replicate_message(now, dot) else { return };
+        let held_by = self.announcements.get(&dot).map(|announcement| &announcement.held_by);
+        for to in self.peers() {
+            if held_by.is_none_or(|held_by| !held_by.contains(&to)) {
+                out.push(QueueEffect::Send { to, message: message.clone() });
+            }
         }
     }
 
-    /// Says what became of a write, until more than half have it.
-    pub(super) fn say(
+    pub(super) fn on_announcement_held(
         &mut self,
-        now: Micros,
+        by: u16,
         dot: Dot,
-        state: State,
-        then_send: Option<bool>,
-        out: &mut Vec<Telling>,
+        state: WriteState,
+        out: &mut Vec<QueueEffect>,
     ) {
-        let Some(entry) = self.shelf.get(dot) else { return };
-        let (write, born) = (entry.write.clone(), entry.born);
-        let sent = matches!(state, State::Sent(_)).then_some(now).or(entry.sent);
-        self.shelf.take(now, &write, state, born, sent);
-        let held = BTreeSet::from([self.own]);
-        self.saying.insert(dot, Saying { state, held, said: now, then_send });
-        self.say_again(now, dot, out);
-        self.said(dot, out);
+        let Some(announcement) = self.announcements.get_mut(&dot) else { return };
+        if state.rank() > announcement.state.rank() {
+            // Another knows better.
+            self.announcements.remove(&dot);
+            return;
+        }
+        if state == announcement.state {
+            announcement.held_by.insert(by);
+            self.conclude_announcement(dot, out);
+        }
     }
 
-    pub(super) fn say_again(&self, now: Micros, dot: Dot, out: &mut Vec<Telling>) {
-        let Some(hold) = self.hold_of(now, dot) else { return };
-        let held = self.saying.get(&dot).map(|s| &s.held);
-        let silent = self.others().into_iter().filter(|seat| held.is_none_or(|held| !held.contains(seat)));
-        out.extend(silent.map(|seat| Telling::To(seat, hold.clone())));
+    /// Looks whether an announcement is held by a quorum, and does what follows.
+    fn conclude_announcement(&mut self, dot: Dot, out: &mut Vec<QueueEffect>) {
+        let quorum = self.settings.quorum();
+        let Some(announcement) = self.announcements.get(&dot) else { return };
+        if announcement.held_by.len() < quorum {
+            return;
+        }
+        let (state, then) = (announcement.state, announcement.then);
+        self.announcements.remove(&dot);
+        let (WriteState::Sent(attempt), AfterAnnouncement::Forward { may_have_run }) = (state, then) else {
+            return;
+        };
+        let Some(entry) = self.log.get(dot) else { return };
+        self.counts.forwarded += 1;
+        let first_sent_at = entry.first_sent_at.filter(|_| may_have_run);
+        out.push(QueueEffect::Forward { write: entry.write.clone(), attempt, first_sent_at });
     }
 
-    pub(super) fn sayings(&mut self, now: Micros, out: &mut Vec<Telling>) {
-        let again: Vec<Dot> =
-            self.saying.iter().filter(|(_, s)| now - s.said >= AGAIN).map(|(dot, _)| *dot).collect();
-        for dot in again {
-            self.say_again(now, dot, out);
-            self.saying.get_mut(&dot).into_iter().for_each(|s| s.said = now);
+    pub(super) fn tick_announcements(&mut self, now: Micros, out: &mut Vec<QueueEffect>) {
+        let due = self.announcements.iter().filter(|(_, one)| Self::is_due(now, one.sent_at));
+        let due: Vec<Dot> = due.map(|(dot, _)| *dot).collect();
+        for dot in due {
+            self.send_announcement(now, dot, out);
+            if let Some(announcement) = self.announcements.get_mut(&dot) {
+                announcement.sent_at = now;
+            }
         }
     }
 
-    /// A send that was asked for was not begun, as the record was no longer surely this one's. Others may think it was.
-    pub fn dropped(&mut self, dot: Dot) {
+    /// Nothing that was not forwarded by now is forwarded.
+    pub(super) fn cancel_forwards(&mut self) {
+        self.announcements.retain(|_, one| one.then == AfterAnnouncement::Nothing);
+    }
+
+    /// A write that was to be forwarded was not, as the record was no longer surely this one's. Others may think it was.
+    pub fn on_forward_dropped(&mut self, dot: Dot) {
         self.replay.forget(dot);
     }
 
-    /// A send that was asked for ended.
-    pub fn finished(&mut self, now: Micros, dot: Dot, tries: u16, fate: Fate, out: &mut Vec<Telling>) {
-        let state = self.replay.finished(now, dot, tries, fate, &self.terms);
+    /// A forwarded write ended.
+    pub fn on_forwarded(
+        &mut self,
+        now: Micros,
+        dot: Dot,
+        attempt: u16,
+        outcome: ForwardOutcome,
+        out: &mut Vec<QueueEffect>,
+    ) {
+        let state = self.replay.on_forwarded(now, dot, attempt, outcome, &self.settings);
         match state {
-            State::Ended(End::Done(status)) if status < 400 => self.tallies.done += 1,
-            State::Ended(end) => {
-                self.tallies.not_done += 1;
-                out.push(Telling::NotDone(dot, end));
-            }
-            _ => {}
+            WriteState::Ended(outcome) if outcome.is_success() => self.counts.completed += 1,
+            WriteState::Ended(outcome) => self.count_not_completed(dot, outcome, out),
+            WriteState::Pending(_) | WriteState::Sent(_) => {}
         }
-        self.say(now, dot, state, None, out);
+        self.announce(now, dot, state, out);
     }
 
-    /// Sends on what may go: not before more than half told what they hold since this one took the lead.
-    pub(super) fn send_on(&mut self, now: Micros, out: &mut Vec<Telling>) {
-        let from = match self.led_from {
-            Some(from) => from,
+    fn count_not_completed(&mut self, dot: Dot, outcome: WriteOutcome, out: &mut Vec<QueueEffect>) {
+        self.counts.not_completed += 1;
+        out.push(QueueEffect::NotCompleted { dot, outcome });
+    }
+
+    /// Forwards what may go: not before a quorum told what it holds since this one took the lead.
+    pub(super) fn forward_next(&mut self, now: Micros, out: &mut Vec<QueueEffect>) {
+        let is_single = self.settings.is_single();
+        let since = match self.leads_since_walk {
+            Some(since) => since,
             None => {
-                // Rounds that had begun before may have missed what an owner before this one said last.
-                self.led_from = Some(self.rounds);
-                self.walks.values_mut().for_each(|walk| (walk.round, walk.asked) = (0, Micros(0)));
-                self.ask_rounds(now, out);
-                self.rounds
+                // Walks that had begun before may have missed what an owner before this one said last.
+                self.leads_since_walk = Some(self.completed_walks);
+                self.restart_walks();
+                self.tick_catch_ups(now, out);
+                self.completed_walks
             }
         };
-        if self.terms.seats.len() > 1 && self.rounds < from + 1 {
+        if !is_single && self.completed_walks < since + 1 {
             return;
         }
-        let rounds = self.rounds;
-        let missing =
-            self.shelf.waiting().flat_map(|e| &e.write.after).filter(|d| self.shelf.get(**d).is_none());
-        let missing: BTreeSet<Dot> = missing.copied().collect();
-        self.missed.retain(|dot, _| missing.contains(dot));
-        for dot in missing {
-            self.missed.entry(dot).or_insert(rounds);
-        }
-        let missed = &self.missed;
-        let alone = self.terms.seats.len() == 1;
-        let void = |dot: Dot| alone || missed.get(&dot).is_some_and(|since| rounds >= since + 2);
-        for step in self.replay.next(now, &self.shelf, &self.terms, void) {
+        self.update_missing_dependencies();
+        let (walks, missing_since) = (self.completed_walks, &self.missing_since_walk);
+        let is_void = |dot: Dot| {
+            is_single || missing_since.get(&dot).is_some_and(|since| walks >= since + WALKS_UNTIL_VOID)
+        };
+        let steps = self.replay.next_steps(now, &self.log, &self.settings, is_void);
+        for step in steps {
             match step {
-                Step::Begin(dot, tries) => {
-                    let before = self.shelf.get(dot).is_some_and(|e| matches!(e.state, State::Sent(_)));
-                    self.say(now, dot, State::Sent(tries), Some(before), out);
+                ReplayStep::Forward { dot, attempt } => {
+                    let may_have_run =
+                        self.log.get(dot).is_some_and(|entry| matches!(entry.state, WriteState::Sent(_)));
+                    let then = AfterAnnouncement::Forward { may_have_run };
+                    self.announce_then(now, dot, WriteState::Sent(attempt), then, out);
                 }
-                Step::End(dot, end) => {
-                    self.tallies.not_done += 1;
-                    out.push(Telling::NotDone(dot, end));
-                    self.say(now, dot, State::Ended(end), None, out);
+                ReplayStep::End { dot, outcome } => {
+                    self.count_not_completed(dot, outcome, out);
+                    self.announce(now, dot, WriteState::Ended(outcome), out);
                 }
             }
         }
     }
+
+    fn update_missing_dependencies(&mut self) {
+        let missing = self.missing_dependencies();
+        self.missing_since_walk.retain(|dot, _| missing.contains(dot));
+        for dot in missing {
+            self.missing_since_walk.entry(dot).or_insert(self.completed_walks);
+        }
+    }
 }
--- /dev/null
+++ b/src/cluster/write_queue/replica/store.rs
@@ -0,0 +1,84 @@
+//! Holding the writes of others, and saying so.
+
+use super::{QueueEffect, QueueReplica, RESEND_AFTER};
+use crate::cluster::write_queue::message::{QueueMessage, ReplicatedWrite};
+use crate::cluster::write_queue::write::{Dot, WriteState};
+use crate::cluster::write_queue::write_log::ENDED_RETENTION;
+use crate::decision::api::Micros;
+
+/// A time that was told is off by no more than a datagram may be under way.
+const MAX_TRANSIT: Micros = Micros(100_000);
+/// Others' pending writes are held up to so many times as many as may be pending here.
+const PENDING_HEADROOM: usize = 2;
+
+impl QueueReplica {
+    /// Another gateway says what it knows of a write.
+    pub(super) fn on_replicate(
+        &mut self,
+        now: Micros,
+        from: u16,
+        replicated: &ReplicatedWrite,
+        out: &mut Vec<QueueEffect>,
+    ) {
+        let ReplicatedWrite { write, state, age, since_first_send } = replicated;
+        let dot = write.dot;
+        let is_known = self.log.get(dot).is_some();
+        // What all remove after a while must not go round for ever.
+        let is_stale = !is_known && state.is_ended() && *age >= ENDED_RETENTION + self.settings.max_age;
+        if is_stale {
+            self.on_fetched(from, dot);
+            return self.next_page(now, from, out);
+        }
+        let is_full = self.log.pending_count() >= self.settings.max_pending * PENDING_HEADROOM;
+        if !write.fits() || !is_known && !state.is_ended() && is_full {
+            out.push(QueueEffect::Send { to: from, message: QueueMessage::Rejected { dot } });
+            return;
+        }
+        // Somewhat earlier rather than later: the time in which repeats are dropped must not seem longer.
+        let first_sent_at = since_first_send.map(|span| now - span - MAX_TRANSIT);
+        self.log.merge(now, write, *state, now - *age, first_sent_at);
+        self.on_fetched(from, dot);
+        self.missing_since_walk.remove(&dot);
+        self.acknowledge(from, dot, *state, &write.dependencies, out);
+        if !is_known {
+            self.resume_accepts(now, out);
+        }
+        self.next_page(now, from, out);
+    }
+
+    /// Says that it holds a write. One that is new has a vote here once all is here that it depends on.
+    fn acknowledge(
+        &self,
+        to: u16,
+        dot: Dot,
+        told: WriteState,
+        dependencies: &[Dot],
+        out: &mut Vec<QueueEffect>,
+    ) {
+        let is_new = told == WriteState::Pending(0);
+        let missing = if is_new { self.log.missing(dependencies) } else { Vec::new() };
+        if !missing.is_empty() {
+            out.push(QueueEffect::Send { to, message: QueueMessage::Fetch(missing) });
+            return;
+        }
+        let held = self.log.get(dot).filter(|_| self.has_vote);
+        if let Some(state) = held.map(|entry| entry.state) {
+            out.push(QueueEffect::Send { to, message: QueueMessage::Acknowledge { dot, state } });
+        }
+    }
+
+    /// What is told of a write.
+    pub(super) fn replicate_message(&self, now: Micros, dot: Dot) -> Option<QueueMessage> {
+        let entry = self.log.get(dot)?;
+        Some(QueueMessage::Replicate(ReplicatedWrite {
+            write: Box::new(entry.write.clone()),
+            state: entry.state,
+            age: now - entry.accepted_at,
+            since_first_send: entry.first_sent_at.map(|at| now - at),
+        }))
+    }
+
+    pub(super) fn is_due(now: Micros, sent_at: Micros) -> bool {
+        now - sent_at >= RESEND_AFTER
+    }
+}
--- a/src/cluster/write_queue/uplink.rs
+++ b/src/cluster/write_queue/uplink.rs
@@ -1,98 +1,123 @@
-//! Whether the branch is cut off: by own attempts, and by what more than half of its gateways say.
+//! Whether a branch is isolated from the backends: by the gateway's own attempts, and by what a quorum of the branch says.
 
-use crate::cluster::write_queue::Terms;
-use crate::cluster::Micros;
+use super::settings::WriteQueueSettings;
+use crate::decision::api::Micros;
 use std::collections::BTreeMap;
 
-/// Another's word counts for so long.
-const WORD: Micros = Micros(1_500_000);
-/// So many failures in a row, at least, speak for a line that is down.
-const FAILURES: u32 = 3;
-/// A line that came back is up once it has held for so long, and twice as long after each relapse.
-const HOLDS: Micros = Micros(1_000_000);
-const LONGEST_HOLD: Micros = Micros(16_000_000);
+/// Another gateway's status counts for so long.
+const PEER_STATUS_LIFETIME: Micros = Micros(1_500_000);
+/// So many failures in a row, at least, make an uplink that is down.
+const MIN_FAILURES: u32 = 3;
+/// An uplink that came back is up once it has held for so long, and twice as long after each relapse.
+const FIRST_HOLD: Micros = Micros(1_000_000);
+const MAX_HOLD: Micros = Micros(16_000_000);
 
-/// The line, as seen from one gateway.
+/// What another gateway says of its uplink.
+#[derive(Debug, Clone, Copy)]
+struct PeerStatus {
+    received_at: Micros,
+    is_down: bool,
+}
+
+/// The branch's uplink, as seen from one gateway.
 #[derive(Debug, Clone)]
-pub struct Line {
-    answered: Micros,
+pub struct UplinkMonitor {
+    last_response: Micros,
     failures: u32,
-    /// Down by the own evidence.
-    own_down: bool,
-    /// Answers have come again since then.
-    up_since: Option<Micros>,
+    /// Down by the own attempts.
+    is_down: bool,
+    /// Since when responses have come again, while it still counts as down.
+    responses_since: Option<Micros>,
     hold: Micros,
-    relapse: Micros,
-    others: BTreeMap<u16, (Micros, bool)>,
-    cut: bool,
+    /// When it last came up again.
+    recovered_at: Micros,
+    peers: BTreeMap<u16, PeerStatus>,
+    is_isolated: bool,
 }
 
-impl Line {
-    /// A line that is up for all that is known.
-    pub fn new(now: Micros) -> Line {
-        Line {
-            answered: now,
+impl UplinkMonitor {
+    /// An uplink that is up for all that is known.
+    pub fn new(now: Micros) -> UplinkMonitor {
+        UplinkMonitor {
+            last_response: now,
             failures: 0,
-            own_down: false,
-            up_since: None,
-            hold: HOLDS,
-            relapse: now,
-            others: BTreeMap::new(),
-            cut: false,
+            is_down: false,
+            responses_since: None,
+            hold: FIRST_HOLD,
+            recovered_at: now,
+            peers: BTreeMap::new(),
+            is_isolated: false,
         }
     }
 
-    /// An attempt, or a look, outside was answered, whatever the answer, or not.
-    pub fn saw(&mut self, now: Micros, answered: bool, terms: &Terms) {
-        if answered {
-            (self.answered, self.failures) = (now, 0);
-            if self.own_down {
-                let since = *self.up_since.get_or_insert(now);
-                if now - since >= self.hold {
-                    (self.own_down, self.up_since, self.relapse) = (false, None, now);
-                }
-            }
+    /// An attempt at a backend, or a health check, got a response, whatever it said, or none.
+    pub fn record_attempt(&mut self, now: Micros, responded: bool, settings: &WriteQueueSettings) {
+        match responded {
+            true => self.record_response(now),
+            false => self.record_failure(now, settings),
+        }
+    }
+
+    fn record_response(&mut self, now: Micros) {
+        self.last_response = now;
+        self.failures = 0;
+        if !self.is_down {
             return;
         }
+        let since = *self.responses_since.get_or_insert(now);
+        if now - since >= self.hold {
+            self.is_down = false;
+            self.responses_since = None;
+            self.recovered_at = now;
+        }
+    }
+
+    fn record_failure(&mut self, now: Micros, settings: &WriteQueueSettings) {
         self.failures = self.failures.saturating_add(1);
-        if self.own_down {
-            if self.up_since.take().is_some() {
-                self.hold = (self.hold + self.hold).min(LONGEST_HOLD);
+        if self.is_down {
+            if self.responses_since.take().is_some() {
+                self.hold = self.doubled_hold();
             }
-        } else if self.failures >= FAILURES && now - self.answered >= terms.cut_after {
-            // Soon again: it flaps, and is waited for longer.
-            let soon = now - self.relapse < LONGEST_HOLD;
-            self.hold = if soon && self.relapse > Micros(0) {
-                (self.hold + self.hold).min(LONGEST_HOLD)
-            } else {
-                HOLDS
-            };
-            self.own_down = true;
-            self.up_since = None;
+        } else if self.failures >= MIN_FAILURES && now - self.last_response >= settings.uplink_timeout {
+            // One that flaps is waited for longer.
+            let is_relapse = now - self.recovered_at < MAX_HOLD && self.recovered_at > Micros(0);
+            self.hold = if is_relapse { self.doubled_hold() } else { FIRST_HOLD };
+            self.is_down = true;
+            self.responses_since = None;
         }
     }
 
-    /// Another gateway of the branch says how its line is.
-    pub fn hear(&mut self, now: Micros, seat: u16, down: bool) {
-        self.others.insert(seat, (now, down));
+    fn doubled_hold(&self) -> Micros {
+        (self.hold + self.hold).min(MAX_HOLD)
+    }
+
+    /// Another gateway of the branch tells the status of its uplink.
+    pub fn record_peer_status(&mut self, now: Micros, seat: u16, is_down: bool) {
+        self.peers.insert(seat, PeerStatus { received_at: now, is_down });
+    }
+
+    /// Whether the uplink is down by the own attempts.
+    pub fn is_down(&self) -> bool {
+        self.is_down
     }
 
-    /// Whether the own evidence says down, and how long ago the last answer came.
-    pub fn own(&self, now: Micros) -> (bool, Micros) {
-        (self.own_down, now - self.answered)
+    /// How long ago the last response came.
+    pub fn since_response(&self, now: Micros) -> Micros {
+        now - self.last_response
     }
 
-    /// Whether the branch is cut off: down from here, and more than half of the branch say so. Some that have an
-    /// answer mean that it is this gateway's own line.
-    pub fn update(&mut self, now: Micros, terms: &Terms) -> bool {
-        self.others.retain(|_, (at, _)| now - *at < WORD);
-        let down = self.others.values().filter(|(_, down)| *down).count() + usize::from(self.own_down);
-        self.cut = self.own_down && down >= terms.majority();
-        self.cut
+    /// Whether the branch is isolated: down from here, and a quorum of the branch says so. Where others still have
+    /// responses it is this gateway's own fault.
+    pub fn update(&mut self, now: Micros, settings: &WriteQueueSettings) -> bool {
+        self.peers.retain(|_, status| now - status.received_at < PEER_STATUS_LIFETIME);
+        let peers_down = self.peers.values().filter(|status| status.is_down).count();
+        let down = peers_down + usize::from(self.is_down);
+        self.is_isolated = self.is_down && down >= settings.quorum();
+        self.is_isolated
     }
 
-    /// What `update` said last.
-    pub fn is_cut(&self) -> bool {
-        self.cut
+    /// What `update` found last.
+    pub fn is_isolated(&self) -> bool {
+        self.is_isolated
     }
 }
--- a/src/cluster/write_queue/write_log.rs
+++ b/src/cluster/write_queue/write_log.rs
@@ -1,45 +1,60 @@
 //! What a gateway of a branch holds: all writes that it heard of, with what became of them, within bounds.
 
-use crate::cluster::write_queue::{Dot, End, State, Terms, Write};
-use crate::cluster::Micros;
+use super::message::DotRank;
+use super::settings::WriteQueueSettings;
+use super::write::{Dot, Write, WriteOutcome, WriteState};
+use crate::decision::api::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Bound::{Excluded, Unbounded};
 
-/// What ended is kept for so long, so that people can ask.
-pub const REMEMBERED: Micros = Micros(600_000_000);
-/// So many of those that ended are kept at the most, for each that may wait.
-const ENDED: usize = 2;
+/// Writes that ended are held for so long, so that clients can ask.
+pub const ENDED_RETENTION: Micros = Micros(600_000_000);
+/// So many of those that ended are held at most, for each that may be pending.
+const MAX_ENDED_PER_PENDING: usize = 2;
 
-/// A write, as held.
+/// A write, as held. A disk form: the order of fields counts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct LogEntry {
     /// The write.
     pub write: Write,
     /// What became of it.
-    pub state: State,
+    pub state: WriteState,
     /// When it was accepted, on this clock.
-    pub born: Micros,
-    /// When it was first sent on, or somewhat before.
-    pub sent: Option<Micros>,
+    pub accepted_at: Micros,
+    /// When it was first forwarded, or somewhat before.
+    pub first_sent_at: Option<Micros>,
     /// When it ended, as far as is known here.
-    pub over: Option<Micros>,
+    pub ended_at: Option<Micros>,
 }
 
-/// All of them.
+impl LogEntry {
+    /// The same with its times told by another clock.
+    pub fn with_times(self, convert: impl Fn(Micros) -> Micros) -> LogEntry {
+        LogEntry {
+            accepted_at: convert(self.accepted_at),
+            first_sent_at: self.first_sent_at.map(&convert),
+            ended_at: self.ended_at.map(&convert),
+            ..self
+        }
+    }
+}
+
+/// All writes that a gateway holds.
 #[derive(Debug, Clone, Default)]
-pub struct Shelf {
-    entries: BTreeMap<Dot, Entry>,
-    /// Those that have not ended, by place and name.
-    open: BTreeMap<(u64, Dot), ()>,
-    of_customer: BTreeMap<u64, Vec<Dot>>,
-    of_object: BTreeMap<u64, Vec<Dot>>,
-    /// The highest place heard of.
-    place: u64,
-    /// What has changed since it was last asked for, where somebody asks.
+pub struct WriteLog {
+    entries: BTreeMap<Dot, LogEntry>,
+    /// Those that have not ended, by position and dot.
+    pending: BTreeSet<(u64, Dot)>,
+    by_customer: BTreeMap<u64, Vec<Dot>>,
+    by_object: BTreeMap<u64, Vec<Dot>>,
+    /// The highest position heard of.
+    highest_position: u64,
+    /// What has changed since it was last asked for; none where the gateway has no storage.
     changed: Option<BTreeSet<Dot>>,
 }
 
-fn drop_from(index: &mut BTreeMap<u64, Vec<Dot>>, key: u64, dot: Dot) {
+fn remove_from_index(index: &mut BTreeMap<u64, Vec<Dot>>, key: u64, dot: Dot) {
     if let Some(dots) = index.get_mut(&key) {
         dots.retain(|held| *held != dot);
         if dots.is_empty() {
@@ -48,53 +63,76 @@
     }
 }
 
-impl Shelf {
+impl WriteLog {
     /// Notes what changes from now on.
-    pub fn note_changes(&mut self) {
+    pub fn track_changes(&mut self) {
         self.changed = Some(BTreeSet::new());
     }
+
     /// Notes nothing any more.
-    pub fn note_no_changes(&mut self) {
+    pub fn stop_tracking_changes(&mut self) {
         self.changed = None;
     }
+
     /// What has changed since this was last called: held otherwise than before, or held no more.
     pub fn take_changed(&mut self) -> BTreeSet<Dot> {
         self.changed.as_mut().map(std::mem::take).unwrap_or_default()
     }
+
+    fn mark_changed(&mut self, dot: Dot) {
+        if let Some(changed) = self.changed.as_mut() {
+            changed.insert(dot);
+        }
+    }
+
     /// A write, if it is held.
-    pub fn get(&self, dot: Dot) -> Option<&Entry> {
+    pub fn get(&self, dot: Dot) -> Option<&LogEntry> {
         self.entries.get(&dot)
     }
-    /// A customer's write by its key; one that was given up before it was sent is none.
-    pub fn same(&self, customer: u64, key: u64) -> Option<&Entry> {
-        let dots = self.of_customer.get(&customer).filter(|_| key > 0)?;
+
+    /// A customer's write by its key; one that expired before it was forwarded is none.
+    pub fn find_by_key(&self, customer: u64, key: u64) -> Option<&LogEntry> {
+        let dots = self.by_customer.get(&customer).filter(|_| key > 0)?;
         let mut held = dots.iter().rev().filter_map(|dot| self.get(*dot));
-        held.find(|e| e.write.key == key && e.state != State::Ended(End::Expired))
+        held.find(|entry| entry.write.key == key && entry.state != WriteState::Ended(WriteOutcome::Expired))
     }
+
     /// How many have not ended.
-    pub fn open(&self) -> usize {
-        self.open.len()
+    pub fn pending_count(&self) -> usize {
+        self.pending.len()
     }
+
     /// Those that have not ended, in their order.
-    pub fn waiting(&self) -> impl Iterator<Item = &Entry> {
-        self.open.keys().filter_map(|(_, dot)| self.entries.get(dot))
+    pub fn pending(&self) -> impl Iterator<Item = &LogEntry> {
+        self.pending.iter().filter_map(|(_, dot)| self.entries.get(dot))
     }
+
     /// Those on this object that have not ended.
-    pub fn on_object(&self, object: u64) -> impl Iterator<Item = &Entry> {
-        let dots = self.of_object.get(&object).into_iter().flatten();
-        dots.filter_map(|dot| self.get(*dot)).filter(|e| !e.state.is_over())
+    pub fn pending_on_object(&self, object: u64) -> impl Iterator<Item = &LogEntry> {
+        self.entries_of(&self.by_object, object).filter(|entry| !entry.state.is_ended())
+    }
+
+    fn entries_of<'a>(
+        &'a self,
+        index: &'a BTreeMap<u64, Vec<Dot>>,
+        key: u64,
+    ) -> impl Iterator<Item = &'a LogEntry> {
+        index.get(&key).into_iter().flatten().filter_map(|dot| self.get(*dot))
     }
-    /// The highest place heard of.
-    pub fn place(&self) -> u64 {
-        self.place
+
+    /// The highest position heard of.
+    pub fn highest_position(&self) -> u64 {
+        self.highest_position
     }
-    /// Names and ranks behind this one, in the order of names.
-    pub fn behind(&self, dot: Option<Dot>, most: usize) -> (Vec<(Dot, u32)>, bool) {
-        use std::ops::Bound::{Excluded, Unbounded};
+
+    /// The writes behind this one, in the order of dots, at most `limit`, and whether there are more.
+    pub fn page_after(&self, dot: Option<Dot>, limit: usize) -> (Vec<DotRank>, bool) {
         let from = dot.map_or(Unbounded, Excluded);
-        let mut rest = self.entries.range((from, Unbounded)).map(|(dot, e)| (*dot, e.state.rank()));
-        let page: Vec<(Dot, u32)> = rest.by_ref().take(most).collect();
-        (page, rest.next().is_some())
+        let behind = self.entries.range((from, Unbounded));
+        let mut ranks = behind.map(|(dot, entry)| DotRank { dot: *dot, rank: entry.state.rank() });
+        let page: Vec<DotRank> = ranks.by_ref().take(limit).collect();
+        let has_more = ranks.next().is_some();
+        (page, has_more)
     }
 
     /// Those of these that are not held.
@@ -102,88 +140,107 @@
         dots.iter().filter(|dot| !self.entries.contains_key(dot)).copied().collect()
     }
 
-    /// Whether a write of this customer or on this object has not ended.
-    pub fn lines_up(&self, customer: u64, object: u64) -> bool {
-        let open = |dots: Option<&Vec<Dot>>| {
-            dots.is_some_and(|dots| dots.iter().any(|d| self.get(*d).is_some_and(|e| !e.state.is_over())))
-        };
-        open(self.of_customer.get(&customer)) || open(self.of_object.get(&object))
+    /// Whether a write of this customer or on this object is pending.
+    pub fn has_pending_for(&self, customer: u64, object: u64) -> bool {
+        let is_pending = |entry: &LogEntry| !entry.state.is_ended();
+        self.entries_of(&self.by_customer, customer).any(is_pending)
+            || self.entries_of(&self.by_object, object).any(is_pending)
     }
 
-    /// The newest of this customer and on this object: those that no other of them comes after. What will soon be
-    /// forgotten is not among them.
+    /// The newest writes of this customer and on this object: those on which no other of them depends. What will soon be
+    /// removed is not among them.
     pub fn heads(&self, now: Micros, customer: u64, object: u64) -> Vec<Dot> {
         let mut heads = Vec::new();
-        for dots in [self.of_customer.get(&customer), self.of_object.get(&object)].into_iter().flatten() {
-            let all: Vec<&Entry> = dots.iter().filter_map(|dot| self.get(*dot)).collect();
-            let newest = all.iter().filter(|e| !all.iter().any(|o| o.write.after.contains(&e.write.dot)));
-            let kept = newest.filter(|e| e.over.is_none_or(|at| now - at < Micros(REMEMBERED.0 / 2)));
-            heads.extend(kept.map(|e| e.write.dot));
+        for (index, key) in [(&self.by_customer, customer), (&self.by_object, object)] {
+            let all: Vec<&LogEntry> = self.entries_of(index, key).collect();
+            let is_newest =
+                |entry: &&&LogEntry| !all.iter().any(|o| o.write.dependencies.contains(&entry.write.dot));
+            let is_retained =
+                |entry: &&&LogEntry| entry.ended_at.is_none_or(|at| now - at < Micros(ENDED_RETENTION.0 / 2));
+            let newest = all.iter().filter(is_newest).filter(is_retained);
+            heads.extend(newest.map(|entry| entry.write.dot));
         }
         heads.sort_unstable();
         heads.dedup();
         heads
     }
 
-    /// Whether there is room for one more of this customer's.
-    pub fn has_room(&self, customer: u64, terms: &Terms) -> bool {
-        let dots = self.of_customer.get(&customer).into_iter().flatten();
-        let of_one = dots.filter(|dot| self.get(**dot).is_some_and(|e| !e.state.is_over())).count();
-        self.open.len() < terms.most && of_one < terms.most_of_one
+    /// Whether there is capacity for one more of this customer's.
+    pub fn has_capacity(&self, customer: u64, settings: &WriteQueueSettings) -> bool {
+        let of_customer = self.entries_of(&self.by_customer, customer);
+        let of_customer = of_customer.filter(|entry| !entry.state.is_ended()).count();
+        self.pending.len() < settings.max_pending && of_customer < settings.max_pending_per_customer
     }
 
-    /// Takes a write in, or what became of one that is held. Whether anything is new.
-    pub fn take(
+    /// Adds a write, or merges what became of one that is held. Whether anything is new.
+    pub fn merge(
         &mut self,
         now: Micros,
         write: &Write,
-        state: State,
-        born: Micros,
-        sent: Option<Micros>,
+        state: WriteState,
+        accepted_at: Micros,
+        first_sent_at: Option<Micros>,
     ) -> bool {
-        self.place = self.place.max(write.place);
+        self.highest_position = self.highest_position.max(write.position);
         let dot = write.dot;
-        let changed = |changed: &mut Option<BTreeSet<Dot>>| changed.iter_mut().for_each(|c| c.extend([dot]));
         let Some(entry) = self.entries.get_mut(&dot) else {
-            changed(&mut self.changed);
-            let over = state.is_over().then_some(now);
-            self.entries.insert(dot, Entry { write: write.clone(), state, born, sent, over });
-            self.of_customer.entry(write.customer).or_default().push(dot);
-            self.of_object.entry(write.object).or_default().push(dot);
-            if over.is_none() {
-                self.open.insert((write.place, dot), ());
-            }
+            self.insert(now, write, state, accepted_at, first_sent_at);
             return true;
         };
         let merged = entry.state.merged(state);
-        let earliest = [entry.sent, sent].into_iter().flatten().min();
-        let new = merged != entry.state || earliest != entry.sent;
-        (entry.state, entry.sent) = (merged, earliest);
-        if merged.is_over() && entry.over.is_none() {
-            entry.over = Some(now);
-            self.open.remove(&(entry.write.place, dot));
+        let earliest = [entry.first_sent_at, first_sent_at].into_iter().flatten().min();
+        let is_new = merged != entry.state || earliest != entry.first_sent_at;
+        entry.state = merged;
+        entry.first_sent_at = earliest;
+        if merged.is_ended() && entry.ended_at.is_none() {
+            entry.ended_at = Some(now);
+            self.pending.remove(&(entry.write.position, dot));
         }
-        if new {
-            changed(&mut self.changed);
+        if is_new {
+            self.mark_changed(dot);
         }
-        new
+        is_new
     }
 
-    /// Forgets what ended long ago, and the oldest of what ended where there is too much of it.
-    pub fn sweep(&mut self, now: Micros, terms: &Terms) {
-        let mut over: Vec<(Micros, Dot)> =
-            self.entries.iter().filter_map(|(dot, e)| e.over.map(|at| (at, *dot))).collect();
-        over.sort_unstable();
-        let spare = over.len().saturating_sub(terms.most.saturating_mul(ENDED));
-        for (i, (at, dot)) in over.into_iter().enumerate() {
-            if i >= spare && now - at < REMEMBERED {
+    fn insert(
+        &mut self,
+        now: Micros,
+        write: &Write,
+        state: WriteState,
+        accepted_at: Micros,
+        first_sent_at: Option<Micros>,
+    ) {
+        let dot = write.dot;
+        self.mark_changed(dot);
+        let ended_at = state.is_ended().then_some(now);
+        let entry = LogEntry { write: write.clone(), state, accepted_at, first_sent_at, ended_at };
+        self.entries.insert(dot, entry);
+        self.by_customer.entry(write.customer).or_default().push(dot);
+        self.by_object.entry(write.object).or_default().push(dot);
+        if ended_at.is_none() {
+            self.pending.insert((write.position, dot));
+        }
+    }
+
+    /// Removes what ended long ago, and the oldest of what ended where there is too much of it.
+    pub fn remove_expired(&mut self, now: Micros, settings: &WriteQueueSettings) {
+        let with_end = |(dot, entry): (&Dot, &LogEntry)| entry.ended_at.map(|at| (at, *dot));
+        let mut ended: Vec<(Micros, Dot)> = self.entries.iter().filter_map(with_end).collect();
+        ended.sort_unstable();
+        let limit = settings.max_pending.saturating_mul(MAX_ENDED_PER_PENDING);
+        let excess = ended.len().saturating_sub(limit);
+        for (index, (ended_at, dot)) in ended.into_iter().enumerate() {
+            if index >= excess && now - ended_at < ENDED_RETENTION {
                 break;
             }
-            if let Some(entry) = self.entries.remove(&dot) {
-                self.changed.iter_mut().for_each(|changed| changed.extend([dot]));
-                drop_from(&mut self.of_customer, entry.write.customer, dot);
-                drop_from(&mut self.of_object, entry.write.object, dot);
-            }
+            self.remove(dot);
         }
     }
+
+    fn remove(&mut self, dot: Dot) {
+        let Some(entry) = self.entries.remove(&dot) else { return };
+        self.mark_changed(dot);
+        remove_from_index(&mut self.by_customer, entry.write.customer, dot);
+        remove_from_index(&mut self.by_object, entry.write.object, dot);
+    }
 }
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -1,195 +1,260 @@
-//! The fleet's branch: its messages go out to the branch's seats, and its record is claimed at the ledger.
+//! The write queue within a cluster node: its messages go out to the branch's seats, and its record is claimed at the
+//! ledger.
 
-use crate::cluster::datagram::{Head, Stranger};
-use crate::cluster::ledger::{Change, ClaimId, Finding};
-use crate::cluster::ledger_node::own_seat;
-use crate::cluster::storage::durability_gate::BUSY;
-use crate::cluster::storage::persistence::Word;
-use crate::cluster::write_queue::{record, Clerk, Dot, End, Entry, Fate, Message, Status, Telling, Write};
-use crate::cluster::{Effect, Fleet, Micros};
+use super::datagram::{Head, Stranger};
+use super::event::Effect;
+use super::ledger::{ClaimId, ClaimOutcome};
+use super::ledger_node::LeaseProgress;
+use super::storage::{GatedEffect, BUSY_WAITING};
+use super::write_queue::{
+    queue_record, Dot, ForwardOutcome, QueueEffect, QueueMessage, QueueReplica, Write, WriteOutcome,
+    WriteRequest, WriteStatus,
+};
+use super::Fleet;
+use crate::decision::api::Micros;
 
-/// Who does not own the branch's record asks for it again after this.
-const CLAIM_AGAIN: Micros = Micros(1_000_000);
+/// A gateway that does not own the branch's record claims it again after this, and up to as long again.
+const CLAIM_INTERVAL: Micros = Micros(1_000_000);
 
-/// What whoever carries requests has to do for the branch.
+/// What the proxy has to do for the write queue.
 #[derive(Debug)]
-pub enum Errand {
+pub enum WriteQueueEffect {
     /// A write is accepted under this name, or not.
-    Accepted(Dot, bool),
-    /// Send this write on, in this try; an attempt of an owner before may have run.
-    Send(Box<Write>, u16, bool),
-    /// A write ended otherwise than done.
-    NotDone(Dot, End),
-    /// The branch is cut off from now on, or no longer; the last answer came so long ago.
-    Cut(bool, Micros),
+    Decided {
+        /// The write.
+        dot: Dot,
+        /// Whether it is accepted.
+        accepted: bool,
+    },
+    /// Forward this write.
+    Forward {
+        /// The write.
+        write: Box<Write>,
+        /// In which attempt.
+        attempt: u16,
+        /// An attempt of an owner before may have run.
+        may_have_run: bool,
+    },
+    /// A write ended otherwise than completed.
+    NotCompleted {
+        /// The write.
+        dot: Dot,
+        /// How it ended.
+        outcome: WriteOutcome,
+    },
+    /// The branch is isolated from the backends from now on, or no longer.
+    IsolationChanged {
+        /// Whether it is.
+        isolated: bool,
+        /// How long ago the last response came.
+        since_response: Micros,
+    },
 }
 
-/// The branch as one gateway has it.
-pub struct Branch {
-    clerk: Clerk,
+/// The write queue as one gateway has it, with its claim of the branch's record.
+pub struct WriteQueue {
+    replica: QueueReplica,
     claim: Option<ClaimId>,
-    claim_at: Micros,
+    next_claim: Micros,
 }
 
-impl Branch {
-    pub(super) fn new(clerk: Clerk, now: Micros) -> Branch {
-        Branch { clerk, claim: None, claim_at: now }
+impl WriteQueue {
+    pub(super) fn new(replica: QueueReplica, now: Micros) -> WriteQueue {
+        WriteQueue { replica, claim: None, next_claim: now }
     }
-    /// Its clerk.
-    pub fn clerk(&self) -> &Clerk {
-        &self.clerk
-    }
-    pub(super) fn await_disk(&mut self) {
-        self.clerk.await_disk();
+
+    /// This gateway's part in it.
+    pub fn replica(&self) -> &QueueReplica {
+        &self.replica
     }
-    pub(super) fn remember(&mut self, now: Micros, writes: Vec<Entry>, all: bool) {
-        self.clerk.remember(now, writes, all);
+
+    pub(super) fn replica_mut(&mut self) -> &mut QueueReplica {
+        &mut self.replica
     }
-    pub(super) fn lose_disk(&mut self, now: Micros, tellings: &mut Vec<Telling>) {
-        self.clerk.lose_disk(now, tellings);
+
+    /// Whether this gateway should claim the branch's record: pending writes wait for somebody to forward them.
+    fn wants_claim(&self, now: Micros) -> bool {
+        let has_work = self.replica.log().pending_count() > 0;
+        let may_forward = self.replica.has_vote() && !self.replica.is_isolated();
+        self.claim.is_none() && now >= self.next_claim && has_work && may_forward
     }
-    pub(super) fn changed(&mut self) -> Vec<(Dot, Option<Entry>)> {
-        self.clerk.take_changed()
+
+    /// Whether it holds the record without a use: nothing is pending, or it may not forward as its storage failed.
+    fn is_idle(&self) -> bool {
+        self.replica.log().pending_count() == 0 || !self.replica.has_vote()
     }
 }
 
 impl Fleet {
-    /// The branch, where this gateway is of one.
-    pub fn branch(&self) -> Option<&Branch> {
-        self.branch.as_ref()
+    /// The write queue, where this gateway is of a branch.
+    pub fn write_queue(&self) -> Option<&WriteQueue> {
+        self.write_queue.as_ref()
     }
 
     /// What became of a write.
-    pub fn write_status(&self, dot: Dot) -> Option<Status> {
-        self.branch.as_ref().map(|branch| branch.clerk.status(dot))
+    pub fn write_status(&self, dot: Dot) -> Option<WriteStatus> {
+        self.write_queue.as_ref().map(|queue| queue.replica.status(dot))
     }
 
-    /// A write is to be accepted; whether it is comes as `Errand::Accepted`. None: it can't be.
-    pub fn accept_write(
-        &mut self,
-        now: Micros,
-        of: (u64, u64, u16, u64),
-        payload: Vec<u8>,
-        out: &mut Vec<Effect>,
-    ) -> Option<Dot> {
-        // A disk that is slow must not be given more than it can hold.
-        if self.keeping.as_ref().is_some_and(|keeping| keeping.way().waits() > BUSY) {
+    /// A write is to be accepted; whether it is comes as `WriteQueueEffect::Decided`. None: it can't be.
+    pub fn accept_write(&mut self, now: Micros, request: WriteRequest, out: &mut Vec<Effect>) -> Option<Dot> {
+        // Storage that is slow must not be given more than it can hold.
+        if self.persistence.as_ref().is_some_and(|persistence| persistence.waiting() > BUSY_WAITING) {
             return None;
         }
-        let mut tellings = Vec::new();
-        let dot = self.branch.as_mut()?.clerk.accept(now, of, payload, &mut tellings);
-        self.file(tellings, out);
-        dot
+        self.with_queue(out, |queue, effects| queue.accept(now, request, effects)).flatten()
     }
 
-    /// An attempt outside was answered, or not.
-    pub fn saw_outside(&mut self, now: Micros, answered: bool) {
-        self.branch.iter_mut().for_each(|branch| branch.clerk.saw(now, answered));
+    /// An attempt at a backend got a response, or none.
+    pub fn record_backend_attempt(&mut self, now: Micros, responded: bool) {
+        if let Some(queue) = self.write_queue.as_mut() {
+            queue.replica.record_attempt(now, responded);
+        }
     }
 
-    /// A write that was to be sent on was.
-    pub fn write_ended(&mut self, now: Micros, dot: Dot, tries: u16, fate: Fate, out: &mut Vec<Effect>) {
-        let mut tellings = Vec::new();
-        self.branch.iter_mut().for_each(|b| b.clerk.finished(now, dot, tries, fate, &mut tellings));
-        self.file(tellings, out);
+    /// A write that was to be forwarded ended.
+    pub fn on_write_forwarded(
+        &mut self,
+        now: Micros,
+        dot: Dot,
+        attempt: u16,
+        outcome: ForwardOutcome,
+        out: &mut Vec<Effect>,
+    ) {
+        self.with_queue(out, |queue, effects| queue.on_forwarded(now, dot, attempt, outcome, effects));
     }
 
-    /// A message of the branch from a seat.
-    pub(super) fn filing_hear(
+    /// Handles a message of the branch from a seat.
+    pub(super) fn on_queue_message(
         &mut self,
-        list: u64,
+        seat_list: u64,
         seat: u16,
-        message: Message,
+        message: QueueMessage,
         out: &mut Vec<Effect>,
     ) -> Result<(), Stranger> {
-        let (now, mut tellings) = (self.now, Vec::new());
-        let same = self.lending.as_ref().is_some_and(|lending| lending.list() == list);
-        if self.awaits_disk() {
+        if self.is_storage_opening() {
             return Ok(());
         }
-        let branch = self.branch.as_mut().filter(|_| same).ok_or(Stranger::Refused)?;
-        branch.clerk.hear(now, seat, message, &mut tellings);
-        self.file(tellings, out);
-        Ok(())
+        if !self.is_own_seat_list(seat_list) {
+            return Err(Stranger::Refused);
+        }
+        let now = self.now;
+        self.with_queue(out, |queue, effects| queue.on_message(now, seat, message, effects))
+            .ok_or(Stranger::Refused)
     }
 
-    /// A claim at the ledger found out; whether it was the branch's.
-    pub(super) fn filing_found(&mut self, of: ClaimId, finding: &Finding, out: &mut Vec<Effect>) -> bool {
+    /// Something became of a claim at the ledger; whether it was the queue's.
+    pub(super) fn on_queue_claim_resolved(
+        &mut self,
+        claim: ClaimId,
+        outcome: &ClaimOutcome,
+        out: &mut Vec<Effect>,
+    ) -> bool {
         let now = self.now;
-        if self.branch.as_ref().is_none_or(|branch| branch.claim != Some(of)) {
+        if self.write_queue.as_ref().is_none_or(|queue| queue.claim != Some(claim)) {
             return false;
         }
-        let goes_on = match finding {
-            Finding::Clear { .. } => self.change(now, of, Change::Send(0), out).is_some(),
-            Finding::Confirmed(_) => true,
-            _ => false,
-        };
-        if let Some(branch) = self.branch.as_mut().filter(|_| !goes_on) {
-            (branch.claim, branch.claim_at) = (None, now + CLAIM_AGAIN);
-            self.let_go(now, of, None, out);
+        if let LeaseProgress::Failed = self.advance_lease(claim, outcome, out) {
+            if let Some(queue) = self.write_queue.as_mut() {
+                queue.claim = None;
+                queue.next_claim = now + CLAIM_INTERVAL;
+                self.release_claim(now, claim, None, out);
+            }
         }
         true
     }
 
-    /// Time went by for the branch: who has no owner to follow asks for the record while writes wait.
-    pub(super) fn tend(&mut self, out: &mut Vec<Effect>) {
+    /// To be called as time passes: a gateway that knows of no owner claims the record while writes are pending.
+    pub(super) fn tick_write_queue(&mut self, out: &mut Vec<Effect>) {
         let now = self.now;
-        let Some(branch) = self.branch.as_ref().filter(|_| !self.awaits_disk()) else { return };
-        let claim = branch.claim.and_then(|of| self.desk.as_ref()?.claim(of).map(|claim| (of, claim)));
+        if self.is_storage_opening() {
+            return;
+        }
+        let Some(queue) = self.write_queue.as_ref() else { return };
+        let lease = self.lease_status(queue.claim);
         // Nothing is begun so late that the lease would be over before the others have heard of it.
-        let leads = claim.as_ref().is_some_and(|(_, claim)| claim.is_held(now + self.settings.margin()));
-        let acts = claim.as_ref().is_some_and(|(_, claim)| claim.is_held(now));
-        let lapsed = claim.as_ref().filter(|(_, c)| c.owns() && !c.may_act(now)).map(|(of, _)| *of);
-        // One whose disk takes nothing more leaves it to another.
-        let idle = leads && (branch.clerk.shelf().open() == 0 || !branch.clerk.votes());
-        let gone = branch.claim.is_some() && claim.is_none();
-        let release = lapsed.or(branch.claim.filter(|_| idle || self.left));
-        if release.is_some() || gone {
-            self.branch.iter_mut().for_each(|b| b.claim = None);
-            release.into_iter().for_each(|of| self.let_go(now, of, None, out));
-            // A record lives for a while only: who had it takes it anew.
-            self.branch.iter_mut().filter(|_| lapsed.is_some()).for_each(|b| b.claim_at = now);
+        let leads = lease.is_held_with_margin;
+        let is_unused = leads && queue.is_idle();
+        let to_release = lease.lapsed.or(queue.claim.filter(|_| is_unused || self.left));
+        if to_release.is_some() || lease.is_gone {
+            self.give_up_queue_claim(to_release, lease.lapsed.is_some(), out);
         }
-        let wanted = self.branch.as_ref().is_some_and(|b| {
-            let clerk = &b.clerk;
-            let waits = clerk.shelf().open() > 0 && clerk.votes() && !clerk.is_cut();
-            b.claim.is_none() && now >= b.claim_at && waits && !self.left
-        });
-        if wanted {
-            let wait = CLAIM_AGAIN + Micros(self.rng.u64(0..CLAIM_AGAIN.0));
-            let group = self.settings.branch.as_ref().map(|terms| terms.seats.clone()).unwrap_or_default();
-            let claimed = self.claim_in(now, record(&group), &group, out);
-            self.branch.iter_mut().for_each(|b| (b.claim, b.claim_at) = (claimed, now + wait));
+        if !self.left && self.write_queue.as_ref().is_some_and(|queue| queue.wants_claim(now)) {
+            self.claim_queue(out);
         }
-        let mut tellings = Vec::new();
-        self.branch.iter_mut().for_each(|b| b.clerk.tick(now, leads, acts, &mut tellings));
-        self.file(tellings, out);
+        self.with_queue(out, |queue, effects| queue.tick(now, leads, lease.is_held, effects));
     }
 
-    pub(super) fn file(&mut self, tellings: Vec<Telling>, out: &mut Vec<Effect>) {
-        self.release(tellings.into_iter().map(Word::Branch).collect(), out);
+    fn give_up_queue_claim(&mut self, claim: Option<ClaimId>, has_lapsed: bool, out: &mut Vec<Effect>) {
+        let now = self.now;
+        if let Some(queue) = self.write_queue.as_mut() {
+            queue.claim = None;
+        }
+        if let Some(claim) = claim {
+            self.release_claim(now, claim, None, out);
+        }
+        if let Some(queue) = self.write_queue.as_mut().filter(|_| has_lapsed) {
+            // A record lives for a while only: whoever had it claims it anew.
+            queue.next_claim = now;
+        }
+    }
+
+    fn claim_queue(&mut self, out: &mut Vec<Effect>) {
+        let now = self.now;
+        let wait = CLAIM_INTERVAL + Micros(self.rng.u64(0..CLAIM_INTERVAL.0));
+        let group = self.settings.branch.as_ref().map(|branch| branch.seats.clone()).unwrap_or_default();
+        let claim = self.open_claim_in_group(now, queue_record(&group), &group, out);
+        if let Some(queue) = self.write_queue.as_mut() {
+            queue.claim = claim;
+            queue.next_claim = now + wait;
+        }
     }
 
-    /// One telling goes out.
-    pub(super) fn file_out(&mut self, telling: Telling, out: &mut Vec<Effect>) {
-        match telling {
-            Telling::To(seat, message) => {
-                let Some((list, own)) = own_seat(self) else { return };
-                self.send_to_seat(seat, &Head::Branch { list, seat: own, message }, out);
+    /// Does something with the queue, and lets out what follows.
+    fn with_queue<T>(
+        &mut self,
+        out: &mut Vec<Effect>,
+        act: impl FnOnce(&mut QueueReplica, &mut Vec<QueueEffect>) -> T,
+    ) -> Option<T> {
+        let mut effects = Vec::new();
+        let result = act(&mut self.write_queue.as_mut()?.replica, &mut effects);
+        self.gate_queue_effects(effects, out);
+        Some(result)
+    }
+
+    pub(super) fn gate_queue_effects(&mut self, effects: Vec<QueueEffect>, out: &mut Vec<Effect>) {
+        self.gate_effects(effects.into_iter().map(GatedEffect::WriteQueue).collect(), out);
+    }
+
+    /// Lets out one effect of the queue.
+    pub(super) fn emit_queue_effect(&mut self, effect: QueueEffect, out: &mut Vec<Effect>) {
+        let effect = match effect {
+            QueueEffect::Send { to, message } => {
+                let Some((list, own)) = self.own_seat() else { return };
+                return self.send_to_seat(to, &Head::Branch { list, seat: own, message }, out);
             }
-            Telling::Accepted(dot, yes) => out.push(Effect::Branch(Errand::Accepted(dot, yes))),
-            Telling::Send(write, tries, before) => {
-                let claim = self.branch.as_ref().and_then(|b| b.claim);
-                // An owner that was paused sends nothing.
-                if claim.is_some_and(|of| self.may_act(self.now, of)) {
-                    let write = Box::new(write);
-                    out.push(Effect::Branch(Errand::Send(write, tries, before.is_some())));
-                } else {
-                    self.branch.iter_mut().for_each(|branch| branch.clerk.dropped(write.dot));
+            QueueEffect::Forward { write, attempt, first_sent_at } => {
+                if !self.may_forward() {
+                    if let Some(queue) = self.write_queue.as_mut() {
+                        queue.replica.on_forward_dropped(write.dot);
+                    }
+                    return;
                 }
+                let may_have_run = first_sent_at.is_some();
+                WriteQueueEffect::Forward { write: Box::new(write), attempt, may_have_run }
             }
-            Telling::NotDone(dot, end) => out.push(Effect::Branch(Errand::NotDone(dot, end))),
-            Telling::Cut(cut, answered) => out.push(Effect::Branch(Errand::Cut(cut, answered))),
-        }
+            QueueEffect::Decided { dot, accepted } => WriteQueueEffect::Decided { dot, accepted },
+            QueueEffect::NotCompleted { dot, outcome } => WriteQueueEffect::NotCompleted { dot, outcome },
+            QueueEffect::IsolationChanged { isolated, since_response } => {
+                WriteQueueEffect::IsolationChanged { isolated, since_response }
+            }
+        };
+        out.push(Effect::Branch(effect));
+    }
+
+    /// An owner that stood still meanwhile forwards nothing.
+    fn may_forward(&self) -> bool {
+        let claim = self.write_queue.as_ref().and_then(|queue| queue.claim);
+        claim.is_some_and(|claim| self.may_act(self.now, claim))
     }
 }
