--- a/src/proxy/admin/rollout_calls.rs
+++ b/src/proxy/admin/rollout_calls.rs
@@ -1,7 +1,7 @@
 //! The operators' calls for rollouts of rules: `/rollout`, and what they answer.
 
-use crate::cluster::rollout::{Rules, Start};
-use crate::cluster::Taken;
+use crate::cluster::rollout::{RolloutRequest, RuleSet};
+use crate::cluster::CommandResult;
 use crate::proxy::cluster_transport::Peers;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -31,7 +31,7 @@
 
 impl Names {
     /// Whether the rules name classes and plans of this site alone.
-    pub fn check(&self, rules: &Rules) -> Result<(), String> {
+    pub fn check(&self, rules: &RuleSet) -> Result<(), String> {
         let known = |what: &str, name: &Option<String>, names: &BTreeSet<String>| match name {
             Some(name) if !names.contains(name) => Err(format!("rule: {what}: there is no '{name}' here")),
             _ => Ok(()),
@@ -56,7 +56,7 @@
     let Ok(text) = std::str::from_utf8(&body) else {
         return said(StatusCode::BAD_REQUEST, "expected a text\n");
     };
-    let start = Start::parse(text).map_err(|e| e.0);
+    let start = RolloutRequest::parse(text).map_err(|e| e.0);
     let start = start.and_then(|start| names.check(&start.rules).map(|()| start));
     match start {
         Err(problem) => said(StatusCode::BAD_REQUEST, format!("{problem}\n")),
@@ -72,10 +72,10 @@
 }
 
 /// How an order was taken, as an answer.
-pub fn answer(taken: Taken) -> Said {
+pub fn answer(taken: CommandResult) -> Said {
     match taken {
-        Taken::Done => said(StatusCode::OK, "done\n"),
-        Taken::Conflict => said(StatusCode::CONFLICT, "not while this is so; look at /rollout\n"),
-        Taken::Off => said(StatusCode::NOT_FOUND, "no rollouts here\n"),
+        CommandResult::Done => said(StatusCode::OK, "done\n"),
+        CommandResult::Conflict => said(StatusCode::CONFLICT, "not while this is so; look at /rollout\n"),
+        CommandResult::Disabled => said(StatusCode::NOT_FOUND, "no rollouts here\n"),
     }
 }
--- a/src/proxy/cluster_transport/abandoned_requests.rs
+++ b/src/proxy/cluster_transport/abandoned_requests.rs
@@ -1,7 +1,7 @@
 //! Requests whose gateway is gone and whose clients did not come again: finished here, as far as their class allows, so
 //! that they ran and their answer is there for whoever asks later.
 
-use crate::cluster::ledger::{Finding, Orphan, RecordId};
+use crate::cluster::ledger::{AbandonedRequest, ClaimOutcome, RecordId};
 use crate::decision::api::Arrival;
 use crate::proxy::cluster_transport::ledger_request::{earlier, record_of};
 use crate::proxy::cluster_transport::serialized_request;
@@ -25,7 +25,7 @@
 const AGAIN: Duration = Duration::from_millis(200);
 
 /// Finishes what is offered, for as long as the gateway lives.
-pub async fn finish_all(front: Rc<Front>, peers: Rc<Peers>, mut orphans: mpsc::Receiver<Orphan>) {
+pub async fn finish_all(front: Rc<Front>, peers: Rc<Peers>, mut orphans: mpsc::Receiver<AbandonedRequest>) {
     let places = Arc::new(Semaphore::new(AT_ONCE));
     while let Some(orphan) = orphans.recv().await {
         let Ok(place) = places.clone().try_acquire_owned() else { continue };
@@ -56,13 +56,14 @@
     Refused,
 }
 
-async fn finish(front: &Front, peers: &Rc<Peers>, orphan: &Orphan) -> Gone {
+async fn finish(front: &Front, peers: &Rc<Peers>, orphan: &AbandonedRequest) -> Gone {
     let Some((asked, forward)) = serialized_request::request(front, &orphan.request) else {
         return Gone::Refused;
     };
     let (Some(key), Payload::Whole(body)) = (asked.key, &forward.body) else { return Gone::Refused };
     let of = record_of(&asked, key, &forward, body);
-    let fits = of == (orphan.id, orphan.digest) && peers.finishes(front.class_name(asked.arrival.class));
+    let fits =
+        of == (orphan.id, orphan.request_digest) && peers.finishes(front.class_name(asked.arrival.class));
     match fits {
         true => go_on(front, peers, of, &asked, &forward).await,
         false => Gone::Refused,
@@ -80,14 +81,14 @@
 ) -> Gone {
     for tried in 0..TRIES {
         let Some(work) = peers.claim(id, digest, None) else { return Gone::Elsewhere };
-        let sent = match work.found().await {
-            Finding::Clear { found: true, sent } => sent,
-            Finding::Answered(_) => return Gone::Answered,
+        let attempts = match work.found().await {
+            ClaimOutcome::Acquired { existed: true, attempts } => attempts,
+            ClaimOutcome::Completed(_) => return Gone::Answered,
             _ => return Gone::Elsewhere,
         };
         let deadline = front.clock.now() + asked.budget;
         let of_before =
-            Arrival { resent: true, counted: true, earlier: earlier(sent), ..asked.arrival.clone() };
+            Arrival { resent: true, counted: true, earlier: earlier(attempts), ..asked.arrival.clone() };
         let with = Forward { work: Some(work.clone()), ..forward.again() };
         let answer = tokio::select! {
             biased;
--- a/src/proxy/cluster_transport/claims.rs
+++ b/src/proxy/cluster_transport/claims.rs
@@ -25,8 +25,8 @@
         let claim = {
             let mut fleet = self.fleet.borrow_mut();
             let fleet = fleet.as_mut()?;
-            let claim = fleet.claim(self.clock.now(), id, digest, &mut effects)?;
-            request.into_iter().for_each(|request| fleet.bring(claim, request));
+            let claim = fleet.open_claim(self.clock.now(), id, digest, &mut effects)?;
+            request.into_iter().for_each(|request| fleet.attach_request(claim, request));
             claim
         };
         let slot = Rc::new(Slot::default());
@@ -51,12 +51,12 @@
     }
 
     /// Writes a claim's record; the number of the write, or none where it may not.
-    pub fn change(&self, era: u64, claim: ClaimId, change: Change) -> Option<u32> {
-        self.with(era, |fleet, now, out| fleet.change(now, claim, change, out)).flatten()
+    pub fn change(&self, era: u64, claim: ClaimId, change: RecordChange) -> Option<u32> {
+        self.with(era, |fleet, now, out| fleet.write_claim(now, claim, change, out)).flatten()
     }
     /// The holders that a claim asked are slow.
     pub fn hurry(&self, era: u64, claim: ClaimId) {
-        self.with(era, |fleet, now, out| fleet.hurry(now, claim, out));
+        self.with(era, |fleet, now, out| fleet.contact_all_replicas(now, claim, out));
     }
     /// Whether the owner of a claim's record may act now.
     pub fn may_act(&self, era: u64, claim: ClaimId) -> bool {
@@ -64,11 +64,11 @@
     }
     /// An attempt of a claim's work surely never ran.
     pub fn never_ran(&self, era: u64, claim: ClaimId, server: u64) {
-        self.with(era, |fleet, _, _| fleet.never_ran(claim, server));
+        self.with(era, |fleet, _, _| fleet.remove_attempt(claim, server));
     }
     /// A claim's work is over here.
     pub fn let_go(&self, era: u64, claim: ClaimId, answer: Option<Vec<u8>>) {
-        self.with(era, |fleet, now, out| fleet.let_go(now, claim, answer, out));
+        self.with(era, |fleet, now, out| fleet.release_claim(now, claim, answer, out));
     }
     /// Nobody waits for a claim any more.
     pub fn forget(&self, era: u64, claim: ClaimId) {
@@ -78,6 +78,6 @@
     }
     /// Work goes on without a record.
     pub fn unprotected(&self, era: u64) {
-        self.with(era, |fleet, _, _| fleet.goes_alone());
+        self.with(era, |fleet, _, _| fleet.count_unprotected());
     }
 }
--- a/src/proxy/cluster_transport/disk/fixture_tests.rs
+++ b/src/proxy/cluster_transport/disk/fixture_tests.rs
@@ -4,14 +4,23 @@
 //! One gateway of three is driven by datagrams alone: it holds a branch's writes in every state, records of the ledger
 //! at every point of their life, and a rollout in every form.
 
-use crate::cluster::ledger::{self, Ballot, Record, RecordId, Seen, Sent};
-use crate::cluster::rollout::{self, Cell, Key, Order, Row, Rule, Rules, Terms, Why};
-use crate::cluster::write_queue::{self, Dot, End, Entry, State, Status, Write};
+use crate::cluster::ledger::{
+    AbandonedRequest, Ballot, LedgerMessage, LedgerSettings, Record, RecordId, RecordSnapshot, SentAttempt,
+};
+use crate::cluster::rollout::{
+    ClassCounts, ClassRow, CountRow, HaltReason, OutcomeTotals, Pause, PerArm, RolloutCommand, RolloutEnd,
+    RolloutKey, RolloutMessage, RolloutSettings, RuleConfig, RuleSet,
+};
+use crate::cluster::write_queue::{
+    Dot, LogEntry, LogPage, QueueMessage, ReplicatedWrite, Write, WriteOutcome, WriteQueueSettings,
+    WriteState, WriteStatus,
+};
 use crate::cluster::{
-    About, Effect, Event, Fleet, Machine, Notice, Put, Settings, BEAT, LEDGER, LONGEST, ROLLOUT,
+    About, Effect, Event, Fleet, MachineId, Notice, Settings, StorageWrite, LEDGER, LEDGER_TICK_INTERVAL,
+    LONGEST, ROLLOUT,
 };
 use crate::decision::api::Micros;
-use crate::proxy::cluster_transport::disk::{Disk, Word};
+use crate::proxy::cluster_transport::disk::{Disk, DiskEvent};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -77,7 +86,7 @@
     })
 }
 
-fn settings(machine: Machine) -> Settings {
+fn settings(machine: MachineId) -> Settings {
     let about =
         About { zone: "east".into(), version: "1".into(), capabilities: LEDGER | ROLLOUT, advertise: None };
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
@@ -88,18 +97,22 @@
         peers: [("a".to_string(), at(1)), ("b".to_string(), at(2)), ("c".to_string(), at(3))].into(),
         period: Duration::from_secs(1),
         seats: SEATS.map(str::to_string).to_vec(),
-        ledger: Some(ledger::Terms { holders: 3, lease: Micros(2_000_000), life: Micros(10_000_000) }),
-        rules: Some(Rules(vec![Rule { attempts: Some(3), ..Rule::default() }])),
-        branch: Some(write_queue::Terms {
+        ledger: Some(LedgerSettings {
+            replicas: 3,
+            lease: Micros(2_000_000),
+            record_lifetime: Micros(10_000_000),
+        }),
+        rules: Some(RuleSet(vec![RuleConfig { max_attempts: Some(3), ..RuleConfig::default() }])),
+        branch: Some(WriteQueueSettings {
             seats: vec![0, 1, 2],
-            most: 100,
-            most_of_one: 50,
-            longest: Micros(3_600_000_000),
-            cut_after: Micros(600_000),
-            patience: Micros(4_000_000),
-            out: 10,
-            per_s: 100,
-            stop: vec![1],
+            max_pending: 100,
+            max_pending_per_customer: 50,
+            max_age: Micros(3_600_000_000),
+            uplink_timeout: Micros(600_000),
+            send_timeout: Micros(4_000_000),
+            max_in_flight: 10,
+            max_sends_per_second: 100,
+            blocking_classes: vec![1],
         }),
         disk: Some(machine),
     }
@@ -110,18 +123,19 @@
     fleet: Fleet,
     now: Micros,
     stored: Stored,
-    batches: Vec<(u64, Vec<Put>)>,
+    batches: Vec<(u64, Vec<StorageWrite>)>,
     notices: Vec<Notice>,
-    orphans: Vec<ledger::Orphan>,
+    orphans: Vec<AbandonedRequest>,
     sent: Vec<Vec<u8>>,
 }
 
 impl Node {
-    fn begin(machine: Machine, now: Micros, stored: &Stored) -> Node {
+    fn begin(machine: MachineId, now: Micros, stored: &Stored) -> Node {
         let fleet = Fleet::new(settings(machine), now, Micros(1_790_000_000_000_000), 7).expect("sound");
         let (batches, notices, orphans, sent) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let stored = stored.clone();
-        let read = stored.iter().map(|(k, v)| Put { key: k.clone(), value: Some(v.clone()) }).collect();
+        let read =
+            stored.iter().map(|(k, v)| StorageWrite { key: k.clone(), value: Some(v.clone()) }).collect();
         let mut node = Node { fleet, now, stored, batches, notices, orphans, sent };
         node.event(Event::DiskRead(read));
         node
@@ -153,7 +167,7 @@
 
     fn run_until(&mut self, until: Micros) {
         while self.now < until {
-            self.now = self.now + BEAT;
+            self.now = self.now + LEDGER_TICK_INTERVAL;
             self.event(Event::Beat);
         }
     }
@@ -167,41 +181,42 @@
         let asked: Vec<u64> = self
             .sent
             .iter()
-            .filter_map(|bytes| match said::<write_queue::Message>(OF_BRANCH, bytes)? {
-                write_queue::Message::Want(number, _) => Some(number),
+            .filter_map(|bytes| match said::<QueueMessage>(OF_BRANCH, bytes)? {
+                QueueMessage::QueryPage { round, .. } => Some(round),
                 _ => None,
             })
             .collect();
         for number in asked {
-            self.hear(OF_BRANCH, 0, &write_queue::Message::Page(number, Vec::new(), false, false));
+            let page = LogPage { round: number, entries: Vec::new(), has_more: false, has_vote: false };
+            self.hear(OF_BRANCH, 0, &QueueMessage::Page(page));
         }
     }
 
     /// Asks for a promise; what the holder answers.
-    fn prepare(&mut self, id: RecordId, ballot: Ballot) -> ledger::Message {
+    fn prepare(&mut self, id: RecordId, ballot: Ballot) -> LedgerMessage {
         self.sent.clear();
-        self.hear(OF_LEDGER, 2, &ledger::Message::Prepare(id, ballot));
-        let answers: Vec<ledger::Message> =
+        self.hear(OF_LEDGER, 2, &LedgerMessage::Prepare { id, ballot });
+        let answers: Vec<LedgerMessage> =
             self.sent.iter().filter_map(|bytes| said(OF_LEDGER, bytes)).collect();
         answers.into_iter().next().expect("an answer")
     }
 }
 
 fn dot(number: u32) -> Dot {
-    Dot { seat: 0, life: 0xa1b2_c3d4, number }
+    Dot { seat: 0, process: 0xa1b2_c3d4, number }
 }
 
 /// Every state of a write.
-fn states() -> [State; 8] {
+fn states() -> [WriteState; 8] {
     [
-        State::Waiting(0),
-        State::Waiting(3),
-        State::Sent(2),
-        State::Ended(End::Expired),
-        State::Ended(End::Stopped(dot(3))),
-        State::Ended(End::Superseded(Dot { seat: 2, life: 77, number: 500 })),
-        State::Ended(End::Unknown),
-        State::Ended(End::Done(204)),
+        WriteState::Pending(0),
+        WriteState::Pending(3),
+        WriteState::Sent(2),
+        WriteState::Ended(WriteOutcome::Expired),
+        WriteState::Ended(WriteOutcome::Blocked(dot(3))),
+        WriteState::Ended(WriteOutcome::Superseded(Dot { seat: 2, process: 77, number: 500 })),
+        WriteState::Ended(WriteOutcome::Unknown),
+        WriteState::Ended(WriteOutcome::Completed(204)),
     ]
 }
 
@@ -212,12 +227,16 @@
         object: 0x1234_5678_9abc_0000 + u64::from(number),
         class: number as u16 % 3,
         key: if number.is_multiple_of(2) { u64::MAX - u64::from(number) } else { 0 },
-        place: 40 + u64::from(number),
-        after: if number == 1 { Vec::new() } else { vec![dot(number - 1), dot(number + 100)] },
+        position: 40 + u64::from(number),
+        dependencies: if number == 1 { Vec::new() } else { vec![dot(number - 1), dot(number + 100)] },
         payload: vec![number as u8; 20],
     }
 }
 
+fn replicate(number: u32, state: WriteState, age: Micros, since_first_send: Option<Micros>) -> QueueMessage {
+    QueueMessage::Replicate(ReplicatedWrite { write: Box::new(write(number)), state, age, since_first_send })
+}
+
 /// A record of the fixture, by what happens to it.
 fn id(which: u64) -> RecordId {
     RecordId { customer: 4_000 + which, key: 0xfeed_0000_0000_0000 + which }
@@ -230,90 +249,122 @@
 const FORGOTTEN: u64 = 6;
 
 fn ballot(number: u32) -> Ballot {
-    Ballot { number, life: 0x0bad_cafe_0000_0009, claim: 31 }
+    Ballot { number, process: 0x0bad_cafe_0000_0009, claim: 31 }
 }
 
-fn record(fence: u32, owned: bool, lease_ms: u32, sent: Vec<Sent>, answer: Option<Vec<u8>>) -> Record {
-    Record { digest: 0xd1_6e57, fence, owned, lease_ms, sent, answer }
+fn record(
+    fence: u32,
+    owned: bool,
+    lease_ms: u32,
+    attempts: Vec<SentAttempt>,
+    response: Option<Vec<u8>>,
+) -> Record {
+    Record { request_digest: 0xd1_6e57, fence, owned, lease_ms, attempts, response }
 }
 
-fn attempts() -> Vec<Sent> {
-    vec![Sent { server: 11, at_ms: 5 }, Sent { server: 12, at_ms: 340 }]
+fn attempts() -> Vec<SentAttempt> {
+    vec![SentAttempt { endpoint: 11, record_age_ms: 5 }, SentAttempt { endpoint: 12, record_age_ms: 340 }]
 }
 
-fn put_record(node: &mut Node, which: u64, seq: u32, age: Micros, record: Record) {
-    let (id, ballot, held) = (id(which), ballot(1), Micros(10_000));
-    node.hear(OF_LEDGER, 2, &ledger::Message::Write { id, ballot, seq, held, age, record });
+fn put_record(node: &mut Node, which: u64, sequence: u32, age: Micros, record: Record) {
+    let (id, ballot, since_promise) = (id(which), ballot(1), Micros(10_000));
+    node.hear(OF_LEDGER, 2, &LedgerMessage::Accept { id, ballot, sequence, since_promise, age, record });
 }
 
-fn terms() -> Terms {
-    Terms {
-        stages: vec![100, 500, 2_500, 10_000],
+fn terms() -> RolloutSettings {
+    RolloutSettings {
+        stage_shares: vec![100, 500, 2_500, 10_000],
         bake_s: 30,
-        longest_s: 900,
-        false_halts: 0.01,
+        max_stage_s: 900,
+        false_halt_rate: 0.01,
         margin: 0.02,
-        least: 250,
+        min_canary_requests: 250,
     }
 }
 
-fn order(number: u64, stage: u8, paused: (u32, bool), end: Option<rollout::End>) -> Order {
-    let old = Rules(vec![Rule { attempts: Some(3), ..Rule::default() }]);
-    let new = Rules(vec![
-        Rule {
+fn order(
+    number: u64,
+    stage: u8,
+    (changes, is_paused): (u32, bool),
+    end: Option<RolloutEnd>,
+) -> RolloutCommand {
+    let old = RuleSet(vec![RuleConfig { max_attempts: Some(3), ..RuleConfig::default() }]);
+    let new = RuleSet(vec![
+        RuleConfig {
             class: Some("look".into()),
             plan: Some("team".into()),
             zone: Some("east".into()),
-            zones: [("east".to_string(), 120), ("west".to_string(), 80)].into(),
-            labels: [("blue".to_string(), 55)].into(),
-            attempts: Some(2),
-            give_up: Some(45),
-            cold: Some(30),
+            zone_weights: [("east".to_string(), 120), ("west".to_string(), 80)].into(),
+            label_weights: [("blue".to_string(), 55)].into(),
+            max_attempts: Some(2),
+            give_up_percent: Some(45),
+            slow_start_percent: Some(30),
         },
-        Rule::default(),
+        RuleConfig::default(),
     ]);
-    let key = Key { number, confirmed: stage > 0, id: 0x5eed_0000 + number };
-    Order { key, stage, paused, end, terms: terms(), old, new }
+    let key = RolloutKey { number, confirmed: stage > 0, id: 0x5eed_0000 + number };
+    RolloutCommand {
+        key,
+        stage,
+        pause: Pause { changes, is_paused },
+        end,
+        settings: terms(),
+        baseline: old,
+        canary: new,
+    }
 }
 
 /// Every form of an order, by name.
-fn orders() -> Vec<(&'static str, Order)> {
-    let worse = Why::Worse { place: "class 2".into(), log_bet: 5.75, log_bound: 5.298 };
+fn orders() -> Vec<(&'static str, RolloutCommand)> {
+    let worse = HaltReason::CanaryWorse { scope: "class 2".into(), log_evidence: 5.75, log_threshold: 5.298 };
     vec![
         ("announced", order(1, 0, (0, false), None)),
         ("running", order(2, 2, (2, false), None)),
         ("paused", order(3, 3, (3, true), None)),
-        ("done", order(4, 4, (0, false), Some(rollout::End::Done))),
-        ("aborted", order(5, 1, (1, true), Some(rollout::End::Aborted))),
-        ("undecided", order(6, 2, (0, false), Some(rollout::End::Halted(2, Why::Undecided)))),
-        ("worse", order(7, 3, (2, false), Some(rollout::End::Halted(0, worse)))),
+        ("done", order(4, 4, (0, false), Some(RolloutEnd::Completed))),
+        ("aborted", order(5, 1, (1, true), Some(RolloutEnd::Aborted))),
+        (
+            "undecided",
+            order(6, 2, (0, false), Some(RolloutEnd::Halted { seat: 2, reason: HaltReason::Undecided })),
+        ),
+        ("worse", order(7, 3, (2, false), Some(RolloutEnd::Halted { seat: 0, reason: worse }))),
     ]
 }
 
 /// Drives a gateway on an empty disk through all that the fixture holds. Returns it with what its disk held after each
 /// order.
 fn told() -> (Node, Vec<(&'static str, Vec<u8>)>) {
-    let mut node = Node::begin(Machine { boot: BOOT, uptime: UPTIME }, BEGAN, &Stored::new());
-    node.run_until(BEGAN + BEAT);
+    let mut node = Node::begin(MachineId { boot: BOOT, uptime: UPTIME }, BEGAN, &Stored::new());
+    node.run_until(BEGAN + LEDGER_TICK_INTERVAL);
     node.answer_pages();
     node.run_until(TOLD_AT - Micros(1_000_000));
     drop(node.prepare(id(FORGOTTEN), ballot(1)));
     node.run_until(TOLD_AT);
-    let votes = node.fleet.desk().is_some_and(|desk| desk.holder().votes(node.now));
-    assert!(votes && node.fleet.branch().is_some_and(|b| b.clerk().votes()), "it has its votes");
+    let votes = node.fleet.ledger().is_some_and(|ledger| ledger.replica().has_vote(node.now));
+    assert!(
+        votes && node.fleet.write_queue().is_some_and(|queue| queue.replica().has_vote()),
+        "it has its votes"
+    );
     for (number, state) in (1..).zip(states()) {
-        let sent_ago = matches!(state, State::Sent(_) | State::Ended(End::Unknown | End::Done(_)));
+        let sent_ago = matches!(
+            state,
+            WriteState::Sent(_) | WriteState::Ended(WriteOutcome::Unknown | WriteOutcome::Completed(_))
+        );
         let sent_ago = sent_ago.then_some(Micros(150_000 + u64::from(number)));
         let age = Micros(700_000 + u64::from(number));
-        node.hear(OF_BRANCH, 0, &write_queue::Message::Hold(Box::new(write(number)), state, age, sent_ago));
+        node.hear(OF_BRANCH, 0, &replicate(number, state, age, sent_ago));
     }
     for which in [OWNED, OFFERED, ANSWERED, FREED] {
         let promise = node.prepare(id(which), ballot(1));
-        assert_eq!(promise, ledger::Message::Promise(id(which), ballot(1), None));
+        assert_eq!(promise, LedgerMessage::Promise { id: id(which), ballot: ballot(1), held: None });
     }
     put_record(&mut node, OWNED, 1, Micros(0), record(1, true, 5_000, attempts()[..1].to_vec(), None));
     for which in [OFFERED, FREED] {
-        node.hear(OF_LEDGER, 2, &ledger::Message::Request(id(which), ballot(1), b"a request".to_vec()));
+        node.hear(
+            OF_LEDGER,
+            2,
+            &LedgerMessage::StoreRequest { id: id(which), ballot: ballot(1), request: b"a request".to_vec() },
+        );
     }
     put_record(&mut node, OFFERED, 1, Micros(20_000), record(2, true, 300, attempts(), None));
     put_record(&mut node, ANSWERED, 1, Micros(2_000), record(1, true, 2_000, attempts(), None));
@@ -324,9 +375,9 @@
     put_record(&mut node, ANSWERED, 2, Micros(402_000), record(1, true, 2_000, attempts(), answer));
     // A write ends later than it was heard of, and was first sent earlier than was known.
     let (age, sent_ago) = (Micros(1_100_003), Some(Micros(900_000)));
-    let done = State::Ended(End::Done(500));
-    node.hear(OF_BRANCH, 2, &write_queue::Message::Hold(Box::new(write(3)), done, age, sent_ago));
-    let again = write_queue::Message::Hold(Box::new(write(9)), State::Sent(0), Micros(50), Some(Micros(40)));
+    let done = WriteState::Ended(WriteOutcome::Completed(500));
+    node.hear(OF_BRANCH, 2, &replicate(3, done, age, sent_ago));
+    let again = replicate(9, WriteState::Sent(0), Micros(50), Some(Micros(40)));
     node.hear(OF_BRANCH, 2, &again);
     node.run_until(ENDED - Micros(400_000));
     assert_eq!(node.orphans.len(), 1, "the one whose owner is silent");
@@ -335,8 +386,8 @@
     drop(node.prepare(id(PROMISED), ballot(3)));
     let mut on_disk = Vec::new();
     for (name, order) in orders() {
-        node.hear(OF_ROLLOUT, 2, &rollout::Message::Order(Box::new(order), false));
-        node.run_until(node.now + BEAT);
+        node.hear(OF_ROLLOUT, 2, &RolloutMessage::Command { command: Box::new(order), is_leader: false });
+        node.run_until(node.now + LEDGER_TICK_INTERVAL);
         on_disk.push((name, node.stored.get(&b"order"[..]).cloned().expect("it is there")));
     }
     node.run_until(ENDED);
@@ -358,7 +409,7 @@
     let copy = folder();
     std::fs::copy(fixtures().join("disk/fleet.redb"), copy.join("fleet.redb")).expect("copied");
     let (disk, mut words) = Disk::open(&copy);
-    let Some(Word::Read(puts)) = words.blocking_recv() else { panic!("it was not read") };
+    let Some(DiskEvent::Loaded(puts)) = words.blocking_recv() else { panic!("it was not read") };
     drop(disk);
     assert!(words.blocking_recv().is_none(), "the thread has ended");
     assert!(!copy.join("fleet.redb.bad").exists(), "it is sound");
@@ -378,10 +429,10 @@
     assert!(!into.join("fleet.redb").exists(), "fixtures are never rewritten");
     let (node, orders) = told();
     let (disk, mut words) = Disk::open(&into);
-    assert!(matches!(words.blocking_recv(), Some(Word::Read(puts)) if puts.is_empty()));
+    assert!(matches!(words.blocking_recv(), Some(DiskEvent::Loaded(puts)) if puts.is_empty()));
     for (batch, puts) in &node.batches {
-        assert!(disk.give(*batch, puts.clone()));
-        assert!(matches!(words.blocking_recv(), Some(Word::Holds(held)) if held == *batch));
+        assert!(disk.submit(*batch, puts.clone()));
+        assert!(matches!(words.blocking_recv(), Some(DiskEvent::Synced(held)) if held == *batch));
     }
     drop(disk);
     assert!(words.blocking_recv().is_none());
@@ -414,7 +465,7 @@
 
 fn next_process(boot: u64) -> Node {
     let uptime = UPTIME + (ENDED - BEGAN) + AFTER;
-    Node::begin(Machine { boot, uptime }, NEXT_BEGAN, &on_disk())
+    Node::begin(MachineId { boot, uptime }, NEXT_BEGAN, &on_disk())
 }
 
 /// A time of the fixture's process on the next one's clock.
@@ -423,45 +474,60 @@
 }
 
 /// The writes of the fixture, with the times of the process that held them.
-fn entries() -> Vec<Entry> {
+fn entries() -> Vec<LogEntry> {
     let (heard, late) = (TOLD_AT, TOLD_AT + Micros(400_000));
     let under_way = Micros(100_000);
-    let mut entries: Vec<Entry> = (1..)
+    let mut entries: Vec<LogEntry> = (1..)
         .zip(states())
-        .map(|(number, state)| Entry {
+        .map(|(number, state)| LogEntry {
             write: write(number),
             state,
-            born: heard - Micros(700_000 + u64::from(number)),
-            sent: matches!(state, State::Sent(_) | State::Ended(End::Unknown | End::Done(_)))
-                .then(|| heard - Micros(150_000 + u64::from(number)) - under_way),
-            over: state.is_over().then_some(heard),
+            accepted_at: heard - Micros(700_000 + u64::from(number)),
+            first_sent_at: matches!(
+                state,
+                WriteState::Sent(_) | WriteState::Ended(WriteOutcome::Unknown | WriteOutcome::Completed(_))
+            )
+            .then(|| heard - Micros(150_000 + u64::from(number)) - under_way),
+            ended_at: state.is_ended().then_some(heard),
         })
         .collect();
-    entries[2].state = State::Ended(End::Done(500));
-    entries[2].sent = Some(late - Micros(900_000) - under_way);
-    entries[2].over = Some(late);
+    entries[2].state = WriteState::Ended(WriteOutcome::Completed(500));
+    entries[2].first_sent_at = Some(late - Micros(900_000) - under_way);
+    entries[2].ended_at = Some(late);
     let (born, sent) = (late - Micros(50), Some(late - Micros(40) - under_way));
-    entries.push(Entry { write: write(9), state: State::Sent(0), born, sent, over: None });
+    entries.push(LogEntry {
+        write: write(9),
+        state: WriteState::Sent(0),
+        accepted_at: born,
+        first_sent_at: sent,
+        ended_at: None,
+    });
     entries
 }
 
 fn check_writes(node: &Node, told: impl Fn(Dot, Micros) -> Micros) {
-    let branch = node.fleet.branch().expect("it is of one");
+    let branch = node.fleet.write_queue().expect("it is of one");
     for entry in entries() {
         let dot = entry.write.dot;
-        assert_eq!(node.fleet.write_status(dot), Some(Status::Known(entry.state)));
+        assert_eq!(node.fleet.write_status(dot), Some(WriteStatus::Known(entry.state)));
         // When a write ended is not read, but counted anew.
-        let over = entry.over.map(|_| node.now);
-        let (born, sent) = (told(dot, entry.born), entry.sent.map(|time| told(dot, time)));
-        let expected = Entry { born, sent, over, ..entry };
-        assert_eq!(branch.clerk().shelf().get(dot), Some(&expected), "{dot}");
+        let over = entry.ended_at.map(|_| node.now);
+        let (born, sent) = (told(dot, entry.accepted_at), entry.first_sent_at.map(|time| told(dot, time)));
+        let expected = LogEntry { accepted_at: born, first_sent_at: sent, ended_at: over, ..entry };
+        assert_eq!(branch.replica().log().get(dot), Some(&expected), "{dot}");
     }
-    assert_eq!(branch.clerk().shelf().open(), 3);
+    assert_eq!(branch.replica().log().pending_count(), 3);
 }
 
-fn seen(seq: u32, born: Micros, at: Micros, record: Record) -> Option<Seen> {
+fn seen(sequence: u32, born: Micros, at: Micros, record: Record) -> Option<RecordSnapshot> {
     let now = NEXT_BEGAN;
-    Some(Seen { ballot: ballot(1), seq, record, age: now - then(born), since: now - then(at) })
+    Some(RecordSnapshot {
+        ballot: ballot(1),
+        sequence,
+        record,
+        age: now - then(born),
+        since_write: now - then(at),
+    })
 }
 
 #[test]
@@ -473,32 +539,38 @@
     check_writes(&node, |_, time| then(time));
     let (first, late) = (TOLD_AT, TOLD_AT + Micros(400_000));
     let new = ballot(9);
-    use ledger::Message::{Passed, Promise, Taken};
-    assert_eq!(node.prepare(id(FORGOTTEN), new), Promise(id(FORGOTTEN), new, None));
+    use LedgerMessage::{Locked, Preempted, Promise};
+    assert_eq!(node.prepare(id(FORGOTTEN), new), Promise { id: id(FORGOTTEN), ballot: new, held: None });
     let owned = seen(2, first, late, record(1, true, 5_000, attempts(), None)).expect("it is there");
-    assert_eq!(node.prepare(id(OWNED), new), Taken(id(OWNED), new, owned));
+    assert_eq!(node.prepare(id(OWNED), new), Locked { id: id(OWNED), ballot: new, held: owned });
     let offered = record(2, true, 300, attempts(), None);
     let offered = seen(1, first - Micros(20_000), first, offered);
     // These were promised to later ballots.
     for (which, by) in [(OFFERED, ballot(2)), (PROMISED, ballot(3))] {
-        assert_eq!(node.prepare(id(which), ballot(1)), Passed(id(which), ballot(1), by));
+        assert_eq!(
+            node.prepare(id(which), ballot(1)),
+            Preempted { id: id(which), ballot: ballot(1), promised: by }
+        );
     }
-    assert_eq!(node.prepare(id(OFFERED), new), Promise(id(OFFERED), new, offered));
+    assert_eq!(node.prepare(id(OFFERED), new), Promise { id: id(OFFERED), ballot: new, held: offered });
     let answered = record(1, true, 2_000, attempts(), Some(b"200 and an answer".to_vec()));
     let answered = seen(2, first - Micros(2_000), late, answered).expect("it is there");
-    assert_eq!(node.prepare(id(ANSWERED), new), Taken(id(ANSWERED), new, answered));
+    assert_eq!(node.prepare(id(ANSWERED), new), Locked { id: id(ANSWERED), ballot: new, held: answered });
     let freed = record(3, false, 2_000, Vec::new(), None);
     let freed = seen(1, first - Micros(3_000), first, freed);
-    assert_eq!(node.prepare(id(FREED), new), Promise(id(FREED), new, freed));
+    assert_eq!(node.prepare(id(FREED), new), Promise { id: id(FREED), ballot: new, held: freed });
     // It was offered to be finished by the process before, and is offered again once that is long enough ago.
-    node.run_until(node.now + BEAT);
+    node.run_until(node.now + LEDGER_TICK_INTERVAL);
     let request = b"a request".to_vec();
-    let orphan = ledger::Orphan { id: id(OFFERED), digest: 0xd1_6e57, request };
+    let orphan = AbandonedRequest { id: id(OFFERED), request_digest: 0xd1_6e57, request };
     assert_eq!(node.orphans, [orphan]);
-    let rollout = node.fleet.in_force().expect("it takes part");
+    let rollout = node.fleet.routing_in_force().expect("it takes part");
     let (_, order) = orders().pop().expect("the last");
-    assert_eq!((rollout.key, rollout.old, rollout.new), (Some(order.key), order.old, order.new));
-    assert_eq!((rollout.counts, rollout.share), (false, 0));
+    assert_eq!(
+        (rollout.key, rollout.baseline, rollout.canary),
+        (Some(order.key), order.baseline, order.canary)
+    );
+    assert_eq!((rollout.counts_outcomes, rollout.canary_share), (false, 0));
 }
 
 #[test]
@@ -511,7 +583,7 @@
         let put_at = if [dot(3), dot(9)].contains(&of) { TOLD_AT + Micros(400_000) } else { TOLD_AT };
         NEXT_BEGAN - (put_at - time)
     });
-    node.run_until(node.now + BEAT);
+    node.run_until(node.now + LEDGER_TICK_INTERVAL);
     let left: Vec<&Vec<u8>> = node.stored.keys().filter(|key| key.first() == Some(&b'r')).collect();
     assert!(left.is_empty(), "its records say nothing any more: {left:?}");
 }
@@ -530,36 +602,49 @@
     assert_eq!(found.len(), orders().len());
     for ((name, order), (found_name, bytes)) in orders().into_iter().zip(found) {
         assert_eq!(name, found_name);
-        assert_eq!(postcard::from_bytes::<Order>(&bytes).expect("it can be read"), order, "{name}");
+        assert_eq!(postcard::from_bytes::<RolloutCommand>(&bytes).expect("it can be read"), order, "{name}");
         assert_eq!(postcard::to_allocvec(&order).expect("it can be written"), bytes, "{name}");
     }
 }
 
+fn counts(base: u64) -> ClassCounts {
+    let (on_time, late, failed, rejected) = (base + 50, base + 7, base + 3, base + 1);
+    let baseline = OutcomeTotals { on_time, late, failed, rejected };
+    let (on_time, late, failed, rejected) = (base + 60, base + 8, base + 4, base + 2);
+    let canary = OutcomeTotals { on_time, late, failed, rejected };
+    ClassCounts {
+        outcomes: PerArm { baseline, canary },
+        response_times: PerArm { baseline: [1, 2, 3, 4, 5], canary: [6, 7, 8, 9, 10] },
+        canary_failures: 2,
+        log_prices: [0.1, 0.2, 0.3, 0.4],
+    }
+}
+
 /// What operators read, as JSON: of each form of an order, and at a gateway that collects the counts.
 fn reports() -> Vec<(&'static str, String)> {
     let mut reports = Vec::new();
     for (name, order) in orders() {
         let key = order.key;
-        let mut node = Node::begin(Machine { boot: BOOT, uptime: UPTIME }, BEGAN, &Stored::new());
-        node.hear(OF_ROLLOUT, 2, &rollout::Message::Order(Box::new(order), false));
+        let mut node = Node::begin(MachineId { boot: BOOT, uptime: UPTIME }, BEGAN, &Stored::new());
+        node.hear(OF_ROLLOUT, 2, &RolloutMessage::Command { command: Box::new(order), is_leader: false });
         for (seat, stage) in [(0u16, 2u8), (2, 3)] {
-            let mut cell = Cell::default();
-            let base = u64::from(seat) * 100;
-            cell.ends =
-                [[base + 50, base + 7, base + 3, base + 1], [base + 60, base + 8, base + 4, base + 2]];
-            cell.times = [[1, 2, 3, 4, 5], [6, 7, 8, 9, 10]];
-            cell.hits = 2;
-            cell.price = [0.1, 0.2, 0.3, 0.4];
-            let (zone, cells) = ("west".to_string(), vec![(1, cell)]);
-            let row = Row { key, life: 5, seq: 1, zone, stage, ended: stage == 3, cells };
-            node.hear(OF_ROLLOUT, seat, &rollout::Message::Row(Box::new(row.clone())));
+            let row = CountRow {
+                key,
+                process: 5,
+                sequence: 1,
+                zone: "west".to_string(),
+                stage,
+                has_ended: stage == 3,
+                classes: vec![ClassRow { class: 1, counts: counts(u64::from(seat) * 100) }],
+            };
+            node.hear(OF_ROLLOUT, seat, &RolloutMessage::Counts(Box::new(row.clone())));
             // One that can't be.
-            let cells = vec![(64, Cell::default())];
-            let row = Row { seq: 2, cells, ..row };
-            node.hear(OF_ROLLOUT, seat, &rollout::Message::Row(Box::new(row)));
+            let classes = vec![ClassRow { class: 64, counts: ClassCounts::default() }];
+            let row = CountRow { sequence: 2, classes, ..row };
+            node.hear(OF_ROLLOUT, seat, &RolloutMessage::Counts(Box::new(row)));
         }
         node.run_until(BEGAN + Micros(1_000_000));
-        let report = node.fleet.rollout(node.now).expect("there is one");
+        let report = node.fleet.rollout_report(node.now).expect("there is one");
         reports.push((name, serde_json::to_string_pretty(&report).expect("it can be written")));
     }
     reports
--- a/src/proxy/cluster_transport/gauges.rs
+++ b/src/proxy/cluster_transport/gauges.rs
@@ -32,48 +32,56 @@
             line("share.for_ms", view.share_for_ms);
             line("share.away", view.away.len() as u64);
         }
-        if let Some(desk) = fleet.as_ref().and_then(Fleet::desk) {
-            let (t, holder) = (&desk.tallies, desk.holder());
-            line("ledger.votes", u64::from(holder.votes(self.clock.now())));
-            line("ledger.records", holder.len() as u64);
-            line("ledger.open", desk.claims() as u64);
+        if let Some(ledger) = fleet.as_ref().and_then(Fleet::ledger) {
+            let (t, replica) = (&ledger.counts, ledger.replica());
+            line("ledger.votes", u64::from(replica.has_vote(self.clock.now())));
+            line("ledger.records", replica.len() as u64);
+            line("ledger.open", ledger.open_claims() as u64);
             line("ledger.claims", t.claims);
-            line("ledger.clear", t.clear);
+            line("ledger.clear", t.acquired);
             line("ledger.taken_over", t.taken_over);
-            line("ledger.running", t.running);
-            line("ledger.answered", t.answered);
-            line("ledger.mistakes", t.mistakes);
-            line("ledger.unheld", t.unheld);
+            line("ledger.running", t.in_progress);
+            line("ledger.answered", t.completed);
+            line("ledger.mistakes", t.key_reused);
+            line("ledger.unheld", t.unavailable);
             line("ledger.lost", t.lost);
             line("ledger.unprotected", t.unprotected);
-            line("ledger.orphans", t.orphans);
+            line("ledger.orphans", t.abandoned);
             line("ledger.finished", self.finished.0.get());
             line("ledger.not_finished", self.finished.1.get());
-            line("ledger.refused.mute", holder.refusals.mute);
-            line("ledger.refused.full", holder.refusals.full);
-            line("ledger.refused.late", holder.refusals.late);
-            line("ledger.refused.unfit", holder.refusals.unfit);
+            line("ledger.refused.mute", replica.rejections.not_voting);
+            line("ledger.refused.full", replica.rejections.at_capacity);
+            line("ledger.refused.late", replica.rejections.late);
+            line("ledger.refused.unfit", replica.rejections.invalid);
         }
-        if let Some(clerk) = fleet.as_ref().and_then(Fleet::branch).map(|b| b.clerk()) {
-            line("branch.cut", u64::from(clerk.is_cut()));
-            line("branch.votes", u64::from(clerk.votes()));
-            line("branch.waiting", clerk.shelf().open() as u64);
-            line("branch.out", clerk.out() as u64);
-            line("branch.accepted", clerk.tallies.accepted);
-            line("branch.refused", clerk.tallies.refused);
-            line("branch.sent", clerk.tallies.sent);
-            line("branch.done", clerk.tallies.done);
-            line("branch.not_done", clerk.tallies.not_done);
+        if let Some(queue) = fleet.as_ref().and_then(Fleet::write_queue).map(|queue| queue.replica()) {
+            line("branch.cut", u64::from(queue.is_isolated()));
+            line("branch.votes", u64::from(queue.has_vote()));
+            line("branch.waiting", queue.log().pending_count() as u64);
+            line("branch.out", queue.in_flight() as u64);
+            line("branch.accepted", queue.counts.accepted);
+            line("branch.refused", queue.counts.rejected);
+            line("branch.sent", queue.counts.forwarded);
+            line("branch.done", queue.counts.completed);
+            line("branch.not_done", queue.counts.not_completed);
         }
         if self.keeps_rules() {
-            let rollout = fleet.as_ref().and_then(|fleet| fleet.rollout(self.clock.now()));
-            let of = |figure: fn(&crate::cluster::rollout::Report) -> u64| rollout.as_ref().map_or(0, figure);
+            let rollout = fleet.as_ref().and_then(|fleet| fleet.rollout_report(self.clock.now()));
+            let of = |figure: fn(&crate::cluster::rollout::RolloutReport) -> u64| {
+                rollout.as_ref().map_or(0, figure)
+            };
             line("rollout.number", of(|r| r.number));
-            line("rollout.stage", of(|r| r.stage.0.into()));
-            line("rollout.running", of(|r| u64::from(r.state == "running")));
-            line("rollout.halted", of(|r| u64::from(r.state == "halted")));
+            line("rollout.stage", of(|r| r.stage.stage.into()));
+            line(
+                "rollout.running",
+                of(|r| u64::from(r.state == crate::cluster::rollout::RolloutState::Running)),
+            );
+            line(
+                "rollout.halted",
+                of(|r| u64::from(r.state == crate::cluster::rollout::RolloutState::Halted)),
+            );
             line("rollout.leads", of(|r| r.leads.into()));
-            line("rollout.refused", of(|r| r.refused));
+            line("rollout.refused", of(|r| r.rejected));
             line("rollout.uncounted", self.arms.dropped());
         }
         if let Some((works, waits)) = fleet.as_ref().and_then(Fleet::disk) {
--- a/src/proxy/cluster_transport/ledger_claim.rs
+++ b/src/proxy/cluster_transport/ledger_claim.rs
@@ -1,6 +1,6 @@
 //! One request's work at the ledger, from its claim to its end. The ledger decides; this waits for it, within bounds.
 
-use crate::cluster::ledger::{Change, ClaimId, Finding, ROUND};
+use crate::cluster::ledger::{ClaimId, ClaimOutcome, RecordChange, ROUND_TRIP_LIMIT};
 use crate::decision::api::{Micros, Outcome};
 use crate::proxy::cluster_transport::Peers;
 use std::cell::{Cell, RefCell};
@@ -10,22 +10,22 @@
 use tokio::time::{timeout_at, Instant};
 
 /// Holders that are slower than this are not waited for alone: early enough for a promise that counts.
-const HURRY: Duration = Duration::from_micros(ROUND.0 / 5);
+const HURRY: Duration = Duration::from_micros(ROUND_TRIP_LIMIT.0 / 5);
 
 /// What a claim found out so far.
 #[derive(Default)]
 pub struct Slot {
     /// The first finding, and after it the loss of the record.
-    finding: RefCell<Option<Finding>>,
+    finding: RefCell<Option<ClaimOutcome>>,
     confirmed: Cell<u32>,
     changed: Notify,
 }
 
 impl Slot {
     /// The claim found out something.
-    pub fn tell(&self, finding: Finding) {
+    pub fn tell(&self, finding: ClaimOutcome) {
         match finding {
-            Finding::Confirmed(number) => self.confirmed.set(number.max(self.confirmed.get())),
+            ClaimOutcome::Confirmed(number) => self.confirmed.set(number.max(self.confirmed.get())),
             finding => *self.finding.borrow_mut() = Some(finding),
         }
         self.changed.notify_waiters();
@@ -62,15 +62,15 @@
         Work { peers, claim, era, slot, bound, alone: Cell::new(false), answered: Cell::new(false) }
     }
 
-    fn first(slot: &Slot) -> Option<Finding> {
+    fn first(slot: &Slot) -> Option<ClaimOutcome> {
         slot.finding.borrow().clone()
     }
 
     /// What the record says. Holders that are slow are as good as none.
-    pub async fn found(&self) -> Finding {
+    pub async fn found(&self) -> ClaimOutcome {
         self.within(Work::first).await.unwrap_or_else(|| {
             self.goes_alone();
-            Finding::Unheld
+            ClaimOutcome::Unavailable
         })
     }
 
@@ -89,7 +89,7 @@
     /// Ends when the work is another's, or was begun before: then the record has to be looked at first.
     pub async fn overtaken(&self) {
         let others = |slot: &Slot| match &*slot.finding.borrow() {
-            None | Some(Finding::Unheld | Finding::Clear { found: false, .. }) => None,
+            None | Some(ClaimOutcome::Unavailable | ClaimOutcome::Acquired { existed: false, .. }) => None,
             Some(_) => Some(()),
         };
         loop {
@@ -104,7 +104,7 @@
 
     /// Ends when another took the record over.
     pub async fn lost(&self) {
-        let lost = |slot: &Slot| matches!(&*slot.finding.borrow(), Some(Finding::Lost)).then_some(());
+        let lost = |slot: &Slot| matches!(&*slot.finding.borrow(), Some(ClaimOutcome::Lost)).then_some(());
         self.slot.wait(lost).await;
     }
 
@@ -120,19 +120,19 @@
             return true;
         }
         match self.found().await {
-            Finding::Clear { .. } => {}
-            Finding::Unheld => {
+            ClaimOutcome::Acquired { .. } => {}
+            ClaimOutcome::Unavailable => {
                 self.goes_alone();
                 return true;
             }
             _ => return false,
         }
-        let Some(number) = self.peers.change(self.era, self.claim, Change::Send(server)) else {
+        let Some(number) = self.peers.change(self.era, self.claim, RecordChange::AddAttempt(server)) else {
             // Held back for too long, or more attempts than a record tells of.
             return self.may_act();
         };
         let confirmed = |slot: &Slot| match &*slot.finding.borrow() {
-            Some(Finding::Lost) => Some(false),
+            Some(ClaimOutcome::Lost) => Some(false),
             _ => (slot.confirmed.get() >= number).then_some(true),
         };
         match self.within(confirmed).await {
--- a/src/proxy/cluster_transport/ledger_request.rs
+++ b/src/proxy/cluster_transport/ledger_request.rs
@@ -1,6 +1,6 @@
 //! A request of which the ledger keeps a record: begun here, joined, answered from its record, or taken over.
 
-use crate::cluster::ledger::{Finding, RecordId};
+use crate::cluster::ledger::{ClaimOutcome, RecordId, RecordedAttempt};
 use crate::decision::api::*;
 use crate::proxy::cluster_transport::ledger_claim::{pause, Work};
 use crate::proxy::cluster_transport::Peers;
@@ -27,8 +27,9 @@
 }
 
 /// Attempts of owners before this one, as the module is told of them.
-pub fn earlier(sent: Vec<(u64, Micros)>) -> Vec<Earlier> {
-    sent.into_iter().map(|(server, sent)| Earlier { server: ServerId(server), sent }).collect()
+pub fn earlier(attempts: Vec<RecordedAttempt>) -> Vec<Earlier> {
+    let earlier = |a: RecordedAttempt| Earlier { server: ServerId(a.endpoint), sent: a.sent_at };
+    attempts.into_iter().map(earlier).collect()
 }
 
 /// Takes a request through the ledger to its answer, by its deadline. `request`: it is left with its record's holders,
@@ -58,20 +59,20 @@
                 answer = begin(&work, Vec::new(), false) => return Ok(answer),
             }
             // What went ahead is called back, and may be about to be sent under this claim: only another may write.
-            if matches!(work.found().await, Finding::Clear { .. }) {
+            if matches!(work.found().await, ClaimOutcome::Acquired { .. }) {
                 let Some(other) = peers.claim(id, digest, request.clone()) else { continue };
                 work = other;
             }
         }
         match work.found().await {
-            Finding::Answered(body) => {
+            ClaimOutcome::Completed(body) => {
                 return Ok(Answer::Served(Giving::Whole(Full::new(Bytes::from(body)), None)))
             }
-            Finding::Mistake => {
+            ClaimOutcome::KeyReused => {
                 let problem = "the key stands for another request\n";
                 return Err(Malformed(StatusCode::UNPROCESSABLE_ENTITY, problem));
             }
-            Finding::Running(left) => {
+            ClaimOutcome::InProgress(left) => {
                 let now = front.clock.now();
                 // As late as the module itself would say so.
                 if now + front.last_moment >= arrival.deadline {
@@ -82,13 +83,13 @@
                 sleep(wait.min(crate::proxy::runtime::duration(arrival.deadline - now - front.last_moment)))
                     .await;
             }
-            Finding::Lost | Finding::Confirmed(_) => {}
-            Finding::Unheld => return Ok(begin(&work, Vec::new(), false).await),
-            Finding::Clear { sent, found } => {
+            ClaimOutcome::Lost | ClaimOutcome::Confirmed(_) => {}
+            ClaimOutcome::Unavailable => return Ok(begin(&work, Vec::new(), false).await),
+            ClaimOutcome::Acquired { attempts, existed } => {
                 tokio::select! {
                     biased;
                     () = work.lost() => {}
-                    answer = begin(&work, earlier(sent), found) => return Ok(answer),
+                    answer = begin(&work, earlier(attempts), existed) => return Ok(answer),
                 }
             }
         }
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -13,18 +13,18 @@
 pub(crate) mod write_queue_sender;
 mod writes;
 
-use crate::cluster::ledger::{Change, ClaimId, Orphan, RecordId};
-use crate::cluster::rollout::{End as RolloutEnd, Key, Start, Told, Why};
-use crate::cluster::write_queue::{Dot, Fate, Status};
+use crate::cluster::ledger::{AbandonedRequest, ClaimId, RecordChange, RecordId};
+use crate::cluster::rollout::{HaltReason, RolloutEnd, RolloutKey, RolloutNotice, RolloutRequest};
+use crate::cluster::write_queue::{Dot, ForwardOutcome, WriteRequest, WriteStatus};
 use crate::cluster::{
-    Agreement, Effect, Errand, Event, Fleet, Micros, Notice, Report, Shares, Standing, Taken, BEAT, LONGEST,
-    WAKE,
+    Agreement, CommandResult, Effect, Event, Fleet, Micros, Notice, Report, Shares, Standing,
+    WriteQueueEffect, LEDGER_TICK_INTERVAL, LONGEST, WAKE,
 };
 use crate::decision::api::Lent;
 use crate::proxy::control_plane::config::FleetConfig;
 use crate::proxy::lifecycle::drain::{Duty, End};
 use crate::proxy::runtime::{tell, Clock, Inbox, Input};
-use disk::{Disk, Word};
+use disk::{Disk, DiskEvent};
 use ledger_claim::{Slot, Work};
 use outcome_recorder::Arms;
 use std::cell::{Cell, RefCell};
@@ -65,14 +65,14 @@
     /// How requests ended under a rollout.
     arms: Rc<Arms>,
     /// Who waits for a rollout to begin.
-    begins: RefCell<Option<oneshot::Sender<Option<Key>>>>,
+    begins: RefCell<Option<oneshot::Sender<Option<RolloutKey>>>>,
     /// Who waits for a write to be accepted, and the way to whoever sends writes on.
     accepts: RefCell<HashMap<Dot, Vec<oneshot::Sender<bool>>>>,
     writes: mpsc::Sender<Order>,
     /// The gateway's disk, where it has one, while this process takes part.
     disk: RefCell<Option<Disk>>,
     /// The way to whoever finishes requests of gateways that are gone; how many were, and how many could not be.
-    orphans: mpsc::Sender<Orphan>,
+    orphans: mpsc::Sender<AbandonedRequest>,
     finished: (Cell<u64>, Cell<u64>),
 }
 
@@ -84,7 +84,7 @@
         duty: Rc<Duty>,
         inbox: Inbox,
         arms: Rc<Arms>,
-        (writes, orphans): (mpsc::Sender<Order>, mpsc::Sender<Orphan>),
+        (writes, orphans): (mpsc::Sender<Order>, mpsc::Sender<AbandonedRequest>),
     ) -> Rc<Peers> {
         Rc::new(Peers {
             config,
@@ -165,13 +165,13 @@
         let unix = Micros(unix.as_micros().min(u128::from(u64::MAX)) as u64);
         let settings = crate::cluster::Settings {
             peers: elsewhere.borrow_and_update().clone(),
-            disk: self.config.dir.as_ref().map(|_| disk::machine()),
+            disk: self.config.dir.as_ref().map(|_| disk::machine_id()),
             ..self.config.settings.clone()
         };
         match Fleet::new(settings, self.clock.now(), unix, fastrand::u64(..)) {
             Ok(fleet) => {
                 info!(name = %fleet.own().name, incarnation = fleet.own().incarnation, "joining the fleet");
-                let in_force = fleet.in_force().filter(|f| !f.old.0.is_empty());
+                let in_force = fleet.routing_in_force().filter(|f| !f.baseline.0.is_empty());
                 in_force.into_iter().for_each(|f| tell(&self.inbox, Input::Routing(Box::new(f))));
                 *self.fleet.borrow_mut() = Some(fleet);
                 self.era.set(self.era.get() + 1);
@@ -200,7 +200,7 @@
                 self.give(Event::Datagram(from, &buffer[..length]));
             }
             if beat.is_some_and(|at| Instant::now() >= at) {
-                beat = Some(Instant::now() + Duration::from_micros(BEAT.0));
+                beat = Some(Instant::now() + Duration::from_micros(LEDGER_TICK_INTERVAL.0));
                 self.count();
                 self.give(Event::Beat);
             }
@@ -225,9 +225,9 @@
                 () = sleep_until(wake) => {}
                 () = sleep_until(beat.unwrap_or(wake)), if beat.is_some() => {}
                 word = next(&mut words) => match word {
-                    Word::Read(puts) => self.give(Event::DiskRead(puts)),
-                    Word::Holds(batch) => self.give(Event::DiskHolds(batch)),
-                    Word::Failed => self.give(Event::DiskFailed),
+                    DiskEvent::Loaded(puts) => self.give(Event::DiskRead(puts)),
+                    DiskEvent::Synced(batch) => self.give(Event::DiskHolds(batch)),
+                    DiskEvent::Failed => self.give(Event::DiskFailed),
                 },
                 // The duty outlives this.
                 _ = duty.changed() => {}
@@ -261,7 +261,7 @@
                 }
                 Effect::Tell(notice) => notices::log(&notice),
                 Effect::Keep(batch, puts) => {
-                    if !self.disk.borrow().as_ref().is_some_and(|disk| disk.give(batch, puts)) {
+                    if !self.disk.borrow().as_ref().is_some_and(|disk| disk.submit(batch, puts)) {
                         self.give(Event::DiskFailed);
                     }
                 }
@@ -301,13 +301,13 @@
 }
 
 /// The disk's next word; one whose thread is gone has failed.
-async fn next(words: &mut Option<mpsc::Receiver<Word>>) -> Word {
+async fn next(words: &mut Option<mpsc::Receiver<DiskEvent>>) -> DiskEvent {
     match words {
         Some(heard) => match heard.recv().await {
             Some(word) => word,
             None => {
                 *words = None;
-                Word::Failed
+                DiskEvent::Failed
             }
         },
         None => std::future::pending().await,
--- a/src/proxy/cluster_transport/notices.rs
+++ b/src/proxy/cluster_transport/notices.rs
@@ -3,19 +3,29 @@
 use crate::proxy::cluster_transport::*;
 
 /// What becomes of a rollout.
-pub(super) fn log_rollout(told: &Told) {
+pub(super) fn log_rollout(told: &RolloutNotice) {
     let number = told.number();
     match told {
-        Told::Stage(_, stage, paused) => info!(number, stage, paused, "rollout of rules"),
-        Told::Leads(_) => info!(number, "leading the rollout of rules"),
-        Told::Ended(_, RolloutEnd::Done) => info!(number, "the new rules hold for all"),
-        Told::Ended(_, RolloutEnd::Aborted) => warn!(number, "rollout called off; the rules before hold"),
-        Told::Ended(_, RolloutEnd::Halted(seat, why)) => match why {
-            Why::Worse { place, log_bet, log_bound } => warn!(
-                number,
-                seat, place, log_bet, log_bound, "rollout halted: the new rules are worse; those before hold"
-            ),
-            Why::Undecided => {
+        RolloutNotice::StageChanged { stage, paused, .. } => info!(number, stage, paused, "rollout of rules"),
+        RolloutNotice::Leading { .. } => info!(number, "leading the rollout of rules"),
+        RolloutNotice::Ended { end: RolloutEnd::Completed, .. } => {
+            info!(number, "the new rules hold for all")
+        }
+        RolloutNotice::Ended { end: RolloutEnd::Aborted, .. } => {
+            warn!(number, "rollout called off; the rules before hold")
+        }
+        RolloutNotice::Ended { end: RolloutEnd::Halted { seat, reason }, .. } => match reason {
+            HaltReason::CanaryWorse { scope: place, log_evidence: log_bet, log_threshold: log_bound } => {
+                warn!(
+                    number,
+                    seat,
+                    place,
+                    log_bet,
+                    log_bound,
+                    "rollout halted: the new rules are worse; those before hold"
+                )
+            }
+            HaltReason::Undecided => {
                 warn!(number, seat, "rollout halted: a stage took too long; the rules before hold")
             }
         },
--- a/src/proxy/cluster_transport/outcome_recorder.rs
+++ b/src/proxy/cluster_transport/outcome_recorder.rs
@@ -1,7 +1,7 @@
 //! What the driver saw and the fleet part counts: how requests ended under the rules of a rollout, and whether attempts
 //! outside are answered.
 
-use crate::cluster::rollout::{Arm, Ended, Key};
+use crate::cluster::rollout::{Arm, RequestOutcome, RolloutKey};
 use crate::decision::api::{ClassId, Micros};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Judged {
     /// Of which rollout.
-    pub key: Key,
+    pub key: RolloutKey,
     /// Which rules.
     pub arm: Arm,
     /// Its class.
@@ -32,7 +32,7 @@
     /// When it ended.
     pub at: Micros,
     /// How.
-    pub ended: Ended,
+    pub ended: RequestOutcome,
     /// How much of its aim that took.
     pub part_of_aim: f64,
 }
--- a/src/proxy/cluster_transport/write_queue_sender.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -1,7 +1,9 @@
 //! Writes of a branch that is cut off: taken from clients, told of to whoever asks, and sent on when the fleet part says so.
 
-use crate::cluster::ledger::{Finding, RecordId};
-use crate::cluster::write_queue::{Dot, End, Fate, State, Status, Write};
+use crate::cluster::ledger::{ClaimOutcome, RecordId};
+use crate::cluster::write_queue::{
+    Dot, ForwardOutcome, Write, WriteOutcome, WriteRequest, WriteState, WriteStatus,
+};
 use crate::decision::api::Arrival;
 use crate::proxy::cluster_transport::abandoned_requests::{go_on, Gone};
 use crate::proxy::cluster_transport::ledger_request::{record_of, recorded};
@@ -61,30 +63,37 @@
     if let Some(key) = asked.key {
         let id = RecordId { customer, key };
         let found = peers.claim(id, 0, None)?.found().await;
-        let new = matches!(found, Finding::Clear { found: false, .. });
-        if !new && (asked.arrival.resent || !matches!(found, Finding::Unheld)) {
+        let new = matches!(found, ClaimOutcome::Acquired { existed: false, .. });
+        if !new && (asked.arrival.resent || !matches!(found, ClaimOutcome::Unavailable)) {
             return None;
         }
     }
     let payload = serialized_request::kept(&Method::POST, uri, headers, body)?;
     let key = asked.key.map_or(0, |key| key ^ xxh3_64(body));
-    let of = (customer, object, asked.arrival.class.0.min(usize::from(u16::MAX)) as u16, key);
-    timeout(ACCEPT, peers.accept_write(of, payload)).await.ok().flatten()
+    let class = asked.arrival.class.0.min(usize::from(u16::MAX)) as u16;
+    let request = WriteRequest { customer, object, class, key, payload };
+    timeout(ACCEPT, peers.accept_write(request)).await.ok().flatten()
 }
 
 /// What is told of a write.
-pub fn told(status: Option<Status>) -> (bool, String) {
+pub fn told(status: Option<WriteStatus>) -> (bool, String) {
     let words = match status {
-        Some(Status::Known(State::Waiting(_))) => "waiting".to_string(),
-        Some(Status::Known(State::Sent(_))) => "sent".to_string(),
-        Some(Status::Known(State::Ended(End::Done(status)))) => format!("done {status}"),
-        Some(Status::Known(State::Ended(End::Superseded(by)))) => format!("superseded by {by}"),
-        Some(Status::Known(State::Ended(End::Stopped(by)))) => format!("stopped by {by}"),
-        Some(Status::Known(State::Ended(End::Expired))) => "expired".to_string(),
-        Some(Status::Known(State::Ended(End::Unknown))) => "unknown: it may have run".to_string(),
-        Some(Status::Lost) | None => "lost, or never accepted".to_string(),
+        Some(WriteStatus::Known(WriteState::Pending(_))) => "waiting".to_string(),
+        Some(WriteStatus::Known(WriteState::Sent(_))) => "sent".to_string(),
+        Some(WriteStatus::Known(WriteState::Ended(WriteOutcome::Completed(status)))) => {
+            format!("done {status}")
+        }
+        Some(WriteStatus::Known(WriteState::Ended(WriteOutcome::Superseded(by)))) => {
+            format!("superseded by {by}")
+        }
+        Some(WriteStatus::Known(WriteState::Ended(WriteOutcome::Blocked(by)))) => format!("stopped by {by}"),
+        Some(WriteStatus::Known(WriteState::Ended(WriteOutcome::Expired))) => "expired".to_string(),
+        Some(WriteStatus::Known(WriteState::Ended(WriteOutcome::Unknown))) => {
+            "unknown: it may have run".to_string()
+        }
+        Some(WriteStatus::Lost) | None => "lost, or never accepted".to_string(),
     };
-    (matches!(status, Some(Status::Known(_))), words + "\n")
+    (matches!(status, Some(WriteStatus::Known(_))), words + "\n")
 }
 
 /// Sends writes on for as long as the gateway lives.
@@ -99,9 +108,9 @@
     }
 }
 
-async fn sent(front: &Front, peers: &Rc<Peers>, order: &Order) -> Fate {
+async fn sent(front: &Front, peers: &Rc<Peers>, order: &Order) -> ForwardOutcome {
     let Some((asked, forward)) = serialized_request::request(front, &order.write.payload) else {
-        return Fate::Answered(400);
+        return ForwardOutcome::Answered(400);
     };
     let record = match (asked.key, &forward.body) {
         (Some(key), Payload::Whole(body)) => Some(record_of(&asked, key, &forward, body)),
@@ -117,22 +126,22 @@
             None => Ok(carried(front, arrival, with(None)).await),
         };
         match answer {
-            Ok(Answer::Served(_)) => return Fate::Answered(200),
+            Ok(Answer::Served(_)) => return ForwardOutcome::Answered(200),
             // Whether trying again is harmless for a client that comes at once says nothing of later.
             Ok(Answer::Refused(_) | Answer::Failed) if !tries.may_have_run(CALLED_OFF).await => {
-                return Fate::Refused
+                return ForwardOutcome::NotExecuted
             }
             Ok(_) => {}
-            Err(problem) => return Fate::Answered(problem.0.as_u16()),
+            Err(problem) => return ForwardOutcome::Answered(problem.0.as_u16()),
         }
     }
     // It may have run: with a record of its attempts its class may yet allow it to be sent again.
     match record {
         Some(record) => match go_on(front, peers, record, &asked, &forward).await {
-            Gone::Finished | Gone::Answered => Fate::Answered(200),
-            Gone::Elsewhere | Gone::Refused => Fate::Lost,
+            Gone::Finished | Gone::Answered => ForwardOutcome::Answered(200),
+            Gone::Elsewhere | Gone::Refused => ForwardOutcome::Unknown,
         },
-        None => Fate::Lost,
+        None => ForwardOutcome::Unknown,
     }
 }
 
--- a/src/proxy/control_plane/config/fleet_file.rs
+++ b/src/proxy/control_plane/config/fleet_file.rs
@@ -96,23 +96,23 @@
 
 impl BranchDocument {
     /// The branch's terms; its gateways have to be seats of the fleet.
-    fn terms(&self, seats: &[String]) -> Result<cluster::write_queue::Terms, ConfigError> {
+    fn terms(&self, seats: &[String]) -> Result<cluster::write_queue::WriteQueueSettings, ConfigError> {
         let seat = |name: &String| {
             let place = seats.iter().position(|seat| seat == name);
             place
                 .map(|p| p as u16)
                 .ok_or_else(|| ConfigError(format!("branch.seats: there is no seat '{name}'")))
         };
-        Ok(cluster::write_queue::Terms {
+        Ok(cluster::write_queue::WriteQueueSettings {
             seats: self.seats.iter().map(seat).collect::<Result<_, _>>()?,
-            most: self.writes,
-            most_of_one: self.of_one,
-            longest: cluster::Micros(self.longest_s.saturating_mul(1_000_000)),
-            cut_after: cluster::Micros(self.cut_after_ms.saturating_mul(1000)),
-            patience: cluster::Micros(0),
-            out: self.out,
-            per_s: self.per_s,
-            stop: Vec::new(),
+            max_pending: self.writes,
+            max_pending_per_customer: self.of_one,
+            max_age: cluster::Micros(self.longest_s.saturating_mul(1_000_000)),
+            uplink_timeout: cluster::Micros(self.cut_after_ms.saturating_mul(1000)),
+            send_timeout: cluster::Micros(0),
+            max_in_flight: self.out,
+            max_sends_per_second: self.per_s,
+            blocking_classes: Vec::new(),
         })
     }
 }
@@ -122,7 +122,7 @@
 #[serde(deny_unknown_fields, default)]
 struct RolloutDocument {
     /// The rules in force before any rollout.
-    rule: Vec<cluster::rollout::Rule>,
+    rule: Vec<cluster::rollout::RuleConfig>,
 }
 
 /// The ledger of work in hand; without it none is kept.
@@ -195,10 +195,10 @@
             advertise: document.advertise,
         };
         let micros = |ms: u64| cluster::Micros(ms.saturating_mul(1000));
-        let ledger = document.ledger.as_ref().map(|l| cluster::ledger::Terms {
-            holders: l.holders,
+        let ledger = document.ledger.as_ref().map(|l| cluster::ledger::LedgerSettings {
+            replicas: l.holders,
             lease: micros(l.lease_ms),
-            life: micros(l.life_ms),
+            record_lifetime: micros(l.life_ms),
         });
         let branch = document.branch.as_ref().map(|b| b.terms(&document.seats)).transpose()?;
         let (wait_ms, dir, finish) =
@@ -215,7 +215,7 @@
             period,
             seats: document.seats,
             ledger,
-            rules: document.rollout.map(|r| cluster::rollout::Rules(r.rule)),
+            rules: document.rollout.map(|r| cluster::rollout::RuleSet(r.rule)),
             branch,
             disk: None,
         };
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -136,7 +136,8 @@
         }
         let stops = fleet.branch_stops.iter().filter_map(class).collect();
         if let Some(terms) = fleet.settings.branch.as_mut() {
-            (terms.patience, terms.stop) = (longest + last_moment, stops);
+            terms.send_timeout = longest + last_moment;
+            terms.blocking_classes = stops;
         }
     }
     let memory = Rc::new(Memory::new(config.memory_mb, config.sockets));
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -7,8 +7,8 @@
 
 pub use messages::{tell, Answer, Clock, Control, Inbox, Input, Orders, Taken};
 
-use crate::cluster::rollout::{Arm, Ended as Judgement, Key, Rule};
-use crate::cluster::InForce;
+use crate::cluster::rollout::{Arm, RequestOutcome, RolloutKey, RuleConfig};
+use crate::cluster::RoutingInForce;
 use crate::decision::api::*;
 use crate::decision::gateway::{has_new, Gateway};
 use crate::proxy::admin::metrics::{Figures, Fleet, Unsent};
@@ -101,7 +101,7 @@
     /// When the list known from before is taken for it.
     ready_at: Option<Instant>,
     /// The rollout that runs, and how it deals the customers out.
-    rolled: Option<(Key, Routing)>,
+    rolled: Option<(RolloutKey, Routing)>,
     /// Where its ends are counted.
     arms: Rc<Arms>,
 }
@@ -257,7 +257,7 @@
                 let attempts: Vec<Attempt> = before.collect();
                 let judged = self.rolled.as_ref().map(|(key, routing)| Judged {
                     key: *key,
-                    arm: if has_new(routing, arrival.customer) { Arm::New } else { Arm::Old },
+                    arm: if has_new(routing, arrival.customer) { Arm::Canary } else { Arm::Baseline },
                     class: arrival.class,
                     came: self.clock.now(),
                     before: attempts.len(),
@@ -298,7 +298,8 @@
                     let at = self.clock.now();
                     let aim = self.site.settings.classes.get(judged.class.0).map_or(Micros(1), |c| c.aim);
                     let part_of_aim = (at - judged.came).secs() / aim.secs().max(1e-6);
-                    let ended = if part_of_aim <= 1.0 { Judgement::InTime } else { Judgement::Late };
+                    let ended =
+                        if part_of_aim <= 1.0 { RequestOutcome::OnTime } else { RequestOutcome::Late };
                     self.arms.note(Seen { judged, at, ended, part_of_aim });
                 }
                 match ended.body.and_then(|body| Some((body, open.take_reply()?))) {
@@ -327,10 +328,10 @@
     }
 
     /// Names become the numbers by which the module knows them.
-    fn routing(&mut self, in_force: InForce) {
-        let InForce { key, counts, old, new, share } = in_force;
+    fn routing(&mut self, in_force: RoutingInForce) {
+        let RoutingInForce { key, counts_outcomes, baseline, canary, canary_share: share } = in_force;
         let own = self.site.settings.zone;
-        let mut routes = |rules: Vec<Rule>| -> Vec<Rc<Route>> {
+        let mut routes = |rules: Vec<RuleConfig>| -> Vec<Rc<Route>> {
             let here = rules.into_iter().filter_map(|rule| {
                 let zone = rule.zone.as_ref().map(|zone| self.site.zone(zone));
                 zone.is_none_or(|zone| zone == own).then_some(rule)
@@ -338,8 +339,8 @@
             here.collect::<Vec<_>>().into_iter().map(|rule| Rc::new(route(&mut self.site, rule))).collect()
         };
         let salt = key.map_or(0, |key| key.id);
-        let routing = Routing { old: routes(old.0), new: routes(new.0), share, salt };
-        self.rolled = key.filter(|_| counts).map(|key| (key, routing.clone()));
+        let routing = Routing { old: routes(baseline.0), new: routes(canary.0), share, salt };
+        self.rolled = key.filter(|_| counts_outcomes).map(|key| (key, routing.clone()));
         self.batch.push(Event::Routing(routing));
     }
 
@@ -351,16 +352,16 @@
 }
 
 /// A rule in the module's terms.
-fn route(site: &mut Site, rule: Rule) -> Route {
+fn route(site: &mut Site, rule: RuleConfig) -> Route {
     let part = |percent: u16| f64::from(percent) / 100.0;
     Route {
         class: rule.class.and_then(|name| site.classes.get(&name).copied()).map(ClassId),
         plan: rule.plan.and_then(|name| site.plans.get(&name).copied()).map(PlanId),
-        zones: rule.zones.iter().map(|(zone, weight)| (site.zone(zone), part(*weight))).collect(),
-        labels: rule.labels.iter().map(|(label, weight)| (site.label(label), part(*weight))).collect(),
-        attempts: rule.attempts.map(usize::from),
-        give_up: rule.give_up.map(|percent| part(percent.into())),
-        cold: rule.cold.map(|percent| part(percent.into())),
+        zones: rule.zone_weights.iter().map(|(zone, weight)| (site.zone(zone), part(*weight))).collect(),
+        labels: rule.label_weights.iter().map(|(label, weight)| (site.label(label), part(*weight))).collect(),
+        attempts: rule.max_attempts.map(usize::from),
+        give_up: rule.give_up_percent.map(|percent| part(percent.into())),
+        cold: rule.slow_start_percent.map(|percent| part(percent.into())),
     }
 }
 
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -55,7 +55,7 @@
             let open = self.requests.get(&id);
             if let Some((open, judged)) = open.and_then(|open| Some((open, open.judged?))) {
                 let sent = open.attempts.len() > judged.before;
-                let ended = if sent { Judgement::Failed } else { Judgement::Refused };
+                let ended = if sent { RequestOutcome::Failed } else { RequestOutcome::Rejected };
                 self.arms.note(Seen { judged, at: self.clock.now(), ended, part_of_aim: 0.0 });
             }
             // A client that has just gone needs no answer.
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -78,7 +78,7 @@
     /// What the gateways know together of each other's shares.
     Lent(Lent),
     /// Other rules of routing are in force.
-    Routing(Box<InForce>),
+    Routing(Box<RoutingInForce>),
     /// A call to the counter ended.
     Counted(CountName, u64, Counted),
     /// An attempt ended: its request, number and backend, how, and how long it was out.
--- a/tests/rollout_documents.rs
+++ b/tests/rollout_documents.rs
@@ -1,45 +1,48 @@
 //! What operators write of a rollout is read as the build before read it (`tests/fixtures/rollout`).
 
-use quota_gateway::cluster::rollout::{Rule, Rules, Start, Terms};
+use quota_gateway::cluster::rollout::{RolloutRequest, RolloutSettings, RuleConfig, RuleSet};
 
-fn read(name: &str) -> Start {
+fn read(name: &str) -> RolloutRequest {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/rollout").join(name);
-    Start::parse(&std::fs::read_to_string(path).expect("a fixture")).expect("it is sound")
+    RolloutRequest::parse(&std::fs::read_to_string(path).expect("a fixture")).expect("it is sound")
 }
 
 #[test]
 fn every_key_of_a_rollout_is_read() {
-    let first = Rule {
+    let first = RuleConfig {
         class: Some("look".into()),
         plan: Some("team".into()),
         zone: Some("a".into()),
-        zones: [("a".to_string(), 400), ("b".to_string(), 5)].into(),
-        labels: [("blue".to_string(), 200)].into(),
-        attempts: Some(4),
-        give_up: Some(33),
-        cold: Some(70),
+        zone_weights: [("a".to_string(), 400), ("b".to_string(), 5)].into(),
+        label_weights: [("blue".to_string(), 200)].into(),
+        max_attempts: Some(4),
+        give_up_percent: Some(33),
+        slow_start_percent: Some(70),
     };
-    let rules = Rules(vec![first, Rule { attempts: Some(1), ..Rule::default() }]);
-    let terms = Terms {
-        stages: vec![50, 1_225, 10_000],
+    let rules = RuleSet(vec![first, RuleConfig { max_attempts: Some(1), ..RuleConfig::default() }]);
+    let terms = RolloutSettings {
+        stage_shares: vec![50, 1_225, 10_000],
         bake_s: 2,
-        longest_s: 77,
-        false_halts: 0.05,
+        max_stage_s: 77,
+        false_halt_rate: 0.05,
         margin: 0.15,
-        least: 9,
+        min_canary_requests: 9,
     };
-    assert_eq!(read("start-all-keys.toml"), Start { rules, terms });
+    assert_eq!(read("start-all-keys.toml"), RolloutRequest { rules, settings: terms });
 }
 
 #[test]
 fn keys_that_a_rollout_leaves_out_have_their_defaults() {
-    let terms = Terms {
-        stages: vec![100, 500, 2_500, 10_000],
+    let terms = RolloutSettings {
+        stage_shares: vec![100, 500, 2_500, 10_000],
         bake_s: 60,
-        longest_s: 1_800,
-        false_halts: 0.01,
+        max_stage_s: 1_800,
+        false_halt_rate: 0.01,
         margin: 0.02,
-        least: 300,
+        min_canary_requests: 300,
     };
-    assert_eq!(read("start-defaults.toml"), Start { rules: Rules(vec![Rule::default()]), terms });
+    assert_eq!(
+        read("start-defaults.toml"),
+        RolloutRequest { rules: RuleSet(vec![RuleConfig::default()]), settings: terms }
+    );
 }
