--- a/src/cluster/ledger/client.rs
+++ b/src/cluster/ledger/client.rs
@@ -6,7 +6,7 @@
 use super::message::{LedgerMessage, RecordSnapshot};
 use super::record::{Ballot, Record, RecordId, RecordedAttempt};
 use super::settings::{LedgerSettings, MAX_REQUEST_BYTES, ROUND_TRIP_LIMIT};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An owner stops acting when this part of its lease is left, as what it begins takes time.
--- a/src/cluster/ledger/client/prepare.rs
+++ b/src/cluster/ledger/client/prepare.rs
@@ -4,7 +4,7 @@
 use crate::cluster::ledger::message::{LedgerMessage, RecordSnapshot};
 use crate::cluster::ledger::record::{Record, RecordedAttempt, SentAttempt};
 use crate::cluster::ledger::settings::{lease_with_drift, MAX_OWNERS, ROUND_TRIP_LIMIT};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 
 /// How many rounds a claim has, each by a higher ballot, before its record counts as unavailable.
 const MAX_ROUNDS: u32 = 4;
--- a/src/cluster/ledger/client/write.rs
+++ b/src/cluster/ledger/client/write.rs
@@ -4,7 +4,7 @@
 use crate::cluster::ledger::message::LedgerMessage;
 use crate::cluster::ledger::record::SentAttempt;
 use crate::cluster::ledger::settings::{PROMISE_LIFETIME, ROUND_TRIP_LIMIT};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 
 /// A write that is not confirmed is sent again after this.
 const RESEND_AFTER: Micros = Micros(50_000);
--- a/src/cluster/ledger/message.rs
+++ b/src/cluster/ledger/message.rs
@@ -1,7 +1,7 @@
 //! Messages between claims and replicas. A wire form (postcard): the order of variants and fields counts.
 
 use super::record::{Ballot, Record, RecordId};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use serde::{Deserialize, Serialize};
 
 /// A record as a replica holds it.
--- a/src/cluster/ledger/node.rs
+++ b/src/cluster/ledger/node.rs
@@ -7,7 +7,7 @@
 use super::replica::abandoned::AbandonedRequest;
 use super::replica::Replica;
 use super::settings::LedgerSettings;
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use std::collections::BTreeMap;
 
 /// The number of a claim of this process.
--- a/src/cluster/ledger/record.rs
+++ b/src/cluster/ledger/record.rs
@@ -3,7 +3,7 @@
 //! These are wire and disk forms (postcard): the order of fields counts, their names do not.
 
 use super::settings::{lease_with_drift, MAX_RECORD_BYTES};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use serde::{Deserialize, Serialize};
 
 /// A record's name: the customer, and what tells its requests apart.
--- a/src/cluster/ledger/replica.rs
+++ b/src/cluster/ledger/replica.rs
@@ -6,7 +6,7 @@
 use super::message::LedgerMessage;
 use super::record::{Ballot, Record, RecordId};
 use super::settings::{LedgerSettings, PROMISE_LIFETIME, ROUND_TRIP_LIMIT};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/cluster/ledger/replica/abandoned.rs
+++ b/src/cluster/ledger/replica/abandoned.rs
@@ -3,7 +3,7 @@
 use super::Replica;
 use crate::cluster::ledger::record::RecordId;
 use crate::cluster::ledger::settings::lease_with_drift;
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 
 /// How long the client of a gateway that died has to come again before others finish its request.
 const CLIENT_RETURN_TIME: Micros = Micros(300_000);
--- a/src/cluster/ledger/replica/vote.rs
+++ b/src/cluster/ledger/replica/vote.rs
@@ -5,7 +5,7 @@
 use crate::cluster::ledger::message::{LedgerMessage, RecordSnapshot};
 use crate::cluster::ledger::record::{Ballot, RecordId};
 use crate::cluster::ledger::settings::{MAX_REQUEST_BYTES, PROMISE_LIFETIME, ROUND_TRIP_LIMIT};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use std::cmp::Ordering;
 
 impl Replica {
--- a/src/cluster/ledger/settings.rs
+++ b/src/cluster/ledger/settings.rs
@@ -1,6 +1,6 @@
 //! What a gateway is told of the ledger, and the limits that follow from it.
 
-use crate::decision::api::{Micros, SettingsError};
+use crate::decision::{Micros, SettingsError};
 
 /// A client counts a promise only if it came within this, and a replica drops a first write that was under way for
 /// longer. Ages of records are passed on with no more error than this.
--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -1,16 +1,16 @@
 //! The ledger within a cluster node: claims of this gateway go out to the seats that hold a record, and what these say
 //! comes in.
 
-use super::datagram::{self, Head, Stranger};
+use super::datagram::{self, DatagramError, Payload};
 use super::event::Effect;
 use super::ledger::{
     AddressedMessage, ClaimId, ClaimOutcome, LedgerEffect, LedgerMessage, LedgerNode, RecordChange, RecordId,
 };
-use super::membership::identity::{Identity, LEDGER};
+use super::membership::identity::{Identity, CAPABILITY_LEDGER};
 use super::membership::swim::Swim;
 use super::storage::GatedEffect;
-use super::Fleet;
-use crate::decision::api::Micros;
+use super::ClusterNode;
+use crate::decision::Micros;
 use std::net::SocketAddr;
 
 /// How often the ledger is to be called.
@@ -44,7 +44,7 @@
     pub(super) is_gone: bool,
 }
 
-impl Fleet {
+impl ClusterNode {
     /// The ledger, where there is one.
     pub fn ledger(&self) -> Option<&LedgerNode> {
         self.ledger.as_ref()
@@ -147,13 +147,13 @@
         seat: u16,
         message: LedgerMessage,
         out: &mut Vec<Effect>,
-    ) -> Result<(), Stranger> {
+    ) -> Result<(), DatagramError> {
         if !self.is_own_seat_list(seat_list) {
-            return Err(Stranger::Refused);
+            return Err(DatagramError::Rejected);
         }
         let now = self.now;
         self.with_ledger(out, |ledger, effects| ledger.on_message(now, seat, message, effects))
-            .ok_or(Stranger::Refused)
+            .ok_or(DatagramError::Rejected)
     }
 
     /// Does something with the ledger, and lets out what follows.
@@ -174,18 +174,18 @@
 
     /// Lets out one effect of the ledger.
     pub(super) fn emit_ledger_effect(&mut self, effect: LedgerEffect, out: &mut Vec<Effect>) {
-        let Some((list, own)) = self.own_seat() else { return };
+        let Some((seat_list, seat)) = self.own_seat() else { return };
         match effect {
             LedgerEffect::ClaimResolved { claim, outcome } => {
                 let is_lease = self.on_rollout_claim_resolved(claim, &outcome, out)
                     || self.on_queue_claim_resolved(claim, &outcome, out);
                 if !is_lease {
-                    out.push(Effect::Found(claim, outcome));
+                    out.push(Effect::ClaimResolved { claim, outcome });
                 }
             }
-            LedgerEffect::RequestAbandoned(request) => out.push(Effect::Orphan(request)),
+            LedgerEffect::RequestAbandoned(request) => out.push(Effect::RequestAbandoned(request)),
             LedgerEffect::Send(AddressedMessage { to, message }) => {
-                self.send_to_seat(to, &Head::Ledger { list, seat: own, message }, out);
+                self.send_to_seat(to, &Payload::Ledger { seat_list, seat, message }, out);
             }
         }
     }
@@ -230,31 +230,31 @@
     }
 
     /// Sends a datagram to a seat.
-    pub(super) fn send_to_seat(&mut self, seat: u16, head: &Head, out: &mut Vec<Effect>) {
+    pub(super) fn send_to_seat(&mut self, seat: u16, payload: &Payload, out: &mut Vec<Effect>) {
         let Some(name) = self.settings.seats.get(usize::from(seat)) else { return };
         let known = self.swim.records().get(name.as_str()).map(|record| record.identity.clone());
         let to = known.unwrap_or_else(|| Identity::unknown(name));
         let address: Option<SocketAddr> = self.addresses(&to).next();
-        let frame = datagram::write(self.tag, head, &[]);
+        let bytes = datagram::encode(self.cluster_tag, payload, &[]);
         self.traffic.unaddressed += u64::from(address.is_none());
-        if let (Some(address), Some(frame)) = (address, frame) {
-            self.send_frame(address, frame, out);
+        if let (Some(address), Some(bytes)) = (address, bytes) {
+            self.send_frame(address, bytes, out);
         }
     }
 
     /// Whether this is the digest of this gateway's list of seats.
     pub(super) fn is_own_seat_list(&self, seat_list: u64) -> bool {
-        self.lending.as_ref().is_some_and(|lending| lending.list() == seat_list)
+        self.quota_leases.as_ref().is_some_and(|leases| leases.seat_list() == seat_list)
     }
 
     /// The digest of this gateway's list of seats, and its seat.
     pub(super) fn own_seat(&self) -> Option<(u64, u16)> {
-        self.lending.as_ref().map(|lending| (lending.list(), lending.seat().0 as u16))
+        self.quota_leases.as_ref().map(|leases| (leases.seat_list(), leases.seat().0 as u16))
     }
 }
 
 /// Whether the gateway in this seat is present, and holds records.
 fn is_present_replica(seats: &[String], swim: &Swim, seat: u16) -> bool {
     let record = seats.get(usize::from(seat)).and_then(|name| swim.records().get(name.as_str()));
-    record.is_some_and(|r| r.standing.is_present() && r.identity.about.capabilities & LEDGER != 0)
+    record.is_some_and(|r| r.state.is_present() && r.identity.metadata.capabilities & CAPABILITY_LEDGER != 0)
 }
--- a/src/cluster/rollout/controller.rs
+++ b/src/cluster/rollout/controller.rs
@@ -12,7 +12,7 @@
 use super::plan::{RolloutRequest, RuleSet};
 use super::sequential_test::StageStart;
 use crate::cluster::ledger::ClaimId;
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 
 /// How often a controller is to be called.
 pub const TICK_INTERVAL: Micros = Micros(500_000);
--- a/src/cluster/rollout/controller/counting.rs
+++ b/src/cluster/rollout/controller/counting.rs
@@ -5,7 +5,7 @@
 use crate::cluster::rollout::count_rows::{ClassRow, CountRow, MAX_CLASSES_PER_ROW};
 use crate::cluster::rollout::message::RolloutMessage;
 use crate::cluster::rollout::outcome_counts::{Arm, RequestOutcome};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// So many of those present collect all counts: each side of a partition has its own.
--- a/src/cluster/rollout/controller/leading.rs
+++ b/src/cluster/rollout/controller/leading.rs
@@ -5,7 +5,7 @@
 use crate::cluster::rollout::command::{HaltReason, Pause, RolloutCommand, RolloutEnd, RolloutKey};
 use crate::cluster::rollout::plan::RolloutRequest;
 use crate::cluster::rollout::sequential_test::{halt_reason, is_in_force, may_pass, StageStart};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 
 /// A leader that was not heard for so long is replaced.
 const LEADER_TIMEOUT: Micros = Micros(2_500_000);
--- a/src/cluster/rollout/controller/report.rs
+++ b/src/cluster/rollout/controller/report.rs
@@ -4,7 +4,7 @@
 use crate::cluster::rollout::command::{HaltReason, RolloutCommand, RolloutEnd};
 use crate::cluster::rollout::count_rows::ProcessCounts;
 use crate::cluster::rollout::outcome_counts::OutcomeTotals;
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use serde::Serialize;
 
 /// Whether a rollout runs, or how it ended.
--- a/src/cluster/rollout/count_rows.rs
+++ b/src/cluster/rollout/count_rows.rs
@@ -3,7 +3,7 @@
 
 use super::command::RolloutKey;
 use super::outcome_counts::{ClassCounts, MAX_CLASSES};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/src/cluster/rollout/outcome_counts.rs
+++ b/src/cluster/rollout/outcome_counts.rs
@@ -7,7 +7,7 @@
 //! `a` of sound rollouts (Ville 1939), however often it is looked at. Whatever befalls both arms alike - a lost zone, a
 //! silent counter, a busy hour - is in the slice's own number of failures and tells nothing.
 
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/src/cluster/rollout/plan.rs
+++ b/src/cluster/rollout/plan.rs
@@ -2,7 +2,7 @@
 //!
 //! The names in TOML are the operators' (`rename`). On the wire and on disk (postcard) the order of fields counts.
 
-use crate::decision::api::SettingsError;
+use crate::decision::SettingsError;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Display;
--- a/src/cluster/rollout/sequential_test.rs
+++ b/src/cluster/rollout/sequential_test.rs
@@ -7,7 +7,7 @@
 use super::count_rows::{CollectedCounts, ProcessCounts, ProcessKey, Sequenced};
 use super::outcome_counts::{ClassCounts, OutcomeTotals, PerArm, BETS};
 use super::plan::RolloutSettings;
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A gateway's counts have no say where more than half of both arms fail there, once it saw so many of each.
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -1,16 +1,16 @@
 //! The rollout within a cluster node: its messages go out to the seats present, and its record is claimed at the ledger.
 
-use super::datagram::{Head, Stranger};
+use super::datagram::{DatagramError, Payload};
 use super::event::Effect;
 use super::ledger::{ClaimId, ClaimOutcome};
 use super::ledger_node::LeaseProgress;
-use super::membership::identity::ROLLOUT;
+use super::membership::identity::CAPABILITY_ROLLOUT;
 use super::rollout::{
     Arm, ControllerEffect, RequestOutcome, RolloutCommand, RolloutController, RolloutKey, RolloutMessage,
     RolloutReport, RolloutRequest, RuleSet, ROLLOUT_RECORD, TICK_INTERVAL,
 };
-use super::Fleet;
-use crate::decision::api::Micros;
+use super::ClusterNode;
+use crate::decision::Micros;
 
 /// The routing rules in force.
 #[derive(Debug, Clone, PartialEq)]
@@ -48,8 +48,8 @@
     }
 }
 
-impl Fleet {
-    /// An operator wants a rollout. What becomes of it is told by `Effect::Begun`.
+impl ClusterNode {
+    /// An operator wants a rollout. What becomes of it is told by `Effect::RolloutStarted`.
     pub fn start_rollout(
         &mut self,
         now: Micros,
@@ -125,15 +125,15 @@
         seat: u16,
         message: RolloutMessage,
         out: &mut Vec<Effect>,
-    ) -> Result<(), Stranger> {
+    ) -> Result<(), DatagramError> {
         if !self.is_own_seat_list(seat_list) {
-            return Err(Stranger::Refused);
+            return Err(DatagramError::Rejected);
         }
         let now = self.now;
         self.with_controller(now, out, |controller, present, effects| {
             controller.on_message(now, seat, message, present, effects);
         })
-        .ok_or(Stranger::Refused)
+        .ok_or(DatagramError::Rejected)
     }
 
     /// Something became of a claim at the ledger; whether it was the rollout's.
@@ -163,7 +163,7 @@
         let mut effects = Vec::new();
         let Some(controller) = self.rollout.as_mut() else { return };
         let begun = controller.on_claim_confirmed(self.now, &present, &mut effects);
-        out.extend(begun.map(|key| Effect::Begun(Some(key))));
+        out.extend(begun.map(|key| Effect::RolloutStarted { key: Some(key) }));
         self.emit_controller_effects(self.now, effects, out);
     }
 
@@ -171,7 +171,7 @@
         let now = self.now;
         let was_requested = self.rollout.as_mut().is_some_and(|controller| controller.on_claim_failed(now));
         if was_requested {
-            out.push(Effect::Begun(None));
+            out.push(Effect::RolloutStarted { key: None });
         }
     }
 
@@ -218,9 +218,9 @@
         let records = self.swim.records();
         let takes_part = |name: &String| {
             *name == self.settings.name
-                || records
-                    .get(name.as_str())
-                    .is_some_and(|r| r.standing.is_present() && r.identity.about.capabilities & ROLLOUT != 0)
+                || records.get(name.as_str()).is_some_and(|r| {
+                    r.state.is_present() && r.identity.metadata.capabilities & CAPABILITY_ROLLOUT != 0
+                })
         };
         let seats = self.settings.seats.iter().enumerate().filter(|(_, name)| takes_part(name));
         seats.map(|(seat, _)| seat as u16).collect()
@@ -249,8 +249,8 @@
         for effect in effects {
             match effect {
                 ControllerEffect::Send { to, message } => {
-                    let Some((list, own)) = self.own_seat() else { continue };
-                    self.send_to_seat(to, &Head::Rollout { list, seat: own, message }, out);
+                    let Some((seat_list, seat)) = self.own_seat() else { continue };
+                    self.send_to_seat(to, &Payload::Rollout { seat_list, seat, message }, out);
                 }
                 ControllerEffect::Claim => {
                     let claim = self.open_claim(now, ROLLOUT_RECORD, 0, out);
@@ -261,9 +261,9 @@
                 }
                 ControllerEffect::Release(claim) => self.release_claim(now, claim, None, out),
                 ControllerEffect::RoutingChanged => {
-                    out.extend(self.routing_in_force().map(|rules| Effect::Routing(Box::new(rules))));
+                    out.extend(self.routing_in_force().map(|rules| Effect::RoutingChanged(Box::new(rules))));
                 }
-                ControllerEffect::Notify(notice) => out.push(Effect::Rollout(notice)),
+                ControllerEffect::Notify(notice) => out.push(Effect::RolloutNotice(notice)),
             }
         }
     }
--- a/src/cluster/storage/durability_gate.rs
+++ b/src/cluster/storage/durability_gate.rs
@@ -3,7 +3,7 @@
 //! Parts change what they hold at once, in memory; each message and answer that follows waits here, in its order, until
 //! all changes before it are stored. So whatever a process has said, the next one under its name remembers.
 
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use std::collections::VecDeque;
 
 /// So many effects wait for the storage at most, each of about 1 kB; one that stands still for longer has failed.
--- a/src/cluster/storage/durability_gate/tests.rs
+++ b/src/cluster/storage/durability_gate/tests.rs
@@ -1,7 +1,7 @@
 //! The order in which effects wait for the storage. A unit test, as the gate is no part of the library's interface.
 
 use super::{DurabilityGate, MachineId};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 
 /// A message must not go out before the changes that it rests on are stored, nor before one that waits: another gateway
 /// could act on what this one forgets.
--- a/src/cluster/storage/persistence.rs
+++ b/src/cluster/storage/persistence.rs
@@ -5,7 +5,7 @@
 use crate::cluster::ledger::{LedgerEffect, RecordId, Replica, ReplicaEntry};
 use crate::cluster::rollout::RolloutCommand;
 use crate::cluster::write_queue::{LogEntry, QueueEffect, QueueReplica};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 
 /// An effect that goes out once the storage holds what it rests on.
 #[derive(Debug)]
--- a/src/cluster/storage/stored_form.rs
+++ b/src/cluster/storage/stored_form.rs
@@ -1,7 +1,7 @@
 //! The keys and values on disk. All values are postcard: the order of fields counts.
 
 use crate::cluster::write_queue::LogEntry;
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
--- a/src/cluster/storage_node.rs
+++ b/src/cluster/storage_node.rs
@@ -1,10 +1,10 @@
 //! The storage within a cluster node: what the parts change is stored, and what they say waits for that.
 
-use super::event::{Effect, Notice};
+use super::event::{ClusterNotice, Effect};
 use super::storage::{GatedEffect, StorageWrite};
-use super::Fleet;
+use super::ClusterNode;
 
-impl Fleet {
+impl ClusterNode {
     /// Whether the storage is being opened and read: until then nothing that it may hold is answered or changed.
     pub(super) fn is_storage_opening(&self) -> bool {
         self.persistence.as_ref().is_some_and(|persistence| persistence.is_opening())
@@ -53,7 +53,7 @@
         if let Some(queue) = self.write_queue.as_mut() {
             queue.replica_mut().lose_storage(self.now, &mut effects);
         }
-        out.push(Effect::Tell(Notice::DiskLost));
+        out.push(Effect::Notify(ClusterNotice::StorageLost));
         self.gate_queue_effects(effects, out);
     }
 
@@ -74,7 +74,8 @@
             writes.extend(persistence.command_change(command));
         }
         if !writes.is_empty() {
-            out.push(Effect::Keep(persistence.next_batch(), writes));
+            let batch = persistence.next_batch();
+            out.push(Effect::PersistBatch { batch, writes });
         }
     }
 
@@ -87,8 +88,9 @@
             return;
         };
         let (restored, writes) = persistence.restore(now, seat_list, seat, stored);
-        out.push(Effect::Keep(persistence.next_batch(), writes));
-        let notice = Notice::DiskRead {
+        let batch = persistence.next_batch();
+        out.push(Effect::PersistBatch { batch, writes });
+        let notice = ClusterNotice::StorageLoaded {
             writes: restored.writes.len(),
             records: restored.records.len(),
             votes: (restored.writes_complete, restored.records_complete),
@@ -99,7 +101,7 @@
         if let Some(ledger) = self.ledger.as_mut() {
             ledger.replica_mut().restore(now, restored.records, restored.records_complete);
         }
-        out.push(Effect::Tell(notice));
+        out.push(Effect::Notify(notice));
         self.restore_rollout(restored.command, out);
     }
 }
--- a/src/cluster/write_queue/message.rs
+++ b/src/cluster/write_queue/message.rs
@@ -2,7 +2,7 @@
 //! moment of sending.
 
 use super::write::{Dot, Write, WriteState};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use serde::{Deserialize, Serialize};
 
 /// A write, and what its sender knows of it.
--- a/src/cluster/write_queue/replay.rs
+++ b/src/cluster/write_queue/replay.rs
@@ -4,7 +4,7 @@
 use super::settings::WriteQueueSettings;
 use super::write::{Dot, WriteOutcome, WriteState};
 use super::write_log::{LogEntry, WriteLog};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A write that was rejected is tried again after this, doubled each time.
--- a/src/cluster/write_queue/replica.rs
+++ b/src/cluster/write_queue/replica.rs
@@ -12,7 +12,7 @@
 use super::uplink::UplinkMonitor;
 use super::write::{Dot, Write, WriteOutcome, WriteState};
 use super::write_log::{LogEntry, WriteLog};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What is not answered is sent again after this.
--- a/src/cluster/write_queue/replica/accept.rs
+++ b/src/cluster/write_queue/replica/accept.rs
@@ -8,7 +8,7 @@
 use crate::cluster::write_queue::write::{
     Dot, Write, WriteOutcome, WriteRequest, WriteState, MAX_DEPENDENCIES, MAX_WRITE_BYTES,
 };
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A write that has not the votes by then is rejected, as without a branch.
--- a/src/cluster/write_queue/replica/catch_up.rs
+++ b/src/cluster/write_queue/replica/catch_up.rs
@@ -4,7 +4,7 @@
 use super::{CatchUp, QueueEffect, QueueReplica, FETCH_LIMIT, PAGE_LIMIT, RESEND_AFTER};
 use crate::cluster::write_queue::message::{LogPage, QueueMessage};
 use crate::cluster::write_queue::write::Dot;
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use std::collections::BTreeSet;
 
 /// Between two walks through all that one other holds.
--- a/src/cluster/write_queue/replica/notify.rs
+++ b/src/cluster/write_queue/replica/notify.rs
@@ -3,7 +3,7 @@
 use super::{AfterAnnouncement, Announcement, QueueEffect, QueueReplica};
 use crate::cluster::write_queue::replay::{ForwardOutcome, ReplayStep};
 use crate::cluster::write_queue::write::{Dot, WriteOutcome, WriteState};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use std::collections::BTreeSet;
 
 /// A dependency that nobody of a quorum had in so many walks was never accepted.
--- a/src/cluster/write_queue/replica/store.rs
+++ b/src/cluster/write_queue/replica/store.rs
@@ -4,7 +4,7 @@
 use crate::cluster::write_queue::message::{QueueMessage, ReplicatedWrite};
 use crate::cluster::write_queue::write::{Dot, WriteState};
 use crate::cluster::write_queue::write_log::ENDED_RETENTION;
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 
 /// A time that was told is off by no more than a datagram may be under way.
 const MAX_TRANSIT: Micros = Micros(100_000);
--- a/src/cluster/write_queue/send_rate.rs
+++ b/src/cluster/write_queue/send_rate.rs
@@ -2,7 +2,7 @@
 //! Jain 1989), so that a branch takes no more than the cluster has left beside live traffic.
 
 use super::settings::WriteQueueSettings;
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 
 /// The fraction of the most sends a second with which forwarding begins: many branches may recover in one second.
 const INITIAL_FRACTION: f64 = 0.1;
--- a/src/cluster/write_queue/settings.rs
+++ b/src/cluster/write_queue/settings.rs
@@ -1,6 +1,6 @@
 //! What a gateway is told of its branch's write queue.
 
-use crate::decision::api::{Micros, SettingsError};
+use crate::decision::{Micros, SettingsError};
 use std::ops::RangeInclusive;
 
 /// The most gateways of a branch.
--- a/src/cluster/write_queue/uplink.rs
+++ b/src/cluster/write_queue/uplink.rs
@@ -1,7 +1,7 @@
 //! Whether a branch is isolated from the backends: by the gateway's own attempts, and by what a quorum of the branch says.
 
 use super::settings::WriteQueueSettings;
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use std::collections::BTreeMap;
 
 /// Another gateway's status counts for so long.
--- a/src/cluster/write_queue/write_log.rs
+++ b/src/cluster/write_queue/write_log.rs
@@ -3,7 +3,7 @@
 use super::message::DotRank;
 use super::settings::WriteQueueSettings;
 use super::write::{Dot, Write, WriteOutcome, WriteState};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -1,7 +1,7 @@
 //! The write queue within a cluster node: its messages go out to the branch's seats, and its record is claimed at the
 //! ledger.
 
-use super::datagram::{Head, Stranger};
+use super::datagram::{DatagramError, Payload};
 use super::event::Effect;
 use super::ledger::{ClaimId, ClaimOutcome};
 use super::ledger_node::LeaseProgress;
@@ -10,8 +10,8 @@
     queue_record, Dot, ForwardOutcome, QueueEffect, QueueMessage, QueueReplica, Write, WriteOutcome,
     WriteRequest, WriteStatus,
 };
-use super::Fleet;
-use crate::decision::api::Micros;
+use super::ClusterNode;
+use crate::decision::Micros;
 
 /// A gateway that does not own the branch's record claims it again after this, and up to as long again.
 const CLAIM_INTERVAL: Micros = Micros(1_000_000);
@@ -85,7 +85,7 @@
     }
 }
 
-impl Fleet {
+impl ClusterNode {
     /// The write queue, where this gateway is of a branch.
     pub fn write_queue(&self) -> Option<&WriteQueue> {
         self.write_queue.as_ref()
@@ -131,16 +131,16 @@
         seat: u16,
         message: QueueMessage,
         out: &mut Vec<Effect>,
-    ) -> Result<(), Stranger> {
+    ) -> Result<(), DatagramError> {
         if self.is_storage_opening() {
             return Ok(());
         }
         if !self.is_own_seat_list(seat_list) {
-            return Err(Stranger::Refused);
+            return Err(DatagramError::Rejected);
         }
         let now = self.now;
         self.with_queue(out, |queue, effects| queue.on_message(now, seat, message, effects))
-            .ok_or(Stranger::Refused)
+            .ok_or(DatagramError::Rejected)
     }
 
     /// Something became of a claim at the ledger; whether it was the queue's.
@@ -230,8 +230,8 @@
     pub(super) fn emit_queue_effect(&mut self, effect: QueueEffect, out: &mut Vec<Effect>) {
         let effect = match effect {
             QueueEffect::Send { to, message } => {
-                let Some((list, own)) = self.own_seat() else { return };
-                return self.send_to_seat(to, &Head::Branch { list, seat: own, message }, out);
+                let Some((seat_list, seat)) = self.own_seat() else { return };
+                return self.send_to_seat(to, &Payload::WriteQueue { seat_list, seat, message }, out);
             }
             QueueEffect::Forward { write, attempt, first_sent_at } => {
                 if !self.may_forward() {
@@ -249,7 +249,7 @@
                 WriteQueueEffect::IsolationChanged { isolated, since_response }
             }
         };
-        out.push(Effect::Branch(effect));
+        out.push(Effect::WriteQueue(effect));
     }
 
     /// An owner that stood still meanwhile forwards nothing.
--- a/src/proxy/cluster_transport/disk/fixture_tests.rs
+++ b/src/proxy/cluster_transport/disk/fixture_tests.rs
@@ -16,10 +16,10 @@
     WriteState, WriteStatus,
 };
 use crate::cluster::{
-    About, Effect, Event, Fleet, MachineId, Notice, Settings, StorageWrite, LEDGER, LEDGER_TICK_INTERVAL,
-    LONGEST, ROLLOUT,
+    ClusterNode, ClusterNotice, Effect, Event, MachineId, MemberMetadata, Settings, StorageWrite,
+    CAPABILITY_LEDGER, CAPABILITY_ROLLOUT, LEDGER_TICK_INTERVAL, MAX_DATAGRAM_BYTES,
 };
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use crate::proxy::cluster_transport::disk::{Disk, DiskEvent};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -72,7 +72,7 @@
     bytes.extend((xxh3_64(FLEET.as_bytes()) as u32).to_le_bytes());
     bytes.extend((xxh3_64(&body) as u32).to_le_bytes());
     bytes.extend(body);
-    assert!(bytes.len() <= LONGEST);
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
     bytes
 }
 
@@ -87,13 +87,17 @@
 }
 
 fn settings(machine: MachineId) -> Settings {
-    let about =
-        About { zone: "east".into(), version: "1".into(), capabilities: LEDGER | ROLLOUT, advertise: None };
+    let metadata = MemberMetadata {
+        zone: "east".into(),
+        version: "1".into(),
+        capabilities: CAPABILITY_LEDGER | CAPABILITY_ROLLOUT,
+        advertise: None,
+    };
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     Settings {
         fleet: FLEET.into(),
         name: "b".into(),
-        about,
+        metadata,
         peers: [("a".to_string(), at(1)), ("b".to_string(), at(2)), ("c".to_string(), at(3))].into(),
         period: Duration::from_secs(1),
         seats: SEATS.map(str::to_string).to_vec(),
@@ -120,32 +124,35 @@
 
 /// A gateway on a disk that takes each batch at once.
 struct Node {
-    fleet: Fleet,
+    fleet: ClusterNode,
     now: Micros,
     stored: Stored,
     batches: Vec<(u64, Vec<StorageWrite>)>,
-    notices: Vec<Notice>,
+    notices: Vec<ClusterNotice>,
     orphans: Vec<AbandonedRequest>,
     sent: Vec<Vec<u8>>,
 }
 
 impl Node {
     fn begin(machine: MachineId, now: Micros, stored: &Stored) -> Node {
-        let fleet = Fleet::new(settings(machine), now, Micros(1_790_000_000_000_000), 7).expect("sound");
+        let fleet =
+            ClusterNode::new(settings(machine), now, Micros(1_790_000_000_000_000), 7).expect("sound");
         let (batches, notices, orphans, sent) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let stored = stored.clone();
         let read =
             stored.iter().map(|(k, v)| StorageWrite { key: k.clone(), value: Some(v.clone()) }).collect();
         let mut node = Node { fleet, now, stored, batches, notices, orphans, sent };
-        node.event(Event::DiskRead(read));
+        node.event(Event::StorageLoaded { writes: read });
         node
     }
 
     fn event(&mut self, event: Event<'_>) {
         let mut effects = Vec::new();
         self.fleet.handle(self.now, event, &mut effects);
-        while let Some(at) = effects.iter().position(|effect| matches!(effect, Effect::Keep(..))) {
-            let Effect::Keep(batch, puts) = effects.remove(at) else { unreachable!("it was found there") };
+        while let Some(at) = effects.iter().position(|effect| matches!(effect, Effect::PersistBatch { .. })) {
+            let Effect::PersistBatch { batch, writes: puts } = effects.remove(at) else {
+                unreachable!("it was found there")
+            };
             for put in &puts {
                 match &put.value {
                     Some(value) => drop(self.stored.insert(put.key.clone(), value.clone())),
@@ -153,13 +160,13 @@
                 }
             }
             self.batches.push((batch, puts));
-            self.fleet.handle(self.now, Event::DiskHolds(batch), &mut effects);
+            self.fleet.handle(self.now, Event::StorageSynced { batch }, &mut effects);
         }
         for effect in effects {
             match effect {
-                Effect::Tell(notice) => self.notices.push(notice),
-                Effect::Orphan(orphan) => self.orphans.push(orphan),
-                Effect::Send(_, bytes) => self.sent.push(bytes),
+                Effect::Notify(notice) => self.notices.push(notice),
+                Effect::RequestAbandoned(orphan) => self.orphans.push(orphan),
+                Effect::Send { bytes, .. } => self.sent.push(bytes),
                 _ => {}
             }
         }
@@ -168,12 +175,13 @@
     fn run_until(&mut self, until: Micros) {
         while self.now < until {
             self.now = self.now + LEDGER_TICK_INTERVAL;
-            self.event(Event::Beat);
+            self.event(Event::LedgerTick);
         }
     }
 
     fn hear<M: Serialize>(&mut self, kind: u32, seat: u16, message: &M) {
-        self.event(Event::Datagram(SocketAddr::from(([127, 0, 0, 1], 1)), &datagram(kind, seat, message)));
+        let from = SocketAddr::from(([127, 0, 0, 1], 1));
+        self.event(Event::Datagram { from, bytes: &datagram(kind, seat, message) });
     }
 
     /// Answers every question for pages of names with an empty page without a vote: the branch begins anew.
@@ -535,7 +543,7 @@
     let mut node = next_process(BOOT);
     // Two of them are of claims of its own: on the branch's record and the rollout's.
     let votes = (true, true);
-    assert_eq!(node.notices, [Notice::DiskRead { writes: 9, records: 7, votes }]);
+    assert_eq!(node.notices, [ClusterNotice::StorageLoaded { writes: 9, records: 7, votes }]);
     check_writes(&node, |_, time| then(time));
     let (first, late) = (TOLD_AT, TOLD_AT + Micros(400_000));
     let new = ballot(9);
@@ -577,7 +585,7 @@
 fn after_a_start_of_the_machine_writes_alone_are_remembered() {
     let mut node = next_process(BOOT + 1);
     let votes = (true, false);
-    assert_eq!(node.notices, [Notice::DiskRead { writes: 9, records: 0, votes }]);
+    assert_eq!(node.notices, [ClusterNotice::StorageLoaded { writes: 9, records: 0, votes }]);
     // Each is as old as it was when it was put there: these two were heard of again.
     check_writes(&node, |of, time| {
         let put_at = if [dot(3), dot(9)].contains(&of) { TOLD_AT + Micros(400_000) } else { TOLD_AT };
--- a/src/proxy/cluster_transport/ledger_request.rs
+++ b/src/proxy/cluster_transport/ledger_request.rs
@@ -1,7 +1,7 @@
 //! A request of which the ledger keeps a record: begun here, joined, answered from its record, or taken over.
 
 use crate::cluster::ledger::{ClaimOutcome, RecordId, RecordedAttempt};
-use crate::decision::api::*;
+use crate::decision::{Arrival, EndpointId, PriorAttempt};
 use crate::proxy::cluster_transport::ledger_claim::{pause, Work};
 use crate::proxy::cluster_transport::Peers;
 use crate::proxy::downstream::request::carried;
@@ -27,9 +27,11 @@
 }
 
 /// Attempts of owners before this one, as the module is told of them.
-pub fn earlier(attempts: Vec<RecordedAttempt>) -> Vec<Earlier> {
-    let earlier = |a: RecordedAttempt| Earlier { server: ServerId(a.endpoint), sent: a.sent_at };
-    attempts.into_iter().map(earlier).collect()
+pub fn earlier(attempts: Vec<RecordedAttempt>) -> Vec<PriorAttempt> {
+    attempts
+        .into_iter()
+        .map(|attempt| PriorAttempt { endpoint: EndpointId(attempt.endpoint), sent_at: attempt.sent_at })
+        .collect()
 }
 
 /// Takes a request through the ledger to its answer, by its deadline. `request`: it is left with its record's holders,
@@ -42,14 +44,14 @@
     forward: impl Fn(Option<Rc<Work>>) -> Forward,
 ) -> Result<Answer, Malformed> {
     // Most come for the first time: they go ahead while the holders are asked.
-    let mut ahead = !arrival.resent;
+    let mut ahead = !arrival.is_retry;
     let mut looks = 0;
     loop {
         let Some(mut work) = peers.claim(id, digest, request.clone()) else {
             return Ok(carried(front, arrival, forward(None)).await);
         };
-        let begin = |work: &Rc<Work>, earlier: Vec<Earlier>, counted: bool| {
-            let arrival = Arrival { counted, earlier, ..arrival.clone() };
+        let begin = |work: &Rc<Work>, earlier: Vec<PriorAttempt>, counted: bool| {
+            let arrival = Arrival { already_counted: counted, prior_attempts: earlier, ..arrival.clone() };
             carried(front, arrival, forward(Some(work.clone())))
         };
         if std::mem::take(&mut ahead) {
--- a/src/proxy/cluster_transport/write_queue_sender.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -4,7 +4,7 @@
 use crate::cluster::write_queue::{
     Dot, ForwardOutcome, Write, WriteOutcome, WriteRequest, WriteState, WriteStatus,
 };
-use crate::decision::api::Arrival;
+use crate::decision::Arrival;
 use crate::proxy::cluster_transport::abandoned_requests::{go_on, Gone};
 use crate::proxy::cluster_transport::ledger_request::{record_of, recorded};
 use crate::proxy::cluster_transport::outcome_recorder::Arms;
@@ -64,7 +64,7 @@
         let id = RecordId { customer, key };
         let found = peers.claim(id, 0, None)?.found().await;
         let new = matches!(found, ClaimOutcome::Acquired { existed: false, .. });
-        if !new && (asked.arrival.resent || !matches!(found, ClaimOutcome::Unavailable)) {
+        if !new && (asked.arrival.is_retry || !matches!(found, ClaimOutcome::Unavailable)) {
             return None;
         }
     }
--- a/src/proxy/cluster_transport/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -11,7 +11,7 @@
     /// Whether a write of this class is the branch's to accept now.
     pub fn takes_writes(&self, class: &str, customer: u64, object: u64) -> bool {
         let fleet = self.fleet.borrow();
-        let replica = fleet.as_ref().and_then(Fleet::write_queue).map(|queue| queue.replica());
+        let replica = fleet.as_ref().and_then(ClusterNode::write_queue).map(|queue| queue.replica());
         let named = || self.config.branch_classes.iter().any(|name| name == class);
         replica.is_some_and(|replica| replica.should_queue(customer, object) && named())
     }
@@ -61,7 +61,7 @@
                     .fleet
                     .borrow()
                     .as_ref()
-                    .and_then(Fleet::write_queue)
+                    .and_then(ClusterNode::write_queue)
                     .map(|b| b.replica().log().pending_count());
                 let (last_ms, waits) = (last.0 / 1000, waits.unwrap_or(0));
                 match cut {
--- a/src/proxy/downstream/server.rs
+++ b/src/proxy/downstream/server.rs
@@ -1,6 +1,6 @@
 //! Clients: taking their requests, answering them, and `/_health`.
 
-use crate::decision::api::*;
+use crate::decision::{ClassId, Idempotency, Micros, PlanId};
 use crate::proxy::admin::metrics::{Close, End, Figures, Ticket};
 use crate::proxy::cluster_transport::Peers;
 use crate::proxy::downstream::accept::Accepting;
@@ -61,7 +61,7 @@
     /// The budget for what is kept whole, and for buffers.
     pub memory: Rc<Memory>,
     /// The names of classes, with what they may do and the longest wait.
-    pub classes: HashMap<String, (ClassId, Effect, Micros)>,
+    pub classes: HashMap<String, (ClassId, Idempotency, Micros)>,
     /// The names of plans.
     pub plans: HashMap<String, PlanId>,
     /// How many gateways there are.
