--- a/lab/tests/disk/world.rs
+++ b/lab/tests/disk/world.rs
@@ -6,8 +6,8 @@
     Dot, ForwardOutcome, WriteOutcome, WriteQueueSettings, WriteRequest, WriteState, WriteStatus,
 };
 use quota_gateway::cluster::{
-    ledger, ClusterNode, ClusterNotice, Effect, Event, MachineId, MemberMetadata, Micros, Settings,
-    StorageWrite, WriteQueueEffect, CAPABILITY_LEDGER,
+    ClusterNode, ClusterNotice, Effect, Event, MachineId, MemberMetadata, Micros, Settings, StorageWrite,
+    WriteQueueEffect, CAPABILITY_LEDGER,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
