--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -223,7 +223,7 @@
         let has_lapsed = client.is_owner() && !client.may_act(self.now);
         LeaseStatus {
             is_held: client.has_lease(self.now),
-            is_held_with_margin: client.has_lease(self.now + self.settings.margin()),
+            is_held_with_margin: client.has_lease(self.now + self.settings.lease_margin()),
             lapsed: has_lapsed.then_some(claim),
             is_gone: false,
         }
--- a/src/proxy/admin/mod.rs
+++ b/src/proxy/admin/mod.rs
@@ -4,10 +4,10 @@
 
 pub mod metrics;
 pub mod rollout_calls;
-use crate::proxy::cluster_transport::Peers;
-use crate::proxy::downstream::accept::Accepting;
-use crate::proxy::lifecycle::drain::Duty;
-use crate::proxy::runtime::{Control, Orders};
+use crate::proxy::cluster_transport::ClusterTransport;
+use crate::proxy::downstream::accept::AcceptBackoff;
+use crate::proxy::lifecycle::drain::Lifecycle;
+use crate::proxy::runtime::{AdminCommand, AdminSender};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -16,8 +16,8 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use metrics::Figures;
-use rollout_calls::{Names, Said};
+use metrics::Metrics;
+use rollout_calls::{KnownNames, Said};
 use std::collections::VecDeque;
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -38,23 +38,23 @@
 const MAX_HEAD: usize = 8 * 1024;
 
 /// What the calls need.
-pub struct Desk {
+pub struct AdminContext {
     /// The way to the driver that waits behind no request.
-    pub orders: Orders,
+    pub orders: AdminSender,
     /// The counters.
-    pub figures: Rc<Figures>,
+    pub figures: Rc<Metrics>,
     /// Whether the gateway serves, drains or ends.
-    pub duty: Rc<Duty>,
+    pub duty: Rc<Lifecycle>,
     /// The fleet, where the gateway has one.
-    pub peers: Option<Rc<Peers>>,
+    pub peers: Option<Rc<ClusterTransport>>,
     /// The names that rules of routing may use.
-    pub names: Names,
+    pub names: KnownNames,
 }
 
 /// Answers operators for ever.
-pub async fn serve(listener: TcpListener, desk: Rc<Desk>) {
+pub async fn serve(listener: TcpListener, desk: Rc<AdminContext>) {
     let mut callers: VecDeque<AbortHandle> = VecDeque::with_capacity(CALLERS);
-    let mut accepting = Accepting::default();
+    let mut accepting = AcceptBackoff::default();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -72,7 +72,7 @@
     }
 }
 
-async fn call(stream: TcpStream, desk: Rc<Desk>) {
+async fn call(stream: TcpStream, desk: Rc<AdminContext>) {
     let service = service_fn(|request| {
         let desk = desk.clone();
         async move { Ok::<_, Infallible>(answer(request, &desk).await) }
@@ -90,17 +90,17 @@
     }
 }
 
-async fn answer(request: Request<Incoming>, desk: &Desk) -> Response<Full<Bytes>> {
+async fn answer(request: Request<Incoming>, desk: &AdminContext) -> Response<Full<Bytes>> {
     let whole = request.uri().path().to_string();
     let path: Vec<&str> = whole.split('/').skip(1).collect();
     let reading = matches!(*request.method(), Method::GET | Method::HEAD);
     let posting = *request.method() == Method::POST;
     match path.as_slice() {
-        ["healthcheck"] if reading => match desk.duty.ready() {
+        ["healthcheck"] if reading => match desk.duty.is_ready() {
             true => plain(StatusCode::OK, "ready\n"),
             false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         },
-        ["stats"] if reading => match ask(desk, Control::Fleet).await {
+        ["stats"] if reading => match ask(desk, AdminCommand::CountEndpoints).await {
             Some(fleet) => {
                 let gauges = desk.peers.as_ref().map(|peers| peers.gauges()).unwrap_or_default();
                 text(StatusCode::OK, desk.figures.text(fleet) + &gauges)
@@ -124,7 +124,14 @@
         ["backends", id, order @ ("maint" | "ready")] if posting => {
             let (id, out) = (id.to_string(), *order == "maint");
             info!(id, order, "an operator's order");
-            match ask(desk, |done| Control::Maintain { id, out, relayed: false, done }).await {
+            match ask(desk, |done| AdminCommand::SetMaintenance {
+                endpoint: id,
+                in_maintenance: out,
+                relayed: false,
+                reply: done,
+            })
+            .await
+            {
                 Some(true) => plain(StatusCode::OK, "done\n"),
                 Some(false) => plain(StatusCode::NOT_FOUND, "no such backend\n"),
                 None => late(),
@@ -132,7 +139,7 @@
         }
         ["healthcheck", order @ ("fail" | "ok")] if posting => {
             info!(order, "an operator's order");
-            desk.duty.drain(*order == "fail");
+            desk.duty.set_draining(*order == "fail");
             plain(StatusCode::OK, "done\n")
         }
         ["healthcheck" | "stats"] => not_allowed("GET, HEAD"),
@@ -143,8 +150,8 @@
 
 /// A call for a rollout of rules.
 async fn rolled(
-    peers: &Rc<Peers>,
-    desk: &Desk,
+    peers: &Rc<ClusterTransport>,
+    desk: &AdminContext,
     reading: bool,
     posting: bool,
     order: &str,
@@ -172,7 +179,7 @@
 }
 
 /// Asks the driver, who answers between two turns.
-async fn ask<T>(desk: &Desk, order: impl FnOnce(oneshot::Sender<T>) -> Control) -> Option<T> {
+async fn ask<T>(desk: &AdminContext, order: impl FnOnce(oneshot::Sender<T>) -> AdminCommand) -> Option<T> {
     let (reply, answer) = oneshot::channel();
     let asking = async {
         desk.orders.send(order(reply)).await.ok()?;
--- a/src/proxy/cluster_transport/disk/fixture_tests.rs
+++ b/src/proxy/cluster_transport/disk/fixture_tests.rs
@@ -95,11 +95,11 @@
     };
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     Settings {
-        fleet: FLEET.into(),
+        cluster: FLEET.into(),
         name: "b".into(),
         metadata,
         peers: [("a".to_string(), at(1)), ("b".to_string(), at(2)), ("c".to_string(), at(3))].into(),
-        period: Duration::from_secs(1),
+        probe_period: Duration::from_secs(1),
         seats: SEATS.map(str::to_string).to_vec(),
         ledger: Some(LedgerSettings {
             replicas: 3,
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -23,12 +23,12 @@
     QuotaShares, WriteQueueEffect, LEDGER_TICK_INTERVAL, MAX_DATAGRAM_BYTES, TICK_INTERVAL,
 };
 use crate::decision::QuotaLease;
-use crate::proxy::control_plane::config::FleetConfig;
-use crate::proxy::lifecycle::drain::{Duty, End};
-use crate::proxy::runtime::{tell, Clock, Inbox, Input};
+use crate::proxy::control_plane::config::ClusterConfig;
+use crate::proxy::lifecycle::drain::{Lifecycle, ShutdownPhase};
+use crate::proxy::runtime::{send_event, Clock, RuntimeEvent, RuntimeSender};
 use disk::{Disk, DiskEvent};
-use ledger_claim::{Slot, Work};
-use outcome_recorder::Arms;
+use ledger_claim::{ClaimProgress, LedgerClaim};
+use outcome_recorder::OutcomeRecorder;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -40,7 +40,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{sleep, sleep_until, Instant};
 use tracing::{info, warn};
-use write_queue_sender::Order;
+use write_queue_sender::QueuedWrite;
 
 /// Datagrams that are read in one `REFILL`: 20,000 a second. What a flood sends beyond that the kernel drops.
 const BUDGET: u32 = 200;
@@ -51,26 +51,26 @@
 const OPEN_AGAIN: Duration = Duration::from_millis(200);
 
 /// The gateway's place in its fleet.
-pub struct Peers {
-    config: FleetConfig,
+pub struct ClusterTransport {
+    config: ClusterConfig,
     clock: Clock,
-    duty: Rc<Duty>,
-    inbox: Inbox,
+    duty: Rc<Lifecycle>,
+    inbox: RuntimeSender,
     fleet: RefCell<Option<ClusterNode>>,
     /// Datagrams that the kernel did not take.
     unsent: Cell<u64>,
     /// The socket, while this process takes part.
     socket: RefCell<Option<Rc<UdpSocket>>>,
     /// Work at the ledger, by its claim, and how often this process has begun to take part.
-    slots: RefCell<HashMap<ClaimId, Rc<Slot>>>,
+    slots: RefCell<HashMap<ClaimId, Rc<ClaimProgress>>>,
     era: Cell<u64>,
     /// How requests ended under a rollout.
-    arms: Rc<Arms>,
+    arms: Rc<OutcomeRecorder>,
     /// Who waits for a rollout to begin.
     begins: RefCell<Option<oneshot::Sender<Option<RolloutKey>>>>,
     /// Who waits for a write to be accepted, and the way to whoever sends writes on.
     accepts: RefCell<HashMap<Dot, Vec<oneshot::Sender<bool>>>>,
-    writes: mpsc::Sender<Order>,
+    writes: mpsc::Sender<QueuedWrite>,
     /// The gateway's disk, where it has one, while this process takes part.
     disk: RefCell<Option<Disk>>,
     /// The way to whoever finishes requests of gateways that are gone; how many were, and how many could not be.
@@ -78,17 +78,17 @@
     finished: (Cell<u64>, Cell<u64>),
 }
 
-impl Peers {
+impl ClusterTransport {
     /// For a gateway whose configuration names a fleet.
     pub fn new(
-        config: FleetConfig,
+        config: ClusterConfig,
         clock: Clock,
-        duty: Rc<Duty>,
-        inbox: Inbox,
-        arms: Rc<Arms>,
-        (writes, orphans): (mpsc::Sender<Order>, mpsc::Sender<AbandonedRequest>),
-    ) -> Rc<Peers> {
-        Rc::new(Peers {
+        duty: Rc<Lifecycle>,
+        inbox: RuntimeSender,
+        arms: Rc<OutcomeRecorder>,
+        (writes, orphans): (mpsc::Sender<QueuedWrite>, mpsc::Sender<AbandonedRequest>),
+    ) -> Rc<ClusterTransport> {
+        Rc::new(ClusterTransport {
             config,
             clock,
             duty,
@@ -121,11 +121,11 @@
     /// Takes part for as long as this process stands for the gateway, for ever. `opened` is the socket where it
     /// is open already; a process that takes another's place opens it once that one has let go.
     pub async fn run(
-        self: Rc<Peers>,
+        self: Rc<ClusterTransport>,
         mut opened: Option<UdpSocket>,
         mut elsewhere: watch::Receiver<BTreeMap<String, SocketAddr>>,
     ) {
-        let mut duty = self.duty.changes();
+        let mut duty = self.duty.subscribe();
         loop {
             if duty.wait_for(|s| s.serving && !s.replaced).await.is_err() {
                 return;
@@ -167,26 +167,28 @@
         let unix = Micros(unix.as_micros().min(u128::from(u64::MAX)) as u64);
         let settings = crate::cluster::Settings {
             peers: elsewhere.borrow_and_update().clone(),
-            disk: self.config.dir.as_ref().map(|_| disk::machine_id()),
+            disk: self.config.storage_dir.as_ref().map(|_| disk::machine_id()),
             ..self.config.settings.clone()
         };
         match ClusterNode::new(settings, self.clock.now(), unix, fastrand::u64(..)) {
             Ok(fleet) => {
                 info!(name = %fleet.own().name, incarnation = fleet.own().incarnation, "joining the fleet");
                 let in_force = fleet.routing_in_force().filter(|f| !f.baseline.0.is_empty());
-                in_force.into_iter().for_each(|f| tell(&self.inbox, Input::Routing(Box::new(f))));
+                in_force
+                    .into_iter()
+                    .for_each(|f| send_event(&self.inbox, RuntimeEvent::RoutingChanged(Box::new(f))));
                 *self.fleet.borrow_mut() = Some(fleet);
                 self.era.set(self.era.get() + 1);
             }
             // Read and checked at the start.
             Err(error) => return warn!(%error, "no fleet"),
         }
-        let mut words = self.config.dir.as_ref().map(|folder| {
+        let mut words = self.config.storage_dir.as_ref().map(|folder| {
             let (disk, words) = Disk::open(folder);
             *self.disk.borrow_mut() = Some(disk);
             words
         });
-        let (mut duty, mut leaving) = (self.duty.changes(), false);
+        let (mut duty, mut leaving) = (self.duty.subscribe(), false);
         let (mut wake, mut refill, mut budget) = (Instant::now(), Instant::now(), BUDGET);
         let (mut strangers, mut told) = (0, Instant::now());
         let mut beat = self.keeps_ledger().then(Instant::now);
@@ -218,7 +220,7 @@
             if state.replaced {
                 return;
             }
-            if state.end >= End::Stopping && !std::mem::replace(&mut leaving, true) {
+            if state.shutdown >= ShutdownPhase::Stopping && !std::mem::replace(&mut leaving, true) {
                 self.give(Event::Leave);
             }
             tokio::select! {
@@ -267,18 +269,22 @@
                         self.give(Event::StorageFailed);
                     }
                 }
-                Effect::QuotaSharesChanged(QuotaShares { until, free_seats }) if self.config.lend > 0.0 => {
-                    tell(
+                Effect::QuotaSharesChanged(QuotaShares { until, free_seats })
+                    if self.config.lendable_part > 0.0 =>
+                {
+                    send_event(
                         &self.inbox,
-                        Input::Lent(QuotaLease {
-                            fraction: self.config.lend,
+                        RuntimeEvent::QuotaLeaseChanged(QuotaLease {
+                            fraction: self.config.lendable_part,
                             valid_until: until,
                             absent_gateways: free_seats,
                         }),
                     );
                 }
                 Effect::QuotaSharesChanged(_) => {}
-                Effect::RoutingChanged(in_force) => tell(&self.inbox, Input::Routing(in_force)),
+                Effect::RoutingChanged(in_force) => {
+                    send_event(&self.inbox, RuntimeEvent::RoutingChanged(in_force))
+                }
                 Effect::WriteQueue(errand) => self.run_errand(errand),
                 // Where there is no room it is offered again, here or elsewhere.
                 Effect::RequestAbandoned(orphan) => drop(self.orphans.try_send(orphan)),
@@ -299,10 +305,10 @@
 
     fn tell_strangers(&self, before: &mut u64) {
         let fleet = self.fleet.borrow();
-        let Some(strangers) = fleet.as_ref().map(|f| &f.traffic().strangers) else { return };
+        let Some(strangers) = fleet.as_ref().map(|f| &f.traffic().dropped) else { return };
         let all = strangers.values().sum();
         if all > *before {
-            let why: Vec<String> = strangers.iter().map(|(s, n)| format!("{} {n}", s.name())).collect();
+            let why: Vec<String> = strangers.iter().map(|(s, n)| format!("{} {n}", s.key())).collect();
             warn!(since_last = all - *before, all = why.join(", "), "datagrams of strangers dropped");
         }
         *before = all;
--- a/src/proxy/cluster_transport/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::cluster_transport::*;
 
-impl Peers {
+impl ClusterTransport {
     /// Whether this gateway is of a branch that accepts writes.
     pub fn is_of_branch(&self) -> bool {
         self.config.settings.branch.is_some()
@@ -12,7 +12,7 @@
     pub fn takes_writes(&self, class: &str, customer: u64, object: u64) -> bool {
         let fleet = self.fleet.borrow();
         let replica = fleet.as_ref().and_then(ClusterNode::write_queue).map(|queue| queue.replica());
-        let named = || self.config.branch_classes.iter().any(|name| name == class);
+        let named = || self.config.write_queue_classes.iter().any(|name| name == class);
         replica.is_some_and(|replica| replica.should_queue(customer, object) && named())
     }
 
@@ -47,7 +47,7 @@
             }
             WriteQueueEffect::Forward { write, attempt: tries, may_have_run: before } => {
                 let dot = write.dot;
-                if self.writes.try_send(Order { write, tries, before }).is_err() {
+                if self.writes.try_send(QueuedWrite { write, tries, before }).is_err() {
                     warn!(%dot, "no room for a write that is to be sent on");
                     self.write_ended(dot, tries, ForwardOutcome::NotExecuted);
                 }
--- a/src/proxy/control_plane/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -3,9 +3,9 @@
 //! The files are in `tests/fixtures/control`. They name values by their keys in the file, so that they hold
 //! whatever the fields are called.
 
-use super::{Config, FleetConfig, SocketLimits};
+use super::{ClusterConfig, Config, SocketLimits};
 use crate::cluster::rollout::RuleConfig;
-use crate::decision::{Class, DeduplicationScope, Idempotency, Plan};
+use crate::decision::{Class, DeduplicationScope, EndpointStatus, Idempotency, Plan};
 use crate::fixture;
 use std::fmt::{Debug, Write};
 
@@ -72,20 +72,27 @@
     found.map(|(name, _)| name.as_str()).expect("a name for each")
 }
 
+fn phase(status: EndpointStatus) -> &'static str {
+    match status {
+        EndpointStatus::InService => "ready",
+        EndpointStatus::Draining => "draining",
+        EndpointStatus::Removed => "gone",
+    }
+}
+
 fn put_known(out: &mut Listing, config: &Config) {
     out.put("known.revision", config.known.revision);
     out.put("known.complete", config.known.complete);
-    for (at, member) in config.known.members.iter().enumerate() {
+    for (at, member) in config.known.endpoints.iter().enumerate() {
         let key = |key: &str| format!("known.members.{at}.{key}");
-        out.put(&key("id"), &member.id);
-        out.put(&key("host_port"), member.host_port);
-        out.put(&key("locality"), &member.locality);
-        out.put(&key("flavor"), &member.flavor);
+        out.put(&key("id"), &member.name);
+        out.put(&key("host_port"), member.address);
+        out.put(&key("locality"), &member.zone);
+        out.put(&key("flavor"), &member.release_label);
         out.put(&key("cell"), member.cell);
-        let phase = serde_json::to_string(&member.phase).expect("a text");
-        out.put(&key("phase"), phase.trim_matches('"'));
-        out.put(&key("size"), member.size);
-        out.put(&key("up_since_ms"), member.up_since_ms);
+        out.put(&key("phase"), phase(member.status));
+        out.put(&key("size"), member.weight);
+        out.put(&key("up_since_ms"), member.started_at_unix_ms);
     }
     out.put("known revision in use", config.known_revision());
 }
@@ -150,36 +157,36 @@
 }
 
 fn read_fleet(text: &str) -> String {
-    let config = FleetConfig::parse(text, "named-by-the-environment").expect("a fleet's file");
+    let config = ClusterConfig::parse(text, "named-by-the-environment").expect("a fleet's file");
     let mut out = Listing::default();
     let settings = &config.settings;
-    out.put("fleet", &settings.fleet);
+    out.put("fleet", &settings.cluster);
     out.put("listen", config.listen);
     out.put("advertise", settings.metadata.advertise);
     out.put("name", &settings.name);
     out.put("zone", &settings.metadata.zone);
     out.put("capabilities", settings.metadata.capabilities);
-    out.put("period_ms", settings.period.as_micros() as f64 / 1000.0);
+    out.put("period_ms", settings.probe_period.as_micros() as f64 / 1000.0);
     out.put("seats", &settings.seats);
-    out.put("lend", config.lend);
+    out.put("lend", config.lendable_part);
     out.put("peers", &settings.peers);
     let ledger = settings.ledger.as_ref();
     out.put("ledger.holders", ledger.map(|l| l.replicas));
     out.put("ledger.lease_ms", ledger.map(|l| l.lease.0 as f64 / 1000.0));
     out.put("ledger.life_ms", ledger.map(|l| l.record_lifetime.0 as f64 / 1000.0));
-    out.put("ledger.wait_ms", config.ledger_wait.as_micros() as f64 / 1000.0);
-    out.put("ledger.dir", &config.dir);
-    out.put("ledger.finish", &config.finish);
+    out.put("ledger.wait_ms", config.ledger_timeout.as_micros() as f64 / 1000.0);
+    out.put("ledger.dir", &config.storage_dir);
+    out.put("ledger.finish", &config.finish_classes);
     let branch = settings.branch.as_ref();
     out.put("branch.seats", branch.map(|b| b.seats.clone()));
-    out.put("branch.classes", &config.branch_classes);
+    out.put("branch.classes", &config.write_queue_classes);
     out.put("branch.writes", branch.map(|b| b.max_pending));
     out.put("branch.of_one", branch.map(|b| b.max_pending_per_customer));
     out.put("branch.longest_s", branch.map(|b| b.max_age.0 as f64 / 1e6));
     out.put("branch.cut_after_ms", branch.map(|b| b.uplink_timeout.0 as f64 / 1000.0));
     out.put("branch.out", branch.map(|b| b.max_in_flight));
     out.put("branch.per_s", branch.map(|b| b.max_sends_per_second));
-    out.put("branch.on_failure, classes that stop", &config.branch_stops);
+    out.put("branch.on_failure, classes that stop", &config.write_queue_stop_classes);
     out.put("rollout.rule", settings.rules.as_ref().map(|rules| rules.0.len()));
     for (at, rule) in settings.rules.iter().flat_map(|rules| &rules.0).enumerate() {
         put_rule(&mut out, at, rule);
@@ -345,7 +352,7 @@
 
 #[test]
 fn a_wrong_value_of_the_fleets_file_is_one_plain_line() {
-    let read = |text: &str| FleetConfig::parse(text, "gate-1").map(drop).map_err(|e| e.to_string());
+    let read = |text: &str| ClusterConfig::parse(text, "gate-1").map(drop).map_err(|e| e.to_string());
     fixture::assert_same("control/fleet.errors.txt", &errors(FLEET, FLEET_WRONG, read));
 }
 
--- a/src/proxy/downstream/idle_connections.rs
+++ b/src/proxy/downstream/idle_connections.rs
@@ -1,7 +1,7 @@
 //! The connections of clients on which no request is open: how long each may stand so, and which is closed
 //! first when room is short.
 
-use crate::proxy::lifecycle::drain::Duty;
+use crate::proxy::lifecycle::drain::Lifecycle;
 use crate::proxy::tcp_io;
 use rustix::net::{shutdown, Shutdown};
 use std::cell::{Cell, RefCell};
@@ -83,23 +83,23 @@
 type Quiet = BTreeMap<(Instant, u64), Rc<Peer>>;
 
 /// All connections without an open request, those quiet for longest first.
-pub struct Crowd {
-    duty: Rc<Duty>,
+pub struct IdleConnections {
+    duty: Rc<Lifecycle>,
     last: Cell<u64>,
     silent: RefCell<Quiet>,
     heads: RefCell<Quiet>,
     idle: RefCell<Quiet>,
 }
 
-impl Crowd {
+impl IdleConnections {
     /// Nobody yet.
-    pub fn new(duty: Rc<Duty>) -> Crowd {
+    pub fn new(duty: Rc<Lifecycle>) -> IdleConnections {
         let (silent, heads, idle) = Default::default();
-        Crowd { duty, last: Cell::new(0), silent, heads, idle }
+        IdleConnections { duty, last: Cell::new(0), silent, heads, idle }
     }
 
     /// A connection was accepted.
-    pub fn welcome(self: &Rc<Crowd>, stream: Rc<TcpStream>) -> (Rc<Peer>, Socket) {
+    pub fn welcome(self: &Rc<IdleConnections>, stream: Rc<TcpStream>) -> (Rc<Peer>, Socket) {
         let now = Instant::now();
         self.last.set(self.last.get() + 1);
         let peer = Rc::new(Peer {
@@ -153,18 +153,18 @@
     }
 
     /// A request came whole as far as its head; the connection is busy until the guard is dropped.
-    pub fn busy(self: &Rc<Crowd>, peer: &Rc<Peer>) -> Busy {
+    pub fn busy(self: &Rc<IdleConnections>, peer: &Rc<Peer>) -> OpenRequestGuard {
         if peer.phase.get() == Phase::Idle {
             // Its head had come behind the request before.
             peer.due.set(Instant::now() + HEAD_TIME);
         }
         self.turn(peer, Phase::Busy);
-        Busy { crowd: self.clone(), peer: peer.clone() }
+        OpenRequestGuard { crowd: self.clone(), peer: peer.clone() }
     }
 
     /// Closes the connections whose time is up.
     pub fn sweep(&self) {
-        let (now, longest) = (Instant::now(), self.duty.longest_idle());
+        let (now, longest) = (Instant::now(), self.duty.idle_timeout());
         for heads in [&self.silent, &self.heads] {
             heads.borrow().values().filter(|p| now >= p.due.get()).for_each(|p| p.doom());
         }
@@ -189,12 +189,12 @@
 }
 
 /// Keeps a connection from counting as idle while its request is open.
-pub struct Busy {
-    crowd: Rc<Crowd>,
+pub struct OpenRequestGuard {
+    crowd: Rc<IdleConnections>,
     peer: Rc<Peer>,
 }
 
-impl Busy {
+impl OpenRequestGuard {
     /// For how long the request's body may keep the gateway waiting, beside what its length allows.
     pub fn patience(&self) -> Duration {
         let left = self.peer.due.get().saturating_duration_since(Instant::now());
@@ -202,7 +202,7 @@
     }
 }
 
-impl Drop for Busy {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.crowd.turn(&self.peer, Phase::Idle);
     }
@@ -212,7 +212,7 @@
 pub struct Socket {
     stream: Rc<TcpStream>,
     peer: Rc<Peer>,
-    crowd: Rc<Crowd>,
+    crowd: Rc<IdleConnections>,
     /// Runs while the client takes nothing.
     stall: Option<Pin<Box<Sleep>>>,
 }
--- a/src/proxy/downstream/server.rs
+++ b/src/proxy/downstream/server.rs
@@ -1,17 +1,17 @@
 //! Clients: taking their requests, answering them, and `/_health`.
 
 use crate::decision::{ClassId, Idempotency, Micros, PlanId};
-use crate::proxy::admin::metrics::{Close, End, Figures, Ticket};
-use crate::proxy::cluster_transport::Peers;
-use crate::proxy::downstream::accept::Accepting;
+use crate::proxy::admin::metrics::{ConnectionCloseReason, InFlightRequest, Metrics, RequestResult};
+use crate::proxy::cluster_transport::ClusterTransport;
+use crate::proxy::downstream::accept::AcceptBackoff;
 use crate::proxy::downstream::close::{end_after_answer, ended_by_client};
-use crate::proxy::downstream::idle_connections::{Busy, Crowd, SWEEP_EVERY};
+use crate::proxy::downstream::idle_connections::{IdleConnections, OpenRequestGuard, SWEEP_EVERY};
 use crate::proxy::downstream::request::take;
-use crate::proxy::downstream::response_body::{BrokeOff, Giving};
-use crate::proxy::lifecycle::drain::{self, Duty};
-use crate::proxy::lifecycle::permits::Share;
-use crate::proxy::memory_budget::Memory;
-use crate::proxy::runtime::{duration, Clock, Inbox};
+use crate::proxy::downstream::response_body::{ResponseBody, ResponseBodyError};
+use crate::proxy::lifecycle::drain::{Lifecycle, ShutdownPhase};
+use crate::proxy::lifecycle::permits::Permits;
+use crate::proxy::memory_budget::MemoryBudget;
+use crate::proxy::runtime::{duration, Clock, RuntimeSender};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Frame, Incoming, SizeHint};
@@ -47,19 +47,19 @@
 const LAST_ANSWER: Duration = Duration::from_secs(60);
 
 /// What all connections of clients share.
-pub struct Front {
+pub struct ProxyContext {
     /// The way to the driver.
-    pub inbox: Inbox,
+    pub inbox: RuntimeSender,
     /// The module's clock.
     pub clock: Clock,
     /// Whether the gateway serves, drains or ends.
-    pub duty: Rc<Duty>,
+    pub duty: Rc<Lifecycle>,
     /// The counters for operators.
-    pub figures: Rc<Figures>,
+    pub figures: Rc<Metrics>,
     /// The places for connections.
-    pub places: Rc<Share>,
+    pub places: Rc<Permits>,
     /// The budget for what is kept whole, and for buffers.
-    pub memory: Rc<Memory>,
+    pub memory: Rc<MemoryBudget>,
     /// The names of classes, with what they may do and the longest wait.
     pub classes: HashMap<String, (ClassId, Idempotency, Micros)>,
     /// The names of plans.
@@ -73,10 +73,10 @@
     /// So long before its deadline a request has its answer.
     pub last_moment: Micros,
     /// The gateway's place in its fleet, where a ledger is kept there.
-    pub peers: Option<Rc<Peers>>,
+    pub peers: Option<Rc<ClusterTransport>>,
 }
 
-impl Front {
+impl ProxyContext {
     /// A class's name.
     pub fn class_name(&self, class: ClassId) -> &str {
         self.classes.iter().find(|(_, (id, ..))| *id == class).map_or("", |(name, _)| name.as_str())
@@ -93,16 +93,16 @@
 }
 
 /// Takes clients until SIGTERM, answers what was taken, and returns.
-pub async fn serve(listener: TcpListener, front: Rc<Front>, mut elsewhere: watch::Receiver<usize>) {
+pub async fn serve(listener: TcpListener, front: Rc<ProxyContext>, mut elsewhere: watch::Receiver<usize>) {
     let places = front.places.clone();
-    let crowd = Rc::new(Crowd::new(front.duty.clone()));
-    let mut state = front.duty.changes();
-    let stops = || front.duty.state().end > drain::End::Open;
-    let ending = || front.duty.state().end == drain::End::Ending;
+    let crowd = Rc::new(IdleConnections::new(front.duty.clone()));
+    let mut state = front.duty.subscribe();
+    let stops = || front.duty.state().shutdown > ShutdownPhase::Running;
+    let ending = || front.duty.state().shutdown == ShutdownPhase::Final;
     let ending_at = |last_call: Option<Instant>| last_call.unwrap_or_else(Instant::now) + front.last_wait();
     let mut last_call = stops().then(Instant::now);
     let mut sweep = interval(SWEEP_EVERY);
-    let mut accepting = Accepting::default();
+    let mut accepting = AcceptBackoff::default();
     // Accepted, without a place yet.
     let mut waiting: Option<TcpStream> = None;
     loop {
@@ -113,13 +113,13 @@
                 Ok((stream, _)) => {
                     accepting.succeeded();
                     waiting = Some(stream);
-                    if places.free() == 0 {
+                    if places.available() == 0 {
                         crowd.make_room();
                     }
                 }
                 Err(error) => accepting.failed(&error).await,
             },
-            place = places.take(), if room => {
+            place = places.acquire(), if room => {
                 if let Some(stream) = waiting.take() {
                     let (front, crowd) = (front.clone(), crowd.clone());
                     tokio::task::spawn_local(async move {
@@ -130,7 +130,7 @@
             }
             () = sleep(MAKE_ROOM_EVERY), if room => crowd.make_room(),
             _ = sweep.tick() => crowd.sweep(),
-            Ok(()) = elsewhere.changed() => places.leave(*elsewhere.borrow_and_update()),
+            Ok(()) = elsewhere.changed() => places.reserve_for_other_process(*elsewhere.borrow_and_update()),
             Ok(()) = state.changed() => {
                 crowd.sweep();
                 if last_call.is_none() && stops() {
@@ -138,7 +138,7 @@
                 }
             }
             () = sleep_until(ending_at(last_call)), if last_call.is_some() && !ending() => {
-                front.duty.end(drain::End::Ending);
+                front.duty.advance_shutdown(ShutdownPhase::Final);
             }
             // Where another process takes the new connections, none is left to wait for.
             () = std::future::ready(()), if !room && last_call.is_some() && front.duty.is_replaced() => break,
@@ -148,19 +148,19 @@
         }
     }
     drop(listener);
-    let mut empty = pin!(places.empty());
+    let mut empty = pin!(places.wait_until_unused());
     let last_call = last_call.or_else(|| Some(Instant::now()));
     loop {
         tokio::select! {
             () = &mut empty => return,
             _ = sweep.tick() => crowd.sweep(),
-            () = sleep_until(ending_at(last_call)), if !ending() => front.duty.end(drain::End::Ending),
+            () = sleep_until(ending_at(last_call)), if !ending() => front.duty.advance_shutdown(ShutdownPhase::Final),
             () = sleep_until(last_call.unwrap_or_else(Instant::now) + LAST_ANSWER) => return warn!("some connections were still open"),
         }
     }
 }
 
-async fn connection(stream: TcpStream, front: Rc<Front>, crowd: Rc<Crowd>) {
+async fn connection(stream: TcpStream, front: Rc<ProxyContext>, crowd: Rc<IdleConnections>) {
     // Without it answers may come late, which is no reason to hang up. A client that is gone is noticed anyway.
     if let Err(error) = stream.set_nodelay(true) {
         debug!(%error, "a client's connection stays without TCP_NODELAY");
@@ -178,44 +178,44 @@
     let why = tokio::select! {
         biased;
         done = connection => match done {
-            Ok(()) => Close::Ended,
+            Ok(()) => ConnectionCloseReason::Ended,
             Err(error) => {
                 debug!(%error, "a client's connection broke");
-                Close::Broken
+                ConnectionCloseReason::Broken
             }
         },
-        () = peer.closed() => Close::Quiet,
-        () = ended_by_client(&stream) => Close::LeftUnread,
+        () = peer.closed() => ConnectionCloseReason::Quiet,
+        () = ended_by_client(&stream) => ConnectionCloseReason::LeftUnread,
     };
     debug!(?why, client = ?stream.peer_addr().ok(), "a client's connection is closed");
     front.figures.closes.raise(why);
-    let had_last_answer = matches!(why, Close::Ended | Close::Broken);
+    let had_last_answer = matches!(why, ConnectionCloseReason::Ended | ConnectionCloseReason::Broken);
     // Where no answer can be under way there is nothing to guard: bytes that cross the close are left unread, and the
     // reset tells the client that it may send them once more.
-    if had_last_answer && front.places.free() > 0 {
+    if had_last_answer && front.places.available() > 0 {
         end_after_answer(&stream).await;
     }
 }
 
 /// An answer's body. While it lasts, its request is in flight and its connection busy.
 pub struct Body {
-    giving: Giving,
+    giving: ResponseBody,
     /// While it lives its request is in flight.
-    pub ticket: Option<Ticket>,
-    _busy: Option<Busy>,
+    pub ticket: Option<InFlightRequest>,
+    _busy: Option<OpenRequestGuard>,
 }
 
 impl hyper::body::Body for Body {
     type Data = Bytes;
-    type Error = BrokeOff;
+    type Error = ResponseBodyError;
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokeOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
         let next = Pin::new(&mut self.giving).poll_frame(cx);
         // Until its last byte is passed on, a long answer may yet fail.
-        if matches!(&self.giving, Giving::Download(download) if download.is_whole()) {
-            self.ticket.iter_mut().for_each(|ticket| ticket.ends(End::Served));
+        if matches!(&self.giving, ResponseBody::Streamed(download) if download.is_whole()) {
+            self.ticket.iter_mut().for_each(|ticket| ticket.ends(RequestResult::Served));
         }
         next
     }
@@ -231,7 +231,7 @@
 pub const WRITES: &str = "/writes/";
 
 /// What became of a write.
-fn written(front: &Front, method: &Method, path: &str) -> Response<Body> {
+fn written(front: &ProxyContext, method: &Method, path: &str) -> Response<Body> {
     let peers = front.peers.as_ref().filter(|peers| peers.is_of_branch());
     let Some(peers) = peers else { return plain(StatusCode::NOT_FOUND, "no such path\n") };
     if *method != Method::GET {
@@ -241,32 +241,32 @@
     let Some(dot) = dot else { return plain(StatusCode::NOT_FOUND, "no such path\n") };
     let (known, words) = crate::proxy::cluster_transport::write_queue_sender::told(peers.write_status(dot));
     let status = if known { StatusCode::OK } else { StatusCode::NOT_FOUND };
-    giving(status, Giving::Whole(Full::new(Bytes::from(words)), None))
+    giving(status, ResponseBody::Buffered(Full::new(Bytes::from(words)), None))
 }
 
-async fn respond(request: Request<Incoming>, front: &Front, busy: Busy) -> Response<Body> {
+async fn respond(request: Request<Incoming>, front: &ProxyContext, busy: OpenRequestGuard) -> Response<Body> {
     let mut response = match request.uri().path() {
-        "/_health" => match front.duty.healthy() {
+        "/_health" => match front.duty.is_healthy() {
             true => plain(StatusCode::OK, "ready\n"),
             false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         },
         path if path.starts_with(WRITES) => written(front, request.method(), path),
         "/api" => match take(request, busy.patience(), front).await {
             Ok(answer) => answer,
-            Err(Malformed(status, problem)) => plain(status, problem),
+            Err(RequestError(status, problem)) => plain(status, problem),
         },
         _ => plain(StatusCode::NOT_FOUND, "no such path\n"),
     };
     response.body_mut()._busy = Some(busy);
     // Where places are short a client that keeps its connection keeps another out.
-    if front.duty.lets_go() || front.places.free() * SHORT < front.places.all() {
+    if front.duty.closes_connections() || front.places.available() * SHORT < front.places.total() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
 /// An answer with that status.
-pub fn giving(status: StatusCode, giving: Giving) -> Response<Body> {
+pub fn giving(status: StatusCode, giving: ResponseBody) -> Response<Body> {
     let mut response = Response::new(Body { giving, ticket: None, _busy: None });
     *response.status_mut() = status;
     response
@@ -274,11 +274,11 @@
 
 /// A short answer in plain text.
 pub fn plain(status: StatusCode, text: &'static str) -> Response<Body> {
-    giving(status, Giving::Whole(Full::new(Bytes::from_static(text.as_bytes())), None))
+    giving(status, ResponseBody::Buffered(Full::new(Bytes::from_static(text.as_bytes())), None))
 }
 
 /// What a peer is told whose request is none.
-pub struct Malformed(pub StatusCode, pub &'static str);
+pub struct RequestError(pub StatusCode, pub &'static str);
 
 #[cfg(test)]
 mod tests {
@@ -289,15 +289,15 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::sync::mpsc;
 
-    fn front(duty: Rc<Duty>) -> Front {
+    fn front(duty: Rc<Lifecycle>) -> ProxyContext {
         let (inbox, _) = mpsc::channel(1);
-        Front {
+        ProxyContext {
             inbox,
             clock: Clock::start(),
             duty,
             figures: Rc::default(),
-            places: Rc::new(Share::new(4)),
-            memory: Rc::new(Memory::new(32.0, SocketLimits { clients: 4, backends: 4, counter: 1 })),
+            places: Rc::new(Permits::new(4)),
+            memory: Rc::new(MemoryBudget::new(32.0, SocketLimits { clients: 4, backends: 4, counter: 1 })),
             classes: HashMap::new(),
             plans: HashMap::new(),
             gateways: 1,
@@ -319,10 +319,10 @@
             let ours = std::net::TcpStream::from(OwnedFd::from(ours));
             let stream = TcpStream::from_std(ours).expect("a stream");
             assert!(stream.set_nodelay(true).is_err(), "else this shows nothing");
-            let duty = Rc::new(Duty::default());
-            duty.listed();
-            duty.serve();
-            let crowd = Rc::new(Crowd::new(duty.clone()));
+            let duty = Rc::new(Lifecycle::default());
+            duty.mark_endpoints_known();
+            duty.start_serving();
+            let crowd = Rc::new(IdleConnections::new(duty.clone()));
             tokio::task::spawn_local(connection(stream, Rc::new(front(duty)), crowd));
             let mut client = tokio::net::UnixStream::from_std(theirs).expect("a stream");
             client.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").await.expect("taken");
