--- a/src/cluster/datagram.rs
+++ b/src/cluster/datagram.rs
@@ -6,7 +6,7 @@
 //! Nothing here is secret: the checksum tells damage from messages, not attackers from members. The network between the
 //! gateways has to be private.
 
-use crate::cluster::ledger::Message;
+use crate::cluster::ledger::LedgerMessage;
 use crate::cluster::quota_lease::view_gossip::Table;
 use crate::cluster::{rollout, write_queue};
 use serde::{Deserialize, Serialize};
@@ -76,7 +76,7 @@
         /// The sender's seat.
         seat: u16,
         /// The message.
-        message: Message,
+        message: LedgerMessage,
     },
     /// A message of a rollout of routing rules.
     Rollout {
@@ -85,7 +85,7 @@
         /// The sender's seat.
         seat: u16,
         /// The message.
-        message: rollout::Message,
+        message: rollout::RolloutMessage,
     },
     /// A message among the gateways that share a write queue.
     WriteQueue {
@@ -94,7 +94,7 @@
         /// The sender's seat.
         seat: u16,
         /// The message.
-        message: write_queue::Message,
+        message: write_queue::QueueMessage,
     },
 }
 
--- a/src/cluster/event.rs
+++ b/src/cluster/event.rs
@@ -1,9 +1,9 @@
 //! What goes into a gateway's cluster node and what comes out: events, effects, notices for people, and counters.
 
 use crate::cluster::datagram::DatagramError;
-use crate::cluster::ledger::{ClaimId, Finding, Orphan};
-use crate::cluster::rollout::{Key, Told};
-use crate::cluster::{Errand, InForce, MemberState, Put, QuotaShares};
+use crate::cluster::ledger::{AbandonedRequest, ClaimId, ClaimOutcome};
+use crate::cluster::rollout::{RolloutKey, RolloutNotice};
+use crate::cluster::{MemberState, QuotaShares, RoutingInForce, StorageWrite, WriteQueueEffect};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -31,7 +31,7 @@
     /// The storage was opened and read.
     StorageLoaded {
         /// What it held.
-        writes: Vec<Put>,
+        writes: Vec<StorageWrite>,
     },
     /// The storage holds everything up to this batch, also after a loss of power.
     StorageSynced {
@@ -61,27 +61,27 @@
         /// Rises by one with each batch.
         batch: u64,
         /// Its contents, to be applied in this order.
-        writes: Vec<Put>,
+        writes: Vec<StorageWrite>,
     },
     /// A claim at the ledger found out.
     ClaimResolved {
         /// Which claim.
         claim: ClaimId,
         /// What it found.
-        outcome: Finding,
+        outcome: ClaimOutcome,
     },
     /// A request whose owner is gone and whose client did not come again may be finished.
-    RequestAbandoned(Orphan),
+    RequestAbandoned(AbandonedRequest),
     /// Something is to be done for the write queue.
-    WriteQueue(Errand),
+    WriteQueue(WriteQueueEffect),
     /// These routing rules are in force from now on.
-    RoutingChanged(Box<InForce>),
+    RoutingChanged(Box<RoutingInForce>),
     /// What becomes of a rollout, for the log.
-    RolloutNotice(Told),
+    RolloutNotice(RolloutNotice),
     /// The rollout that was asked for here has started, or could not.
     RolloutStarted {
         /// Its key; none where another one runs or the ledger can't be had.
-        key: Option<Key>,
+        key: Option<RolloutKey>,
     },
 }
 
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -16,6 +16,7 @@
 mod rollout_node;
 mod settings;
 mod storage;
+mod storage_node;
 pub mod write_queue;
 mod write_queue_node;
 
@@ -32,23 +33,23 @@
 pub use quota_lease::seat_lease::QuotaShares;
 pub use quota_lease::view::MAX_SEATS;
 pub use report::{ClusterReport, MemberReport, ViewReport};
-pub use rollout_node::{InForce, Taken};
+pub use rollout_node::{CommandResult, RoutingInForce};
 pub use settings::Settings;
-pub use storage::durability_gate::{Machine, Put};
-pub use write_queue_node::{Branch, Errand};
+pub use storage::{MachineId, StorageWrite};
+pub use write_queue_node::{WriteQueue, WriteQueueEffect};
 
-use ledger::Desk;
+use ledger::LedgerNode;
 use membership::addresses::AddressBook;
 use membership::duplicate_name::DuplicateNameDetector;
 use membership::join::JoinSchedule;
 use membership::ring_probe::RingProber;
 use membership::swim::Swim;
 use quota_lease::QuotaLeases;
-use rollout::Steward;
+use rollout::RolloutController;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use storage::durability_gate::Durable;
-use storage::persistence::Keeping;
+use storage::Persistence;
+use write_queue::QueueReplica;
 
 /// The fleet as one gateway knows it.
 pub struct ClusterNode {
@@ -73,14 +74,14 @@
     /// The seats, where the settings name them.
     quota_leases: Option<QuotaLeases>,
     /// The ledger, where the settings want one.
-    desk: Option<Desk>,
+    ledger: Option<LedgerNode>,
     /// The part in rollouts, where the settings want one, and when it is due.
-    steward: Option<Steward>,
-    rolls_at: Micros,
-    /// The branch, where it is of one.
-    branch: Option<Branch>,
-    /// Its disk, where it has one.
-    keeping: Option<Keeping>,
+    rollout: Option<RolloutController>,
+    next_rollout_tick: Micros,
+    /// The write queue, where it is of a branch.
+    write_queue: Option<WriteQueue>,
+    /// Its storage, where it has one.
+    persistence: Option<Persistence>,
 }
 
 impl ClusterNode {
@@ -103,22 +104,27 @@
         );
         let join_schedule = JoinSchedule::new(now, &mut rng);
         let lending = QuotaLeases::new(&settings.seats, &settings.name, now, rng.u64(..));
-        let desk = lending.as_ref().zip(settings.ledger).map(|(lending, terms)| {
+        let mut ledger = lending.as_ref().zip(settings.ledger).map(|(lending, settings)| {
             let (own, seats) = lending.seat();
-            Desk::new(terms, own as u16, seats, lending.seat_list(), rng.u64(..), now)
+            LedgerNode::new(settings, own as u16, seats, lending.seat_list(), rng.u64(..), now)
         });
-        let steward = lending.as_ref().zip(settings.rules.clone()).map(|(lending, base)| {
+        let rollout = lending.as_ref().zip(settings.rules.clone()).map(|(lending, base)| {
             let (own, seats) = lending.seat();
-            Steward::new(own as u16, seats, settings.metadata.zone.clone(), base, rng.u64(..), now)
+            let zone = settings.metadata.zone.clone();
+            RolloutController::new(own as u16, seats, zone, base, rng.u64(..), now)
         });
-        let branch = lending.as_ref().zip(settings.branch.clone()).map(|(lending, terms)| {
-            Branch::new(write_queue::Clerk::new(lending.seat().0 as u16, terms, rng.u64(..), now), now)
+        let mut write_queue = lending.as_ref().zip(settings.branch.clone()).map(|(lending, settings)| {
+            let own = lending.seat().0 as u16;
+            WriteQueue::new(QueueReplica::new(own, settings, rng.u64(..), now), now)
         });
-        let keeping = settings.disk.map(|machine| Keeping::new(Durable::new(machine, now)));
-        let (mut desk, mut branch) = (desk, branch);
-        if keeping.is_some() {
-            desk.iter_mut().for_each(|desk| desk.holder_mut().await_disk());
-            branch.iter_mut().for_each(Branch::await_disk);
+        let persistence = settings.disk.map(|machine| Persistence::new(machine, now));
+        if persistence.is_some() {
+            if let Some(ledger) = ledger.as_mut() {
+                ledger.replica_mut().await_storage();
+            }
+            if let Some(queue) = write_queue.as_mut() {
+                queue.replica_mut().await_storage();
+            }
         }
         let peers = settings.peers.clone();
         Ok(ClusterNode {
@@ -137,11 +143,11 @@
             leave_repeats: 0,
             notified_states: BTreeMap::new(),
             quota_leases: lending,
-            desk,
-            steward,
-            rolls_at: now,
-            branch,
-            keeping,
+            ledger,
+            rollout,
+            next_rollout_tick: now,
+            write_queue,
+            persistence,
         })
     }
 
@@ -154,9 +160,9 @@
             Event::Tick if self.yielded_to.is_none() => self.tick_membership(&mut messages, out),
             Event::Tick => {}
             Event::LedgerTick => {
-                self.beat(out);
-                self.roll(out);
-                self.tend(out);
+                self.tick_ledger(out);
+                self.tick_rollout(out);
+                self.tick_write_queue(out);
             }
             Event::Leave if self.yielded_to.is_none() && !self.left => self.leave(&mut messages),
             Event::Leave => {}
@@ -164,9 +170,9 @@
                 self.address_book.configure(addresses);
                 self.join_schedule.restart(self.now);
             }
-            Event::StorageLoaded { writes } => self.remember(writes, out),
-            Event::StorageSynced { batch } => self.disk_holds(batch, out),
-            Event::StorageFailed => self.disk_failed(out),
+            Event::StorageLoaded { writes } => self.on_storage_loaded(&writes, out),
+            Event::StorageSynced { batch } => self.on_storage_synced(batch, out),
+            Event::StorageFailed => self.on_storage_failed(out),
         }
         self.send_messages(messages, out);
     }
@@ -185,7 +191,7 @@
     }
     /// Whether its disk holds what it says, and how many words wait for that; none: it has no disk.
     pub fn disk(&self) -> Option<(bool, usize)> {
-        self.keeping.as_ref().map(|keeping| (keeping.way().works(), keeping.way().waits()))
+        self.persistence.as_ref().map(|persistence| (persistence.is_working(), persistence.waiting()))
     }
     /// Datagrams, bytes and what was dropped.
     pub fn traffic(&self) -> &TrafficCounters {
--- a/src/proxy/cluster_transport/abandoned_requests.rs
+++ b/src/proxy/cluster_transport/abandoned_requests.rs
@@ -1,7 +1,7 @@
 //! Requests whose gateway is gone and whose clients did not come again: finished here, as far as their class allows, so
 //! that they ran and their answer is there for whoever asks later.
 
-use crate::cluster::ledger::{Finding, Orphan, RecordId};
+use crate::cluster::ledger::{AbandonedRequest, ClaimOutcome, RecordId};
 use crate::decision::Arrival;
 use crate::proxy::cluster_transport::ledger_request::{earlier, record_of};
 use crate::proxy::cluster_transport::serialized_request;
@@ -28,7 +28,7 @@
 pub async fn finish_all(
     front: Rc<ProxyContext>,
     peers: Rc<ClusterTransport>,
-    mut orphans: mpsc::Receiver<Orphan>,
+    mut orphans: mpsc::Receiver<AbandonedRequest>,
 ) {
     let places = Arc::new(Semaphore::new(AT_ONCE));
     while let Some(orphan) = orphans.recv().await {
@@ -60,7 +60,11 @@
     Refused,
 }
 
-async fn finish(front: &ProxyContext, peers: &Rc<ClusterTransport>, orphan: &Orphan) -> AbandonedOutcome {
+async fn finish(
+    front: &ProxyContext,
+    peers: &Rc<ClusterTransport>,
+    orphan: &AbandonedRequest,
+) -> AbandonedOutcome {
     let Some((asked, forward)) = serialized_request::request(front, &orphan.request) else {
         return AbandonedOutcome::Refused;
     };
@@ -68,7 +72,8 @@
         return AbandonedOutcome::Refused;
     };
     let of = record_of(&asked, key, &forward, body);
-    let fits = of == (orphan.id, orphan.digest) && peers.finishes(front.class_name(asked.arrival.class));
+    let fits =
+        of == (orphan.id, orphan.request_digest) && peers.finishes(front.class_name(asked.arrival.class));
     match fits {
         true => go_on(front, peers, of, &asked, &forward).await,
         false => AbandonedOutcome::Refused,
@@ -86,16 +91,16 @@
 ) -> AbandonedOutcome {
     for tried in 0..TRIES {
         let Some(work) = peers.claim(id, digest, None) else { return AbandonedOutcome::Elsewhere };
-        let sent = match work.found().await {
-            Finding::Clear { found: true, sent } => sent,
-            Finding::Answered(_) => return AbandonedOutcome::Answered,
+        let attempts = match work.found().await {
+            ClaimOutcome::Acquired { existed: true, attempts } => attempts,
+            ClaimOutcome::Completed(_) => return AbandonedOutcome::Answered,
             _ => return AbandonedOutcome::Elsewhere,
         };
         let deadline = front.clock.now() + asked.budget;
         let of_before = Arrival {
             is_retry: true,
             already_counted: true,
-            prior_attempts: earlier(sent),
+            prior_attempts: earlier(attempts),
             ..asked.arrival.clone()
         };
         let with = ForwardedRequest { work: Some(work.clone()), ..forward.again() };
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -15,18 +15,18 @@
 pub(crate) mod write_queue_sender;
 mod writes;
 
-use crate::cluster::ledger::{Change, ClaimId, Orphan, RecordId};
-use crate::cluster::rollout::{End as RolloutEnd, Key, Start, Told, Why};
-use crate::cluster::write_queue::{Dot, Fate, Status};
+use crate::cluster::ledger::{AbandonedRequest, ClaimId, RecordChange, RecordId};
+use crate::cluster::rollout::{HaltReason, RolloutEnd, RolloutKey, RolloutNotice, RolloutRequest};
+use crate::cluster::write_queue::{Dot, ForwardOutcome, WriteRequest, WriteStatus};
 use crate::cluster::{
-    Agreement, ClusterNode, ClusterNotice, ClusterReport, Effect, Errand, Event, MemberState, Micros,
-    QuotaShares, Taken, LEDGER_TICK_INTERVAL, MAX_DATAGRAM_BYTES, TICK_INTERVAL,
+    Agreement, ClusterNode, ClusterNotice, ClusterReport, CommandResult, Effect, Event, MemberState, Micros,
+    QuotaShares, WriteQueueEffect, LEDGER_TICK_INTERVAL, MAX_DATAGRAM_BYTES, TICK_INTERVAL,
 };
 use crate::decision::QuotaLease;
 use crate::proxy::control_plane::config::ClusterConfig;
 use crate::proxy::lifecycle::drain::{Lifecycle, ShutdownPhase};
 use crate::proxy::runtime::{send_event, Clock, RuntimeEvent, RuntimeSender};
-use disk::{Disk, Word};
+use disk::{Disk, DiskEvent};
 use ledger_claim::{ClaimProgress, LedgerClaim};
 use outcome_recorder::OutcomeRecorder;
 use std::cell::{Cell, RefCell};
@@ -67,14 +67,14 @@
     /// How requests ended under a rollout.
     arms: Rc<OutcomeRecorder>,
     /// Who waits for a rollout to begin.
-    begins: RefCell<Option<oneshot::Sender<Option<Key>>>>,
+    begins: RefCell<Option<oneshot::Sender<Option<RolloutKey>>>>,
     /// Who waits for a write to be accepted, and the way to whoever sends writes on.
     accepts: RefCell<HashMap<Dot, Vec<oneshot::Sender<bool>>>>,
     writes: mpsc::Sender<QueuedWrite>,
     /// The gateway's disk, where it has one, while this process takes part.
     disk: RefCell<Option<Disk>>,
     /// The way to whoever finishes requests of gateways that are gone; how many were, and how many could not be.
-    orphans: mpsc::Sender<Orphan>,
+    orphans: mpsc::Sender<AbandonedRequest>,
     finished: (Cell<u64>, Cell<u64>),
 }
 
@@ -86,7 +86,7 @@
         duty: Rc<Lifecycle>,
         inbox: RuntimeSender,
         arms: Rc<OutcomeRecorder>,
-        (writes, orphans): (mpsc::Sender<QueuedWrite>, mpsc::Sender<Orphan>),
+        (writes, orphans): (mpsc::Sender<QueuedWrite>, mpsc::Sender<AbandonedRequest>),
     ) -> Rc<ClusterTransport> {
         Rc::new(ClusterTransport {
             config,
@@ -167,13 +167,13 @@
         let unix = Micros(unix.as_micros().min(u128::from(u64::MAX)) as u64);
         let settings = crate::cluster::Settings {
             peers: elsewhere.borrow_and_update().clone(),
-            disk: self.config.storage_dir.as_ref().map(|_| disk::machine()),
+            disk: self.config.storage_dir.as_ref().map(|_| disk::machine_id()),
             ..self.config.settings.clone()
         };
         match ClusterNode::new(settings, self.clock.now(), unix, fastrand::u64(..)) {
             Ok(fleet) => {
                 info!(name = %fleet.own().name, incarnation = fleet.own().incarnation, "joining the fleet");
-                let in_force = fleet.in_force().filter(|f| !f.old.0.is_empty());
+                let in_force = fleet.routing_in_force().filter(|f| !f.baseline.0.is_empty());
                 in_force
                     .into_iter()
                     .for_each(|f| send_event(&self.inbox, RuntimeEvent::RoutingChanged(Box::new(f))));
@@ -229,9 +229,9 @@
                 () = sleep_until(wake) => {}
                 () = sleep_until(beat.unwrap_or(wake)), if beat.is_some() => {}
                 word = next(&mut words) => match word {
-                    Word::Read(puts) => self.give(Event::StorageLoaded { writes: puts }),
-                    Word::Holds(batch) => self.give(Event::StorageSynced { batch }),
-                    Word::Failed => self.give(Event::StorageFailed),
+                    DiskEvent::Loaded(puts) => self.give(Event::StorageLoaded { writes: puts }),
+                    DiskEvent::Synced(batch) => self.give(Event::StorageSynced { batch }),
+                    DiskEvent::Failed => self.give(Event::StorageFailed),
                 },
                 // The duty outlives this.
                 _ = duty.changed() => {}
@@ -265,7 +265,7 @@
                 }
                 Effect::Notify(notice) => notices::log(&notice),
                 Effect::PersistBatch { batch, writes: puts } => {
-                    if !self.disk.borrow().as_ref().is_some_and(|disk| disk.give(batch, puts)) {
+                    if !self.disk.borrow().as_ref().is_some_and(|disk| disk.submit(batch, puts)) {
                         self.give(Event::StorageFailed);
                     }
                 }
@@ -316,13 +316,13 @@
 }
 
 /// The disk's next word; one whose thread is gone has failed.
-async fn next(words: &mut Option<mpsc::Receiver<Word>>) -> Word {
+async fn next(words: &mut Option<mpsc::Receiver<DiskEvent>>) -> DiskEvent {
     match words {
         Some(heard) => match heard.recv().await {
             Some(word) => word,
             None => {
                 *words = None;
-                Word::Failed
+                DiskEvent::Failed
             }
         },
         None => std::future::pending().await,
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -97,7 +97,7 @@
     /// What the gateways know together of each other's shares.
     QuotaLeaseChanged(QuotaLease),
     /// Other rules of routing are in force.
-    RoutingChanged(Box<InForce>),
+    RoutingChanged(Box<RoutingInForce>),
     /// A call to the counter ended.
     CounterReplied {
         /// The counter that was called.
