--- a/src/cluster/membership/duplicate_name.rs
+++ b/src/cluster/membership/duplicate_name.rs
@@ -5,7 +5,7 @@
 
 use crate::cluster::membership::codec::OutdatedSender;
 use crate::cluster::membership::members::MAX_MEMBERS;
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use std::collections::BTreeMap;
 
 /// The longest time that a datagram may be under way.
--- a/src/cluster/membership/identity.rs
+++ b/src/cluster/membership/identity.rs
@@ -1,6 +1,6 @@
 //! Who a member is: its name, and which incarnation under that name.
 
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/cluster/membership/join.rs
+++ b/src/cluster/membership/join.rs
@@ -1,7 +1,7 @@
 //! When configured gateways that are not present are called: to join the cluster, and to find again those of whom
 //! nobody here knows, as after a partition that outlasted the memory of members that were down.
 
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 
 /// The first call of a gateway that knows nobody comes within this time; then the pause doubles with each call.
 const INITIAL_BACKOFF: Micros = Micros(500_000);
--- a/src/cluster/membership/local_health.rs
+++ b/src/cluster/membership/local_health.rs
@@ -4,7 +4,7 @@
 //! members. Two guards: protocol time stands still while the process does not run ([`LocalHealth::advance`]), and
 //! time-outs grow with a score of recent trouble ([`LocalHealth::scaled`]).
 
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 
 /// The longest time between two calls of the cluster node.
 pub const TICK_INTERVAL: Micros = Micros(200_000);
--- a/src/cluster/membership/members.rs
+++ b/src/cluster/membership/members.rs
@@ -1,7 +1,7 @@
 //! What this member knows of each other one: its state, since when, and why.
 
 use crate::cluster::membership::identity::Identity;
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use foca::{Member, State};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/src/cluster/membership/ring_probe.rs
+++ b/src/cluster/membership/ring_probe.rs
@@ -8,7 +8,7 @@
 use crate::cluster::membership::identity::Identity;
 use crate::cluster::membership::local_health::LocalHealth;
 use crate::cluster::membership::members::{MemberRecord, MemberState};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use std::collections::BTreeMap;
 use std::ops::Bound;
 use std::rc::Rc;
--- a/src/cluster/membership/suspicion.rs
+++ b/src/cluster/membership/suspicion.rs
@@ -6,7 +6,7 @@
 
 use crate::cluster::membership::identity::Identity;
 use crate::cluster::membership::members::{MemberRecord, MemberState};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/src/cluster/membership/swim.rs
+++ b/src/cluster/membership/swim.rs
@@ -10,7 +10,7 @@
 use crate::cluster::membership::parameters::{self, SUSPICION_PERIODS};
 use crate::cluster::membership::suspicion::Suspicions;
 use crate::cluster::membership::timers::TimerQueue;
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use foca::{AccumulatingRuntime, Foca, Member, NoCustomBroadcast, OwnedNotification, State, Timer};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
--- a/src/cluster/membership/timers.rs
+++ b/src/cluster/membership/timers.rs
@@ -1,7 +1,7 @@
 //! The membership protocol's timers, by the clock of the time awake.
 
 use crate::cluster::membership::identity::Identity;
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use foca::Timer;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
--- a/src/cluster/membership_node.rs
+++ b/src/cluster/membership_node.rs
@@ -9,7 +9,7 @@
 use crate::cluster::membership::swim::OutgoingMessage;
 use crate::cluster::quota_lease::seat_lease::QuotaShares;
 use crate::cluster::ClusterNode;
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use std::net::SocketAddr;
 
 /// A process that has known others for this long is established under its name: it yields to a newer one, instead of
--- a/src/cluster/quota_lease/mod.rs
+++ b/src/cluster/quota_lease/mod.rs
@@ -14,7 +14,7 @@
 use crate::cluster::quota_lease::seat_lease::{QuotaShares, SeatLeases, SeatOccupant};
 use crate::cluster::quota_lease::view::{IncarnationTag, MAX_SEATS};
 use crate::cluster::quota_lease::view_gossip::{Table, ViewGossip};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64;
--- a/src/cluster/quota_lease/seat_lease.rs
+++ b/src/cluster/quota_lease/seat_lease.rs
@@ -8,7 +8,7 @@
 
 use crate::cluster::quota_lease::view::{IncarnationTag, SeatStatement, View};
 use crate::cluster::quota_lease::view_gossip::{ViewGossip, STATEMENT_VALIDITY};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 
 /// The time between two opposite statements on a seat, and from a start to the first statement: longer than any
 /// statement counts, with room for clocks whose rates differ by a twentieth.
--- a/src/cluster/quota_lease/view_gossip.rs
+++ b/src/cluster/quota_lease/view_gossip.rs
@@ -5,7 +5,7 @@
 //! the process was paused is taken for as old as it is.
 
 use crate::cluster::quota_lease::view::{SeatStatement, View};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use serde::{Deserialize, Serialize};
 
 /// How long a statement counts after it was made.
--- a/src/cluster/quota_lease/view_gossip/tests.rs
+++ b/src/cluster/quota_lease/view_gossip/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::quota_lease::view::View;
 use crate::cluster::quota_lease::view_gossip::{Table, ViewGossip, STATEMENT_VALIDITY};
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 
 #[test]
 fn rejects_the_whole_of_a_table_that_no_cluster_can_have() {
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -10,7 +10,7 @@
 use crate::cluster::quota_lease::agreement::Agreement;
 use crate::cluster::quota_lease::LeaseStatus;
 use crate::cluster::ClusterNode;
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use serde::{Serialize, Serializer};
 use std::collections::BTreeMap;
 
--- a/src/proxy/cluster_transport/abandoned_requests.rs
+++ b/src/proxy/cluster_transport/abandoned_requests.rs
@@ -2,15 +2,15 @@
 //! that they ran and their answer is there for whoever asks later.
 
 use crate::cluster::ledger::{Finding, Orphan, RecordId};
-use crate::decision::api::Arrival;
+use crate::decision::Arrival;
 use crate::proxy::cluster_transport::ledger_request::{earlier, record_of};
 use crate::proxy::cluster_transport::serialized_request;
-use crate::proxy::cluster_transport::Peers;
+use crate::proxy::cluster_transport::ClusterTransport;
 use crate::proxy::downstream::request::carried;
-use crate::proxy::downstream::request_head::Asked;
-use crate::proxy::downstream::server::Front;
-use crate::proxy::runtime::Answer;
-use crate::proxy::upstream::forwarded_request::{Forward, Payload};
+use crate::proxy::downstream::request_head::RequestHead;
+use crate::proxy::downstream::server::ProxyContext;
+use crate::proxy::runtime::FinalResponse;
+use crate::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,16 +25,20 @@
 const AGAIN: Duration = Duration::from_millis(200);
 
 /// Finishes what is offered, for as long as the gateway lives.
-pub async fn finish_all(front: Rc<Front>, peers: Rc<Peers>, mut orphans: mpsc::Receiver<Orphan>) {
+pub async fn finish_all(
+    front: Rc<ProxyContext>,
+    peers: Rc<ClusterTransport>,
+    mut orphans: mpsc::Receiver<Orphan>,
+) {
     let places = Arc::new(Semaphore::new(AT_ONCE));
     while let Some(orphan) = orphans.recv().await {
         let Ok(place) = places.clone().try_acquire_owned() else { continue };
         let (front, peers) = (front.clone(), peers.clone());
         tokio::task::spawn_local(async move {
             match finish(&front, &peers, &orphan).await {
-                Gone::Answered => {}
+                AbandonedOutcome::Answered => {}
                 gone => {
-                    peers.finished(gone == Gone::Finished);
+                    peers.finished(gone == AbandonedOutcome::Finished);
                     info!(customer = orphan.id.customer, ?gone, "a request whose gateway is gone");
                 }
             }
@@ -45,7 +49,7 @@
 
 /// What became of work that was begun before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Gone {
+pub enum AbandonedOutcome {
     /// It has its answer, from here.
     Finished,
     /// It had one already.
@@ -56,54 +60,60 @@
     Refused,
 }
 
-async fn finish(front: &Front, peers: &Rc<Peers>, orphan: &Orphan) -> Gone {
+async fn finish(front: &ProxyContext, peers: &Rc<ClusterTransport>, orphan: &Orphan) -> AbandonedOutcome {
     let Some((asked, forward)) = serialized_request::request(front, &orphan.request) else {
-        return Gone::Refused;
+        return AbandonedOutcome::Refused;
+    };
+    let (Some(key), RequestPayload::Buffered(body)) = (asked.key, &forward.body) else {
+        return AbandonedOutcome::Refused;
     };
-    let (Some(key), Payload::Whole(body)) = (asked.key, &forward.body) else { return Gone::Refused };
     let of = record_of(&asked, key, &forward, body);
     let fits = of == (orphan.id, orphan.digest) && peers.finishes(front.class_name(asked.arrival.class));
     match fits {
         true => go_on(front, peers, of, &asked, &forward).await,
-        false => Gone::Refused,
+        false => AbandonedOutcome::Refused,
     }
 }
 
 /// Goes on with work that was begun before and may have run, here or at a gateway that is gone, as if its client came
 /// again: as far as its record and its class allow.
 pub async fn go_on(
-    front: &Front,
-    peers: &Rc<Peers>,
+    front: &ProxyContext,
+    peers: &Rc<ClusterTransport>,
     (id, digest): (RecordId, u64),
-    asked: &Asked,
-    forward: &Forward,
-) -> Gone {
+    asked: &RequestHead,
+    forward: &ForwardedRequest,
+) -> AbandonedOutcome {
     for tried in 0..TRIES {
-        let Some(work) = peers.claim(id, digest, None) else { return Gone::Elsewhere };
+        let Some(work) = peers.claim(id, digest, None) else { return AbandonedOutcome::Elsewhere };
         let sent = match work.found().await {
             Finding::Clear { found: true, sent } => sent,
-            Finding::Answered(_) => return Gone::Answered,
-            _ => return Gone::Elsewhere,
+            Finding::Answered(_) => return AbandonedOutcome::Answered,
+            _ => return AbandonedOutcome::Elsewhere,
         };
         let deadline = front.clock.now() + asked.budget;
-        let of_before =
-            Arrival { resent: true, counted: true, earlier: earlier(sent), ..asked.arrival.clone() };
-        let with = Forward { work: Some(work.clone()), ..forward.again() };
+        let of_before = Arrival {
+            is_retry: true,
+            already_counted: true,
+            prior_attempts: earlier(sent),
+            ..asked.arrival.clone()
+        };
+        let with = ForwardedRequest { work: Some(work.clone()), ..forward.again() };
         let answer = tokio::select! {
             biased;
-            () = work.lost() => return Gone::Elsewhere,
+            () = work.lost() => return AbandonedOutcome::Elsewhere,
             answer = carried(front, Arrival { deadline, ..of_before }, with) => answer,
         };
         match answer {
-            Answer::Served(_) => return Gone::Finished,
-            Answer::Refused(wait) => {
+            FinalResponse::Served(_) => return AbandonedOutcome::Finished,
+            FinalResponse::Rejected { retry_after: wait } => {
                 let told = wait.map_or(Duration::ZERO, crate::proxy::runtime::duration);
                 drop(work);
                 sleep((AGAIN * 2u32.pow(tried)).max(told.min(AGAIN * 8))).await;
             }
             // The module gives it up: it may not run again, or no server is left.
-            Answer::Failed => return Gone::Refused,
+            FinalResponse::Failed => return AbandonedOutcome::Refused,
         }
     }
-    Gone::Refused
+    AbandonedOutcome::Refused
 }
--- a/src/proxy/cluster_transport/disk/fixture_tests.rs
+++ b/src/proxy/cluster_transport/disk/fixture_tests.rs
@@ -11,7 +11,7 @@
     ClusterNode, ClusterNotice, Effect, Event, Machine, MemberMetadata, Put, Settings, CAPABILITY_LEDGER,
     CAPABILITY_ROLLOUT, LEDGER_TICK_INTERVAL, MAX_DATAGRAM_BYTES,
 };
-use crate::decision::api::Micros;
+use crate::decision::Micros;
 use crate::proxy::cluster_transport::disk::{Disk, Word};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
--- a/src/proxy/cluster_transport/write_queue_sender.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -2,17 +2,17 @@
 
 use crate::cluster::ledger::{Finding, RecordId};
 use crate::cluster::write_queue::{Dot, End, Fate, State, Status, Write};
-use crate::decision::api::Arrival;
-use crate::proxy::cluster_transport::abandoned_requests::{go_on, Gone};
+use crate::decision::Arrival;
+use crate::proxy::cluster_transport::abandoned_requests::{go_on, AbandonedOutcome};
 use crate::proxy::cluster_transport::ledger_request::{record_of, recorded};
-use crate::proxy::cluster_transport::outcome_recorder::Arms;
+use crate::proxy::cluster_transport::outcome_recorder::OutcomeRecorder;
 use crate::proxy::cluster_transport::serialized_request;
-use crate::proxy::cluster_transport::Peers;
+use crate::proxy::cluster_transport::ClusterTransport;
 use crate::proxy::downstream::request::carried;
-use crate::proxy::downstream::request_head::Asked;
-use crate::proxy::downstream::server::Front;
-use crate::proxy::runtime::Answer;
-use crate::proxy::upstream::forwarded_request::{Forward, Payload, Tries};
+use crate::proxy::downstream::request_head::RequestHead;
+use crate::proxy::downstream::server::ProxyContext;
+use crate::proxy::runtime::FinalResponse;
+use crate::proxy::upstream::forwarded_request::{AttemptTracker, ForwardedRequest, RequestPayload};
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use std::rc::Rc;
@@ -33,7 +33,7 @@
 const ACCEPT: Duration = Duration::from_millis(600);
 
 /// A write that is to be sent on.
-pub struct Order {
+pub struct QueuedWrite {
     /// The write.
     pub write: Box<Write>,
     /// Which try.
@@ -45,8 +45,8 @@
 /// Accepts a request as a write of the branch, where it is cut off or others that it comes after wait. Its name, or
 /// none where it goes its usual way.
 pub async fn accepted(
-    peers: &Rc<Peers>,
-    asked: &Asked,
+    peers: &Rc<ClusterTransport>,
+    asked: &RequestHead,
     class: &str,
     uri: &Uri,
     headers: &HeaderMap,
@@ -62,7 +62,7 @@
         let id = RecordId { customer, key };
         let found = peers.claim(id, 0, None)?.found().await;
         let new = matches!(found, Finding::Clear { found: false, .. });
-        if !new && (asked.arrival.resent || !matches!(found, Finding::Unheld)) {
+        if !new && (asked.arrival.is_retry || !matches!(found, Finding::Unheld)) {
             return None;
         }
     }
@@ -88,7 +88,11 @@
 }
 
 /// Sends writes on for as long as the gateway lives.
-pub async fn send_on(front: Rc<Front>, peers: Rc<Peers>, mut orders: mpsc::Receiver<Order>) {
+pub async fn send_on(
+    front: Rc<ProxyContext>,
+    peers: Rc<ClusterTransport>,
+    mut orders: mpsc::Receiver<QueuedWrite>,
+) {
     while let Some(order) = orders.recv().await {
         let (front, peers) = (front.clone(), peers.clone());
         tokio::task::spawn_local(async move {
@@ -99,27 +103,29 @@
     }
 }
 
-async fn sent(front: &Front, peers: &Rc<Peers>, order: &Order) -> Fate {
+async fn sent(front: &ProxyContext, peers: &Rc<ClusterTransport>, order: &QueuedWrite) -> Fate {
     let Some((asked, forward)) = serialized_request::request(front, &order.write.payload) else {
         return Fate::Answered(400);
     };
     let record = match (asked.key, &forward.body) {
-        (Some(key), Payload::Whole(body)) => Some(record_of(&asked, key, &forward, body)),
+        (Some(key), RequestPayload::Buffered(body)) => Some(record_of(&asked, key, &forward, body)),
         _ => None,
     };
-    let tries = Tries::that_ran(order.before);
+    let tries = AttemptTracker::that_ran(order.before);
     if !order.before {
         let deadline = front.clock.now() + asked.budget;
         let arrival = Arrival { deadline, ..asked.arrival.clone() };
-        let with = |work| Forward { work, tries: Some(tries.clone()), ..forward.again() };
+        let with = |work| ForwardedRequest { work, tries: Some(tries.clone()), ..forward.again() };
         let answer = match record {
             Some(record) => recorded(front, peers, (record, None), arrival, with).await,
             None => Ok(carried(front, arrival, with(None)).await),
         };
         match answer {
-            Ok(Answer::Served(_)) => return Fate::Answered(200),
+            Ok(FinalResponse::Served(_)) => return Fate::Answered(200),
             // Whether trying again is harmless for a client that comes at once says nothing of later.
-            Ok(Answer::Refused(_) | Answer::Failed) if !tries.may_have_run(CALLED_OFF).await => {
+            Ok(FinalResponse::Rejected { .. } | FinalResponse::Failed)
+                if !tries.may_have_run(CALLED_OFF).await =>
+            {
                 return Fate::Refused
             }
             Ok(_) => {}
@@ -129,15 +135,15 @@
     // It may have run: with a record of its attempts its class may yet allow it to be sent again.
     match record {
         Some(record) => match go_on(front, peers, record, &asked, &forward).await {
-            Gone::Finished | Gone::Answered => Fate::Answered(200),
-            Gone::Elsewhere | Gone::Refused => Fate::Lost,
+            AbandonedOutcome::Finished | AbandonedOutcome::Answered => Fate::Answered(200),
+            AbandonedOutcome::Elsewhere | AbandonedOutcome::Refused => Fate::Lost,
         },
         None => Fate::Lost,
     }
 }
 
 /// Looks outside while the branch is cut off: no request does.
-pub async fn look_outside(arms: Rc<Arms>) {
+pub async fn look_outside(arms: Rc<OutcomeRecorder>) {
     loop {
         sleep(LOOK).await;
         let Some(address) = arms.outside().filter(|_| arms.is_cut()) else { continue };
--- a/src/proxy/cluster_transport/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::cluster_transport::*;
 
-impl Peers {
+impl ClusterTransport {
     /// Whether this gateway is of a branch that accepts writes.
     pub fn is_of_branch(&self) -> bool {
         self.config.settings.branch.is_some()
@@ -12,7 +12,7 @@
     pub fn takes_writes(&self, class: &str, customer: u64, object: u64) -> bool {
         let fleet = self.fleet.borrow();
         let clerk = fleet.as_ref().and_then(ClusterNode::branch).map(|branch| branch.clerk());
-        let named = || self.config.branch_classes.iter().any(|name| name == class);
+        let named = || self.config.write_queue_classes.iter().any(|name| name == class);
         clerk.is_some_and(|clerk| clerk.takes(customer, object) && named())
     }
 
@@ -47,7 +47,7 @@
             }
             Errand::Send(write, tries, before) => {
                 let dot = write.dot;
-                if self.writes.try_send(Order { write, tries, before }).is_err() {
+                if self.writes.try_send(QueuedWrite { write, tries, before }).is_err() {
                     warn!(%dot, "no room for a write that is to be sent on");
                     self.write_ended(dot, tries, Fate::Refused);
                 }
--- a/src/proxy/control_plane/config.rs
+++ b/src/proxy/control_plane/config.rs
@@ -2,9 +2,9 @@
 
 mod fleet_file;
 
-pub use fleet_file::FleetConfig;
+pub use fleet_file::ClusterConfig;
 
-use crate::proxy::control_plane::discovery::MemberList;
+use crate::proxy::control_plane::discovery::EndpointList;
 use crate::site_settings::{flatten, Fields, Site};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -32,8 +32,8 @@
 }
 impl std::error::Error for ConfigError {}
 
-impl From<crate::decision::api::SettingsError> for ConfigError {
-    fn from(e: crate::decision::api::SettingsError) -> ConfigError {
+impl From<crate::decision::SettingsError> for ConfigError {
+    fn from(e: crate::decision::SettingsError) -> ConfigError {
         ConfigError(format!("settings: {e}"))
     }
 }
@@ -48,7 +48,7 @@
     counter: Option<SocketAddr>,
     ops: Option<SocketAddr>,
     #[serde(default)]
-    known: MemberList,
+    known: EndpointList,
     settings: serde_json::Value,
 }
 
@@ -68,7 +68,7 @@
 /// All that a gateway is told at its start.
 pub struct Config {
     /// Its fleet, where it has one.
-    pub(crate) fleet: Option<FleetConfig>,
+    pub(crate) fleet: Option<ClusterConfig>,
     pub(crate) name: String,
     pub(crate) listen: SocketAddr,
     pub(crate) discovery: SocketAddr,
@@ -80,7 +80,7 @@
     /// The folder that a process of this gateway shares with the one that takes its place.
     pub(crate) folder: Option<PathBuf>,
     pub(crate) seed: u64,
-    pub(crate) known: MemberList,
+    pub(crate) known: EndpointList,
     pub(crate) site: Site,
     pub(crate) sockets: SocketLimits,
     /// The machine's memory, in millions of bytes.
@@ -117,7 +117,7 @@
 
 /// What a running gateway takes over from a configuration read again.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Services {
+pub struct ServiceAddresses {
     /// Where discovery listens.
     pub discovery: SocketAddr,
     /// Where the counter listens, if there is one.
@@ -136,22 +136,22 @@
 impl Config {
     /// The version of the list that this gateway had last, if it had one.
     pub fn known_revision(&self) -> Option<u64> {
-        (!self.known.members.is_empty()).then_some(self.known.revision)
+        (!self.known.endpoints.is_empty()).then_some(self.known.revision)
     }
 
     /// Where the services are that a gateway asks.
-    pub fn services(&self) -> Services {
+    pub fn services(&self) -> ServiceAddresses {
         let peers = self.fleet.as_ref().map(|f| f.settings.peers.clone()).unwrap_or_default();
-        Services { discovery: self.discovery, counter: self.counter, peers }
+        ServiceAddresses { discovery: self.discovery, counter: self.counter, peers }
     }
 
     /// Reads the file again. Its addresses count now: the environment is still that of the start.
-    pub fn reload() -> Result<Services, ConfigError> {
+    pub fn reload() -> Result<ServiceAddresses, ConfigError> {
         let (path, text) = file()?;
         // Where it listens does not change, and may be known from the environment alone.
         let listen = Some(SocketAddr::from(([0, 0, 0, 0], 0)));
         let config = Config::parse(&text, listen, None).map_err(|e| ConfigError(format!("{path}: {e}")))?;
-        let fleet = FleetConfig::from_environment()?;
+        let fleet = ClusterConfig::from_environment()?;
         Ok(Config { fleet, ..config }.services())
     }
 
@@ -174,7 +174,7 @@
         };
         let folder = env::var_os("TMPDIR").map(PathBuf::from);
         let name = env::var("NODE_NAME").unwrap_or_default();
-        let fleet = FleetConfig::from_environment()?;
+        let fleet = ClusterConfig::from_environment()?;
         let config = Config::parse(&text, address("NODE_LISTEN")?, address("NODE_DISCOVERY")?)
             .map(|c| Config { fleet, name, ops: ops.or(c.ops), accept_fd, folder, ..c })
             .map_err(|e| ConfigError(format!("{path}: {e}")))?;
@@ -186,10 +186,12 @@
     fn check_seats(&self) -> Result<(), ConfigError> {
         let Some(fleet) = self.fleet.as_ref().filter(|f| !f.settings.seats.is_empty()) else { return Ok(()) };
         let (seats, set) = (&fleet.settings.seats, &self.site.settings);
-        if seats.len() != set.gateways as usize || seats.get(set.me as usize) != Some(&fleet.settings.name) {
+        if seats.len() != set.gateways as usize
+            || seats.get(set.gateway_number as usize) != Some(&fleet.settings.name)
+        {
             return Err(ConfigError(format!(
                 "seats: expected the names of all {} gateways by their numbers, this one's as number {}",
-                set.gateways, set.me
+                set.gateways, set.gateway_number
             )));
         }
         Ok(())
@@ -215,7 +217,7 @@
             fields.micros_or(name, default).map(|m| std::time::Duration::from_micros(m.0)).map_err(plain)
         };
         let missing = |what: &str| ConfigError(format!("{what}: expected an address, found nothing"));
-        if site.settings.counter && document.counter.is_none() {
+        if site.settings.counter_enabled && document.counter.is_none() {
             return Err(missing("counter"));
         }
         Ok(Config {
--- a/src/proxy/control_plane/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -3,9 +3,9 @@
 //! The files are in `tests/fixtures/control`. They name values by their keys in the file, so that they hold
 //! whatever the fields are called.
 
-use super::{Config, FleetConfig, SocketLimits};
+use super::{ClusterConfig, Config, SocketLimits};
 use crate::cluster::rollout::Rule;
-use crate::decision::api::{Class, DeduplicationScope, Idempotency, Plan};
+use crate::decision::{Class, DeduplicationScope, EndpointStatus, Idempotency, Plan};
 use crate::fixture;
 use std::fmt::{Debug, Write};
 
@@ -43,14 +43,14 @@
 fn put_class(out: &mut Listing, at: usize, name: &str, class: &Class) {
     let key = |key: &str| format!("settings.classes.{at}.{key}");
     out.put(&key("name"), name);
-    out.put(&key("effect"), effect(class.effect));
+    out.put(&key("effect"), effect(class.idempotency));
     out.put(&key("deadline"), class.deadline.0);
-    out.put(&key("on_time"), class.aim.0);
-    out.put(&key("credit"), class.worth);
-    out.put(&key("late_share"), class.late_worth);
-    out.put(&key("key_scope"), key_scope(class.group));
-    out.put(&key("window"), class.window.0);
-    out.put(&key("streaming"), class.stream);
+    out.put(&key("on_time"), class.latency_objective.0);
+    out.put(&key("credit"), class.priority_weight);
+    out.put(&key("late_share"), class.late_weight_fraction);
+    out.put(&key("key_scope"), key_scope(class.deduplication_scope));
+    out.put(&key("window"), class.deduplication_window.0);
+    out.put(&key("streaming"), class.streaming);
 }
 
 fn put_plan(out: &mut Listing, at: usize, name: &str, plan: &Plan) {
@@ -58,13 +58,13 @@
     out.put(&key("name"), name);
     out.put(&key("per_second"), plan.rate);
     out.put(&key("peak_units"), plan.burst);
-    out.put(&key("open"), plan.open);
-    out.put(&key("price"), plan.price);
-    out.put(&key("extra_worth"), plan.over_worth);
-    out.put(&key("excess_cost"), plan.over_cost);
+    out.put(&key("open"), plan.concurrency_quota);
+    out.put(&key("price"), plan.weight_factor);
+    out.put(&key("extra_worth"), plan.overage_weight_fraction);
+    out.put(&key("excess_cost"), plan.overage_cost_fraction);
     out.put(&key("ceiling_rate"), plan.ceiling_rate);
     out.put(&key("cap_depth"), plan.ceiling_burst);
-    out.put(&key("tolerance"), plan.ceiling_slack);
+    out.put(&key("tolerance"), plan.ceiling_overdraft);
 }
 
 fn name_of(names: &std::collections::HashMap<String, usize>, at: usize) -> &str {
@@ -72,20 +72,27 @@
     found.map(|(name, _)| name.as_str()).expect("a name for each")
 }
 
+fn phase(status: EndpointStatus) -> &'static str {
+    match status {
+        EndpointStatus::InService => "ready",
+        EndpointStatus::Draining => "draining",
+        EndpointStatus::Removed => "gone",
+    }
+}
+
 fn put_known(out: &mut Listing, config: &Config) {
     out.put("known.revision", config.known.revision);
     out.put("known.complete", config.known.complete);
-    for (at, member) in config.known.members.iter().enumerate() {
+    for (at, member) in config.known.endpoints.iter().enumerate() {
         let key = |key: &str| format!("known.members.{at}.{key}");
-        out.put(&key("id"), &member.id);
-        out.put(&key("host_port"), member.host_port);
-        out.put(&key("locality"), &member.locality);
-        out.put(&key("flavor"), &member.flavor);
+        out.put(&key("id"), &member.name);
+        out.put(&key("host_port"), member.address);
+        out.put(&key("locality"), &member.zone);
+        out.put(&key("flavor"), &member.release_label);
         out.put(&key("cell"), member.cell);
-        let phase = serde_json::to_string(&member.phase).expect("a text");
-        out.put(&key("phase"), phase.trim_matches('"'));
-        out.put(&key("size"), member.size);
-        out.put(&key("up_since_ms"), member.up_since_ms);
+        out.put(&key("phase"), phase(member.status));
+        out.put(&key("size"), member.weight);
+        out.put(&key("up_since_ms"), member.started_at_unix_ms);
     }
     out.put("known revision in use", config.known_revision());
 }
@@ -105,7 +112,7 @@
     put_known(&mut out, &config);
     let settings = config.site.settings.clone();
     out.put("settings.balancers", settings.gateways);
-    out.put("settings.my_number", settings.me);
+    out.put("settings.my_number", settings.gateway_number);
     out.put("settings.zone", settings.zone.0);
     for zone in ["north", "south", "west", ""] {
         out.put(&format!("settings.zones, number of '{zone}'"), config.site.zone(zone).0);
@@ -113,21 +120,21 @@
     out.put("settings.tick", settings.tick.0);
     out.put("settings.membership_mode is subscribe", settings.must_subscribe);
     out.put("settings.bounds.max_attempts", settings.max_attempts);
-    out.put("settings.bounds.second_copies", settings.second_copies);
+    out.put("settings.bounds.second_copies", settings.hedging);
     out.put("settings.bounds.may_cancel", settings.may_cancel);
-    out.put("settings.bounds.probing", settings.probes);
+    out.put("settings.bounds.probing", settings.health_checks);
     out.put("settings.bounds.retry_after", settings.retry_after);
     out.put("settings.bounds.max_retry_after", settings.max_retry_after.0);
     out.put("settings.bounds.dial_timeout", settings.connect_timeout.0);
     out.put("settings.bounds.conn_idle", config.conn_idle.as_micros());
-    out.put("settings.specifics.counter", settings.counter);
-    out.put("settings.specifics.count_limit", settings.count_timeout.0);
-    out.put("settings.specifics.units_top", settings.most_units);
+    out.put("settings.specifics.counter", settings.counter_enabled);
+    out.put("settings.specifics.count_limit", settings.counter_timeout.0);
+    out.put("settings.specifics.units_top", settings.max_request_units);
     out.put("settings.rules.answer_slack", settings.answer_slack.0);
-    out.put("settings.rules.cold_from", settings.cold_from);
-    out.put("settings.rules.cold", settings.cold.0);
-    out.put("settings.rules.fall_multiple", settings.fall_multiple);
-    out.put("settings.rules.tip_after", settings.tip_after.0);
+    out.put("settings.rules.cold_from", settings.slow_start_min_capacity);
+    out.put("settings.rules.cold", settings.slow_start_window.0);
+    out.put("settings.rules.fall_multiple", settings.overload_multiple);
+    out.put("settings.rules.tip_after", settings.overload_after.0);
     for (at, class) in settings.classes.iter().enumerate() {
         put_class(&mut out, at, name_of(&config.site.classes, at), class);
     }
@@ -150,7 +157,7 @@
 }
 
 fn read_fleet(text: &str) -> String {
-    let config = FleetConfig::parse(text, "named-by-the-environment").expect("a fleet's file");
+    let config = ClusterConfig::parse(text, "named-by-the-environment").expect("a fleet's file");
     let mut out = Listing::default();
     let settings = &config.settings;
     out.put("fleet", &settings.cluster);
@@ -161,25 +168,25 @@
     out.put("capabilities", settings.metadata.capabilities);
     out.put("period_ms", settings.probe_period.as_micros() as f64 / 1000.0);
     out.put("seats", &settings.seats);
-    out.put("lend", config.lend);
+    out.put("lend", config.lendable_part);
     out.put("peers", &settings.peers);
     let ledger = settings.ledger.as_ref();
     out.put("ledger.holders", ledger.map(|l| l.holders));
     out.put("ledger.lease_ms", ledger.map(|l| l.lease.0 as f64 / 1000.0));
     out.put("ledger.life_ms", ledger.map(|l| l.life.0 as f64 / 1000.0));
-    out.put("ledger.wait_ms", config.ledger_wait.as_micros() as f64 / 1000.0);
-    out.put("ledger.dir", &config.dir);
-    out.put("ledger.finish", &config.finish);
+    out.put("ledger.wait_ms", config.ledger_timeout.as_micros() as f64 / 1000.0);
+    out.put("ledger.dir", &config.storage_dir);
+    out.put("ledger.finish", &config.finish_classes);
     let branch = settings.branch.as_ref();
     out.put("branch.seats", branch.map(|b| b.seats.clone()));
-    out.put("branch.classes", &config.branch_classes);
+    out.put("branch.classes", &config.write_queue_classes);
     out.put("branch.writes", branch.map(|b| b.most));
     out.put("branch.of_one", branch.map(|b| b.most_of_one));
     out.put("branch.longest_s", branch.map(|b| b.longest.0 as f64 / 1e6));
     out.put("branch.cut_after_ms", branch.map(|b| b.cut_after.0 as f64 / 1000.0));
     out.put("branch.out", branch.map(|b| b.out));
     out.put("branch.per_s", branch.map(|b| b.per_s));
-    out.put("branch.on_failure, classes that stop", &config.branch_stops);
+    out.put("branch.on_failure, classes that stop", &config.write_queue_stop_classes);
     out.put("rollout.rule", settings.rules.as_ref().map(|rules| rules.0.len()));
     for (at, rule) in settings.rules.iter().flat_map(|rules| &rules.0).enumerate() {
         put_rule(&mut out, at, rule);
@@ -345,7 +352,7 @@
 
 #[test]
 fn a_wrong_value_of_the_fleets_file_is_one_plain_line() {
-    let read = |text: &str| FleetConfig::parse(text, "gate-1").map(drop).map_err(|e| e.to_string());
+    let read = |text: &str| ClusterConfig::parse(text, "gate-1").map(drop).map_err(|e| e.to_string());
     fixture::assert_same("control/fleet.errors.txt", &errors(FLEET, FLEET_WRONG, read));
 }
 
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::runtime::*;
 
-impl Driver {
+impl Runtime {
     pub(super) fn attempt_over(&mut self, id: RequestId, attempt: usize) {
         let open = self.requests.get_mut(&id);
         open.and_then(|o| o.attempts.get_mut(attempt)).into_iter().for_each(|a| a.out = false);
@@ -19,44 +19,57 @@
         report: LoadReport,
     ) {
         let ended = self.requests.get(&id).is_none_or(|open| open.reply.is_none());
-        let end = AttemptEnded { id, attempt, server, outcome, took, ended, settled: None, report };
+        let end = AttemptEnded {
+            request: id,
+            attempt,
+            endpoint: server,
+            outcome,
+            elapsed: took,
+            request_finished: ended,
+            settled_units: None,
+            load: report,
+        };
         self.batch.push(Event::AttemptEnded(end));
     }
 
     pub(super) fn act(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send(id, server, until) => self.send(now, id, server, until),
-            Action::Refuse(id, wait, reason) => self.turn_back(id, Answer::Refused(wait), reason),
-            Action::Fail(id, reason) => self.turn_back(id, Answer::Failed, reason),
-            Action::Cancel(id, attempt) => {
+            Action::SendAttempt { request: id, endpoint: server, give_up_at: until } => {
+                self.send(now, id, server, until)
+            }
+            Action::Reject { request: id, retry_after: wait, reason } => {
+                self.turn_back(id, FinalResponse::Rejected { retry_after: wait }, reason)
+            }
+            Action::Fail { request: id, reason } => self.turn_back(id, FinalResponse::Failed, reason),
+            Action::CancelAttempt { request: id, attempt } => {
                 let attempt = self.requests.get_mut(&id).and_then(|open| open.attempts.get_mut(attempt));
                 if let Some(call_off) = attempt.and_then(|a| a.call_off.take()) {
                     // The attempt tells its end itself, once its connection is closed; it may have ended.
                     let _ = call_off.send(());
                 }
             }
-            Action::Count(name, amount, life) => self.count(name, amount, life),
-            Action::SetTimer(id, after) => self.timers.push(Reverse((now + after, id))),
-            // Probing is not allowed here, and the watch on the list never stops.
-            Action::Probe(_) | Action::Subscribe | Action::FetchList => {}
+            Action::IncrementCounter { key: name, amount, lifetime: life } => self.count(name, amount, life),
+            Action::SetTimer { timer: id, after } => self.timers.push(Reverse((now + after, id))),
+            // The watch on the list never stops.
+            Action::Subscribe => {}
         }
     }
 
     /// Answers a request for which no backend did.
-    fn turn_back(&mut self, id: RequestId, answer: Answer, reason: RejectionReason) {
-        let refused = matches!(answer, Answer::Refused(_));
+    fn turn_back(&mut self, id: RequestId, answer: FinalResponse, reason: RejectionReason) {
+        let refused = matches!(answer, FinalResponse::Rejected { .. });
         debug!(request = id.0, refused, ?reason, "answered without a backend");
         self.figures.refusals.raise(reason);
         self.answer(id, answer);
     }
 
-    pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
+    pub(super) fn answer(&mut self, id: RequestId, answer: FinalResponse) {
         if let Some(reply) = self.requests.get_mut(&id).and_then(Open::take_reply) {
             let open = self.requests.get(&id);
             if let Some((open, judged)) = open.and_then(|open| Some((open, open.judged?))) {
                 let sent = open.attempts.len() > judged.before;
                 let ended = if sent { Judgement::Failed } else { Judgement::Refused };
-                self.arms.note(Seen { judged, at: self.clock.now(), ended, part_of_aim: 0.0 });
+                self.arms.note(RolloutOutcome { judged, at: self.clock.now(), ended, part_of_aim: 0.0 });
             }
             // A client that has just gone needs no answer.
             let _ = reply.send(answer);
@@ -71,9 +84,10 @@
         let Some(backend) = backend else {
             // The client went, or the list changed, after the module was told last.
             open.attempts.push(Attempt { out: false, call_off: None });
-            return self.ended(id, attempt, server, Outcome::Moot, Micros(0), LoadReport::default());
+            return self.ended(id, attempt, server, Outcome::NotSent, Micros(0), LoadReport::default());
         };
         debug!(request = id.0, attempt, backend = %backend.address, "attempt begins");
+        let sent_attempt = AttemptId { request: id, number: attempt, endpoint: server };
         let (call_off, called_off) = oneshot::channel();
         open.attempts.push(Attempt { out: true, call_off: Some(call_off) });
         let (pool, forward, inbox) = (self.pool.clone(), open.forward.clone(), self.inbox.clone());
@@ -82,21 +96,23 @@
         forward.tries.iter().for_each(|tries| tries.begins());
         tokio::task::spawn_local(async move {
             let ended = match &forward.work {
-                Some(work) if !work.before_send(server.0).await => pool.unsent(Unsent::NotOwner),
+                Some(work) if !work.before_send(server.0).await => pool.unsent(NotSentReason::NotOwner),
                 _ => pool.attempt(&backend, &forward, until, called_off).await,
             };
             forward.work.iter().for_each(|work| work.ended(server.0, ended.outcome));
             forward.tries.iter().for_each(|tries| tries.ended(ended.outcome));
             match ended.outcome {
-                Outcome::Ok | Outcome::Error | Outcome::Full => arms.saw(true),
+                Outcome::Success | Outcome::ServerError | Outcome::Rejected => arms.saw(true),
                 Outcome::ConnectFailed | Outcome::Timeout => arms.saw(false),
-                Outcome::Reset | Outcome::Cancelled | Outcome::Moot => {}
+                Outcome::ConnectionReset | Outcome::Cancelled | Outcome::NotSent => {}
             }
             // An upload's time begins with its last byte.
             let since = ended.whole_at.map_or(now, |at| clock.at(at).max(now));
             let took = ended.begun_at.map_or(clock.now(), |at| clock.at(at)) - since;
             // The driver outlives every attempt but for the exit of the process.
-            let _ = inbox.send(Input::Ended(id, attempt, server, ended, took)).await;
+            let _ = inbox
+                .send(RuntimeEvent::AttemptEnded { attempt: sent_attempt, result: ended, elapsed: took })
+                .await;
         });
     }
 
@@ -108,7 +124,7 @@
                 Some(counter) => counter.add(name, amount, life).await,
                 None => Outcome::ConnectFailed.into(),
             };
-            let _ = inbox.send(Input::Counted(name, serial, counted)).await;
+            let _ = inbox.send(RuntimeEvent::CounterReplied { name, call: serial, reply: counted }).await;
         });
     }
 }
