--- a/lab/tests/checker.rs
+++ b/lab/tests/checker.rs
@@ -107,7 +107,7 @@
             scope.spawn(move || {
                 let (broken, result) = rules(fault, &[]);
                 assert_eq!(broken, [Rule::Answered], "{fault}: {:?}", result.verdict.broken);
-                assert_eq!(result.verdict.word, Word::Failed, "{fault}");
+                assert_eq!(result.verdict.word, Word::Failed, "{fault}: {:?}", result.verdict.doubts);
             });
         }
     });
