--- a/src/cluster/settings.rs
+++ b/src/cluster/settings.rs
@@ -2,10 +2,10 @@
 //!
 //! Errors name the keys of the cluster's file, so that whoever wrote it finds the line.
 
-use crate::cluster::ledger::Terms;
+use crate::cluster::ledger::LedgerSettings;
 use crate::cluster::membership::identity::{is_valid_name, MemberMetadata};
-use crate::cluster::rollout::Rules;
-use crate::cluster::{write_queue, Machine, Micros, SettingsError, MAX_MEMBERS, MAX_SEATS};
+use crate::cluster::rollout::RuleSet;
+use crate::cluster::{write_queue, MachineId, Micros, SettingsError, MAX_MEMBERS, MAX_SEATS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -35,13 +35,13 @@
     /// no ledger is kept.
     pub seats: Vec<String>,
     /// The ledger's settings; none: it keeps none.
-    pub ledger: Option<Terms>,
+    pub ledger: Option<LedgerSettings>,
     /// The routing rules in force before any rollout; none: it takes no part in rollouts.
-    pub rules: Option<Rules>,
+    pub rules: Option<RuleSet>,
     /// The write queue's settings, where this gateway accepts writes while it is cut off from the backends.
-    pub branch: Option<write_queue::Terms>,
+    pub branch: Option<write_queue::WriteQueueSettings>,
     /// The machine that it runs on, where it has a storage there; none: it forgets everything at its end.
-    pub disk: Option<Machine>,
+    pub disk: Option<MachineId>,
 }
 
 impl Settings {
--- a/src/cluster/tests.rs
+++ b/src/cluster/tests.rs
@@ -5,8 +5,7 @@
 
 use crate::cluster::datagram::{self, DatagramError};
 use crate::cluster::{
-    ledger, write_queue, Branch, ClusterNode, Effect, Event, Machine, MemberMetadata, Micros, Settings,
-    MAX_MEMBERS,
+    ledger, write_queue, ClusterNode, Effect, Event, MachineId, MemberMetadata, Micros, Settings, MAX_MEMBERS,
 };
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -92,23 +91,27 @@
 impl ClusterNode {
     /// A gateway with a ledger, a branch and a disk, whose counters all differ, for the test of `/stats`.
     pub(crate) fn with_distinct_counts() -> ClusterNode {
-        let terms = write_queue::Terms {
+        let terms = write_queue::WriteQueueSettings {
             seats: vec![0, 1, 2],
-            most: 10,
-            most_of_one: 10,
-            longest: Micros(1_000_000),
-            cut_after: Micros(1_000_000),
-            patience: Micros(1_000_000),
-            out: 1,
-            per_s: 1,
-            stop: Vec::new(),
+            max_pending: 10,
+            max_pending_per_customer: 10,
+            max_age: Micros(1_000_000),
+            uplink_timeout: Micros(1_000_000),
+            send_timeout: Micros(1_000_000),
+            max_in_flight: 1,
+            max_sends_per_second: 1,
+            blocking_classes: Vec::new(),
+        };
+        let ledger = ledger::LedgerSettings {
+            replicas: 3,
+            lease: Micros(400_000),
+            record_lifetime: Micros(2_000_000),
         };
-        let ledger = ledger::Terms { holders: 3, lease: Micros(400_000), life: Micros(2_000_000) };
         let settings = Settings {
             seats: ["a", "b", "c"].map(String::from).to_vec(),
             ledger: Some(ledger),
             branch: Some(terms.clone()),
-            disk: Some(Machine { boot: 7, uptime: Micros(0) }),
+            disk: Some(MachineId { boot: 7, uptime: Micros(0) }),
             ..settings("a")
         };
         let unix = Micros(1_790_000_000_000_000);
@@ -116,24 +119,30 @@
         node.handle(Micros(0), Event::Tick, &mut Vec::new());
         // Found late once; its score becomes 4.
         node.handle(Micros(1_000_000), Event::Tick, &mut Vec::new());
-        let desk = node.desk.as_mut().expect("a ledger");
-        desk.tallies = ledger::Tallies {
+        let ledger = node.ledger.as_mut().expect("a ledger");
+        ledger.counts = ledger::ClaimCounts {
             claims: 11,
-            clear: 12,
+            acquired: 12,
             taken_over: 13,
-            running: 14,
-            answered: 15,
-            mistakes: 16,
-            unheld: 17,
+            in_progress: 14,
+            completed: 15,
+            key_reused: 16,
+            unavailable: 17,
             lost: 18,
             unprotected: 19,
-            orphans: 20,
+            abandoned: 20,
+        };
+        ledger.replica_mut().rejections =
+            ledger::RejectionCounts { not_voting: 21, at_capacity: 22, late: 23, invalid: 24 };
+        let mut replica = write_queue::QueueReplica::new(0, terms, 1, Micros(0));
+        replica.counts = write_queue::QueueCounts {
+            accepted: 31,
+            rejected: 32,
+            forwarded: 33,
+            completed: 34,
+            not_completed: 35,
         };
-        let refusals = &mut desk.holder_mut().refusals;
-        (refusals.mute, refusals.full, refusals.late, refusals.unfit) = (21, 22, 23, 24);
-        let mut clerk = write_queue::Clerk::new(0, terms, 1, Micros(0));
-        clerk.tallies = write_queue::Tallies { accepted: 31, refused: 32, sent: 33, done: 34, not_done: 35 };
-        node.branch = Some(Branch::new(clerk, Micros(0)));
+        node.write_queue = Some(crate::cluster::WriteQueue::new(replica, Micros(0)));
         node.traffic.received = 41;
         node.traffic.sent = 42;
         node.traffic.dropped = DatagramError::ALL.into_iter().zip(51..).collect();
--- a/src/proxy/control_plane/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -4,7 +4,7 @@
 //! whatever the fields are called.
 
 use super::{ClusterConfig, Config, SocketLimits};
-use crate::cluster::rollout::Rule;
+use crate::cluster::rollout::RuleConfig;
 use crate::decision::{Class, DeduplicationScope, EndpointStatus, Idempotency, Plan};
 use crate::fixture;
 use std::fmt::{Debug, Write};
@@ -144,16 +144,16 @@
     out.0
 }
 
-fn put_rule(out: &mut Listing, at: usize, rule: &Rule) {
+fn put_rule(out: &mut Listing, at: usize, rule: &RuleConfig) {
     let key = |key: &str| format!("rollout.rule.{at}.{key}");
     out.put(&key("class"), &rule.class);
     out.put(&key("plan"), &rule.plan);
     out.put(&key("zone"), &rule.zone);
-    out.put(&key("zones"), &rule.zones);
-    out.put(&key("labels"), &rule.labels);
-    out.put(&key("attempts"), rule.attempts);
-    out.put(&key("give_up"), rule.give_up);
-    out.put(&key("cold"), rule.cold);
+    out.put(&key("zones"), &rule.zone_weights);
+    out.put(&key("labels"), &rule.label_weights);
+    out.put(&key("attempts"), rule.max_attempts);
+    out.put(&key("give_up"), rule.give_up_percent);
+    out.put(&key("cold"), rule.slow_start_percent);
 }
 
 fn read_fleet(text: &str) -> String {
@@ -171,21 +171,21 @@
     out.put("lend", config.lendable_part);
     out.put("peers", &settings.peers);
     let ledger = settings.ledger.as_ref();
-    out.put("ledger.holders", ledger.map(|l| l.holders));
+    out.put("ledger.holders", ledger.map(|l| l.replicas));
     out.put("ledger.lease_ms", ledger.map(|l| l.lease.0 as f64 / 1000.0));
-    out.put("ledger.life_ms", ledger.map(|l| l.life.0 as f64 / 1000.0));
+    out.put("ledger.life_ms", ledger.map(|l| l.record_lifetime.0 as f64 / 1000.0));
     out.put("ledger.wait_ms", config.ledger_timeout.as_micros() as f64 / 1000.0);
     out.put("ledger.dir", &config.storage_dir);
     out.put("ledger.finish", &config.finish_classes);
     let branch = settings.branch.as_ref();
     out.put("branch.seats", branch.map(|b| b.seats.clone()));
     out.put("branch.classes", &config.write_queue_classes);
-    out.put("branch.writes", branch.map(|b| b.most));
-    out.put("branch.of_one", branch.map(|b| b.most_of_one));
-    out.put("branch.longest_s", branch.map(|b| b.longest.0 as f64 / 1e6));
-    out.put("branch.cut_after_ms", branch.map(|b| b.cut_after.0 as f64 / 1000.0));
-    out.put("branch.out", branch.map(|b| b.out));
-    out.put("branch.per_s", branch.map(|b| b.per_s));
+    out.put("branch.writes", branch.map(|b| b.max_pending));
+    out.put("branch.of_one", branch.map(|b| b.max_pending_per_customer));
+    out.put("branch.longest_s", branch.map(|b| b.max_age.0 as f64 / 1e6));
+    out.put("branch.cut_after_ms", branch.map(|b| b.uplink_timeout.0 as f64 / 1000.0));
+    out.put("branch.out", branch.map(|b| b.max_in_flight));
+    out.put("branch.per_s", branch.map(|b| b.max_sends_per_second));
     out.put("branch.on_failure, classes that stop", &config.write_queue_stop_classes);
     out.put("rollout.rule", settings.rules.as_ref().map(|rules| rules.0.len()));
     for (at, rule) in settings.rules.iter().flat_map(|rules| &rules.0).enumerate() {
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -10,8 +10,8 @@
     RuntimeSender,
 };
 
-use crate::cluster::rollout::{Arm, Ended as Judgement, Key, Rule};
-use crate::cluster::InForce;
+use crate::cluster::rollout::{Arm, RequestOutcome, RolloutKey, RuleConfig};
+use crate::cluster::RoutingInForce;
 use crate::decision::{
     has_canary_rules, Action, Arrival, AttemptEnded, CellId, ClassId, CounterKey, EndpointCounts, EndpointId,
     EndpointStatus, EndpointUpdate, Event, Gateway, LoadReport, Micros, Outcome, PlanId, QuotaLease,
@@ -107,7 +107,7 @@
     /// When the list known from before is taken for it.
     ready_at: Option<Instant>,
     /// The rollout that runs, and how it deals the customers out.
-    rolled: Option<(Key, RoutingRules)>,
+    rolled: Option<(RolloutKey, RoutingRules)>,
     /// Where its ends are counted.
     arms: Rc<OutcomeRecorder>,
 }
@@ -265,7 +265,11 @@
                 let attempts: Vec<Attempt> = before.collect();
                 let judged = self.rolled.as_ref().map(|(key, routing)| RolloutRequest {
                     key: *key,
-                    arm: if has_canary_rules(routing, arrival.customer) { Arm::New } else { Arm::Old },
+                    arm: if has_canary_rules(routing, arrival.customer) {
+                        Arm::Canary
+                    } else {
+                        Arm::Baseline
+                    },
                     class: arrival.class,
                     came: self.clock.now(),
                     before: attempts.len(),
@@ -318,7 +322,8 @@
                         .get(judged.class.0)
                         .map_or(Micros(1), |c| c.latency_objective);
                     let part_of_aim = (at - judged.came).secs() / aim.secs().max(1e-6);
-                    let ended = if part_of_aim <= 1.0 { Judgement::InTime } else { Judgement::Late };
+                    let ended =
+                        if part_of_aim <= 1.0 { RequestOutcome::OnTime } else { RequestOutcome::Late };
                     self.arms.note(RolloutOutcome { judged, at, ended, part_of_aim });
                 }
                 match ended.body.and_then(|body| Some((body, open.take_reply()?))) {
@@ -354,10 +359,10 @@
     }
 
     /// Names become the numbers by which the module knows them.
-    fn routing(&mut self, in_force: InForce) {
-        let InForce { key, counts, old, new, share } = in_force;
+    fn routing(&mut self, in_force: RoutingInForce) {
+        let RoutingInForce { key, counts_outcomes, baseline, canary, canary_share: share } = in_force;
         let own = self.site.settings.zone;
-        let mut routes = |rules: Vec<Rule>| -> Vec<Rc<RouteRule>> {
+        let mut routes = |rules: Vec<RuleConfig>| -> Vec<Rc<RouteRule>> {
             let here = rules.into_iter().filter_map(|rule| {
                 let zone = rule.zone.as_ref().map(|zone| self.site.zone(zone));
                 zone.is_none_or(|zone| zone == own).then_some(rule)
@@ -365,9 +370,13 @@
             here.collect::<Vec<_>>().into_iter().map(|rule| Rc::new(route(&mut self.site, rule))).collect()
         };
         let salt = key.map_or(0, |key| key.id);
-        let routing =
-            RoutingRules { baseline: routes(old.0), canary: routes(new.0), canary_share: share, salt };
-        self.rolled = key.filter(|_| counts).map(|key| (key, routing.clone()));
+        let routing = RoutingRules {
+            baseline: routes(baseline.0),
+            canary: routes(canary.0),
+            canary_share: share,
+            salt,
+        };
+        self.rolled = key.filter(|_| counts_outcomes).map(|key| (key, routing.clone()));
         self.batch.push(Event::RoutingChanged(routing));
     }
 
@@ -379,16 +388,24 @@
 }
 
 /// A rule in the module's terms.
-fn route(site: &mut Site, rule: Rule) -> RouteRule {
+fn route(site: &mut Site, rule: RuleConfig) -> RouteRule {
     let part = |percent: u16| f64::from(percent) / 100.0;
     RouteRule {
         class: rule.class.and_then(|name| site.classes.get(&name).copied()).map(ClassId),
         plan: rule.plan.and_then(|name| site.plans.get(&name).copied()).map(PlanId),
-        zone_weights: rule.zones.iter().map(|(zone, weight)| (site.zone(zone), part(*weight))).collect(),
-        label_weights: rule.labels.iter().map(|(label, weight)| (site.label(label), part(*weight))).collect(),
-        max_attempts: rule.attempts.map(usize::from),
-        give_up_fraction: rule.give_up.map(|percent| part(percent.into())),
-        slow_start_fraction: rule.cold.map(|percent| part(percent.into())),
+        zone_weights: rule
+            .zone_weights
+            .iter()
+            .map(|(zone, weight)| (site.zone(zone), part(*weight)))
+            .collect(),
+        label_weights: rule
+            .label_weights
+            .iter()
+            .map(|(label, weight)| (site.label(label), part(*weight)))
+            .collect(),
+        max_attempts: rule.max_attempts.map(usize::from),
+        give_up_fraction: rule.give_up_percent.map(|percent| part(percent.into())),
+        slow_start_fraction: rule.slow_start_percent.map(|percent| part(percent.into())),
     }
 }
 
