--- a/src/cluster/datagram.rs
+++ b/src/cluster/datagram.rs
@@ -8,7 +8,8 @@
 
 use crate::cluster::ledger::LedgerMessage;
 use crate::cluster::quota_lease::view_gossip::Table;
-use crate::cluster::{rollout, write_queue};
+use crate::cluster::rollout::RolloutMessage;
+use crate::cluster::write_queue::QueueMessage;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -85,7 +86,7 @@
         /// The sender's seat.
         seat: u16,
         /// The message.
-        message: rollout::RolloutMessage,
+        message: RolloutMessage,
     },
     /// A message among the gateways that share a write queue.
     WriteQueue {
@@ -94,7 +95,7 @@
         /// The sender's seat.
         seat: u16,
         /// The message.
-        message: write_queue::QueueMessage,
+        message: QueueMessage,
     },
 }
 
--- a/src/cluster/event.rs
+++ b/src/cluster/event.rs
@@ -2,8 +2,12 @@
 
 use crate::cluster::datagram::DatagramError;
 use crate::cluster::ledger::{AbandonedRequest, ClaimId, ClaimOutcome};
-use crate::cluster::rollout::{RolloutKey, RolloutNotice};
-use crate::cluster::{MemberState, QuotaShares, RoutingInForce, StorageWrite, WriteQueueEffect};
+use crate::cluster::membership::members::MemberState;
+use crate::cluster::quota_lease::seat_lease::QuotaShares;
+use crate::cluster::rollout::{RolloutKey, RolloutNotice, RuleSet};
+use crate::cluster::storage::StorageWrite;
+use crate::cluster::write_queue::{Dot, Write, WriteOutcome};
+use crate::decision::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -85,6 +89,56 @@
     },
 }
 
+/// What the proxy has to do for the write queue.
+#[derive(Debug)]
+pub enum WriteQueueEffect {
+    /// A write is accepted under this name, or not.
+    Decided {
+        /// The write.
+        dot: Dot,
+        /// Whether it is accepted.
+        accepted: bool,
+    },
+    /// Forward this write.
+    Forward {
+        /// The write.
+        write: Box<Write>,
+        /// In which attempt.
+        attempt: u16,
+        /// An attempt of an owner before may have run.
+        may_have_run: bool,
+    },
+    /// A write ended otherwise than completed.
+    NotCompleted {
+        /// The write.
+        dot: Dot,
+        /// How it ended.
+        outcome: WriteOutcome,
+    },
+    /// The branch is isolated from the backends from now on, or no longer.
+    IsolationChanged {
+        /// Whether it is.
+        isolated: bool,
+        /// How long ago the last response came.
+        since_response: Micros,
+    },
+}
+
+/// The routing rules in force.
+#[derive(Debug, Clone, PartialEq)]
+pub struct RoutingInForce {
+    /// Of which rollout; none where there was none yet.
+    pub key: Option<RolloutKey>,
+    /// Outcomes are counted.
+    pub counts_outcomes: bool,
+    /// The rules of those customers that do not have the new ones.
+    pub baseline: RuleSet,
+    /// The new rules.
+    pub canary: RuleSet,
+    /// The customers, of 10,000, that have the new ones.
+    pub canary_share: u16,
+}
+
 /// What people should hear of.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClusterNotice {
--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -8,8 +8,8 @@
 };
 use super::membership::identity::{Identity, CAPABILITY_LEDGER};
 use super::membership::swim::Swim;
+use super::node::ClusterNode;
 use super::storage::GatedEffect;
-use super::ClusterNode;
 use crate::decision::Micros;
 use std::net::SocketAddr;
 
--- a/src/cluster/membership_node.rs
+++ b/src/cluster/membership_node.rs
@@ -7,8 +7,8 @@
 use crate::cluster::membership::join::JoinSchedule;
 use crate::cluster::membership::ring_probe::{RingContext, RingProbeAction};
 use crate::cluster::membership::swim::OutgoingMessage;
+use crate::cluster::node::ClusterNode;
 use crate::cluster::quota_lease::seat_lease::QuotaShares;
-use crate::cluster::ClusterNode;
 use crate::decision::Micros;
 use std::net::SocketAddr;
 
--- a/src/cluster/quota_lease_node.rs
+++ b/src/cluster/quota_lease_node.rs
@@ -3,8 +3,8 @@
 use crate::cluster::datagram::{DatagramError, Payload};
 use crate::cluster::event::Effect;
 use crate::cluster::membership::identity::Identity;
+use crate::cluster::node::ClusterNode;
 use crate::cluster::quota_lease::view_gossip::Table;
-use crate::cluster::ClusterNode;
 use std::net::SocketAddr;
 
 impl ClusterNode {
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -1,32 +1,17 @@
 //! The rollout within a cluster node: its messages go out to the seats present, and its record is claimed at the ledger.
 
 use super::datagram::{DatagramError, Payload};
-use super::event::Effect;
+use super::event::{Effect, RoutingInForce};
 use super::ledger::{ClaimId, ClaimOutcome};
 use super::ledger_node::LeaseProgress;
 use super::membership::identity::CAPABILITY_ROLLOUT;
+use super::node::ClusterNode;
 use super::rollout::{
     Arm, ControllerEffect, RequestOutcome, RolloutCommand, RolloutController, RolloutKey, RolloutMessage,
     RolloutReport, RolloutRequest, RuleSet, ROLLOUT_RECORD, TICK_INTERVAL,
 };
-use super::ClusterNode;
 use crate::decision::Micros;
 
-/// The routing rules in force.
-#[derive(Debug, Clone, PartialEq)]
-pub struct RoutingInForce {
-    /// Of which rollout; none where there was none yet.
-    pub key: Option<RolloutKey>,
-    /// Outcomes are counted.
-    pub counts_outcomes: bool,
-    /// The rules of those customers that do not have the new ones.
-    pub baseline: RuleSet,
-    /// The new rules.
-    pub canary: RuleSet,
-    /// The customers, of 10,000, that have the new ones.
-    pub canary_share: u16,
-}
-
 /// What became of an operator's command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandResult {
--- a/src/cluster/settings.rs
+++ b/src/cluster/settings.rs
@@ -4,8 +4,12 @@
 
 use crate::cluster::ledger::LedgerSettings;
 use crate::cluster::membership::identity::{is_valid_name, MemberMetadata};
+use crate::cluster::membership::members::MAX_MEMBERS;
+use crate::cluster::quota_lease::view::MAX_SEATS;
 use crate::cluster::rollout::RuleSet;
-use crate::cluster::{write_queue, MachineId, Micros, SettingsError, MAX_MEMBERS, MAX_SEATS};
+use crate::cluster::storage::MachineId;
+use crate::cluster::write_queue::WriteQueueSettings;
+use crate::decision::{Micros, SettingsError};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -39,7 +43,7 @@
     /// The routing rules in force before any rollout; none: it takes no part in rollouts.
     pub rules: Option<RuleSet>,
     /// The write queue's settings, where this gateway accepts writes while it is cut off from the backends.
-    pub branch: Option<write_queue::WriteQueueSettings>,
+    pub branch: Option<WriteQueueSettings>,
     /// The machine that it runs on, where it has a storage there; none: it forgets everything at its end.
     pub disk: Option<MachineId>,
 }
--- a/src/cluster/storage_node.rs
+++ b/src/cluster/storage_node.rs
@@ -1,8 +1,8 @@
 //! The storage within a cluster node: what the parts change is stored, and what they say waits for that.
 
 use super::event::{ClusterNotice, Effect};
+use super::node::ClusterNode;
 use super::storage::{GatedEffect, StorageWrite};
-use super::ClusterNode;
 
 impl ClusterNode {
     /// Whether the storage is being opened and read: until then nothing that it may hold is answered or changed.
--- a/src/cluster/write_queue/mod.rs
+++ b/src/cluster/write_queue/mod.rs
@@ -11,6 +11,7 @@
 
 mod lease;
 mod message;
+mod queue;
 mod replay;
 mod replica;
 mod send_rate;
@@ -21,6 +22,7 @@
 
 pub use lease::queue_record;
 pub use message::{DotRank, LogPage, QueueMessage, ReplicatedWrite};
+pub use queue::WriteQueue;
 pub use replay::ForwardOutcome;
 pub use replica::{QueueCounts, QueueEffect, QueueReplica, WriteStatus};
 pub use settings::WriteQueueSettings;
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -2,89 +2,20 @@
 //! ledger.
 
 use super::datagram::{DatagramError, Payload};
-use super::event::Effect;
+use super::event::{Effect, WriteQueueEffect};
 use super::ledger::{ClaimId, ClaimOutcome};
 use super::ledger_node::LeaseProgress;
+use super::node::ClusterNode;
 use super::storage::{GatedEffect, BUSY_WAITING};
 use super::write_queue::{
-    queue_record, Dot, ForwardOutcome, QueueEffect, QueueMessage, QueueReplica, Write, WriteOutcome,
-    WriteRequest, WriteStatus,
+    queue_record, Dot, ForwardOutcome, QueueEffect, QueueMessage, QueueReplica, WriteQueue, WriteRequest,
+    WriteStatus,
 };
-use super::ClusterNode;
 use crate::decision::Micros;
 
 /// A gateway that does not own the branch's record claims it again after this, and up to as long again.
 const CLAIM_INTERVAL: Micros = Micros(1_000_000);
 
-/// What the proxy has to do for the write queue.
-#[derive(Debug)]
-pub enum WriteQueueEffect {
-    /// A write is accepted under this name, or not.
-    Decided {
-        /// The write.
-        dot: Dot,
-        /// Whether it is accepted.
-        accepted: bool,
-    },
-    /// Forward this write.
-    Forward {
-        /// The write.
-        write: Box<Write>,
-        /// In which attempt.
-        attempt: u16,
-        /// An attempt of an owner before may have run.
-        may_have_run: bool,
-    },
-    /// A write ended otherwise than completed.
-    NotCompleted {
-        /// The write.
-        dot: Dot,
-        /// How it ended.
-        outcome: WriteOutcome,
-    },
-    /// The branch is isolated from the backends from now on, or no longer.
-    IsolationChanged {
-        /// Whether it is.
-        isolated: bool,
-        /// How long ago the last response came.
-        since_response: Micros,
-    },
-}
-
-/// The write queue as one gateway has it, with its claim of the branch's record.
-pub struct WriteQueue {
-    replica: QueueReplica,
-    claim: Option<ClaimId>,
-    next_claim: Micros,
-}
-
-impl WriteQueue {
-    pub(super) fn new(replica: QueueReplica, now: Micros) -> WriteQueue {
-        WriteQueue { replica, claim: None, next_claim: now }
-    }
-
-    /// This gateway's part in it.
-    pub fn replica(&self) -> &QueueReplica {
-        &self.replica
-    }
-
-    pub(super) fn replica_mut(&mut self) -> &mut QueueReplica {
-        &mut self.replica
-    }
-
-    /// Whether this gateway should claim the branch's record: pending writes wait for somebody to forward them.
-    fn wants_claim(&self, now: Micros) -> bool {
-        let has_work = self.replica.log().pending_count() > 0;
-        let may_forward = self.replica.has_vote() && !self.replica.is_isolated();
-        self.claim.is_none() && now >= self.next_claim && has_work && may_forward
-    }
-
-    /// Whether it holds the record without a use: nothing is pending, or it may not forward as its storage failed.
-    fn is_idle(&self) -> bool {
-        self.replica.log().pending_count() == 0 || !self.replica.has_vote()
-    }
-}
-
 impl ClusterNode {
     /// The write queue, where this gateway is of a branch.
     pub fn write_queue(&self) -> Option<&WriteQueue> {
