--- /dev/null
+++ b/src/decision/admission/local_bucket.rs
@@ -0,0 +1,106 @@
+//! The local token bucket, which decides while the counter service does not answer.
+
+use super::customer::Customer;
+use crate::decision::context::{Context, ProcessRole};
+use crate::decision::ids::CustomerId;
+use crate::decision::quota_lease::QuotaLease;
+use crate::decision::settings::Plan;
+use crate::decision::time::Micros;
+use crate::decision::token_bucket::TokenBucket;
+
+/// The quota lease in force, and how often the shares have changed.
+#[derive(Debug, Default)]
+pub(crate) struct LeaseView {
+    /// `None`: no quota is leased among the gateways.
+    pub(crate) lease: Option<QuotaLease>,
+    version: u64,
+}
+
+/// This gateway's share of a customer's quota, as a fraction of it.
+struct QuotaShare {
+    /// What it is whatever the other gateways do.
+    least: f64,
+    /// What it is now.
+    now: f64,
+}
+
+impl LeaseView {
+    /// Another lease is in force. A share that lapsed or changed may have been less in between.
+    pub(crate) fn replace(&mut self, lease: QuotaLease, now: Micros) {
+        let unchanged = self.lease.as_ref().is_some_and(|held| {
+            now < held.valid_until
+                && held.absent_gateways == lease.absent_gateways
+                && held.fraction == lease.fraction
+        });
+        self.version += u64::from(!unchanged);
+        self.lease = Some(lease);
+    }
+
+    /// The share by the gateways that a customer's requests come through. Shares of absent gateways go to the
+    /// others in equal parts; a gateway that can't show that it counts as present keeps what is never leased.
+    fn share_of(&self, customer: &Customer, gateways: u32, now: Micros) -> QuotaShare {
+        let even = 1.0 / customer.spread;
+        let Some(lease) = &self.lease else { return QuotaShare { least: even, now: even } };
+        let never_leased = (1.0 - lease.fraction) / customer.spread;
+        let least = never_leased / 2.0;
+        if now >= lease.valid_until {
+            return QuotaShare { least, now: never_leased };
+        }
+        let first = customer.first_gateway % gateways;
+        let comes_through =
+            |gateway: &&u32| (**gateway + gateways - first) % gateways < customer.spread as u32;
+        let absent = lease.absent_gateways.iter().filter(|gateway| **gateway < gateways);
+        let absent = absent.filter(comes_through).count() as f64;
+        QuotaShare { least, now: never_leased + lease.fraction / (customer.spread - absent).max(1.0) }
+    }
+}
+
+impl Customer {
+    /// Takes units from the local bucket, and returns whether there were as many.
+    ///
+    /// The bucket fills with this gateway's share of the customer's rate. It starts with the same share of what
+    /// the quota was last known to have left; under a ceiling, [`Customer::take_above_quota`] is asked before and
+    /// does start empty. Guards against rejecting customers of few units, for whom a share that starts empty
+    /// admits nothing for seconds.
+    pub(crate) fn take_local(
+        &mut self,
+        context: &Context,
+        lease: &LeaseView,
+        id: CustomerId,
+        quota_plan: &Plan,
+        plan: &Plan,
+        units: f64,
+    ) -> bool {
+        if context.role == ProcessRole::Predecessor {
+            return false;
+        }
+        let now = context.now;
+        let left = self.quota_left(id, quota_plan, now, self.window.known_total()).max(0.0);
+        let by_gateways = lease.share_of(self, context.settings.gateways, now);
+        // Half by the gateways it can come through, half by the traffic seen here: shares sum to one.
+        let share = (self.observed_share() + by_gateways.now) / 2.0;
+        // Guards against shares of less than one request, which would reject everything.
+        let least = context.settings.max_request_units;
+        let (level, capacity) = ((left * share).max(least), (plan.burst * share).max(least));
+        let rate = plan.rate * share;
+        let bucket = self.local_bucket.get_or_insert(TokenBucket { level, capacity, rate, filled_at: now });
+        if lease.lease.is_some() {
+            // Since the last use the share may have been anything down to the least of it.
+            let unchanged = self.lease_version == lease.version;
+            bucket.rate = bucket.rate.min(if unchanged { rate } else { plan.rate * by_gateways.least });
+            bucket.fill(now);
+            (bucket.rate, bucket.capacity) = (rate, capacity);
+            self.lease_version = lease.version;
+        }
+        bucket.try_take(now, units)
+    }
+
+    /// The fraction of the customer's traffic that came through this gateway, or an even share where none is known.
+    fn observed_share(&self) -> f64 {
+        if self.observed.total > 0.0 {
+            (self.observed.own / self.observed.total).clamp(0.0, 1.0)
+        } else {
+            1.0 / self.spread
+        }
+    }
+}
--- /dev/null
+++ b/src/decision/gateway/arrival.rs
@@ -0,0 +1,84 @@
+//! A request comes in: it is noted, shed, or goes on to its customer's quota.
+
+use super::timers::Timer;
+use super::Gateway;
+use crate::decision::action::{Action, RejectionReason};
+use crate::decision::event::Arrival;
+use crate::decision::ids::{CustomerId, RequestId};
+use crate::decision::request::{Attempt, Request};
+use crate::decision::routing;
+use crate::decision::time::Micros;
+
+impl Gateway {
+    pub(super) fn on_request(&mut self, arrival: Arrival) {
+        let id = arrival.id;
+        let settings = &self.context.settings;
+        let class_is_known = arrival.class.0 < settings.classes.len();
+        let Some(plan) = settings.plans.get(arrival.plan.0).filter(|_| class_is_known) else {
+            let reason = RejectionReason::UnknownClassOrPlan;
+            return self.actions.push(Action::Reject { request: id, retry_after: None, reason });
+        };
+        let needs_quota = plan.rate > 0.0 && !arrival.already_counted;
+        let may_be_shed = !arrival.already_counted;
+        self.retry_budget.request_arrived();
+        self.set_deadline_timer(id, arrival.deadline);
+        self.insert_request(arrival);
+        if may_be_shed && self.draws_shedding(id) {
+            self.reject(id, RejectionReason::LoadShed);
+        } else if needs_quota {
+            self.ask_quota(id);
+        } else {
+            self.ask_concurrency(id);
+        }
+    }
+
+    /// Fires before the deadline by two ticks: a timer may come one late, and the answer takes one.
+    pub(super) fn set_deadline_timer(&mut self, id: RequestId, deadline: Micros) {
+        let tick = self.context.settings.tick;
+        self.set_timer(Timer::Deadline(id), deadline - self.context.now - tick - tick);
+    }
+
+    fn insert_request(&mut self, mut arrival: Arrival) {
+        let (id, now, customer_id) = (arrival.id, self.context.now, arrival.customer);
+        let customer = self.customers.entry(customer_id).or_default();
+        customer.request_arrived(&arrival, now, self.admitting_since.unwrap_or(now));
+        arrival.is_retry = customer.is_retry(&arrival, now);
+        let request = Request {
+            attempts: arrival.prior_attempts.iter().map(Attempt::from).collect(),
+            route: routing::rule_of(&self.routing, &arrival),
+            arrived_at: now,
+            arrival,
+            ..Request::default()
+        };
+        self.requests.insert(id, request);
+        self.begin_periods(customer_id);
+    }
+
+    /// Brings a customer's counters to the present quota window and epoch.
+    pub(super) fn begin_periods(&mut self, id: CustomerId) {
+        if let Some(customer) = self.customers.get_mut(&id) {
+            let plan = &self.context.settings.plans[customer.plan.0];
+            customer.begin_periods(id, plan, self.context.now);
+        }
+    }
+
+    /// Whether a request is shed, by chance. Only where concurrency limits bound little.
+    fn draws_shedding(&mut self, id: RequestId) -> bool {
+        let Some(request) = self.requests.get(&id) else { return false };
+        let weight = request.priority_weight(&self.context.settings);
+        self.shedding.request_arrived(weight);
+        self.balancer.is_sparse(&self.context) && self.rng.f64() > self.shedding.pass_probability(weight)
+    }
+
+    /// The request is within its quotas: it is sent, or queued until an endpoint has capacity.
+    pub(super) fn admit(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if request.plan(&self.context.settings).concurrency_quota > 0.0 {
+            request.holds_concurrency = true;
+            if let Some(customer) = self.customers.get_mut(&request.arrival.customer) {
+                customer.in_flight += 1.0;
+            }
+        }
+        self.dispatch(id);
+    }
+}
--- /dev/null
+++ b/src/decision/hash.rs
@@ -0,0 +1,14 @@
+//! Pseudo-random numbers that every gateway derives alike from the same input.
+
+/// Spreads the bits of a number (the finaliser of SplitMix64; Steele, Lea and Flood, OOPSLA 2014).
+pub(crate) fn spread_bits(value: u64) -> u64 {
+    let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    value ^ (value >> 31)
+}
+
+/// A number from 0 to 1 that depends on the input alone.
+pub(crate) fn fraction_of(value: u64) -> f64 {
+    spread_bits(value) as f64 / u64::MAX as f64
+}
--- /dev/null
+++ b/src/decision/load_balancing/balancer.rs
@@ -0,0 +1,198 @@
+//! The endpoints, as discovery, operators and attempts changed them.
+
+use super::concurrency_limit;
+use super::endpoint_state::EndpointState;
+use super::forward_rate::ForwardRate;
+use super::reported_load::AverageLoad;
+use super::slow_start_endpoints::SlowStartEndpoints;
+use super::subsetting;
+use crate::decision::context::Context;
+use crate::decision::endpoint::{EndpointCounts, EndpointStatus, EndpointUpdate, WatchScope};
+use crate::decision::ids::EndpointId;
+use crate::decision::time::Micros;
+use std::collections::BTreeMap;
+
+/// Averages over all endpoints.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct EndpointAverages {
+    /// Smoothed time of a successful response, in microseconds.
+    pub(crate) latency_us: f64,
+    /// Smoothed fraction of attempts that failed or missed the latency objective.
+    pub(crate) failure_fraction: f64,
+}
+
+/// The endpoints and what is needed to choose among them.
+#[derive(Debug, Default)]
+pub(crate) struct LoadBalancer {
+    pub(crate) endpoints: BTreeMap<EndpointId, EndpointState>,
+    /// The endpoints in service, sorted.
+    pub(super) in_service: Vec<EndpointId>,
+    /// Attempts that count against a concurrency limit, at all endpoints.
+    pub(super) in_flight: f64,
+    pub(crate) forward_rate: ForwardRate,
+    pub(crate) averages: EndpointAverages,
+    pub(super) average_load: AverageLoad,
+    pub(super) slow_start: SlowStartEndpoints,
+}
+
+impl LoadBalancer {
+    /// Notes a part of the endpoint list, or all of it. Endpoints that have restarted begin their slow start with
+    /// an allowance that is drawn, so that gateways do not all send at once.
+    pub(crate) fn list_changed(
+        &mut self,
+        context: &Context,
+        rng: &mut fastrand::Rng,
+        scope: WatchScope,
+        updates: Vec<EndpointUpdate>,
+    ) {
+        if scope == WatchScope::Complete {
+            self.endpoints.values_mut().for_each(|endpoint| endpoint.status = None);
+        }
+        let changed: Vec<EndpointId> = updates.iter().map(|update| update.endpoint).collect();
+        for update in updates {
+            self.update_endpoint(context, rng, update);
+        }
+        match scope {
+            WatchScope::Incremental => self.update_in_service(&changed),
+            WatchScope::Complete | WatchScope::Failed => self.rebuild_in_service(),
+        }
+    }
+
+    fn update_endpoint(&mut self, context: &Context, rng: &mut fastrand::Rng, update: EndpointUpdate) {
+        let (now, settings) = (context.now, &context.settings);
+        let endpoint = self.endpoints.entry(update.endpoint).or_insert_with(EndpointState::unknown);
+        let warming_since = update.started_at.filter(|&at| now < at + settings.slow_start_window);
+        if let Some(since) = warming_since {
+            if endpoint.slow_start_since.is_none_or(|known| known < since) {
+                let allowance = -settings.max_request_units * (1.0 + rng.f64());
+                *endpoint = endpoint.restarted();
+                endpoint.begin_slow_start(since, now, allowance);
+            }
+            // Of two starts the list's counts, also where it is the earlier one.
+            endpoint.slow_start_since = Some(since);
+        }
+        if endpoint.is_in_slow_start() {
+            self.slow_start.endpoints.insert(update.endpoint);
+        }
+        endpoint.zone = update.zone;
+        endpoint.cell = update.cell;
+        endpoint.label = update.label;
+        endpoint.weight = if update.weight > 0.0 { update.weight } else { 1.0 };
+        endpoint.status = Some(update.status).filter(|status| *status != EndpointStatus::Removed);
+    }
+
+    /// Notes that an operator takes an endpoint out of service or puts it back; returns whether that changed
+    /// anything. Operators go before the list: out, the endpoint counts as draining; put back, it was restarted
+    /// meanwhile, for all that is known, and begins a slow start.
+    pub(crate) fn maintenance_changed(&mut self, id: EndpointId, in_maintenance: bool, now: Micros) -> bool {
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return false };
+        if endpoint.in_maintenance == in_maintenance {
+            return false;
+        }
+        endpoint.in_maintenance = in_maintenance;
+        if !in_maintenance {
+            *endpoint = endpoint.restarted();
+            endpoint.begin_slow_start(now, now, 0.0);
+            self.slow_start.endpoints.insert(id);
+        }
+        self.rebuild_in_service();
+        true
+    }
+
+    /// Looks up the places of these endpoints in the sorted list, so that a small change costs little where there are
+    /// many endpoints.
+    fn update_in_service(&mut self, changed: &[EndpointId]) {
+        for id in changed {
+            let serves = self.endpoints.get(id).is_some_and(EndpointState::is_in_service);
+            match (self.in_service.binary_search(id), serves) {
+                (Err(place), true) => self.in_service.insert(place, *id),
+                (Ok(place), false) => drop(self.in_service.remove(place)),
+                _ => {}
+            }
+        }
+    }
+
+    fn rebuild_in_service(&mut self) {
+        let in_service = self.endpoints.iter().filter(|(_, endpoint)| endpoint.is_in_service());
+        self.in_service = in_service.map(|(&id, _)| id).collect();
+    }
+
+    /// Goes on with what another process of this gateway knew of the endpoints. The own list says which are in
+    /// service; a start that only the own list knows is a new one.
+    pub(crate) fn take_over(&mut self, endpoints: Vec<(EndpointId, EndpointState)>) {
+        for (id, theirs) in endpoints {
+            let own = self.endpoints.entry(id).or_default();
+            if own.slow_start_since > theirs.slow_start_since {
+                own.in_maintenance = theirs.in_maintenance;
+                continue;
+            }
+            *own = EndpointState {
+                zone: own.zone,
+                cell: own.cell,
+                label: own.label,
+                weight: own.weight,
+                status: own.status,
+                in_flight: own.in_flight,
+                ..theirs
+            };
+            if own.is_in_slow_start() {
+                self.slow_start.endpoints.insert(id);
+            }
+        }
+        self.slow_start.by_lottery = false;
+        self.rebuild_in_service();
+    }
+
+    /// How many endpoints are listed, and how many of them are excluded.
+    pub(crate) fn counts(&self, now: Micros) -> EndpointCounts {
+        let listed = || self.endpoints.values().filter(|endpoint| endpoint.status.is_some());
+        let excluded = listed().filter(|endpoint| !endpoint.is_in_service() || endpoint.is_ejected(now));
+        EndpointCounts { known: listed().count(), excluded: excluded.count() }
+    }
+
+    /// Notes that an attempt is sent.
+    pub(crate) fn attempt_sent(&mut self, id: EndpointId, units: f64, now: Micros) {
+        self.forward_rate.forwarded(now, units);
+        if let Some(endpoint) = self.endpoints.get_mut(&id) {
+            endpoint.slow_start_allowance.level -= units;
+        }
+    }
+
+    /// An attempt begins to count against its endpoint's concurrency limit.
+    pub(crate) fn take_slot(&mut self, id: EndpointId) {
+        if let Some(endpoint) = self.endpoints.get_mut(&id) {
+            endpoint.in_flight += 1.0;
+        }
+        self.in_flight += 1.0;
+    }
+
+    /// An attempt counts against its endpoint's concurrency limit no more.
+    pub(super) fn release_slot(&mut self, id: EndpointId) {
+        if let Some(endpoint) = self.endpoints.get_mut(&id) {
+            endpoint.in_flight = (endpoint.in_flight - 1.0).max(0.0);
+        }
+        self.in_flight = (self.in_flight - 1.0).max(0.0);
+    }
+
+    /// The number of endpoints in this gateway's subset.
+    pub(super) fn subset_size(&self, now: Micros) -> usize {
+        subsetting::subset_size(self.in_service.len(), self.forward_rate.units_per_second(now))
+    }
+
+    /// All endpoints in service, this gateway's subset first.
+    pub(super) fn own_subset_first(&self, context: &Context) -> impl Iterator<Item = EndpointId> + '_ {
+        subsetting::own_subset_first(&self.in_service, context.settings.gateway_number)
+    }
+
+    /// This process's part in every concurrency limit.
+    pub(super) fn part_of_limits(&self, context: &Context) -> f64 {
+        let gateways = f64::from(context.settings.gateways);
+        let sharing = gateways * self.subset_size(context.now) as f64 / self.in_service.len().max(1) as f64;
+        concurrency_limit::part_of_limit(sharing, context.role)
+    }
+
+    /// So many gateways share the endpoints that concurrency limits start below one attempt and bound little.
+    pub(crate) fn is_sparse(&self, context: &Context) -> bool {
+        concurrency_limit::starts_below_one(self.part_of_limits(context))
+    }
+}
--- /dev/null
+++ b/src/decision/token_bucket.rs
@@ -0,0 +1,34 @@
+//! The token bucket (RFC 2697 calls it a committed bucket): what quotas and allowances save up.
+
+use super::time::Micros;
+
+/// A store of units that fills at a rate. Callers may take it below zero.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct TokenBucket {
+    /// Units in store.
+    pub(crate) level: f64,
+    /// The most units that it holds.
+    pub(crate) capacity: f64,
+    /// Units a second that come in.
+    pub(crate) rate: f64,
+    /// When it was last filled.
+    pub(crate) filled_at: Micros,
+}
+
+impl TokenBucket {
+    /// Adds what has come in since the last time.
+    pub(crate) fn fill(&mut self, now: Micros) {
+        self.level = (self.level + self.rate * (now - self.filled_at).secs()).min(self.capacity);
+        self.filled_at = now.max(self.filled_at);
+    }
+
+    /// Takes units if the bucket holds as many.
+    pub(crate) fn try_take(&mut self, now: Micros, units: f64) -> bool {
+        self.fill(now);
+        let enough = self.level >= units;
+        if enough {
+            self.level -= units;
+        }
+        enough
+    }
+}
--- a/src/proxy/lifecycle/handover/tests.rs
+++ b/src/proxy/lifecycle/handover/tests.rs
@@ -3,8 +3,8 @@
 //! The files are in `tests/fixtures/control`. An older build may be at the other end, so they never change.
 
 use super::{Line, Word};
-use crate::decision::gateway::Gateway;
 use crate::decision::ClassId;
+use crate::decision::Gateway;
 use crate::fixture;
 use crate::proxy::control_plane::config::Config;
 use tokio::net::UnixStream;
@@ -27,7 +27,7 @@
     let mut gateway = Gateway::new(config.seed, config.site.settings).expect("settings");
     gateway.take_over(state_of(line).estate);
     let mut state = gateway.hand_over();
-    state.servers.sort_by_key(|(id, _)| *id);
+    state.endpoints.sort_by_key(|(id, _)| *id);
     state.customers.sort_by_key(|(id, _)| *id);
     serde_json::to_string_pretty(&state).expect("a text") + "\n"
 }
@@ -77,8 +77,8 @@
 fn a_state_without_the_later_fields_or_with_unknown_ones_is_taken_over() {
     let state = state_of(OTHER_BUILDS);
     assert!(!state.members.complete);
-    assert!(state.estate.customers.iter().all(|(_, customer)| customer.first == 0));
-    let refused = state.estate.customers.iter().filter_map(|(_, customer)| customer.refused.as_ref());
+    assert!(state.estate.customers.iter().all(|(_, customer)| customer.first_gateway == 0));
+    let refused = state.estate.customers.iter().filter_map(|(_, customer)| customer.last_rejection.as_ref());
     assert_eq!(refused.map(|refusal| refusal.class).collect::<Vec<_>>(), [ClassId(1), ClassId(0)]);
     handed_on(OTHER_BUILDS);
 }
