--- a/src/proxy/cluster_transport/outcome_recorder.rs
+++ b/src/proxy/cluster_transport/outcome_recorder.rs
@@ -1,7 +1,7 @@
 //! What the driver saw and the fleet part counts: how requests ended under the rules of a rollout, and whether attempts
 //! outside are answered.
 
-use crate::cluster::rollout::{Arm, Ended, Key};
+use crate::cluster::rollout::{Arm, RequestOutcome, RolloutKey};
 use crate::decision::{ClassId, Micros};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -11,9 +11,9 @@
 
 /// A request that goes by the rules of a rollout.
 #[derive(Debug, Clone, Copy)]
-pub struct Judged {
+pub struct RolloutRequest {
     /// Of which rollout.
-    pub key: Key,
+    pub key: RolloutKey,
     /// Which rules.
     pub arm: Arm,
     /// Its class.
@@ -26,21 +26,21 @@
 
 /// One end.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen {
+pub struct RolloutOutcome {
     /// The request.
-    pub judged: Judged,
+    pub judged: RolloutRequest,
     /// When it ended.
     pub at: Micros,
     /// How.
-    pub ended: Ended,
+    pub ended: RequestOutcome,
     /// How much of its aim that took.
     pub part_of_aim: f64,
 }
 
 /// The ends that wait.
 #[derive(Default)]
-pub struct Arms {
-    seen: RefCell<Vec<Seen>>,
+pub struct OutcomeRecorder {
+    seen: RefCell<Vec<RolloutOutcome>>,
     dropped: Cell<u64>,
     /// The last attempts, oldest first: answered or not.
     answers: RefCell<Vec<bool>>,
@@ -51,9 +51,9 @@
     watched: Cell<bool>,
 }
 
-impl Arms {
+impl OutcomeRecorder {
     /// A request ended.
-    pub fn note(&self, seen: Seen) {
+    pub fn note(&self, seen: RolloutOutcome) {
         let mut waiting = self.seen.borrow_mut();
         match waiting.len() < MOST {
             true => waiting.push(seen),
@@ -96,7 +96,7 @@
         self.cut.set(cut);
     }
     /// Takes all that wait.
-    pub fn take(&self) -> Vec<Seen> {
+    pub fn take(&self) -> Vec<RolloutOutcome> {
         std::mem::take(&mut *self.seen.borrow_mut())
     }
     /// How many found no room.
--- a/src/proxy/control_plane/counter.rs
+++ b/src/proxy/control_plane/counter.rs
@@ -1,9 +1,9 @@
 //! The shared counter: calls over a few connections, each made once, their answers told in order.
 
 use crate::decision::{CounterKey, Micros, Outcome};
-use crate::proxy::downstream::request_body::Sending;
-use crate::proxy::lifecycle::permits::Share;
-use crate::proxy::log_rate_limit::Sparing;
+use crate::proxy::downstream::request_body::OutboundBody;
+use crate::proxy::lifecycle::permits::Permits;
+use crate::proxy::log_rate_limit::LogRateLimiter;
 use crate::proxy::upstream::connection::{CallError, Connection};
 use bytes::Bytes;
 use hyper::{header, Method, Request, StatusCode};
@@ -41,21 +41,21 @@
     timeout: Duration,
     connections: usize,
     idle: RefCell<Vec<Connection>>,
-    lines: Share,
-    garbled: Sparing,
+    lines: Permits,
+    garbled: LogRateLimiter,
 }
 
 impl Counter {
     /// Calls go over at most so many connections and are given up after `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration, connections: usize) -> Counter {
-        let lines = Share::new(connections);
+        let lines = Permits::new(connections);
         Counter {
             address,
             timeout,
             connections,
             idle: RefCell::default(),
             lines,
-            garbled: Sparing::default(),
+            garbled: LogRateLimiter::default(),
         }
     }
 
@@ -66,8 +66,8 @@
 
     /// Leaves so many quarters of the connections to the other process of this gateway.
     pub fn leave(&self, quarters: usize) {
-        self.lines.leave(self.connections * quarters / 4);
-        self.idle.borrow_mut().truncate(self.lines.free());
+        self.lines.reserve_for_other_process(self.connections * quarters / 4);
+        self.idle.borrow_mut().truncate(self.lines.available());
     }
 
     /// Makes one call. An unanswered one closes its connection, so that a late answer meets no later call.
@@ -81,7 +81,7 @@
     }
 
     async fn exchange(&self, name: CounterKey, amount: f64, life: Micros, wrote: &Cell<bool>) -> Counted {
-        let _line = self.lines.take().await;
+        let _line = self.lines.acquire().await;
         loop {
             let (mut connection, reused) = match self.take() {
                 Some(connection) => (connection, true),
@@ -120,9 +120,9 @@
         None
     }
 
-    fn request(&self, name: CounterKey, amount: f64, life: Micros) -> Request<Sending> {
+    fn request(&self, name: CounterKey, amount: f64, life: Micros) -> Request<OutboundBody> {
         let life_ms = (life.0 / 1000).max(1);
-        let mut request = Request::new(Sending::empty());
+        let mut request = Request::new(OutboundBody::empty());
         *request.method_mut() = Method::POST;
         // Digits and signs alone: always a valid URI.
         if let Ok(uri) = format!("/v1/count/{}?add={amount}&ttl_ms={life_ms}", name.0).parse() {
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -2,15 +2,15 @@
 
 use crate::proxy::runtime::*;
 
-impl Driver {
-    pub(super) fn obey(&mut self, order: Control) {
+impl Runtime {
+    pub(super) fn obey(&mut self, order: AdminCommand) {
         match order {
-            Control::Fleet(reply) => {
-                let EndpointCounts { known, excluded } = self.gateway.endpoint_counts(self.clock.now());
+            AdminCommand::CountEndpoints(reply) => {
+                let counts = self.gateway.endpoint_counts(self.clock.now());
                 // An operator who has left needs no answer.
-                let _ = reply.send(Fleet { known, excluded });
+                let _ = reply.send(counts);
             }
-            Control::Maintain { id, out, relayed, done } => {
+            AdminCommand::SetMaintenance { endpoint: id, in_maintenance: out, relayed, reply: done } => {
                 let server = self.site.seen(&id);
                 let server =
                     server.filter(|s| self.backends.contains_key(s) || self.gateway.is_in_maintenance(*s));
@@ -26,23 +26,23 @@
                 }
                 let _ = done.send(server.is_some());
             }
-            Control::HandOver { words, done } => {
+            AdminCommand::HandOver { messages: words, reply: done } => {
                 self.share(Some(words), 3);
                 self.turn();
-                let members = self.listed.values().cloned().collect();
-                let members = MemberList { revision: self.revision, complete: true, members };
-                let _ = done.send(Box::new(Will { members, estate: self.gateway.hand_over() }));
+                let endpoints = self.listed.values().cloned().collect();
+                let endpoints = EndpointList { revision: self.revision, complete: true, endpoints };
+                let _ = done.send(Box::new(Will { endpoints, estate: self.gateway.hand_over() }));
             }
-            Control::TakeOver { will, words, done } => {
+            AdminCommand::TakeOver { snapshot: will, messages: words, reply: done } => {
                 self.share(Some(words), 1);
-                if will.members.revision > self.revision {
-                    self.members(will.members);
+                if will.endpoints.revision > self.revision {
+                    self.members(will.endpoints);
                 }
                 self.turn();
                 self.gateway.take_over(will.estate);
                 let _ = done.send(());
             }
-            Control::Alone(done) => {
+            AdminCommand::PeerProcessExited(done) => {
                 self.share(None, 0);
                 self.batch.push(Event::PeerProcessExited);
                 self.turn();
@@ -59,14 +59,15 @@
         self.counter.iter().for_each(|counter| counter.leave(quarters));
     }
 
-    pub(super) fn members(&mut self, list: MemberList) {
+    pub(super) fn members(&mut self, list: EndpointList) {
         let scope = if list.complete { WatchScope::Complete } else { WatchScope::Incremental };
-        if list.members.is_empty() && !list.complete {
+        if list.endpoints.is_empty() && !list.complete {
             self.revision = list.revision;
             return;
         }
-        let entries = list.members.len();
-        let draining = list.members.iter().filter(|member| member.phase == Phase::Draining).count();
+        let entries = list.endpoints.len();
+        let draining =
+            list.endpoints.iter().filter(|member| member.status == EndpointStatus::Draining).count();
         match list.complete {
             true => info!(revision = list.revision, entries, draining, "whole list of backends"),
             false => debug!(revision = list.revision, entries, draining, "changes of the list of backends"),
@@ -75,21 +76,17 @@
         if list.complete {
             self.listed.clear();
         }
-        let mut entries = Vec::with_capacity(list.members.len());
-        for member in list.members {
-            let server = self.site.server(&member.id);
-            let listed = match member.phase {
-                Phase::Ready => EndpointStatus::InService,
-                Phase::Draining => EndpointStatus::Draining,
-                Phase::Gone => EndpointStatus::Removed,
-            };
-            let before = self.listed.get(&server).map(|member| member.phase);
-            if before != Some(member.phase) {
-                debug!(backend = member.id, address = %member.host_port, ?before, phase = ?member.phase, "backend changes");
+        let mut entries = Vec::with_capacity(list.endpoints.len());
+        for member in list.endpoints {
+            let server = self.site.server(&member.name);
+            let listed = member.status;
+            let before = self.listed.get(&server).map(|member| member.status);
+            if before != Some(member.status) {
+                debug!(backend = member.name, address = %member.address, ?before, phase = ?member.status, "backend changes");
             }
             let backend = Backend {
-                address: member.host_port,
-                up_since_ms: member.up_since_ms,
+                address: member.address,
+                up_since_ms: member.started_at_unix_ms,
                 open: Cell::new(listed == EndpointStatus::InService),
             };
             if let Some(old) = self.backends.get(&server) {
@@ -103,12 +100,12 @@
             }
             entries.push(EndpointUpdate {
                 endpoint: server,
-                zone: self.site.zone(&member.locality),
+                zone: self.site.zone(&member.zone),
                 cell: CellId(member.cell),
                 status: listed,
-                weight: member.size,
-                started_at: self.start_of(server, member.up_since_ms),
-                label: self.site.label(&member.flavor),
+                weight: member.weight,
+                started_at: self.start_of(server, member.started_at_unix_ms),
+                label: self.site.label(&member.release_label),
             });
             if listed == EndpointStatus::Removed {
                 self.starts.remove(&server);
@@ -155,7 +152,7 @@
 
     pub(super) fn become_ready(&mut self) {
         self.ready_at = None;
-        if self.duty.listed() {
+        if self.duty.mark_endpoints_known() {
             info!(backends = self.backends.len(), "ready");
         }
     }
