--- a/src/cluster/ledger/mod.rs
+++ b/src/cluster/ledger/mod.rs
@@ -18,7 +18,7 @@
 
 pub use client::{AddressedMessage, ClaimOutcome, LedgerClient, RecordChange};
 pub use message::{LedgerMessage, RecordSnapshot};
-pub use node::{ClaimCounts, ClaimId, LedgerEffect, LedgerNode};
+pub use node::{ClaimCounts, ClaimId, LedgerEffect, LedgerNode, LEDGER_TICK_INTERVAL};
 pub use placement::{replicas_among, replicas_of};
 pub use record::{Ballot, Record, RecordId, RecordedAttempt, SentAttempt};
 pub use replica::abandoned::AbandonedRequest;
--- a/src/cluster/ledger/node.rs
+++ b/src/cluster/ledger/node.rs
@@ -13,6 +13,8 @@
 /// The number of a claim of this process.
 pub type ClaimId = u64;
 
+/// How often the ledger is to be called.
+pub const LEDGER_TICK_INTERVAL: Micros = Micros(20_000);
 /// The most claims at one time; beyond that requests go on without a record.
 const MAX_CLAIMS: usize = 10_000;
 /// How long a released claim waits for its replicas to confirm the last write.
--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -13,8 +13,6 @@
 use crate::decision::Micros;
 use std::net::SocketAddr;
 
-/// How often the ledger is to be called.
-pub const LEDGER_TICK_INTERVAL: Micros = Micros(20_000);
 /// What is written as the attempt of a record that stands for a lease alone: nothing is sent.
 const NO_ENDPOINT: u64 = 0;
 
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -23,7 +23,7 @@
 pub use crate::decision::{Micros, SettingsError};
 pub use datagram::{DatagramError, MAX_DATAGRAM_BYTES};
 pub use event::{ClusterNotice, Effect, Event, TrafficCounters};
-pub use ledger_node::LEDGER_TICK_INTERVAL;
+pub use ledger::LEDGER_TICK_INTERVAL;
 pub use membership::identity::{
     is_valid_name, Identity, MemberMetadata, CAPABILITY_LEDGER, CAPABILITY_ROLLOUT, MAX_NAME_BYTES,
 };
@@ -33,10 +33,10 @@
 pub use quota_lease::seat_lease::QuotaShares;
 pub use quota_lease::view::MAX_SEATS;
 pub use report::{ClusterReport, MemberReport, ViewReport};
-pub use rollout_node::{CommandResult, RoutingInForce};
+pub use rollout::{CommandResult, RoutingInForce};
 pub use settings::Settings;
 pub use storage::{MachineId, StorageWrite};
-pub use write_queue_node::{WriteQueue, WriteQueueEffect};
+pub use write_queue::{WriteQueue, WriteQueueEffect};
 
 use ledger::LedgerNode;
 use membership::addresses::AddressBook;
--- a/src/cluster/rollout/controller.rs
+++ b/src/cluster/rollout/controller.rs
@@ -330,8 +330,7 @@
         self.detect_standstill(now);
         self.last_tick = now;
         let Some(command) = self.command.clone() else { return };
-        let collectors = counting::collectors(command.key.id, present);
-        self.is_collector = collectors.contains(&self.own_seat);
+        let collectors = self.update_collectors(command.key.id, present);
         self.send_counts(now, &command, &collectors, out);
         if has_lease && !self.is_leading {
             out.push(ControllerEffect::Notify(RolloutNotice::Leading { key: command.key }));
--- a/src/cluster/rollout/controller/counting.rs
+++ b/src/cluster/rollout/controller/counting.rs
@@ -29,6 +29,13 @@
         }
     }
 
+    /// Who collects the counts of this rollout, of those present.
+    pub(super) fn update_collectors(&mut self, rollout_id: u64, present: &[u16]) -> Vec<u16> {
+        let collectors = collectors(rollout_id, present);
+        self.is_collector = collectors.contains(&self.own_seat);
+        collectors
+    }
+
     /// The own counts go to those that collect, and to the leader.
     pub(super) fn send_counts(
         &mut self,
@@ -81,8 +88,8 @@
     }
 }
 
-/// Who collects the counts of this rollout, of those present (rendezvous hashing).
-pub(super) fn collectors(rollout_id: u64, present: &[u16]) -> Vec<u16> {
+/// Rendezvous hashing, the same at all gateways that see the same present.
+fn collectors(rollout_id: u64, present: &[u16]) -> Vec<u16> {
     let score = |seat: u16| xxh3_64_with_seed(&seat.to_le_bytes(), rollout_id);
     let mut ranked: Vec<(u64, u16)> = present.iter().map(|seat| (score(*seat), *seat)).collect();
     ranked.sort_unstable();
--- a/src/cluster/rollout/mod.rs
+++ b/src/cluster/rollout/mod.rs
@@ -8,15 +8,18 @@
 //! * [`sequential_test`] decides on a halt, and on the next stage.
 
 mod command;
+mod command_result;
 mod controller;
 mod count_rows;
 mod lease;
 mod message;
 mod outcome_counts;
 mod plan;
+mod routing_in_force;
 pub mod sequential_test;
 
 pub use command::{HaltReason, Pause, RolloutCommand, RolloutEnd, RolloutKey};
+pub use command_result::CommandResult;
 pub use controller::report::{RolloutReport, RolloutState};
 pub use controller::{ControllerEffect, RolloutController, RolloutNotice, TICK_INTERVAL};
 pub use count_rows::{ClassRow, CollectedCounts, CountRow};
@@ -26,3 +29,4 @@
     Arm, ClassCounts, OutcomeCounts, OutcomeTotals, PerArm, RequestOutcome, BET_LOG_ODDS,
 };
 pub use plan::{RolloutRequest, RolloutSettings, RuleConfig, RuleSet, ALL_CUSTOMERS};
+pub use routing_in_force::RoutingInForce;
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -6,48 +6,12 @@
 use super::ledger_node::LeaseProgress;
 use super::membership::identity::CAPABILITY_ROLLOUT;
 use super::rollout::{
-    Arm, ControllerEffect, RequestOutcome, RolloutCommand, RolloutController, RolloutKey, RolloutMessage,
-    RolloutReport, RolloutRequest, RuleSet, ROLLOUT_RECORD, TICK_INTERVAL,
+    Arm, CommandResult, ControllerEffect, RequestOutcome, RolloutCommand, RolloutController, RolloutKey,
+    RolloutMessage, RolloutReport, RolloutRequest, RoutingInForce, RuleSet, ROLLOUT_RECORD, TICK_INTERVAL,
 };
 use super::ClusterNode;
 use crate::decision::Micros;
 
-/// The routing rules in force.
-#[derive(Debug, Clone, PartialEq)]
-pub struct RoutingInForce {
-    /// Of which rollout; none where there was none yet.
-    pub key: Option<RolloutKey>,
-    /// Outcomes are counted.
-    pub counts_outcomes: bool,
-    /// The rules of those customers that do not have the new ones.
-    pub baseline: RuleSet,
-    /// The new rules.
-    pub canary: RuleSet,
-    /// The customers, of 10,000, that have the new ones.
-    pub canary_share: u16,
-}
-
-/// What became of an operator's command.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CommandResult {
-    /// It is done, or begun.
-    Done,
-    /// It can't be: another rollout runs, or none does.
-    Conflict,
-    /// There is no rollout without a ledger.
-    Disabled,
-}
-
-impl CommandResult {
-    fn done_if(done: Option<bool>) -> CommandResult {
-        match done {
-            Some(true) => CommandResult::Done,
-            Some(false) => CommandResult::Conflict,
-            None => CommandResult::Disabled,
-        }
-    }
-}
-
 impl ClusterNode {
     /// An operator wants a rollout. What becomes of it is told by `Effect::RolloutStarted`.
     pub fn start_rollout(
--- a/src/cluster/write_queue/mod.rs
+++ b/src/cluster/write_queue/mod.rs
@@ -9,8 +9,10 @@
 //! * [`WriteLog`] is what it holds.
 //! * [`UplinkMonitor`] tells whether the branch is isolated from the backends.
 
+mod effect;
 mod lease;
 mod message;
+mod queue;
 mod replay;
 mod replica;
 mod send_rate;
@@ -19,8 +21,10 @@
 mod write;
 mod write_log;
 
+pub use effect::WriteQueueEffect;
 pub use lease::queue_record;
 pub use message::{DotRank, LogPage, QueueMessage, ReplicatedWrite};
+pub use queue::{WriteQueue, CLAIM_INTERVAL};
 pub use replay::ForwardOutcome;
 pub use replica::{QueueCounts, QueueEffect, QueueReplica, WriteStatus};
 pub use settings::WriteQueueSettings;
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -7,84 +7,12 @@
 use super::ledger_node::LeaseProgress;
 use super::storage::{GatedEffect, BUSY_WAITING};
 use super::write_queue::{
-    queue_record, Dot, ForwardOutcome, QueueEffect, QueueMessage, QueueReplica, Write, WriteOutcome,
-    WriteRequest, WriteStatus,
+    queue_record, Dot, ForwardOutcome, QueueEffect, QueueMessage, QueueReplica, WriteQueue, WriteQueueEffect,
+    WriteRequest, WriteStatus, CLAIM_INTERVAL,
 };
 use super::ClusterNode;
 use crate::decision::Micros;
 
-/// A gateway that does not own the branch's record claims it again after this, and up to as long again.
-const CLAIM_INTERVAL: Micros = Micros(1_000_000);
-
-/// What the proxy has to do for the write queue.
-#[derive(Debug)]
-pub enum WriteQueueEffect {
-    /// A write is accepted under this name, or not.
-    Decided {
-        /// The write.
-        dot: Dot,
-        /// Whether it is accepted.
-        accepted: bool,
-    },
-    /// Forward this write.
-    Forward {
-        /// The write.
-        write: Box<Write>,
-        /// In which attempt.
-        attempt: u16,
-        /// An attempt of an owner before may have run.
-        may_have_run: bool,
-    },
-    /// A write ended otherwise than completed.
-    NotCompleted {
-        /// The write.
-        dot: Dot,
-        /// How it ended.
-        outcome: WriteOutcome,
-    },
-    /// The branch is isolated from the backends from now on, or no longer.
-    IsolationChanged {
-        /// Whether it is.
-        isolated: bool,
-        /// How long ago the last response came.
-        since_response: Micros,
-    },
-}
-
-/// The write queue as one gateway has it, with its claim of the branch's record.
-pub struct WriteQueue {
-    replica: QueueReplica,
-    claim: Option<ClaimId>,
-    next_claim: Micros,
-}
-
-impl WriteQueue {
-    pub(super) fn new(replica: QueueReplica, now: Micros) -> WriteQueue {
-        WriteQueue { replica, claim: None, next_claim: now }
-    }
-
-    /// This gateway's part in it.
-    pub fn replica(&self) -> &QueueReplica {
-        &self.replica
-    }
-
-    pub(super) fn replica_mut(&mut self) -> &mut QueueReplica {
-        &mut self.replica
-    }
-
-    /// Whether this gateway should claim the branch's record: pending writes wait for somebody to forward them.
-    fn wants_claim(&self, now: Micros) -> bool {
-        let has_work = self.replica.log().pending_count() > 0;
-        let may_forward = self.replica.has_vote() && !self.replica.is_isolated();
-        self.claim.is_none() && now >= self.next_claim && has_work && may_forward
-    }
-
-    /// Whether it holds the record without a use: nothing is pending, or it may not forward as its storage failed.
-    fn is_idle(&self) -> bool {
-        self.replica.log().pending_count() == 0 || !self.replica.has_vote()
-    }
-}
-
 impl ClusterNode {
     /// The write queue, where this gateway is of a branch.
     pub fn write_queue(&self) -> Option<&WriteQueue> {
@@ -93,7 +21,7 @@
 
     /// What became of a write.
     pub fn write_status(&self, dot: Dot) -> Option<WriteStatus> {
-        self.write_queue.as_ref().map(|queue| queue.replica.status(dot))
+        self.write_queue.as_ref().map(|queue| queue.replica().status(dot))
     }
 
     /// A write is to be accepted; whether it is comes as `WriteQueueEffect::Decided`. None: it can't be.
@@ -108,7 +36,7 @@
     /// An attempt at a backend got a response, or none.
     pub fn record_backend_attempt(&mut self, now: Micros, responded: bool) {
         if let Some(queue) = self.write_queue.as_mut() {
-            queue.replica.record_attempt(now, responded);
+            queue.replica_mut().record_attempt(now, responded);
         }
     }
 
@@ -151,13 +79,12 @@
         out: &mut Vec<Effect>,
     ) -> bool {
         let now = self.now;
-        if self.write_queue.as_ref().is_none_or(|queue| queue.claim != Some(claim)) {
+        if self.write_queue.as_ref().is_none_or(|queue| queue.claim() != Some(claim)) {
             return false;
         }
         if let LeaseProgress::Failed = self.advance_lease(claim, outcome, out) {
             if let Some(queue) = self.write_queue.as_mut() {
-                queue.claim = None;
-                queue.next_claim = now + CLAIM_INTERVAL;
+                queue.set_claim(None, now + CLAIM_INTERVAL);
                 self.release_claim(now, claim, None, out);
             }
         }
@@ -171,11 +98,11 @@
             return;
         }
         let Some(queue) = self.write_queue.as_ref() else { return };
-        let lease = self.lease_status(queue.claim);
+        let lease = self.lease_status(queue.claim());
         // Nothing is begun so late that the lease would be over before the others have heard of it.
         let leads = lease.is_held_with_margin;
         let is_unused = leads && queue.is_idle();
-        let to_release = lease.lapsed.or(queue.claim.filter(|_| is_unused || self.left));
+        let to_release = lease.lapsed.or(queue.claim().filter(|_| is_unused || self.left));
         if to_release.is_some() || lease.is_gone {
             self.give_up_queue_claim(to_release, lease.lapsed.is_some(), out);
         }
@@ -188,14 +115,14 @@
     fn give_up_queue_claim(&mut self, claim: Option<ClaimId>, has_lapsed: bool, out: &mut Vec<Effect>) {
         let now = self.now;
         if let Some(queue) = self.write_queue.as_mut() {
-            queue.claim = None;
+            queue.drop_claim();
         }
         if let Some(claim) = claim {
             self.release_claim(now, claim, None, out);
         }
         if let Some(queue) = self.write_queue.as_mut().filter(|_| has_lapsed) {
             // A record lives for a while only: whoever had it claims it anew.
-            queue.next_claim = now;
+            queue.set_claim(None, now);
         }
     }
 
@@ -205,8 +132,7 @@
         let group = self.settings.branch.as_ref().map(|branch| branch.seats.clone()).unwrap_or_default();
         let claim = self.open_claim_in_group(now, queue_record(&group), &group, out);
         if let Some(queue) = self.write_queue.as_mut() {
-            queue.claim = claim;
-            queue.next_claim = now + wait;
+            queue.set_claim(claim, now + wait);
         }
     }
 
@@ -217,7 +143,7 @@
         act: impl FnOnce(&mut QueueReplica, &mut Vec<QueueEffect>) -> T,
     ) -> Option<T> {
         let mut effects = Vec::new();
-        let result = act(&mut self.write_queue.as_mut()?.replica, &mut effects);
+        let result = act(self.write_queue.as_mut()?.replica_mut(), &mut effects);
         self.gate_queue_effects(effects, out);
         Some(result)
     }
@@ -236,7 +162,7 @@
             QueueEffect::Forward { write, attempt, first_sent_at } => {
                 if !self.may_forward() {
                     if let Some(queue) = self.write_queue.as_mut() {
-                        queue.replica.on_forward_dropped(write.dot);
+                        queue.replica_mut().on_forward_dropped(write.dot);
                     }
                     return;
                 }
@@ -254,7 +180,7 @@
 
     /// An owner that stood still meanwhile forwards nothing.
     fn may_forward(&self) -> bool {
-        let claim = self.write_queue.as_ref().and_then(|queue| queue.claim);
+        let claim = self.write_queue.as_ref().and_then(|queue| queue.claim());
         claim.is_some_and(|claim| self.may_act(self.now, claim))
     }
 }
