--- a/lab/tests/disk/main.rs
+++ b/lab/tests/disk/main.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_branch_that_restarts_whole_loses_nothing_with_disks_and_says_so_without() {
+fn restarted_branch_loses_nothing_with_storage_and_says_so_without() {
     for (with_disks, reboot) in [(true, false), (true, true), (false, false)] {
         let mut play = cut_with_writes(1, with_disks);
         let (now, before) = (play.now, play.seen.len());
@@ -51,7 +51,7 @@
 
 /// The lights go out some milliseconds after writes were asked for, while disks still sync.
 #[test]
-fn whatever_was_answered_is_there_when_the_lights_go_out_in_the_same_moment() {
+fn answered_writes_survive_simultaneous_power_loss() {
     let (mut accepted, mut open) = (0, 0);
     for seed in 0..12 {
         let mut play = Play::new(seed, 3, true);
@@ -86,7 +86,7 @@
 
 /// Two branches of three, cut off from the backends and from each other; the line to the backends comes back alone.
 #[test]
-fn each_branch_has_an_owner_of_its_own_whoever_else_is_cut_off() {
+fn each_branch_has_its_own_lease_holder_under_partition() {
     let mut play = Play::of_branches(6, 6, false, 2);
     (play.cut, play.apart) = (true, true);
     play.pass(1_500);
@@ -112,7 +112,7 @@
 
 /// Most datagrams are lost while the line comes back: whoever asked for the branch's record then asks again.
 #[test]
-fn a_question_that_was_lost_is_asked_again() {
+fn lost_claim_is_sent_again() {
     for seed in 0..8 {
         let mut play = cut_with_writes(seed, true);
         (play.cut, play.loss) = (false, 0.85);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn one_whose_disk_fails_gives_up_its_votes_for_good_and_the_others_go_on() {
+fn node_whose_storage_fails_gives_up_its_votes_and_others_continue() {
     let mut play = cut_with_writes(2, true);
     play.nodes[1].broken = true;
     for i in 0..60u64 {
@@ -142,7 +142,7 @@
 
 /// A gateway of a branch on a new disk ends before the others have told it anything: it has no vote in its next life either.
 #[test]
-fn a_life_without_a_vote_leaves_none_to_the_next() {
+fn process_without_a_vote_leaves_none_to_the_next() {
     let mut play = cut_with_writes(4, true);
     (0..3).for_each(|node| play.kill(node, false));
     play.nodes[0].disk.clear();
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn what_others_wrote_or_nobody_can_read_gives_no_vote() {
+fn foreign_or_unreadable_storage_gives_no_vote() {
     for bend in 0..3 {
         let mut play = cut_with_writes(3, true);
         (0..3).for_each(|node| play.kill(node, false));
@@ -186,7 +186,7 @@
 /// A disk that stands still for some seconds holds nothing: its gateway answers nothing and begins no more than it can
 /// hold back, and goes on where it was once the disk does.
 #[test]
-fn a_disk_that_stands_still_costs_bounded_room_and_no_vote() {
+fn stalled_storage_costs_bounded_memory_and_no_vote() {
     let mut play = cut_with_writes(7, true);
     play.nodes[0].stalled = true;
     let (from, mut most, mut begun) = (play.now, 0, 0);
@@ -262,7 +262,7 @@
     /// Whoever dies, all at once too, and whenever: no accepted write is lost, none runs twice or against the order, and
     /// none that was refused runs.
     #[test]
-    fn with_disks_no_accepted_write_is_lost_whoever_dies(
+    fn no_accepted_write_is_lost_with_storage_under_faults(
         seed in 0u64..1_000_000,
         nodes in prop::sample::select(vec![3usize, 5]),
         faults in prop::collection::vec((0usize..5, 0u8..8, 5u64..100), 1..14),
--- a/lab/tests/ledger_model.rs
+++ b/lab/tests/ledger_model.rs
@@ -1,7 +1,7 @@
-//! The ledger's own holders and claimants, checked exhaustively: every order of messages, late, doubled and lost
-//! ones, holders that die and forget, leases that run out.
+//! The ledger's own replicas and clients, checked exhaustively: every order of messages, late, doubled and lost
+//! ones, replicas that die and forget, leases that run out.
 //!
-//! Time goes by in steps for all alike; what takes rates of clocks and whole lives is in `ledger_plans.rs`.
+//! Time goes by in steps for all alike; what takes rates of clocks and whole lives is in `ledger_plans/`.
 
 use quota_gateway::cluster::ledger::{
     AddressedMessage, Ballot, LedgerClient, LedgerMessage, LedgerSettings, RecordChange, RecordId, Replica,
@@ -17,11 +17,11 @@
 const SETTINGS: LedgerSettings =
     LedgerSettings { replicas: REPLICAS, lease: Micros(200_000), record_lifetime: Micros(60_000_000) };
 
-/// A message under way: to a holder, or from one.
+/// A message under way: to a replica, or from one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Post {
-    To(usize, LedgerMessage),
-    From(usize, LedgerMessage),
+enum InFlight {
+    ToReplica(usize, LedgerMessage),
+    FromReplica(usize, LedgerMessage),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -29,12 +29,12 @@
     now: u64,
     replicas: Vec<Replica>,
     claims: Vec<Option<LedgerClient>>,
-    net: BTreeSet<Post>,
-    asks: u8,
-    hurries: u8,
+    net: BTreeSet<InFlight>,
+    claims_made: u8,
+    contact_alls: u8,
     deaths: u8,
     /// Messages that were doubled or came late so far.
-    odd: u8,
+    reordered: u8,
     /// Writes that were confirmed: ballot, server, fence.
     confirmed: BTreeSet<(Ballot, u64, u32)>,
 }
@@ -50,41 +50,41 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     /// Time goes by. What is under way is lost, but for one that comes late.
-    Tick(Option<Post>),
-    Ask(usize),
-    Send(usize),
-    Hurry(usize),
-    Free(usize),
+    Tick(Option<InFlight>),
+    Claim(usize),
+    Write(usize),
+    ContactAll(usize),
+    Release(usize),
     /// It comes, and its answer; with `true` it comes once more.
-    Deliver(Post, Answer, bool),
+    Deliver(InFlight, Answer, bool),
     Forget(usize),
 }
 
 struct Ledger {
-    claimants: usize,
-    asks: u8,
-    /// So many claimants ask all holders at once.
-    hasty: usize,
-    /// So often in all a claimant finds its first holders slow and asks the others.
-    hurries: u8,
+    clients: usize,
+    claims_made: u8,
+    /// So many clients ask all replicas at once.
+    contacting_all: usize,
+    /// So often in all a client finds its first replicas slow and asks the others.
+    contact_alls: u8,
     deaths: u8,
-    odd: u8,
+    reordered: u8,
     ticks: u64,
-    frees: bool,
+    releases: bool,
     /// A deliberate mistake, to see that the properties can fail.
     broken: Option<Broken>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Broken {
-    /// A holder that forgot votes at once.
+    /// A replica that forgot votes at once.
     VotesAtOnce,
-    /// A claimant acts until its work ends, whatever its lease.
+    /// A client acts until its work ends, whatever its lease.
     NoLease,
 }
 
 impl Ledger {
-    /// The holders' clocks began long ago, so that all have a vote.
+    /// The replicas' clocks began long ago, so that all have a vote.
     fn start(&self) -> u64 {
         SETTINGS.vote_delay().0 + 1
     }
@@ -94,22 +94,48 @@
             _ => claim.has_lease(Micros(now)),
         }
     }
-    fn post(state: &mut State, sends: Vec<AddressedMessage>) {
+    fn send(state: &mut State, sends: Vec<AddressedMessage>) {
         state.net.extend(
-            sends.into_iter().map(|addressed| Post::To(usize::from(addressed.to), addressed.message)),
+            sends
+                .into_iter()
+                .map(|addressed| InFlight::ToReplica(usize::from(addressed.to), addressed.message)),
         );
     }
-    /// A holder's word comes to the claimants.
-    fn tell(state: &mut State, holder: usize, message: &LedgerMessage) {
+    /// A reply of a replica reaches the clients.
+    fn deliver_reply(state: &mut State, replica: usize, message: &LedgerMessage) {
         let mut sends = Vec::new();
         for claim in state.claims.iter_mut().flatten() {
-            claim.on_message(Micros(state.now), holder as u16, message.clone(), &mut sends);
+            claim.on_message(Micros(state.now), replica as u16, message.clone(), &mut sends);
             if claim.is_owner() && claim.is_confirmed() && claim.record().owned {
                 let server = claim.record().attempts.last().map_or(0, |attempt| attempt.endpoint);
                 state.confirmed.insert((claim.ballot(), server, claim.record().fence));
             }
         }
-        Ledger::post(state, sends);
+        Ledger::send(state, sends);
+    }
+}
+
+impl State {
+    /// A message arrives; if not `again`, it is gone then.
+    fn deliver(&mut self, message: InFlight, reply: Answer, again: bool) {
+        let now = Micros(self.now);
+        self.reordered += u8::from(again || reply == Answer::Later);
+        if !again {
+            self.net.remove(&message);
+        }
+        match message {
+            InFlight::ToReplica(seat, message) => {
+                let answer = self.replicas[seat].on_message(now, message);
+                match (answer, reply) {
+                    (Some(answer), Answer::Comes) => Ledger::deliver_reply(self, seat, &answer),
+                    (Some(answer), Answer::Later) => {
+                        self.net.insert(InFlight::FromReplica(seat, answer));
+                    }
+                    _ => {}
+                }
+            }
+            InFlight::FromReplica(seat, message) => Ledger::deliver_reply(self, seat, &message),
+        }
     }
 }
 
@@ -121,45 +147,48 @@
         vec![State {
             now: self.start(),
             replicas: vec![Replica::new(SETTINGS, Micros(0)); REPLICAS],
-            claims: vec![None; self.claimants],
+            claims: vec![None; self.clients],
             net: BTreeSet::new(),
-            asks: 0,
-            hurries: 0,
+            claims_made: 0,
+            contact_alls: 0,
             deaths: 0,
-            odd: 0,
+            reordered: 0,
             confirmed: BTreeSet::new(),
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
-        let odd = state.odd < self.odd;
+        let reordered = state.reordered < self.reordered;
         if state.now < self.start() + self.ticks * STEP {
             actions.push(Step::Tick(None));
-            actions.extend(state.net.iter().filter(|_| odd).map(|post| Step::Tick(Some(post.clone()))));
+            actions.extend(
+                state.net.iter().filter(|_| reordered).map(|message| Step::Tick(Some(message.clone()))),
+            );
         }
         for (i, claim) in state.claims.iter().enumerate() {
             let turn = i == 0 || state.claims[i - 1].is_some();
-            if state.asks < self.asks && claim.is_none() && turn {
-                actions.push(Step::Ask(i));
+            if state.claims_made < self.claims_made && claim.is_none() && turn {
+                actions.push(Step::Claim(i));
             }
             if claim.as_ref().is_some_and(|c| !c.is_owner() && !c.is_finished()) {
-                actions.push(Step::Send(i));
+                actions.push(Step::Write(i));
             }
-            if state.hurries < self.hurries && claim.as_ref().is_some_and(LedgerClient::is_waiting) {
-                actions.push(Step::Hurry(i));
+            if state.contact_alls < self.contact_alls && claim.as_ref().is_some_and(LedgerClient::is_waiting)
+            {
+                actions.push(Step::ContactAll(i));
             }
-            if self.frees
+            if self.releases
                 && claim.as_ref().is_some_and(|c| c.is_owner() && c.is_confirmed() && c.record().owned)
             {
-                actions.push(Step::Free(i));
+                actions.push(Step::Release(i));
             }
         }
-        for post in &state.net {
-            actions.push(Step::Deliver(post.clone(), Answer::Comes, false));
-            actions.push(Step::Deliver(post.clone(), Answer::Lost, false));
-            if odd {
-                actions.push(Step::Deliver(post.clone(), Answer::Comes, true));
-                actions.push(Step::Deliver(post.clone(), Answer::Later, false));
+        for message in &state.net {
+            actions.push(Step::Deliver(message.clone(), Answer::Comes, false));
+            actions.push(Step::Deliver(message.clone(), Answer::Lost, false));
+            if reordered {
+                actions.push(Step::Deliver(message.clone(), Answer::Comes, true));
+                actions.push(Step::Deliver(message.clone(), Answer::Later, false));
             }
         }
         if state.deaths < self.deaths {
@@ -174,55 +203,39 @@
         match step {
             Step::Tick(late) => {
                 next.now += STEP;
-                next.odd += u8::from(late.is_some());
+                next.reordered += u8::from(late.is_some());
                 next.net = late.into_iter().collect();
             }
-            Step::Ask(i) => {
-                next.asks += 1;
-                let ballot = Ballot { number: 1, process: i as u64 + 1, claim: u64::from(next.asks) };
+            Step::Claim(i) => {
+                next.claims_made += 1;
+                let ballot = Ballot { number: 1, process: i as u64 + 1, claim: u64::from(next.claims_made) };
                 // Each asks those nearest to it first.
                 let replicas = (0..REPLICAS).map(|h| ((h + i) % REPLICAS) as u16).collect();
                 let mut claim = LedgerClient::begin(ID, 5, ballot, replicas, SETTINGS, now, &mut sends);
-                if i < self.hasty {
+                if i < self.contacting_all {
                     claim.contact_all(&mut sends);
                 }
                 next.claims[i] = Some(claim);
             }
-            Step::Send(i) => {
+            Step::Write(i) => {
                 next.claims[i].as_mut()?.write(now, RecordChange::AddAttempt(i as u64), &mut sends)?;
             }
-            Step::Hurry(i) => {
-                next.hurries += 1;
+            Step::ContactAll(i) => {
+                next.contact_alls += 1;
                 next.claims[i].as_mut()?.contact_all(&mut sends);
             }
-            Step::Free(i) => {
+            Step::Release(i) => {
                 next.claims[i].as_mut()?.write(now, RecordChange::Release, &mut sends)?;
             }
-            Step::Deliver(post, fate, again) => {
-                next.odd += u8::from(again || fate == Answer::Later);
-                if !again {
-                    next.net.remove(&post);
-                }
-                match post {
-                    Post::To(h, message) => {
-                        let answer = next.replicas[h].on_message(now, message);
-                        match (answer, fate) {
-                            (Some(answer), Answer::Comes) => Ledger::tell(&mut next, h, &answer),
-                            (Some(answer), Answer::Later) => drop(next.net.insert(Post::From(h, answer))),
-                            _ => {}
-                        }
-                    }
-                    Post::From(h, message) => Ledger::tell(&mut next, h, &message),
-                }
-            }
+            Step::Deliver(message, reply, again) => next.deliver(message, reply, again),
             Step::Forget(h) => {
                 next.deaths += 1;
                 let since = if self.broken == Some(Broken::VotesAtOnce) { Micros(0) } else { now };
                 next.replicas[h] = Replica::new(SETTINGS, since);
             }
         }
-        Ledger::post(&mut next, sends);
-        // What a holder counts of its refusals tells no states apart.
+        Ledger::send(&mut next, sends);
+        // What a replica counts of its rejections tells no states apart.
         next.replicas.iter_mut().for_each(|h| h.rejections = Default::default());
         (next != *state).then_some(next)
     }
@@ -262,16 +275,16 @@
     (checker.unique_state_count(), checker.discoveries().into_keys().collect())
 }
 
-/// What CI looks at. `LEDGER_MODEL=deaths,odd,frees,hurries` looks at more, for an hour and with much memory.
+/// What CI looks at. `LEDGER_MODEL=deaths,reordered,releases,contact_alls` looks at more, for an hour and with much memory.
 const MODEL: Ledger = Ledger {
-    claimants: 2,
-    asks: 2,
-    hasty: 1,
-    hurries: 0,
+    clients: 2,
+    claims_made: 2,
+    contacting_all: 1,
+    contact_alls: 0,
     deaths: 0,
-    odd: 0,
+    reordered: 0,
     ticks: 2,
-    frees: false,
+    releases: false,
     broken: None,
 };
 
@@ -280,12 +293,12 @@
 }
 
 #[test]
-fn two_claimants_and_three_holders_never_make_two_owners() {
+fn two_clients_and_three_replicas_never_make_two_owners() {
     let more = std::env::var("LEDGER_MODEL").unwrap_or_default();
     let number = |place: usize| more.split(',').nth(place).and_then(|n| n.parse().ok()).unwrap_or(0u8);
-    let (deaths, odd, frees) = (number(0), number(1), number(2) > 0);
-    let hurries = number(3);
-    let (states, found) = explored(Ledger { deaths, odd, frees, hurries, ..MODEL });
+    let (deaths, reordered, releases) = (number(0), number(1), number(2) > 0);
+    let contact_alls = number(3);
+    let (states, found) = explored(Ledger { deaths, reordered, releases, contact_alls, ..MODEL });
     println!("{states} states, {found:?}");
     assert!(states > 100_000, "{states} states");
     assert!(found.contains(&"a record is taken over") && found.contains(&"an owner acts"), "{found:?}");
@@ -293,7 +306,7 @@
 }
 
 #[test]
-fn the_properties_fail_for_a_holder_that_votes_at_once_and_for_an_owner_without_a_lease() {
+fn properties_fail_for_replica_that_votes_at_once_and_for_owner_without_lease() {
     for (broken, deaths) in [(Broken::VotesAtOnce, 1), (Broken::NoLease, 0)] {
         let (_, found) = explored(Ledger { deaths, broken: Some(broken), ..MODEL });
         assert!(fails(&found), "{found:?}");
