--- a/lab/tests/disk/main.rs
+++ b/lab/tests/disk/main.rs
@@ -197,7 +197,8 @@
         if i % 40 == 0 {
             play.beat();
         }
-        let waits = play.nodes[0].fleet.as_ref().and_then(ClusterNode::disk).expect("it has one").1;
+        let waits =
+            play.nodes[0].fleet.as_ref().and_then(ClusterNode::storage_status).expect("it has one").waiting;
         most = most.max(waits);
     }
     let told = |play: &Play| {
--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -29,6 +29,14 @@
     Failed,
 }
 
+/// Where this gateway stands among the seats.
+pub(super) struct OwnSeat {
+    /// The digest of the list of seats.
+    pub(super) seat_list: u64,
+    /// This gateway's seat.
+    pub(super) seat: u16,
+}
+
 /// How a lease stands, by the ledger.
 #[derive(Default)]
 pub(super) struct LeaseStatus {
@@ -38,7 +46,7 @@
     pub(super) is_held_with_margin: bool,
     /// It is over though it was held: the claim is to be released.
     pub(super) lapsed: Option<ClaimId>,
-    /// The claim ended without a word.
+    /// The ledger no longer has the claim.
     pub(super) is_gone: bool,
 }
 
@@ -172,7 +180,7 @@
 
     /// Lets out one effect of the ledger.
     pub(super) fn emit_ledger_effect(&mut self, effect: LedgerEffect, out: &mut Vec<Effect>) {
-        let Some((seat_list, seat)) = self.own_seat() else { return };
+        let Some(OwnSeat { seat_list, seat }) = self.own_seat() else { return };
         match effect {
             LedgerEffect::ClaimResolved { claim, outcome } => {
                 let is_lease = self.on_rollout_claim_resolved(claim, &outcome, out)
@@ -246,8 +254,10 @@
     }
 
     /// The digest of this gateway's list of seats, and its seat.
-    pub(super) fn own_seat(&self) -> Option<(u64, u16)> {
-        self.quota_leases.as_ref().map(|leases| (leases.seat_list(), leases.seat().0 as u16))
+    pub(super) fn own_seat(&self) -> Option<OwnSeat> {
+        self.quota_leases
+            .as_ref()
+            .map(|leases| OwnSeat { seat_list: leases.seat_list(), seat: leases.seat().0 as u16 })
     }
 }
 
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -35,7 +35,7 @@
 pub use report::{ClusterReport, MemberReport, ViewReport};
 pub use rollout::{CommandResult, RoutingInForce};
 pub use settings::Settings;
-pub use storage::{MachineId, StorageWrite};
+pub use storage::{MachineId, StorageStatus, StorageWrite};
 pub use write_queue::{WriteQueue, WriteQueueEffect};
 
 use ledger::LedgerNode;
@@ -189,10 +189,6 @@
     pub fn present(&self) -> usize {
         1 + self.records().filter(|r| r.state.is_present()).count()
     }
-    /// Whether its disk holds what it says, and how many words wait for that; none: it has no disk.
-    pub fn disk(&self) -> Option<(bool, usize)> {
-        self.persistence.as_ref().map(|persistence| (persistence.is_working(), persistence.waiting()))
-    }
     /// Datagrams, bytes and what was dropped.
     pub fn traffic(&self) -> &TrafficCounters {
         &self.traffic
--- a/src/cluster/rollout/controller.rs
+++ b/src/cluster/rollout/controller.rs
@@ -337,7 +337,7 @@
         }
         self.is_leading = has_lease;
         if command.is_running() {
-            self.judge(now, &command, present, out);
+            self.halt_or_advance(now, &command, present, out);
             self.claim_if_leaderless(now, &collectors, out);
         } else {
             out.extend(self.claim.take().map(ControllerEffect::Release));
--- a/src/cluster/rollout/controller/leading.rs
+++ b/src/cluster/rollout/controller/leading.rs
@@ -79,7 +79,7 @@
     }
 
     /// Halts where there is a reason; leads on where that is this one's to do.
-    pub(super) fn judge(
+    pub(super) fn halt_or_advance(
         &mut self,
         now: Micros,
         command: &RolloutCommand,
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -3,7 +3,7 @@
 use super::datagram::{DatagramError, Payload};
 use super::event::Effect;
 use super::ledger::{ClaimId, ClaimOutcome};
-use super::ledger_node::LeaseProgress;
+use super::ledger_node::{LeaseProgress, OwnSeat};
 use super::membership::identity::CAPABILITY_ROLLOUT;
 use super::rollout::{
     Arm, CommandResult, ControllerEffect, RequestOutcome, RolloutCommand, RolloutController, RolloutKey,
@@ -213,7 +213,7 @@
         for effect in effects {
             match effect {
                 ControllerEffect::Send { to, message } => {
-                    let Some((seat_list, seat)) = self.own_seat() else { continue };
+                    let Some(OwnSeat { seat_list, seat }) = self.own_seat() else { continue };
                     self.send_to_seat(to, &Payload::Rollout { seat_list, seat, message }, out);
                 }
                 ControllerEffect::Claim => {
--- a/src/cluster/storage/mod.rs
+++ b/src/cluster/storage/mod.rs
@@ -8,5 +8,5 @@
 mod stored_form;
 
 pub use durability_gate::{MachineId, BUSY_WAITING};
-pub use persistence::{GatedEffect, Persistence};
+pub use persistence::{GatedEffect, Persistence, StorageStatus};
 pub use stored_form::StorageWrite;
--- a/src/cluster/storage/persistence.rs
+++ b/src/cluster/storage/persistence.rs
@@ -24,6 +24,15 @@
     command: Option<RolloutCommand>,
 }
 
+/// How a gateway's storage is doing.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct StorageStatus {
+    /// It is open, and nothing has gone wrong with it.
+    pub is_working: bool,
+    /// How many effects wait for it.
+    pub waiting: usize,
+}
+
 /// What earlier processes of this gateway stored.
 #[derive(Default)]
 pub struct Restored {
@@ -72,6 +81,11 @@
         self.gate.is_working()
     }
 
+    /// How the storage is doing.
+    pub fn status(&self) -> StorageStatus {
+        StorageStatus { is_working: self.is_working(), waiting: self.waiting() }
+    }
+
     /// How many effects wait for the storage.
     pub fn waiting(&self) -> usize {
         self.gate.waiting()
--- a/src/cluster/storage_node.rs
+++ b/src/cluster/storage_node.rs
@@ -1,13 +1,19 @@
 //! The storage within a cluster node: what the parts change is stored, and what they say waits for that.
 
 use super::event::{ClusterNotice, Effect};
-use super::storage::{GatedEffect, StorageWrite};
+use super::ledger_node::OwnSeat;
+use super::storage::{GatedEffect, Persistence, StorageStatus, StorageWrite};
 use super::ClusterNode;
 
 impl ClusterNode {
+    /// How the storage is doing; none where this gateway has none.
+    pub fn storage_status(&self) -> Option<StorageStatus> {
+        self.persistence.as_ref().map(Persistence::status)
+    }
+
     /// Whether the storage is being opened and read: until then nothing that it may hold is answered or changed.
     pub(super) fn is_storage_opening(&self) -> bool {
-        self.persistence.as_ref().is_some_and(|persistence| persistence.is_opening())
+        self.persistence.as_ref().is_some_and(Persistence::is_opening)
     }
 
     /// Stores what has changed, and lets out of these effects what may go.
@@ -82,7 +88,7 @@
     /// The storage was opened and held this: what the parts said in earlier processes they remember.
     pub(super) fn on_storage_loaded(&mut self, stored: &[StorageWrite], out: &mut Vec<Effect>) {
         let now = self.now;
-        let Some((seat_list, seat)) = self.own_seat() else { return };
+        let Some(OwnSeat { seat_list, seat }) = self.own_seat() else { return };
         let Some(persistence) = self.persistence.as_mut().filter(|persistence| persistence.is_opening())
         else {
             return;
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -4,7 +4,7 @@
 use super::datagram::{DatagramError, Payload};
 use super::event::Effect;
 use super::ledger::{ClaimId, ClaimOutcome};
-use super::ledger_node::LeaseProgress;
+use super::ledger_node::{LeaseProgress, OwnSeat};
 use super::storage::{GatedEffect, BUSY_WAITING};
 use super::write_queue::{
     queue_record, Dot, ForwardOutcome, QueueEffect, QueueMessage, QueueReplica, WriteQueue, WriteQueueEffect,
@@ -156,7 +156,7 @@
     pub(super) fn emit_queue_effect(&mut self, effect: QueueEffect, out: &mut Vec<Effect>) {
         let effect = match effect {
             QueueEffect::Send { to, message } => {
-                let Some((seat_list, seat)) = self.own_seat() else { return };
+                let Some(OwnSeat { seat_list, seat }) = self.own_seat() else { return };
                 return self.send_to_seat(to, &Payload::WriteQueue { seat_list, seat, message }, out);
             }
             QueueEffect::Forward { write, attempt, first_sent_at } => {
--- a/src/proxy/cluster_transport/gauges.rs
+++ b/src/proxy/cluster_transport/gauges.rs
@@ -84,9 +84,9 @@
             line("rollout.refused", of(|r| r.rejected));
             line("rollout.uncounted", self.arms.dropped());
         }
-        if let Some((works, waits)) = fleet.as_ref().and_then(ClusterNode::disk) {
-            line("disk.works", u64::from(works));
-            line("disk.waits", waits as u64);
+        if let Some(storage) = fleet.as_ref().and_then(ClusterNode::storage_status) {
+            line("disk.works", u64::from(storage.is_working));
+            line("disk.waits", storage.waiting as u64);
         }
         line("rivals", report.duplicate_names.len() as u64);
         line("health", u64::from(report.health));
