--- a/src/cluster/rollout/mod.rs
+++ b/src/cluster/rollout/mod.rs
@@ -15,7 +15,6 @@
 mod message;
 mod outcome_counts;
 mod plan;
-mod routing_in_force;
 pub mod sequential_test;
 
 pub use command::{HaltReason, Pause, RolloutCommand, RolloutEnd, RolloutKey};
@@ -29,4 +28,3 @@
     Arm, ClassCounts, OutcomeCounts, OutcomeTotals, PerArm, RequestOutcome, BET_LOG_ODDS,
 };
 pub use plan::{RolloutRequest, RolloutSettings, RuleConfig, RuleSet, ALL_CUSTOMERS};
-pub use routing_in_force::RoutingInForce;
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -1,15 +1,15 @@
 //! The rollout within a cluster node: its messages go out to the seats present, and its record is claimed at the ledger.
 
 use super::datagram::{DatagramError, Payload};
-use super::event::Effect;
+use super::event::{Effect, RoutingInForce};
 use super::ledger::{ClaimId, ClaimOutcome};
 use super::ledger_node::{LeaseProgress, OwnSeat};
 use super::membership::identity::CAPABILITY_ROLLOUT;
+use super::node::ClusterNode;
 use super::rollout::{
     Arm, CommandResult, ControllerEffect, RequestOutcome, RolloutCommand, RolloutController, RolloutKey,
-    RolloutMessage, RolloutReport, RolloutRequest, RoutingInForce, RuleSet, ROLLOUT_RECORD, TICK_INTERVAL,
+    RolloutMessage, RolloutReport, RolloutRequest, RuleSet, ROLLOUT_RECORD, TICK_INTERVAL,
 };
-use super::ClusterNode;
 use crate::decision::Micros;
 
 impl ClusterNode {
--- a/src/cluster/storage_node.rs
+++ b/src/cluster/storage_node.rs
@@ -2,8 +2,8 @@
 
 use super::event::{ClusterNotice, Effect};
 use super::ledger_node::OwnSeat;
+use super::node::ClusterNode;
 use super::storage::{GatedEffect, Persistence, StorageStatus, StorageWrite};
-use super::ClusterNode;
 
 impl ClusterNode {
     /// How the storage is doing; none where this gateway has none.
--- a/src/cluster/write_queue/mod.rs
+++ b/src/cluster/write_queue/mod.rs
@@ -9,7 +9,6 @@
 //! * [`WriteLog`] is what it holds.
 //! * [`UplinkMonitor`] tells whether the branch is isolated from the backends.
 
-mod effect;
 mod lease;
 mod message;
 mod queue;
@@ -21,7 +20,6 @@
 mod write;
 mod write_log;
 
-pub use effect::WriteQueueEffect;
 pub use lease::queue_record;
 pub use message::{DotRank, LogPage, QueueMessage, ReplicatedWrite};
 pub use queue::{WriteQueue, CLAIM_INTERVAL};
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -2,15 +2,15 @@
 //! ledger.
 
 use super::datagram::{DatagramError, Payload};
-use super::event::Effect;
+use super::event::{Effect, WriteQueueEffect};
 use super::ledger::{ClaimId, ClaimOutcome};
 use super::ledger_node::{LeaseProgress, OwnSeat};
+use super::node::ClusterNode;
 use super::storage::{GatedEffect, BUSY_WAITING};
 use super::write_queue::{
-    queue_record, Dot, ForwardOutcome, QueueEffect, QueueMessage, QueueReplica, WriteQueue, WriteQueueEffect,
-    WriteRequest, WriteStatus, CLAIM_INTERVAL,
+    queue_record, Dot, ForwardOutcome, QueueEffect, QueueMessage, QueueReplica, WriteQueue, WriteRequest,
+    WriteStatus, CLAIM_INTERVAL,
 };
-use super::ClusterNode;
 use crate::decision::Micros;
 
 impl ClusterNode {
