--- a/src/cluster/rollout/controller.rs
+++ b/src/cluster/rollout/controller.rs
@@ -330,15 +330,14 @@
         self.detect_standstill(now);
         self.last_tick = now;
         let Some(command) = self.command.clone() else { return };
-        let collectors = counting::collectors(command.key.id, present);
-        self.is_collector = collectors.contains(&self.own_seat);
+        let collectors = self.update_collectors(command.key.id, present);
         self.send_counts(now, &command, &collectors, out);
         if has_lease && !self.is_leading {
             out.push(ControllerEffect::Notify(RolloutNotice::Leading { key: command.key }));
         }
         self.is_leading = has_lease;
         if command.is_running() {
-            self.judge(now, &command, present, out);
+            self.halt_or_advance(now, &command, present, out);
             self.claim_if_leaderless(now, &collectors, out);
         } else {
             out.extend(self.claim.take().map(ControllerEffect::Release));
--- a/src/cluster/write_queue/mod.rs
+++ b/src/cluster/write_queue/mod.rs
@@ -22,7 +22,7 @@
 
 pub use lease::queue_record;
 pub use message::{DotRank, LogPage, QueueMessage, ReplicatedWrite};
-pub use queue::WriteQueue;
+pub use queue::{WriteQueue, CLAIM_INTERVAL};
 pub use replay::ForwardOutcome;
 pub use replica::{QueueCounts, QueueEffect, QueueReplica, WriteStatus};
 pub use settings::WriteQueueSettings;
