--- a/src/cluster/datagram.rs
+++ b/src/cluster/datagram.rs
@@ -114,7 +114,7 @@
     /// Of another cluster.
     #[error("of another cluster")]
     OtherCluster,
-    /// Sound, but not what this member may be told.
+    /// Sound, but not for this member: not requested, or of another list of seats.
     #[error("sound, but not for this member")]
     Rejected,
 }
@@ -174,8 +174,8 @@
 ///
 /// # Errors
 ///
-/// Why it is dropped. The cluster's tag is looked at before the checksum, so that members of another cluster are told
-/// from damage.
+/// Why it is dropped. The cluster's tag is looked at before the checksum, so that another cluster's datagrams are
+/// counted as such and not as damage.
 pub fn decode(cluster_tag: u32, bytes: &[u8]) -> Result<(Payload, &[u8]), DatagramError> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DatagramError::Oversized);
--- a/src/cluster/event.rs
+++ b/src/cluster/event.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What the cluster node of a gateway is told.
+/// Input of the cluster node.
 #[derive(Debug)]
 pub enum Event<'a> {
     /// A datagram was received.
@@ -46,7 +46,7 @@
     StorageFailed,
 }
 
-/// What the cluster node of a gateway wants done.
+/// Output of the cluster node: what its owner has to do.
 #[derive(Debug)]
 pub enum Effect {
     /// Send a datagram.
@@ -139,7 +139,7 @@
     pub canary_share: u16,
 }
 
-/// What people should hear of.
+/// A change that people have to know of; the owner logs it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClusterNotice {
     /// A newer process runs under this one's name. This one has yielded its seat to it, and goes on serving.
--- a/src/cluster/membership/addresses.rs
+++ b/src/cluster/membership/addresses.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct AddressBook {
     configured: BTreeMap<String, SocketAddr>,
-    /// Where members were last heard, by name.
+    /// Where members' datagrams last came from, by name.
     observed: BTreeMap<Rc<str>, SocketAddr>,
 }
 
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Forgets where members were heard that are known no longer.
+    /// Forgets the observed addresses of members that are known no longer.
     pub fn retain_known(&mut self, records: &BTreeMap<Rc<str>, MemberRecord>) {
         self.observed.retain(|name, _| records.contains_key(name));
     }
 
-    /// Where to send what is for a member: where it was heard, else its configured, else its advertised address. One
+    /// Where to send what is for a member: its observed, else its configured, else its advertised address. One
     /// that is not known to be alive is tried at both of these.
     pub fn candidates(
         &self,
--- a/src/cluster/membership/codec.rs
+++ b/src/cluster/membership/codec.rs
@@ -42,7 +42,7 @@
     pub latest: u64,
 }
 
-/// What the messages told beside what the protocol takes from them. The owner takes it out after each message.
+/// What the messages show beside what the protocol takes from them. The owner takes it out after each message.
 #[derive(Default)]
 pub struct Observations {
     /// This process's identity now.
--- a/src/cluster/membership/duplicate_name.rs
+++ b/src/cluster/membership/duplicate_name.rs
@@ -11,19 +11,19 @@
 /// The longest time that a datagram may be under way.
 const MAX_DATAGRAM_AGE: Micros = Micros(3_000_000);
 
-/// Two incarnations that were heard under one name.
+/// Two incarnations that sent datagrams under one name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DuplicateName {
     /// The older process's incarnation.
     pub older: u64,
-    /// The newer one's, as it was known when the older was first heard beside it.
+    /// The newer one's, as it was known when the older first sent beside it.
     pub newer: u64,
 }
 
 #[derive(Debug)]
 struct Suspected {
     duplicate: DuplicateName,
-    /// When the older was first heard although the newer was known.
+    /// When the older first sent although the newer was known.
     since: Micros,
     is_confirmed: bool,
 }
--- a/src/cluster/membership/swim.rs
+++ b/src/cluster/membership/swim.rs
@@ -256,7 +256,7 @@
         self.change_identity(self.own().above(other), out);
     }
 
-    /// Tells that this member leaves on purpose. It answers nobody from now on.
+    /// Announces that this member leaves on purpose. It answers nobody from now on.
     pub fn leave(&mut self, out: &mut Vec<OutgoingMessage>) {
         if std::mem::replace(&mut self.has_left, true) {
             return;
--- a/src/cluster/membership_node.rs
+++ b/src/cluster/membership_node.rs
@@ -84,7 +84,7 @@
         self.join_schedule.schedule_next(self.now, is_alone, &mut self.rng);
     }
 
-    /// Tells people which members changed their state since they were told last.
+    /// Notifies people of members whose state changed since the last notification.
     fn notify_member_changes(&mut self, out: &mut Vec<Effect>) {
         let records = self.swim.records();
         for (name, record) in records {
--- a/src/cluster/node.rs
+++ b/src/cluster/node.rs
@@ -25,7 +25,7 @@
     /// What stands for the cluster's name in datagrams.
     pub(super) cluster_tag: u32,
     pub(super) rng: fastrand::Rng,
-    /// The latest time that this node was told.
+    /// The latest time that was passed in.
     pub(super) now: Micros,
     pub(super) traffic: TrafficCounters,
     pub(super) swim: Swim,
@@ -40,7 +40,7 @@
     pub(super) left: bool,
     /// How often it still has to repeat that.
     pub(super) leave_repeats: u32,
-    /// The members' states as people were told them last.
+    /// The members' states as they were last notified.
     pub(super) notified_states: BTreeMap<Rc<str>, MemberState>,
     /// The seats, where the settings name them.
     pub(super) quota_leases: Option<QuotaLeases>,
--- a/src/cluster/quota_lease/agreement.rs
+++ b/src/cluster/quota_lease/agreement.rs
@@ -11,13 +11,13 @@
 pub enum Agreement {
     /// More than half of all seats, and as many as are held, state the same view.
     Agreed,
-    /// More than half are heard, and not all state the same yet.
+    /// More than half report, and not all state the same yet.
     Converging,
-    /// More than half are heard, and a fifth or more is down: dead, or cut off.
+    /// More than half report, and a fifth or more is down: dead, or cut off.
     Majority,
-    /// Fewer than half are heard.
+    /// Fewer than half report.
     Minority,
-    /// Exactly half are heard.
+    /// Exactly half report.
     Even,
 }
 
@@ -31,7 +31,7 @@
     /// Seats whose gateways are down.
     pub down: usize,
     /// Seats whose statements still count.
-    pub heard: usize,
+    pub reporting: usize,
     /// Seats that state exactly this member's view.
     pub stating_own_view: usize,
     /// Seats that this member's view states to be held.
@@ -42,9 +42,9 @@
     /// The agreement that these counts show.
     pub fn agreement(&self) -> Agreement {
         let expected = self.total - self.left;
-        if self.heard * 2 < expected {
+        if self.reporting * 2 < expected {
             Agreement::Minority
-        } else if self.heard * 2 == expected {
+        } else if self.reporting * 2 == expected {
             Agreement::Even
         } else if self.down * MISSING_PART >= expected {
             Agreement::Majority
--- a/src/cluster/quota_lease/mod.rs
+++ b/src/cluster/quota_lease/mod.rs
@@ -170,7 +170,7 @@
             total: self.seat_numbers.len(),
             left: count(MemberState::Left),
             down: count(MemberState::Down),
-            heard: self.gossip.seats_heard(now),
+            reporting: self.gossip.seats_reporting(now),
             stating_own_view: self.gossip.seats_stating(view.digest(), now),
             held: view.held_seats(),
         }
--- a/src/cluster/quota_lease/view_gossip.rs
+++ b/src/cluster/quota_lease/view_gossip.rs
@@ -108,7 +108,7 @@
     }
 
     /// How many seats' statements still count.
-    pub fn seats_heard(&self, now: Micros) -> usize {
+    pub fn seats_reporting(&self, now: Micros) -> usize {
         self.current(now).count()
     }
 
--- a/src/cluster/quota_lease/view_gossip/tests.rs
+++ b/src/cluster/quota_lease/view_gossip/tests.rs
@@ -19,5 +19,5 @@
     // An entry that points at no view, and one older than the clock, say nothing.
     let mut gossip = ViewGossip::new(3);
     assert!(gossip.merge(&Table { entries: vec![0xff, 0x90, 0x0e], ..good }, Micros(1), 0));
-    assert_eq!(gossip.seats_heard(Micros(2)), 0);
+    assert_eq!(gossip.seats_reporting(Micros(2)), 0);
 }
--- a/src/cluster/quota_lease_node.rs
+++ b/src/cluster/quota_lease_node.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 impl ClusterNode {
-    /// Brings the statements up to date, tells the shares that follow, and asks another member for its table.
+    /// Brings the statements up to date, reports the shares that follow, and asks another member for its table.
     pub(super) fn tick_quota_leases(&mut self, out: &mut Vec<Effect>) {
         let Some(leases) = self.quota_leases.as_mut() else { return };
         let own_incarnation = self.swim.own().incarnation;
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -92,20 +92,20 @@
     }
 }
 
-/// How many seats state exactly this view, are heard at all, and exist. In JSON an array of the three.
+/// How many seats state exactly this view, state anything, and exist. In JSON an array of the three.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ViewSupport {
     /// Seats that state exactly this view.
     pub stating: usize,
-    /// Seats that are heard.
-    pub heard: usize,
+    /// Seats whose statements, whatever they are, still count.
+    pub reporting: usize,
     /// All seats.
     pub total: usize,
 }
 
 impl Serialize for ViewSupport {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        (self.stating, self.heard, self.total).serialize(serializer)
+        (self.stating, self.reporting, self.total).serialize(serializer)
     }
 }
 
@@ -139,7 +139,7 @@
             agreement: status.agreement,
             support: ViewSupport {
                 stating: counts.stating_own_view,
-                heard: counts.heard,
+                reporting: counts.reporting,
                 total: counts.total,
             },
             share_for_ms: milliseconds(status.shares.until - now),
--- a/src/proxy/cluster_transport/gauges.rs
+++ b/src/proxy/cluster_transport/gauges.rs
@@ -27,7 +27,7 @@
         if let Some(view) = &report.view {
             line("view.number", view.number);
             line("view.holding", view.support.stating as u64);
-            line("view.heard", view.support.heard as u64);
+            line("view.heard", view.support.reporting as u64);
             line("view.agreed", u64::from(view.agreement == Agreement::Agreed));
             line("share.for_ms", view.share_for_ms);
             line("share.away", view.free_seats.len() as u64);
