--- a/src/bin/quota-gateway-simulator.rs
+++ b/src/bin/quota-gateway-simulator.rs
@@ -1,7 +1,7 @@
 //! The decisions on the simulator's wire: batches on standard input, replies on standard output.
 #![forbid(unsafe_code)]
 
-use quota_gateway::simulator::wire::Host;
+use quota_gateway::simulator::Host;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
--- a/src/proxy/control_plane/config.rs
+++ b/src/proxy/control_plane/config.rs
@@ -210,7 +210,7 @@
         flatten("", &document.settings, &mut names);
         let pairs = names.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
         let fields = Fields { place: "settings".into(), message: "settings", pairs };
-        let plain = |e: crate::site_settings::FieldError| ConfigError(e.0);
+        let plain = |e: crate::site_settings::FieldError| ConfigError(e.to_string());
         let site = Site::read(&fields).map_err(plain)?;
         site.settings.check()?;
         let span = |name, default| {
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -11,7 +11,7 @@
                 let _ = reply.send(counts);
             }
             AdminCommand::SetMaintenance { endpoint: id, in_maintenance: out, relayed, reply: done } => {
-                let server = self.site.seen(&id);
+                let server = self.site.known_endpoint_id(&id);
                 let server =
                     server.filter(|s| self.backends.contains_key(s) || self.gateway.is_in_maintenance(*s));
                 if let Some(server) = server {
@@ -78,7 +78,7 @@
         }
         let mut entries = Vec::with_capacity(list.endpoints.len());
         for member in list.endpoints {
-            let server = self.site.server(&member.name);
+            let server = self.site.endpoint_id(&member.name);
             let listed = member.status;
             let before = self.listed.get(&server).map(|member| member.status);
             if before != Some(member.status) {
--- a/src/proxy/upstream/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -8,7 +8,7 @@
 use crate::proxy::memory_budget::MemoryBudget;
 use crate::proxy::upstream::connection::{CallError, Connection, MAX_BODY};
 use crate::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
-use crate::site_settings::note;
+use crate::site_settings::set_load_figure;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
@@ -357,7 +357,9 @@
     let mut whole = true;
     for pair in text.split(',') {
         match pair.trim().split_once('=').map(|(name, value)| (name, value.parse::<f64>())) {
-            Some((name, Ok(value))) if value.is_finite() && value >= 0.0 => note(&mut report, name, value),
+            Some((name, Ok(value))) if value.is_finite() && value >= 0.0 => {
+                set_load_figure(&mut report, name, value)
+            }
             _ => whole = false,
         }
     }
--- /dev/null
+++ b/src/site_settings/mod.rs
@@ -0,0 +1,14 @@
+//! The settings of a site by their dotted names. The simulator's adapter and the proxy both read them here: one finds
+//! them on a line, the other flattens its JSON to the same form.
+
+mod fields;
+mod json;
+mod keys;
+mod load_figures;
+mod site;
+
+pub use fields::FieldError;
+pub(crate) use fields::{Fields, Result};
+pub(crate) use json::flatten;
+pub(crate) use load_figures::set_load_figure;
+pub(crate) use site::Site;
--- a/tests/decision_fixtures/simulator.rs
+++ b/tests/decision_fixtures/simulator.rs
@@ -4,7 +4,7 @@
     AttemptLine, EndpointLine, How, LoadLine, Model, Response, Scenario, Scope, Status, Stimulus, CLASSES,
     PLANS, TICK,
 };
-use quota_gateway::simulator::wire::Host;
+use quota_gateway::simulator::Host;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,5 +1,5 @@
 //! The adapter on good and bad text.
-use quota_gateway::simulator::wire::Host;
+use quota_gateway::simulator::Host;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -14,9 +14,9 @@
     let mut host = Host::default();
     let mut replies = Vec::new();
     for line in text.lines() {
-        replies.extend(host.line(line).map_err(|e| e.0)?);
+        replies.extend(host.line(line).map_err(|e| e.to_string())?);
     }
-    host.finish().map_err(|e| e.0)?;
+    host.finish().map_err(|e| e.to_string())?;
     Ok(replies)
 }
 
