--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// Classes: 0 safe, 1 keyed by cell, 2 unsafe, 3 keyed by all. Plans: 0 ten units a second and twenty at
-/// once, 1 the same under a ceiling twice as high, 2 two attempts out at once, 3 no quota.
+/// Classes: 0 idempotent, 1 with a key for its cell, 2 not idempotent, 3 with a key for all. Plans: 0 ten units a second and twenty at
+/// once, 1 the same under a ceiling twice as high, 2 two attempts in flight at once, 3 no quota.
 pub fn settings() -> Settings {
     let ceiling =
         Plan { ceiling_rate: 20.0, ceiling_burst: 40.0, ceiling_overdraft: 4.0, ..plan(10.0, 20.0) };
@@ -74,27 +74,33 @@
     }
 }
 
-pub struct Rig {
+pub struct GatewayHarness {
     pub gateway: Gateway,
     pub now: u64,
-    pub done: Vec<Action>,
-    pub next: u64,
+    pub all_actions: Vec<Action>,
+    pub next_request: u64,
     timers: Vec<(u64, TimerId)>,
 }
 
-impl Rig {
-    pub fn new(settings: Settings, servers: u32) -> Rig {
-        Rig::seeded(7, settings, servers)
+impl GatewayHarness {
+    pub fn new(settings: Settings, endpoints: u32) -> GatewayHarness {
+        GatewayHarness::seeded(7, settings, endpoints)
     }
-    pub fn seeded(seed: u64, settings: Settings, servers: u32) -> Rig {
+    pub fn seeded(seed: u64, settings: Settings, endpoints: u32) -> GatewayHarness {
         let gateway = Gateway::new(seed, settings).expect("sound settings");
-        let mut rig = Rig { gateway, now: 1_000 * S, done: Vec::new(), next: 1, timers: Vec::new() };
-        let entries = (0..servers).map(|i| entry(i, EndpointStatus::InService, None)).collect();
-        rig.tell(Event::EndpointsChanged { scope: WatchScope::Complete, endpoints: entries });
-        rig
+        let mut harness = GatewayHarness {
+            gateway,
+            now: 1_000 * S,
+            all_actions: Vec::new(),
+            next_request: 1,
+            timers: Vec::new(),
+        };
+        let entries = (0..endpoints).map(|i| endpoint_update(i, EndpointStatus::InService, None)).collect();
+        harness.handle(Event::EndpointsChanged { scope: WatchScope::Complete, endpoints: entries });
+        harness
     }
-    /// Tells one event and returns what it led to.
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    /// Handles one event and returns what it led to.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.gateway.handle(Micros(self.now), event, &mut out);
         for action in &out {
@@ -102,16 +108,16 @@
                 self.timers.push((self.now + after.0, *id));
             }
         }
-        self.done.extend(out.iter().cloned());
+        self.all_actions.extend(out.iter().cloned());
         out
     }
-    /// Lets time pass, ringing timers as they come due, and returns what they led to.
-    pub fn pass(&mut self, span: u64) -> Vec<Action> {
+    /// Lets time pass, firing timers as they come due, and returns what they led to.
+    pub fn advance(&mut self, span: u64) -> Vec<Action> {
         let (end, mut led) = (self.now + span, Vec::new());
         while let Some(&(at, id)) = self.timers.iter().filter(|t| t.0 <= end).min_by_key(|t| t.0) {
             self.timers.retain(|t| t.1 != id);
             self.now = self.now.max(at);
-            led.extend(self.tell(Event::TimerFired { timer: id }));
+            led.extend(self.handle(Event::TimerFired { timer: id }));
         }
         self.now = end;
         led
@@ -123,8 +129,8 @@
         customer: u64,
         units: f64,
     ) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next);
-        self.next += 1;
+        let id = RequestId(self.next_request);
+        self.next_request += 1;
         let deadline = Micros(self.now + 3 * S);
         let (class, plan, customer) = (ClassId(class), PlanId(plan), CustomerId(customer));
         let arrival = Arrival {
@@ -140,18 +146,18 @@
             streaming_body: false,
             ..Arrival::default()
         };
-        (id, self.tell(Event::RequestArrived(arrival)))
+        (id, self.handle(Event::RequestArrived(arrival)))
     }
-    /// A request without quota, sent on at once; returns where it went.
-    pub fn sent(&mut self, class: usize) -> (RequestId, EndpointId) {
+    /// A request without quota, forwarded at once; returns where it went.
+    pub fn send_without_quota(&mut self, class: usize) -> (RequestId, EndpointId) {
         let (id, out) = self.request(class, 3, 1, 1.0);
-        (id, sends(&out).first().expect("it is sent on").1)
+        (id, sent_attempts(&out).first().expect("it is forwarded").1)
     }
-    pub fn ended(
+    pub fn end_attempt(
         &mut self,
         id: RequestId,
         attempt: usize,
-        server: EndpointId,
+        endpoint: EndpointId,
         outcome: Outcome,
     ) -> Vec<Action> {
         let (took, ended) = (Micros(50 * MS), outcome == Outcome::Success);
@@ -159,18 +165,18 @@
         let end = AttemptEnded {
             request: id,
             attempt,
-            endpoint: server,
+            endpoint,
             outcome,
             elapsed: took,
             request_finished: ended,
             settled_units: None,
             load: report,
         };
-        self.tell(Event::AttemptEnded(end))
+        self.handle(Event::AttemptEnded(end))
     }
 }
 
-pub fn entry(i: u32, listed: EndpointStatus, started: Option<u64>) -> EndpointUpdate {
+pub fn endpoint_update(i: u32, listed: EndpointStatus, started: Option<u64>) -> EndpointUpdate {
     EndpointUpdate {
         endpoint: EndpointId(u64::from(i)),
         zone: ZoneId(0),
@@ -182,7 +188,7 @@
     }
 }
 
-pub fn counts(out: &[Action]) -> Vec<(CounterKey, f64)> {
+pub fn counter_calls(out: &[Action]) -> Vec<(CounterKey, f64)> {
     out.iter()
         .filter_map(|a| {
             if let Action::IncrementCounter { key: n, amount: x, .. } = a {
@@ -193,11 +199,11 @@
         })
         .collect()
 }
-/// The count calls that add or take off.
-pub fn adds(out: &[Action]) -> Vec<(CounterKey, f64)> {
-    counts(out).into_iter().filter(|(_, x)| *x != 0.0).collect()
+/// The counter calls whose amount is not zero.
+pub fn nonzero_counter_calls(out: &[Action]) -> Vec<(CounterKey, f64)> {
+    counter_calls(out).into_iter().filter(|(_, x)| *x != 0.0).collect()
 }
-pub fn sends(out: &[Action]) -> Vec<(RequestId, EndpointId)> {
+pub fn sent_attempts(out: &[Action]) -> Vec<(RequestId, EndpointId)> {
     out.iter()
         .filter_map(|a| {
             if let Action::SendAttempt { request: r, endpoint: s, .. } = a {
@@ -208,9 +214,9 @@
         })
         .collect()
 }
-pub fn refused(out: &[Action], id: RequestId) -> bool {
+pub fn is_rejected(out: &[Action], id: RequestId) -> bool {
     out.iter().any(|a| matches!(a, Action::Reject { request: r, .. } if *r == id))
 }
-pub fn failed(out: &[Action], id: RequestId) -> bool {
+pub fn is_failed(out: &[Action], id: RequestId) -> bool {
     out.iter().any(|a| matches!(a, Action::Fail { request: r, .. } if *r == id))
 }
--- a/tests/fleet_size.rs
+++ b/tests/endpoint_count.rs
@@ -1,7 +1,7 @@
-//! The same traffic and capacity for each gateway, with few large servers and with sixteen times as many small ones: what
-//! is served must not fall with the number of servers.
+//! The same traffic and capacity for each gateway, with few large endpoints and with sixteen times as many small ones: what
+//! is served must not fall with the number of endpoints.
 mod common;
-use common::*;
+use common::{settings, GatewayHarness, MS, S};
 use quota_gateway::decision::{
     Action, AttemptEnded, EndpointId, Event, LoadReport, Micros, Outcome, RequestId, Settings, TimerId,
 };
@@ -15,11 +15,11 @@
 const WORK: f64 = 400.0 * MS as f64;
 /// An answer within this is in time.
 const AIM: u64 = 2400 * MS;
-/// The part of all servers' capacity that the traffic takes.
+/// The part of all endpoints' capacity that the traffic takes.
 const LOAD: f64 = 0.7;
-/// Requests that may wait at a server for each one in work.
+/// Requests that may wait at a endpoint for each one in work.
 const QUEUE: usize = 8;
-/// What is served with many small servers, at the least: few large ones are no measure where they are served badly.
+/// What is served with many small endpoints, at the least: few large ones are no measure where they are served badly.
 const LEAST_SERVED: f64 = 0.85;
 const WARM_UP: u64 = 5 * S;
 const END: u64 = 25 * S;
@@ -34,13 +34,13 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Happening {
     Arrival(usize),
-    Done { gateway: usize, id: RequestId, server: usize, sent: u64 },
-    Turned { gateway: usize, id: RequestId, server: usize },
+    Done { gateway: usize, id: RequestId, endpoint: usize, sent: u64 },
+    Turned { gateway: usize, id: RequestId, endpoint: usize },
     Timer(usize, TimerId),
 }
 
 struct Play {
-    rigs: Vec<Rig>,
+    rigs: Vec<GatewayHarness>,
     machines: Vec<Machine>,
     agenda: BinaryHeap<Reverse<(u64, u64, Happening)>>,
     serial: u64,
@@ -56,19 +56,19 @@
 impl Play {
     fn new(slots: usize, seed: u64) -> Play {
         let busy = f64::from(GATEWAYS) * TRAFFIC * WORK / S as f64;
-        let servers = (busy / LOAD / slots as f64).ceil() as usize;
+        let endpoints = (busy / LOAD / slots as f64).ceil() as usize;
         let gateway = |me: u32| {
             let mut set =
                 Settings { gateways: GATEWAYS, gateway_number: me, max_request_units: 1.0, ..settings() };
             set.classes[0].latency_objective = Micros(AIM);
-            Rig::seeded(seed << 16 | u64::from(me), set, servers as u32)
+            GatewayHarness::seeded(seed << 16 | u64::from(me), set, endpoints as u32)
         };
-        let rigs: Vec<Rig> = (0..GATEWAYS).map(gateway).collect();
+        let rigs: Vec<GatewayHarness> = (0..GATEWAYS).map(gateway).collect();
         let machine = || Machine { slots, busy: 0, waiting: VecDeque::new() };
         let epoch = rigs[0].now;
         let mut play = Play {
             rigs,
-            machines: (0..servers).map(|_| machine()).collect(),
+            machines: (0..endpoints).map(|_| machine()).collect(),
             agenda: BinaryHeap::new(),
             serial: 0,
             rng: fastrand::Rng::with_seed(seed),
@@ -93,24 +93,24 @@
         let after = self.exponential(S as f64 / TRAFFIC);
         self.at(self.clock + after, Happening::Arrival(gateway));
     }
-    fn begin(&mut self, server: usize, gateway: usize, id: RequestId, sent: u64) {
-        self.machines[server].busy += 1;
+    fn begin(&mut self, endpoint: usize, gateway: usize, id: RequestId, sent: u64) {
+        self.machines[endpoint].busy += 1;
         let work = self.exponential(WORK);
-        self.at(self.clock + work, Happening::Done { gateway, id, server, sent });
+        self.at(self.clock + work, Happening::Done { gateway, id, endpoint, sent });
     }
     fn carry_out(&mut self, gateway: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::SendAttempt { request: id, endpoint: server, .. } => {
+                Action::SendAttempt { request: id, endpoint, .. } => {
                     *self.attempts.entry((gateway, id)).or_insert(0) += 1;
-                    let server = server.0 as usize;
-                    let machine = &mut self.machines[server];
+                    let endpoint = endpoint.0 as usize;
+                    let machine = &mut self.machines[endpoint];
                     if machine.busy < machine.slots {
-                        self.begin(server, gateway, id, self.clock);
+                        self.begin(endpoint, gateway, id, self.clock);
                     } else if machine.waiting.len() < machine.slots * QUEUE {
                         machine.waiting.push_back((gateway, id, self.clock));
                     } else {
-                        self.at(self.clock + MS, Happening::Turned { gateway, id, server });
+                        self.at(self.clock + MS, Happening::Turned { gateway, id, endpoint });
                     }
                 }
                 Action::SetTimer { timer: id, after } => {
@@ -121,22 +121,22 @@
         }
     }
     fn tell(&mut self, gateway: usize, event: Event) {
-        let rig = &mut self.rigs[gateway];
-        rig.now = self.epoch + self.clock;
+        let harness = &mut self.rigs[gateway];
+        harness.now = self.epoch + self.clock;
         let mut out = Vec::new();
-        rig.gateway.handle(Micros(rig.now), event, &mut out);
+        harness.gateway.handle(Micros(harness.now), event, &mut out);
         self.carry_out(gateway, out);
     }
-    fn ended(&mut self, gateway: usize, id: RequestId, server: usize, outcome: Outcome, took: u64) {
-        let held = self.machines[server].busy + self.machines[server].waiting.len();
+    fn ended(&mut self, gateway: usize, id: RequestId, endpoint: usize, outcome: Outcome, took: u64) {
+        let held = self.machines[endpoint].busy + self.machines[endpoint].waiting.len();
         let report = LoadReport { in_flight: Some(held as f64), ..LoadReport::default() };
         let attempt = self.attempts.get(&(gateway, id)).map_or(0, |n| n - 1);
         let ended = outcome == Outcome::Success;
-        let server = EndpointId(server as u64);
+        let endpoint = EndpointId(endpoint as u64);
         let end = AttemptEnded {
             request: id,
             attempt,
-            endpoint: server,
+            endpoint,
             outcome,
             elapsed: Micros(took),
             request_finished: ended,
@@ -145,16 +145,16 @@
         };
         self.tell(gateway, Event::AttemptEnded(end));
     }
-    /// The part of the requests that is answered within the aim.
+    /// The part of the requests that is answered within the latency objective.
     fn served(mut self) -> f64 {
         while let Some(Reverse((at, _, what))) = self.agenda.pop().filter(|next| next.0 .0 < END) {
             self.clock = at;
             match what {
                 Happening::Arrival(gateway) => {
                     self.expect_arrival(gateway);
-                    let rig = &mut self.rigs[gateway];
-                    rig.now = self.epoch + self.clock;
-                    let (id, out) = rig.request(0, 3, 1, 1.0);
+                    let harness = &mut self.rigs[gateway];
+                    harness.now = self.epoch + self.clock;
+                    let (id, out) = harness.request(0, 3, 1, 1.0);
                     if at >= WARM_UP {
                         self.taken += 1;
                         self.arrived.insert((gateway, id), at);
@@ -162,17 +162,17 @@
                     self.carry_out(gateway, out);
                 }
                 Happening::Timer(gateway, id) => self.tell(gateway, Event::TimerFired { timer: id }),
-                Happening::Turned { gateway, id, server } => {
-                    self.ended(gateway, id, server, Outcome::Rejected, MS)
+                Happening::Turned { gateway, id, endpoint } => {
+                    self.ended(gateway, id, endpoint, Outcome::Rejected, MS)
                 }
-                Happening::Done { gateway, id, server, sent } => {
-                    self.machines[server].busy -= 1;
-                    if let Some((other, next, sent)) = self.machines[server].waiting.pop_front() {
-                        self.begin(server, other, next, sent);
+                Happening::Done { gateway, id, endpoint, sent } => {
+                    self.machines[endpoint].busy -= 1;
+                    if let Some((other, next, sent)) = self.machines[endpoint].waiting.pop_front() {
+                        self.begin(endpoint, other, next, sent);
                     }
                     let came = self.arrived.remove(&(gateway, id));
                     self.in_time += usize::from(came.is_some_and(|came| at - came <= AIM));
-                    self.ended(gateway, id, server, Outcome::Success, at - sent);
+                    self.ended(gateway, id, endpoint, Outcome::Success, at - sent);
                 }
             }
         }
@@ -181,11 +181,11 @@
 }
 
 #[test]
-fn what_is_served_does_not_fall_with_the_number_of_servers() {
+fn served_fraction_does_not_fall_with_the_number_of_endpoints() {
     for seed in 1..=3 {
         let [few, many] = [16, 1].map(|slots| Play::new(slots, seed).served());
-        println!("seed {seed}: {few:.3} with few servers, {many:.3} with many");
-        assert!(many >= 0.85 * few, "seed {seed}: {many:.3} with many servers, {few:.3} with few");
-        assert!(many >= LEAST_SERVED, "seed {seed}: {many:.3} with many servers");
+        println!("seed {seed}: {few:.3} with few endpoints, {many:.3} with many");
+        assert!(many >= 0.85 * few, "seed {seed}: {many:.3} with many endpoints, {few:.3} with few");
+        assert!(many >= LEAST_SERVED, "seed {seed}: {many:.3} with many endpoints");
     }
 }
--- a/tests/lent.rs
+++ b/tests/quota_lease.rs
@@ -1,4 +1,4 @@
-//! Shares that follow the living: what the gateways let on by themselves, together, while the counter is down.
+//! Quota leases: what the gateways admit together by their local buckets while the counter is down.
 
 use quota_gateway::decision::Gateway;
 use quota_gateway::decision::{
@@ -56,17 +56,13 @@
         started_at: None,
         label: LabelId::default(),
     };
-    let servers = (0..20).map(entry).collect();
-    new.handle(
-        SECOND,
-        Event::EndpointsChanged { scope: WatchScope::Complete, endpoints: servers },
-        &mut Vec::new(),
-    );
+    let endpoints = (0..20).map(entry).collect();
+    new.handle(SECOND, Event::EndpointsChanged { scope: WatchScope::Complete, endpoints }, &mut Vec::new());
     new
 }
 
 /// Offers far more than the quota for so many seconds; every call to the counter fails, every attempt is answered
-/// at once. Returns the units sent on.
+/// at once. Returns the units forwarded.
 fn play(gateway: &mut Gateway, from: Micros, seconds: u64, spread: u32, serial: &mut u64) -> f64 {
     let (mut sent, mut out) = (0.0, Vec::new());
     for step in 0..seconds * 50 {
@@ -85,12 +81,12 @@
                         outcome: Outcome::Rejected,
                         total: 0.0,
                     }),
-                    Action::SendAttempt { request: id, endpoint: server, .. } => {
+                    Action::SendAttempt { request: id, endpoint, .. } => {
                         sent += 1.0;
                         events.push(Event::AttemptEnded(AttemptEnded {
                             request: id,
                             attempt: 0,
-                            endpoint: server,
+                            endpoint,
                             outcome: Outcome::Success,
                             elapsed: Micros(1_000),
                             request_finished: true,
@@ -106,7 +102,7 @@
     sent
 }
 
-/// What all gateways send on in 40 s, a minute after the outage began, in parts of the quota.
+/// What all gateways forward in 40 s, a minute after the outage began, in parts of the quota.
 fn parts(lent: impl Fn(u32) -> Option<QuotaLease>, who: &[u32], spread: u32) -> f64 {
     let mut sum = 0.0;
     for &me in who {
@@ -125,7 +121,7 @@
 }
 
 #[test]
-fn the_living_use_what_the_dead_lend_and_all_together_never_more_than_the_quota() {
+fn present_gateways_use_leased_shares_and_all_together_never_more_than_the_quota() {
     let whole = |away: &[u32]| QuotaLease {
         fraction: 1.0,
         valid_until: Micros(u64::MAX),
@@ -133,15 +129,15 @@
     };
     let alone = || QuotaLease { fraction: 1.0, ..QuotaLease::default() };
     let near = |found: f64, wanted: f64| assert!((found - wanted).abs() < 0.03, "{found}, not {wanted}");
-    // One of four is dead: fixed shares leave a quarter of the quota unused, of which half can be lent, as the
+    // One of four is absent: fixed shares leave a quarter of the quota unused, of which half can be leased, as the
     // other half of a share goes by what each was seen to carry.
     near(parts(|_| None, &[0, 1, 2], 4), 0.75);
     near(parts(|_| Some(whole(&[3])), &[0, 1, 2], 4), 0.875);
-    // It lives, cut off, and knows it: the sum stays at one.
+    // It runs, cut off, and knows it: the sum stays at one.
     near(parts(|me| Some(if me == 3 { alone() } else { whole(&[3]) }), &[0, 1, 2, 3], 4), 1.0);
-    // A customer that does not come through the dead one has nothing to be lent.
+    // A customer that does not come through the absent one has nothing to be leased.
     near(parts(|_| Some(whole(&[3])), &[0, 1], 2), 1.0);
-    // A share that ran out is not used on.
+    // A lease that ran out is not used any more.
     let over =
         |_| Some(QuotaLease { fraction: 1.0, valid_until: Micros(30_000_000), absent_gateways: vec![3] });
     near(parts(over, &[0, 1, 2], 4), 0.375);
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,6 +1,6 @@
-//! Rules of routing weigh what may be chosen anyway: they change nothing where nobody has them, and allow nothing.
+//! Routing rules weigh what may be chosen anyway: they change nothing where nobody has them, and allow nothing.
 mod common;
-use common::*;
+use common::{endpoint_update, sent_attempts, settings, GatewayHarness, MS, S};
 use quota_gateway::decision::has_canary_rules;
 use quota_gateway::decision::{
     Action, ClassId, CustomerId, EndpointId, EndpointStatus, Event, LabelId, Outcome, PlanId, RequestId,
@@ -29,15 +29,15 @@
     (0..rng.usize(1..5)).map(|_| random_route(rng)).collect()
 }
 
-/// A life of a gateway: requests, ends, news of servers, time. Returns all that it did, and what it sent by request.
+/// A run of a gateway: requests, ends of attempts, endpoint lists, time. Returns all that it did, and what it sent by request.
 fn life(seed: u64, routing: Option<RoutingRules>) -> (Vec<Action>, BTreeMap<RequestId, usize>) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut rig = Rig::seeded(seed, settings(), 0);
+    let mut harness = GatewayHarness::seeded(seed, settings(), 0);
     let mut listed: BTreeMap<u32, (EndpointStatus, u64)> = BTreeMap::new();
-    routing.into_iter().for_each(|routing| drop(rig.tell(Event::RoutingChanged(routing))));
+    routing.into_iter().for_each(|routing| drop(harness.handle(Event::RoutingChanged(routing))));
     let (mut out, mut tries) = (Vec::new(), BTreeMap::new());
     for _ in 0..300 {
-        let before = rig.done.len();
+        let before = harness.all_actions.len();
         match rng.usize(0..10) {
             0 => {
                 let i = rng.u32(0..8);
@@ -47,35 +47,42 @@
                     EndpointStatus::Draining,
                     EndpointStatus::Removed,
                 ][rng.usize(0..4)];
-                let started = rng.bool().then_some(rig.now);
-                let mut line = entry(i, state, started);
+                let started = rng.bool().then_some(harness.now);
+                let mut line = endpoint_update(i, state, started);
                 (line.zone, line.label) = (ZoneId(i % 3), LabelId(i % 2));
-                listed.insert(i, (state, rig.now));
-                rig.tell(Event::EndpointsChanged { scope: WatchScope::Incremental, endpoints: vec![line] });
+                listed.insert(i, (state, harness.now));
+                harness.handle(Event::EndpointsChanged {
+                    scope: WatchScope::Incremental,
+                    endpoints: vec![line],
+                });
             }
-            1..=4 => drop(rig.request(rng.usize(0..4), 3, rng.u64(0..40), 1.0)),
+            1..=4 => drop(harness.request(rng.usize(0..4), 3, rng.u64(0..40), 1.0)),
             5..=7 if !out.is_empty() => {
-                let (id, attempt, server): (RequestId, usize, EndpointId) =
+                let (id, attempt, endpoint): (RequestId, usize, EndpointId) =
                     out.swap_remove(rng.usize(0..out.len()));
                 let outcome = [Outcome::Success, Outcome::ServerError, Outcome::Rejected, Outcome::Timeout]
                     [rng.usize(0..4)];
-                rig.ended(id, attempt, server, outcome);
+                harness.end_attempt(id, attempt, endpoint, outcome);
             }
-            _ => drop(rig.pass(rng.u64(1..300) * MS)),
+            _ => drop(harness.advance(rng.u64(1..300) * MS)),
         }
-        for (id, server) in sends(&rig.done[before..]) {
-            let state = listed.get(&(server.0 as u32)).map(|(state, _)| *state);
-            assert_eq!(state, Some(EndpointStatus::InService), "seed {seed}: sent to what takes no work");
+        for (id, endpoint) in sent_attempts(&harness.all_actions[before..]) {
+            let state = listed.get(&(endpoint.0 as u32)).map(|(state, _)| *state);
+            assert_eq!(
+                state,
+                Some(EndpointStatus::InService),
+                "seed {seed}: sent to an endpoint that takes no work"
+            );
             let nth = tries.entry(id).or_insert(0);
-            out.push((id, *nth, server));
+            out.push((id, *nth, endpoint));
             *nth += 1;
         }
     }
-    (rig.done, tries)
+    (harness.all_actions, tries)
 }
 
 #[test]
-fn rules_that_nobody_has_change_nothing() {
+fn rules_without_customers_change_nothing() {
     for seed in 0..60 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let unused =
@@ -85,7 +92,7 @@
 }
 
 #[test]
-fn whatever_the_rules_no_guard_gives_way() {
+fn no_routing_rule_overrides_a_guard() {
     let (mut fewer, mut other) = (0, 0);
     for seed in 0..120 {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -95,37 +102,40 @@
         let (plain, _) = life(seed, None);
         let (done, tries) = life(seed, Some(routing));
         assert!(tries.values().all(|n| *n <= settings().max_attempts), "seed {seed}: {tries:?}");
-        fewer += usize::from(sends(&done).len() < sends(&plain).len());
+        fewer += usize::from(sent_attempts(&done).len() < sent_attempts(&plain).len());
         other += usize::from(done != plain);
     }
     assert!(other > 60 && fewer > 6, "the rules did something: {other}, {fewer}");
 }
 
 #[test]
-fn a_rule_weighs_by_label_and_bounds_attempts() {
-    let mut rig = Rig::new(settings(), 0);
+fn rule_weighs_by_label_and_bounds_attempts() {
+    let mut harness = GatewayHarness::new(settings(), 0);
     let lines = (0..8).map(|i| {
-        let mut line = entry(i, EndpointStatus::InService, None);
+        let mut line = endpoint_update(i, EndpointStatus::InService, None);
         line.label = LabelId(i % 2);
         line
     });
-    rig.tell(Event::EndpointsChanged { scope: WatchScope::Complete, endpoints: lines.collect() });
+    harness.handle(Event::EndpointsChanged { scope: WatchScope::Complete, endpoints: lines.collect() });
     let route =
         RouteRule { label_weights: vec![(LabelId(1), 0.05)], max_attempts: Some(1), ..RouteRule::default() };
-    rig.tell(Event::RoutingChanged(RoutingRules {
+    harness.handle(Event::RoutingChanged(RoutingRules {
         baseline: vec![Rc::new(route)],
         ..RoutingRules::default()
     }));
     for _ in 0..40 {
-        let (id, server) = rig.sent(0);
-        assert_eq!(server.0 % 2, 0, "the other label weighs a twentieth");
-        assert!(sends(&rig.ended(id, 0, server, Outcome::ServerError)).is_empty(), "one attempt");
-        rig.pass(2 * S);
+        let (id, endpoint) = harness.send_without_quota(0);
+        assert_eq!(endpoint.0 % 2, 0, "the other label weighs a twentieth");
+        assert!(
+            sent_attempts(&harness.end_attempt(id, 0, endpoint, Outcome::ServerError)).is_empty(),
+            "one attempt"
+        );
+        harness.advance(2 * S);
     }
 }
 
 #[test]
-fn customers_are_dealt_out_alike_everywhere_and_stay_as_the_share_grows() {
+fn canary_customers_are_the_same_everywhere_and_stay_as_the_share_grows() {
     let part = |salt: u64, share: u16| RoutingRules { canary_share: share, salt, ..RoutingRules::default() };
     let dealt = |routing: &RoutingRules| -> Vec<bool> {
         (0..20_000).map(|customer| has_canary_rules(routing, CustomerId(customer))).collect()
--- a/tests/wire.rs
+++ b/tests/simulator_wire.rs
@@ -28,12 +28,12 @@
     "KNOCK ref=9 kind=view user_key=91f03b7c55d20a64 doors=2 plan=p drop_dead=3000000 price_units=2";
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply() {
+fn empty_batch_gets_an_empty_reply() {
     assert_eq!(talk("TICK now=5\nFLUSH").unwrap(), ["EOR\n"]);
 }
 
 #[test]
-fn a_request_is_counted_then_routed() {
+fn request_is_counted_then_forwarded() {
     let replies = started(&format!("{KNOCK}\nFLUSH")).unwrap();
     let add =
         replies[0].lines().find(|l| l.starts_with("ADD_AND_GET") && l.contains("amount=2")).expect("an add");
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn after_down_nothing_is_said_for_the_instance() {
+fn stopped_instance_replies_nothing() {
     let replies = started(&format!("{KNOCK}\nDOWN\n{KNOCK}\nFLUSH")).unwrap();
     assert_eq!(replies, ["EOR\n"]);
 }
 
 #[test]
-fn bad_lines_are_named() {
+fn lines_that_make_no_sense_are_named() {
     let cases = [
         ("KNOCK ref=x", "kind"),
         ("KNOCK ref=9 kind=view plan=p user_key=zz price_units=2", "user_key"),
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn the_program_exits_with_one_plain_line() {
+fn program_exits_with_one_line_of_error() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_quota-gateway-simulator"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
