--- a/benches/request_cost.rs
+++ b/benches/request_cost.rs
@@ -2,11 +2,10 @@
 //! `cargo bench --bench request_cost`; the table stands in `docs/decisions/0010-fleet-size.md`.
 
 use divan::Bencher;
-use quota_gateway::decision::Gateway;
 use quota_gateway::decision::{
     Action, Arrival, AttemptEnded, CellId, Class, CustomerId, DeduplicationScope, EndpointId, EndpointStatus,
-    EndpointUpdate, Event, Idempotency, LabelId, LoadReport, Micros, Outcome, Plan, RequestId, Settings,
-    WatchScope, ZoneId,
+    EndpointUpdate, Event, Gateway, Idempotency, LabelId, LoadReport, Micros, Outcome, Plan, RequestId,
+    Settings, WatchScope, ZoneId,
 };
 
 const SIZES: [u32; 4] = [50, 200, 800, 3200];
@@ -55,7 +54,7 @@
     }
 }
 
-fn entries(servers: u32, started: Option<Micros>) -> Vec<EndpointUpdate> {
+fn endpoint_list(endpoints: u32, started: Option<Micros>) -> Vec<EndpointUpdate> {
     let entry = |number: u32| EndpointUpdate {
         endpoint: EndpointId(u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         zone: ZoneId(0),
@@ -65,31 +64,31 @@
         started_at: started.filter(|_| number.is_multiple_of(2)),
         label: LabelId::default(),
     };
-    (0..servers).map(entry).collect()
+    (0..endpoints).map(entry).collect()
 }
 
 /// A gateway, and its clock and next request.
-struct Driven {
+struct GatewayRun {
     gateway: Gateway,
     now: Micros,
     next: u64,
     out: Vec<Action>,
 }
 
-impl Driven {
-    fn new(servers: u32, half_cold: bool) -> Driven {
+impl GatewayRun {
+    fn new(endpoints: u32, half_in_slow_start: bool) -> GatewayRun {
         let now = Micros(1_000 * SECOND);
         let mut gateway = Gateway::new(7, settings()).expect("sound settings");
         let mut out = Vec::new();
-        let list = entries(servers, half_cold.then_some(now));
+        let list = endpoint_list(endpoints, half_in_slow_start.then_some(now));
         gateway.handle(
             now,
             Event::EndpointsChanged { scope: WatchScope::Complete, endpoints: list },
             &mut out,
         );
-        Driven { gateway, now, next: 0, out }
+        GatewayRun { gateway, now, next: 0, out }
     }
-    /// One request and its answer; the clock stands still, so that what is cold stays cold.
+    /// One request and its answer; the clock stands still, so that slow starts do not end.
     fn request(&mut self) {
         self.next += 1;
         let id = RequestId(self.next);
@@ -98,15 +97,15 @@
         let arrival = Arrival { id, customer, deadline, units: 1.0, spread: 2, ..Arrival::default() };
         self.gateway.handle(self.now, Event::RequestArrived(arrival), &mut self.out);
         let sent = self.out.drain(..).find_map(|action| match action {
-            Action::SendAttempt { endpoint: server, .. } => Some(server),
+            Action::SendAttempt { endpoint, .. } => Some(endpoint),
             _ => None,
         });
-        if let Some(server) = sent {
+        if let Some(endpoint) = sent {
             let (outcome, took, report) = (Outcome::Success, Micros(50_000), LoadReport::default());
             let end = AttemptEnded {
                 request: id,
                 attempt: 0,
-                endpoint: server,
+                endpoint,
                 outcome,
                 elapsed: took,
                 request_finished: true,
@@ -120,27 +119,27 @@
 }
 
 #[divan::bench(args = SIZES)]
-fn request_while_none_is_cold(bencher: Bencher, servers: u32) {
-    let mut driven = Driven::new(servers, false);
-    bencher.bench_local(|| driven.request());
+fn request_without_slow_starts(bencher: Bencher, endpoints: u32) {
+    let mut run = GatewayRun::new(endpoints, false);
+    bencher.bench_local(|| run.request());
 }
 
 #[divan::bench(args = SIZES)]
-fn request_while_half_are_cold(bencher: Bencher, servers: u32) {
-    let mut driven = Driven::new(servers, true);
-    bencher.bench_local(|| driven.request());
+fn request_with_half_in_slow_start(bencher: Bencher, endpoints: u32) {
+    let mut run = GatewayRun::new(endpoints, true);
+    bencher.bench_local(|| run.request());
 }
 
 #[divan::bench(args = SIZES)]
-fn whole_list(bencher: Bencher, servers: u32) {
-    let mut driven = Driven::new(servers, false);
-    let now = driven.now;
-    let list = || entries(servers, None);
+fn complete_list(bencher: Bencher, endpoints: u32) {
+    let mut run = GatewayRun::new(endpoints, false);
+    let now = run.now;
+    let list = || endpoint_list(endpoints, None);
     bencher.with_inputs(list).bench_local_values(|list| {
-        driven.gateway.handle(
+        run.gateway.handle(
             now,
             Event::EndpointsChanged { scope: WatchScope::Complete, endpoints: list },
-            &mut driven.out,
+            &mut run.out,
         );
     });
 }
--- a/src/decision/action.rs
+++ b/src/decision/action.rs
@@ -1,10 +1,10 @@
-//! What the decision module asks its caller to do.
+//! The outputs of the decision module.
 
 use super::ids::{CounterKey, EndpointId, RequestId, TimerId};
 use super::time::Micros;
 use strum::{IntoStaticStr, VariantArray};
 
-/// What a gateway does.
+/// What the caller is to do for a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the next attempt of a request.
@@ -20,7 +20,7 @@
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should wait before it retries, where that is told.
+        /// How long the client should wait before it retries, if it is to be informed.
         retry_after: Option<Micros>,
         /// Why.
         reason: RejectionReason,
@@ -59,7 +59,7 @@
     Subscribe,
 }
 
-/// Why a request ends without an endpoint's response. For logs and metrics alone: clients are not told.
+/// Why a request ends without an endpoint's response. For logs and metrics alone: clients do not see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr, VariantArray)]
 pub enum RejectionReason {
     /// Its class or plan is not among the settings'.
--- a/src/decision/admission/concurrency_quota.rs
+++ b/src/decision/admission/concurrency_quota.rs
@@ -16,7 +16,7 @@
         }
     }
 
-    /// How many attempts the counter holds for this gateway beyond those in flight, where it is to be told.
+    /// How many attempts the counter holds for this gateway beyond those in flight, where it is to be corrected.
     pub(crate) fn concurrency_surplus(&self) -> Option<f64> {
         Some(self.epoch.own_total() - self.in_flight).filter(|surplus| *surplus > SURPLUS_TOLERANCE)
     }
--- a/src/decision/admission/local_bucket.rs
+++ b/src/decision/admission/local_bucket.rs
@@ -27,10 +27,10 @@
 impl LeaseView {
     /// Another lease is in force. A share that lapsed or changed may have been less in between.
     pub(crate) fn replace(&mut self, lease: QuotaLease, now: Micros) {
-        let unchanged = self.lease.as_ref().is_some_and(|held| {
-            now < held.valid_until
-                && held.absent_gateways == lease.absent_gateways
-                && held.fraction == lease.fraction
+        let unchanged = self.lease.as_ref().is_some_and(|current| {
+            now < current.valid_until
+                && current.absent_gateways == lease.absent_gateways
+                && current.fraction == lease.fraction
         });
         self.version += u64::from(!unchanged);
         self.lease = Some(lease);
--- a/src/decision/admission/shared_count.rs
+++ b/src/decision/admission/shared_count.rs
@@ -8,7 +8,7 @@
     pub(crate) period: u64,
     /// Own additions that the counter is known to hold.
     pub(crate) own_counted: f64,
-    /// Own spending that the counter has not been told yet.
+    /// Own spending that no call has carried to the counter yet.
     pub(crate) owed: f64,
     /// Own earlier spending that calls in flight carry.
     pub(crate) in_transit: f64,
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -1,4 +1,4 @@
-//! What the decision module is told.
+//! The inputs of the decision module.
 
 use super::endpoint::{EndpointUpdate, LoadReport, WatchScope};
 use super::ids::{ClassId, CounterKey, CustomerId, EndpointId, PlanId, RequestId, TimerId};
@@ -7,7 +7,7 @@
 use super::time::Micros;
 use strum::{IntoStaticStr, VariantArray};
 
-/// What a gateway is told.
+/// What happened, as far as a gateway decides by it.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The endpoint list, or a part of it, has changed.
--- a/src/decision/gateway/counter.rs
+++ b/src/decision/gateway/counter.rs
@@ -21,7 +21,7 @@
         let known = self.customers[&customer_id].window.known_total();
         let is_exhausted = self.quota_left(customer_id, known) < units;
         if is_exhausted && !self.counter.breaker.is_open() && known > 0.0 {
-            // A call could only tell the same.
+            // A call could only confirm it.
             return self.reject(id, RejectionReason::QuotaKnownExhausted);
         }
         if self.counter.draws_call(&mut self.rng, is_retry) && self.try_start_call(customer_id) {
--- a/src/decision/load_balancing/balancer.rs
+++ b/src/decision/load_balancing/balancer.rs
@@ -49,7 +49,7 @@
             self.endpoints.values_mut().for_each(|endpoint| endpoint.status = None);
         }
         let changed: Vec<EndpointId> = updates.iter().map(|update| update.endpoint).collect();
-        for update in updates {
+        for update in &updates {
             self.update_endpoint(context, rng, update);
         }
         match scope {
@@ -58,7 +58,7 @@
         }
     }
 
-    fn update_endpoint(&mut self, context: &Context, rng: &mut fastrand::Rng, update: EndpointUpdate) {
+    fn update_endpoint(&mut self, context: &Context, rng: &mut fastrand::Rng, update: &EndpointUpdate) {
         let (now, settings) = (context.now, &context.settings);
         let endpoint = self.endpoints.entry(update.endpoint).or_insert_with(EndpointState::unknown);
         let warming_since = update.started_at.filter(|&at| now < at + settings.slow_start_window);
--- a/src/decision/load_balancing/outcome.rs
+++ b/src/decision/load_balancing/outcome.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Guards against a restart that the endpoint list has not told yet: connects failed for a while and now the
+    /// Guards against a restart that the endpoint list does not show yet: connects failed for a while and now the
     /// endpoint responds, so it is taken to be in slow start.
     fn note_success(&mut self, id: EndpointId, now: Micros) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,5 +1,4 @@
-//! The decision module: what a gateway is told, what it may do, and every decision in between. No I/O; time is
-//! passed in. `docs/decision-rules.md` leads from the questions of on-call engineers to the functions.
+//! The decision module: events in, actions out, and every decision in between. No I/O; time is passed in. `docs/decision-rules.md` leads from the questions of on-call engineers to the functions.
 //!
 //! - [`Event`], [`Action`], [`Settings`]: the interface.
 //! - `gateway`: dispatches each event to the rules that it concerns.
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told at its start.
+//! The settings of a gateway. Some are only read and checked, and say so: no rule uses them.
 
 use super::ids::ZoneId;
 use super::time::Micros;
@@ -34,7 +34,7 @@
     pub deadline: Micros,
     /// What a request is worth relative to others.
     pub priority_weight: f64,
-    /// The fraction of the weight that a response after the objective earns.
+    /// The fraction of the weight that a response after the objective earns. Only checked.
     pub late_weight_fraction: f64,
     /// Whether it may run again.
     pub idempotency: Idempotency,
@@ -57,19 +57,19 @@
     pub concurrency_quota: f64,
     /// Multiplies the priority weight of the class.
     pub weight_factor: f64,
-    /// Fraction of the weight earned beyond the quota.
+    /// Fraction of the weight earned beyond the quota. Only checked.
     pub overage_weight_fraction: f64,
-    /// Fraction of the weight lost by forwarding beyond the quota.
+    /// Fraction of the weight lost by forwarding beyond the quota. Only checked.
     pub overage_cost_fraction: f64,
     /// Units a second of the hard ceiling; 0: none.
     pub ceiling_rate: f64,
     /// The most units that the ceiling saves up.
     pub ceiling_burst: f64,
-    /// Units by which the ceiling may be overdrawn.
+    /// Units by which the ceiling may be overdrawn. Only checked.
     pub ceiling_overdraft: f64,
 }
 
-/// What a gateway is told at its start.
+/// The settings of a gateway, fixed from its start.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Number of gateways.
@@ -88,7 +88,7 @@
     pub hedging: bool,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
-    /// Endpoints may be asked for their health.
+    /// Endpoints may be asked for their health. Only checked.
     pub health_checks: bool,
     /// Clients receive a Retry-After.
     pub retry_after: bool,
@@ -96,7 +96,7 @@
     pub max_retry_after: Micros,
     /// The counter service may be called.
     pub counter_enabled: bool,
-    /// A call to the counter ends unanswered after this.
+    /// A call to the counter ends unanswered after this. The caller sees to it.
     pub counter_timeout: Micros,
     /// The cost of the largest request in units.
     pub max_request_units: f64,
@@ -105,15 +105,15 @@
     /// An attempt whose connection is not made by then has failed; so much later than it is decided on one may be
     /// sent.
     pub connect_timeout: Micros,
-    /// How long past its deadline a final answer still counts.
+    /// How long past its deadline a final answer still counts. Only checked.
     pub answer_slack: Micros,
     /// An endpoint starts at no less than this fraction of its capacity.
     pub slow_start_min_capacity: f64,
     /// An endpoint has its full capacity after this.
     pub slow_start_window: Micros,
-    /// An endpoint in slow start fails when sent this many times its present capacity,
+    /// An endpoint in slow start fails when sent this many times its present capacity for a while.
     pub overload_multiple: f64,
-    /// for this long.
+    /// For how long that is. Only checked.
     pub overload_after: Micros,
     /// The shortest gap between two calls of the module.
     pub tick: Micros,
--- a/src/decision/token_bucket.rs
+++ b/src/decision/token_bucket.rs
@@ -2,10 +2,10 @@
 
 use super::time::Micros;
 
-/// A store of units that fills at a rate. Callers may take it below zero.
+/// Units that are saved up at a rate, up to a capacity. Callers may take the level below zero.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TokenBucket {
-    /// Units in store.
+    /// Units saved up.
     pub(crate) level: f64,
     /// The most units that it holds.
     pub(crate) capacity: f64,
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -125,7 +125,7 @@
     fn end_list_if_complete(&mut self) {
         if let Some(list) = self.open_list.take_if(|list| list.entries_left == 0) {
             let event = Event::EndpointsChanged { scope: list.scope, endpoints: list.entries };
-            self.tell(list.gateway, event);
+            self.handle(list.gateway, event);
         }
     }
 
@@ -134,12 +134,12 @@
         let gateway = self.current_gateway(fields)?;
         let Some(instance) = self.instances.get_mut(&gateway) else { return Ok(()) };
         if let Some(event) = instance.read_event(fields, self.now)? {
-            self.tell(gateway, event);
+            self.handle(gateway, event);
         }
         Ok(())
     }
 
-    fn tell(&mut self, gateway: u32, event: Event) {
+    fn handle(&mut self, gateway: u32, event: Event) {
         if let Some(instance) = self.instances.get_mut(&gateway) {
             instance.handle(self.now, event, self.replies.entry(gateway).or_default());
         }
--- a/src/simulator/instance.rs
+++ b/src/simulator/instance.rs
@@ -4,7 +4,7 @@
 use crate::decision::{Action, EndpointUpdate, Event, Gateway, Micros};
 use crate::site_settings::{FieldError, Fields, Result, Site};
 
-/// A gateway with the names by which the wire knows what it is told of.
+/// A gateway with the names by which the wire knows what its events concern.
 pub(super) struct Instance {
     gateway: Gateway,
     site: Site,
@@ -32,7 +32,7 @@
         decode::event(fields, &mut self.site, now)
     }
 
-    /// Tells the gateway an event and appends what it did.
+    /// Handles an event and appends what the gateway does.
     pub(super) fn handle(&mut self, now: Micros, event: Event, reply: &mut String) {
         self.gateway.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
--- a/tests/decision_fixtures/main.rs
+++ b/tests/decision_fixtures/main.rs
@@ -7,7 +7,9 @@
 mod module;
 mod simulator;
 
-use model::{Scenario, Stimulus, S};
+use model::site::S;
+use model::terms::Stimulus;
+use model::Scenario;
 use std::path::PathBuf;
 
 /// A run with everything switched on and few gateways.
--- a/tests/decision_fixtures/module.rs
+++ b/tests/decision_fixtures/module.rs
@@ -2,16 +2,14 @@
 //! wire: hand-overs between two processes, request bodies, maintenance, quota leases, routing rules, attempts
 //! that other gateways made.
 
-use crate::model::{
-    AttemptLine, EndpointLine, How, LoadLine, Model, Response, Scenario, Scope, Status, Stimulus, CLASSES,
-    MS, PLANS, TICK,
-};
-use quota_gateway::decision::{has_canary_rules, Gateway};
+use crate::model::site::{CLASSES, MS, PLANS, TICK};
+use crate::model::terms::{AttemptLine, EndpointLine, How, LoadLine, Response, Scope, Status, Stimulus};
+use crate::model::{Model, Scenario};
 use quota_gateway::decision::{
-    Action, Arrival, AttemptEnded, CellId, Class, ClassId, CounterKey, CustomerId, DeduplicationScope,
-    EndpointId, EndpointStatus, EndpointUpdate, Event, Idempotency, LabelId, LoadReport, Micros, Outcome,
-    Plan, PlanId, PriorAttempt, QuotaLease, RejectionReason, RequestId, RouteRule, RoutingRules, Settings,
-    TimerId, WatchScope, ZoneId,
+    has_canary_rules, Action, Arrival, AttemptEnded, CellId, Class, ClassId, CounterKey, CustomerId,
+    DeduplicationScope, EndpointId, EndpointStatus, EndpointUpdate, Event, Gateway, Idempotency, LabelId,
+    LoadReport, Micros, Outcome, Plan, PlanId, PriorAttempt, QuotaLease, RejectionReason, RequestId,
+    RouteRule, RoutingRules, Settings, TimerId, WatchScope, ZoneId,
 };
 use std::collections::BTreeMap;
 use std::fmt::Write;
--- a/tests/decision_fixtures/simulator.rs
+++ b/tests/decision_fixtures/simulator.rs
@@ -1,9 +1,8 @@
 //! The model played against the simulator's adapter, over its text wire.
 
-use crate::model::{
-    AttemptLine, EndpointLine, How, LoadLine, Model, Response, Scenario, Scope, Status, Stimulus, CLASSES,
-    PLANS, TICK,
-};
+use crate::model::site::{CLASSES, PLANS, TICK};
+use crate::model::terms::{AttemptLine, EndpointLine, How, LoadLine, Response, Scope, Status, Stimulus};
+use crate::model::{Model, Scenario};
 use quota_gateway::simulator::Host;
 use std::collections::BTreeMap;
 use std::fmt::Write;
