--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -6,13 +6,14 @@
     pub(super) fn obey(&mut self, order: AdminCommand) {
         match order {
             AdminCommand::CountEndpoints(reply) => {
-                let (known, excluded) = self.gateway.fleet(self.clock.now());
+                let EndpointCounts { known, excluded } = self.gateway.endpoint_counts(self.clock.now());
                 // An operator who has left needs no answer.
                 let _ = reply.send(Fleet { known, excluded });
             }
             AdminCommand::SetMaintenance { endpoint: id, in_maintenance: out, relayed, reply: done } => {
                 let server = self.site.seen(&id);
-                let server = server.filter(|s| self.backends.contains_key(s) || self.gateway.is_out(*s));
+                let server =
+                    server.filter(|s| self.backends.contains_key(s) || self.gateway.is_in_maintenance(*s));
                 if let Some(server) = server {
                     // What stands open will be dead once the backend has restarted.
                     self.backends.get(&server).into_iter().for_each(|b| self.pool.forget(b.address));
