--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -20,7 +20,7 @@
 use crate::proxy::admin::metrics::{Figures, Fleet, Unsent};
 use crate::proxy::cluster_transport::outcome_recorder::{Arms, Judged, Seen};
 use crate::proxy::control_plane::config::{Config, ConfigError};
-use crate::proxy::control_plane::counter::{Counted, Counter, Order};
+use crate::proxy::control_plane::counter::{CallNumber, CounterClient, CounterReply, Increment, ReplyOrder};
 use crate::proxy::control_plane::discovery::{DiscoveredEndpoint, EndpointList};
 use crate::proxy::downstream::response_body::{Answered, Giving};
 use crate::proxy::lifecycle::drain::Lifecycle;
@@ -87,8 +87,8 @@
     orders: mpsc::Receiver<AdminCommand>,
     pool: Rc<Pool>,
     memory: Rc<Memory>,
-    counter: Option<Rc<Counter>>,
-    order: Order,
+    counter: Option<Rc<CounterClient>>,
+    order: ReplyOrder,
     backends: HashMap<EndpointId, Rc<Backend>>,
     /// The list of backends as it was last told.
     listed: HashMap<EndpointId, DiscoveredEndpoint>,
@@ -127,7 +127,7 @@
         let (inbox, inputs) = mpsc::channel(INBOX);
         let (ordering, orders) = mpsc::channel(ORDERS);
         let counter =
-            counter.map(|a| Counter::new(a, duration(site.settings.counter_timeout), sockets.counter));
+            counter.map(|a| CounterClient::new(a, duration(site.settings.counter_timeout), sockets.counter));
         let mut driver = Runtime {
             gateway,
             clock,
@@ -146,7 +146,7 @@
             )),
             memory,
             counter: counter.map(Rc::new),
-            order: Order::default(),
+            order: ReplyOrder::default(),
             backends: HashMap::new(),
             listed: HashMap::new(),
             starts: HashMap::new(),
@@ -286,14 +286,14 @@
             }
             RuntimeEvent::CounterAddressChanged(address) => {
                 // Calls under way end where they were made.
-                self.counter = self.counter.take().map(|counter| Rc::new(counter.moved(address)));
+                self.counter = self.counter.take().map(|counter| Rc::new(counter.at_address(address)));
             }
             RuntimeEvent::QuotaLeaseChanged(lent) => self.batch.push(Event::QuotaLeaseChanged(lent)),
             RuntimeEvent::RoutingChanged(in_force) => self.routing(*in_force),
-            RuntimeEvent::CounterReplied { name, call, reply } => {
-                let ready = self.order.answered(name, call, reply);
+            RuntimeEvent::CounterReplied { key, call, reply } => {
+                let ready = self.order.reply_received(key, call, reply);
                 self.batch.extend(ready.into_iter().map(|c| Event::CounterReplied {
-                    key: name,
+                    key,
                     outcome: c.outcome,
                     total: c.total,
                 }));
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -117,14 +117,15 @@
     }
 
     pub(super) fn count(&mut self, name: CounterKey, amount: f64, life: Micros) {
-        let serial = self.order.made(name);
+        let serial = self.order.call_made(name);
         let (counter, inbox) = (self.counter.clone(), self.inbox.clone());
         tokio::task::spawn_local(async move {
             let counted = match counter {
-                Some(counter) => counter.add(name, amount, life).await,
+                Some(counter) => counter.increment(Increment { key: name, amount, lifetime: life }).await,
                 None => Outcome::ConnectFailed.into(),
             };
-            let _ = inbox.send(RuntimeEvent::CounterReplied { name, call: serial, reply: counted }).await;
+            let _ =
+                inbox.send(RuntimeEvent::CounterReplied { key: name, call: serial, reply: counted }).await;
         });
     }
 }
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -56,7 +56,7 @@
         self.other = other;
         self.pool.leave(quarters);
         self.memory.leave(quarters);
-        self.counter.iter().for_each(|counter| counter.leave(quarters));
+        self.counter.iter().for_each(|counter| counter.reserve_for_other_process(quarters));
     }
 
     pub(super) fn members(&mut self, list: EndpointList) {
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -101,11 +101,11 @@
     /// A call to the counter ended.
     CounterReplied {
         /// The counter that was called.
-        name: CounterKey,
+        key: CounterKey,
         /// Which of the calls.
-        call: u64,
+        call: CallNumber,
         /// How it ended.
-        reply: Counted,
+        reply: CounterReply,
     },
     /// An attempt ended.
     AttemptEnded {
--- a/tests/counter.rs
+++ b/tests/counter.rs
@@ -3,23 +3,23 @@
 mod world;
 
 use quota_gateway::decision::{CounterKey, Micros, Outcome};
-use quota_gateway::proxy::control_plane::counter::{Counted, Counter, Order};
+use quota_gateway::proxy::control_plane::counter::{CounterClient, CounterReply, Increment, ReplyOrder};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 use world::{http, on_runtime, Refusing, Reply, Stub};
 
 const TIMEOUT: Duration = Duration::from_millis(80);
 
-async fn add(counter: &Counter, name: u64) -> Counted {
-    counter.add(CounterKey(name), -2.5, Micros(4_000_000)).await
+async fn add(counter: &CounterClient, name: u64) -> CounterReply {
+    counter.increment(Increment { key: CounterKey(name), amount: -2.5, lifetime: Micros(4_000_000) }).await
 }
 
 #[test]
 fn a_call_is_written_as_the_counter_reads_it() {
     let stub = Stub::start(|_| http("200 OK", "38.5\n"));
-    let counter = Counter::new(stub.address, Duration::from_secs(5), 2);
+    let counter = CounterClient::new(stub.address, Duration::from_secs(5), 2);
     let counted = on_runtime(add(&counter, 9041552));
-    assert_eq!(counted, Counted { outcome: Outcome::Success, total: 38.5 });
+    assert_eq!(counted, CounterReply { outcome: Outcome::Success, total: 38.5 });
     assert_eq!(stub.requests()[0].line, "POST /v1/count/9041552?add=-2.5&ttl_ms=4000 HTTP/1.1");
 }
 
@@ -27,7 +27,7 @@
 fn each_trouble_has_its_own_outcome_and_no_call_is_made_twice() {
     let refusing = Refusing::start();
     let gone = refusing.address();
-    let refused = Counter::new(gone, Duration::from_secs(5), 2);
+    let refused = CounterClient::new(gone, Duration::from_secs(5), 2);
     assert_eq!(on_runtime(add(&refused, 1)).outcome, Outcome::ConnectFailed);
     let cases: [(fn() -> Reply, Outcome); 5] = [
         (|| http("503 Full", ""), Outcome::Rejected),
@@ -39,7 +39,7 @@
     for (reply, outcome) in cases {
         let stub = Stub::start(move |_| reply());
         let timeout = if outcome == Outcome::Timeout { TIMEOUT } else { Duration::from_secs(5) };
-        let counter = Counter::new(stub.address, timeout, 2);
+        let counter = CounterClient::new(stub.address, timeout, 2);
         assert_eq!(on_runtime(add(&counter, 1)).outcome, outcome);
         assert_eq!(stub.requests().len(), 1, "{outcome:?}");
     }
@@ -55,11 +55,11 @@
         }
         _ => http("200 OK", "2"),
     });
-    let counter = Counter::new(stub.address, TIMEOUT, 2);
+    let counter = CounterClient::new(stub.address, TIMEOUT, 2);
     on_runtime(async {
         assert_eq!(add(&counter, 1).await.outcome, Outcome::Timeout);
         for _ in 0..4 {
-            assert_eq!(add(&counter, 1).await, Counted { outcome: Outcome::Success, total: 2.0 });
+            assert_eq!(add(&counter, 1).await, CounterReply { outcome: Outcome::Success, total: 2.0 });
         }
     });
 }
@@ -67,7 +67,7 @@
 #[test]
 fn a_call_that_found_no_free_line_was_never_made() {
     let stub = Stub::start(|_| Reply::Silence);
-    let counter = Counter::new(stub.address, TIMEOUT, 1);
+    let counter = CounterClient::new(stub.address, TIMEOUT, 1);
     on_runtime(async {
         let (first, second) = tokio::join!(add(&counter, 1), add(&counter, 2));
         assert_eq!((first.outcome, second.outcome), (Outcome::Timeout, Outcome::ConnectFailed));
@@ -76,12 +76,12 @@
 
 #[test]
 fn answers_for_one_name_come_in_the_order_of_their_calls() {
-    let told = |total| Counted { outcome: Outcome::Success, total };
-    let mut order = Order::default();
+    let told = |total| CounterReply { outcome: Outcome::Success, total };
+    let mut order = ReplyOrder::default();
     let (a, b) = (CounterKey(1), CounterKey(2));
-    let (first, second, other) = (order.made(a), order.made(a), order.made(b));
-    assert_eq!(order.answered(a, second, told(2.0)), []);
-    assert_eq!(order.answered(b, other, told(9.0)), [told(9.0)], "other names do not wait");
-    assert_eq!(order.answered(a, first, told(1.0)), [told(1.0), told(2.0)]);
-    assert_eq!(order.answered(a, first, told(1.0)), [], "each is told once");
+    let (first, second, other) = (order.call_made(a), order.call_made(a), order.call_made(b));
+    assert_eq!(order.reply_received(a, second, told(2.0)), []);
+    assert_eq!(order.reply_received(b, other, told(9.0)), [told(9.0)], "other names do not wait");
+    assert_eq!(order.reply_received(a, first, told(1.0)), [told(1.0), told(2.0)]);
+    assert_eq!(order.reply_received(a, first, told(1.0)), [], "each is told once");
 }
