--- a/src/proxy/control_plane/counter.rs
+++ b/src/proxy/control_plane/counter.rs
@@ -7,7 +7,7 @@
 
 use crate::decision::{CounterKey, Micros, Outcome};
 use crate::proxy::lifecycle::permits::Permits;
-use crate::proxy::log_rate_limit::Sparing;
+use crate::proxy::log_rate_limit::LogRateLimiter;
 use crate::proxy::upstream::connection::{CallError, Connection};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -57,7 +57,7 @@
     max_connections: usize,
     idle: RefCell<Vec<Connection>>,
     permits: Permits,
-    protocol_error_log: Sparing,
+    protocol_error_log: LogRateLimiter,
 }
 
 impl CounterClient {
@@ -69,7 +69,7 @@
             max_connections,
             idle: RefCell::default(),
             permits: Permits::new(max_connections),
-            protocol_error_log: Sparing::default(),
+            protocol_error_log: LogRateLimiter::default(),
         }
     }
 
--- a/src/proxy/control_plane/counter/wire.rs
+++ b/src/proxy/control_plane/counter/wire.rs
@@ -3,7 +3,7 @@
 
 use super::{CounterReply, Increment};
 use crate::decision::Outcome;
-use crate::proxy::downstream::request_body::Sending;
+use crate::proxy::downstream::request_body::OutboundBody;
 use bytes::Bytes;
 use hyper::{header, Method, Request, Response, StatusCode};
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
 const MICROS_PER_MILLI: u64 = 1000;
 
 /// The request of one call.
-pub(super) fn request(address: SocketAddr, increment: Increment) -> Request<Sending> {
+pub(super) fn request(address: SocketAddr, increment: Increment) -> Request<OutboundBody> {
     let Increment { key, amount, lifetime } = increment;
     let ttl_ms = (lifetime.0 / MICROS_PER_MILLI).max(1);
-    let mut request = Request::new(Sending::empty());
+    let mut request = Request::new(OutboundBody::empty());
     *request.method_mut() = Method::POST;
     // Digits and signs alone: always a valid URI.
     if let Ok(uri) = format!("/v1/count/{}?add={amount}&ttl_ms={ttl_ms}", key.0).parse() {
--- a/src/proxy/control_plane/discovery/mod.rs
+++ b/src/proxy/control_plane/discovery/mod.rs
@@ -18,8 +18,8 @@
 pub use endpoint_list::{DiscoveredEndpoint, EndpointList, MAX_ENDPOINTS, MAX_LIST_BYTES};
 
 use crate::decision::Settings;
-use crate::proxy::admin::metrics::Figures;
-use crate::proxy::log_rate_limit::Sparing;
+use crate::proxy::admin::metrics::Metrics;
+use crate::proxy::log_rate_limit::LogRateLimiter;
 use crate::proxy::runtime::{RuntimeEvent, RuntimeSender};
 use crate::proxy::upstream::connection::Connection;
 use call::{Call, CallFailure, ListResponse};
@@ -90,7 +90,7 @@
     held_revision: Option<u64>,
     timing: PollTiming,
     runtime: RuntimeSender,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
 ) {
     let mut watch = EndpointWatch {
         address,
@@ -99,7 +99,7 @@
         answered: false,
         failing: None,
         failures: 0,
-        log_limit: Sparing::default(),
+        log_limit: LogRateLimiter::default(),
         figures,
     };
     let mut idle = None;
@@ -132,8 +132,8 @@
     failing: Option<FailureKind>,
     /// Failures since the last list.
     failures: u32,
-    log_limit: Sparing,
-    figures: Rc<Figures>,
+    log_limit: LogRateLimiter,
+    figures: Rc<Metrics>,
 }
 
 impl EndpointWatch {
--- a/src/proxy/lifecycle/handover.rs
+++ b/src/proxy/lifecycle/handover.rs
@@ -6,7 +6,7 @@
 
 use crate::decision::HandoverState;
 use crate::proxy::control_plane::discovery::{EndpointList, MAX_ENDPOINTS};
-use crate::proxy::downstream::accept::Accepting;
+use crate::proxy::downstream::accept::AcceptBackoff;
 use crate::proxy::lifecycle::drain::Lifecycle;
 use crate::proxy::runtime::{AdminCommand, AdminSender};
 use serde::{Deserialize, Serialize};
@@ -215,7 +215,7 @@
                 Ok(listener) => listener,
                 Err(error) => return warn!(%error, path = %self.path.display(), "no process can take over"),
             };
-            let mut accepting = Accepting::default();
+            let mut accepting = AcceptBackoff::default();
             loop {
                 let stream = match listener.accept().await {
                     Ok((stream, _)) => stream,
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -6,9 +6,9 @@
     pub(super) fn obey(&mut self, order: AdminCommand) {
         match order {
             AdminCommand::CountEndpoints(reply) => {
-                let EndpointCounts { known, excluded } = self.gateway.endpoint_counts(self.clock.now());
+                let counts = self.gateway.endpoint_counts(self.clock.now());
                 // An operator who has left needs no answer.
-                let _ = reply.send(Fleet { known, excluded });
+                let _ = reply.send(counts);
             }
             AdminCommand::SetMaintenance { endpoint: id, in_maintenance: out, relayed, reply: done } => {
                 let server = self.site.seen(&id);
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -11,7 +11,7 @@
 /// What operators ask of the driver.
 pub enum AdminCommand {
     /// How many backends there are.
-    CountEndpoints(oneshot::Sender<Fleet>),
+    CountEndpoints(oneshot::Sender<EndpointCounts>),
     /// Take a backend out, or put it back.
     SetMaintenance {
         /// Its name at discovery.
@@ -46,7 +46,7 @@
 /// The final answer to a client.
 pub enum FinalResponse {
     /// A backend's 200, whole or as it comes.
-    Served(Giving),
+    Served(ResponseBody),
     /// Refused: trying again is harmless, best after this time.
     Rejected {
         /// Best after this time.
@@ -61,7 +61,7 @@
     /// What the module is told of it. Its id is new, whatever the client called it.
     pub arrival: Arrival,
     /// What goes on to backends.
-    pub forward: Forward,
+    pub forward: ForwardedRequest,
     /// Where the answer goes.
     pub reply: oneshot::Sender<FinalResponse>,
 }
@@ -112,7 +112,7 @@
         /// Which.
         attempt: AttemptId,
         /// How.
-        result: Ended,
+        result: AttemptResult,
         /// For how long it was in flight.
         elapsed: Micros,
     },
--- a/src/simulator/wire.rs
+++ b/src/simulator/wire.rs
@@ -104,11 +104,13 @@
             "RING" => Event::TimerFired { timer: TimerId(f.whole("ref")?) },
             "FIRST_BYTE" => Event::StreamStarted { request: RequestId(f.whole("ref")?) },
             "TIMED_OUT_CLIENT" => Event::ClientDisconnected { request: RequestId(f.whole("ref")?) },
-            "PONG" => Event::EndpointProbed {
-                endpoint: self.site.server(f.text("backend")?),
-                outcome: f.outcome()?,
-                load: f.report()?,
-            },
+            "PONG" => {
+                // The module sends no health check, so this answers none; the line must make sense all the same.
+                self.site.server(f.text("backend")?);
+                f.outcome()?;
+                f.report()?;
+                return Ok(None);
+            }
             "COUNT_RESULT" => Event::CounterReplied {
                 key: CounterKey(f.whole("book")?),
                 outcome: f.outcome()?,
@@ -142,13 +144,11 @@
             Action::CancelAttempt { request: r, attempt: a } => {
                 writeln!(out, "ABANDON ref={} trial={a}", r.0)
             }
-            Action::ProbeEndpoint { endpoint: s } => writeln!(out, "PROBE backend={}", name(s)),
             Action::IncrementCounter { key: n, amount, lifetime: life } => {
                 writeln!(out, "ADD_AND_GET book={} amount={amount} lifetime={}", n.0, life.0)
             }
             Action::SetTimer { timer: t, after } => writeln!(out, "WAKE_ME ref={} in={}", t.0, after.0),
             Action::Subscribe => writeln!(out, "LISTEN active=1"),
-            Action::FetchEndpoints => writeln!(out, "RELOAD"),
         };
     }
 }
