--- /dev/null
+++ b/src/proxy/control_plane/config/cluster_file.rs
@@ -0,0 +1,267 @@
+//! The TOML of the cluster's file. Nothing behind this module knows its keys.
+
+use super::{ClusterConfig, ConfigError};
+use crate::cluster::rollout::{Rule, Rules};
+use crate::cluster::{
+    self, ledger, write_queue, MemberMetadata, Micros, SettingsError, CAPABILITY_LEDGER, CAPABILITY_ROLLOUT,
+};
+use serde::Deserialize;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::time::Duration;
+
+/// The longest wait for the ledger, in milliseconds.
+const MAX_LEDGER_WAIT_MS: u64 = 100;
+/// The time between two probes where the file does not say, in milliseconds.
+const DEFAULT_PERIOD_MS: u64 = 1000;
+/// Microseconds in a millisecond.
+const MICROS_PER_MILLI: u64 = 1000;
+/// Microseconds in a second.
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
+/// The file.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct ClusterDocument {
+    #[serde(rename = "fleet")]
+    cluster: String,
+    listen: SocketAddr,
+    advertise: Option<SocketAddr>,
+    name: Option<String>,
+    #[serde(default)]
+    zone: String,
+    #[serde(default = "default_period_ms")]
+    period_ms: u64,
+    #[serde(default)]
+    seats: Vec<String>,
+    #[serde(rename = "lend", default)]
+    lendable_part: f64,
+    #[serde(default)]
+    peers: BTreeMap<String, SocketAddr>,
+    ledger: Option<LedgerDocument>,
+    rollout: Option<RolloutDocument>,
+    #[serde(rename = "branch")]
+    write_queue: Option<WriteQueueDocument>,
+}
+
+fn default_period_ms() -> u64 {
+    DEFAULT_PERIOD_MS
+}
+
+/// The write queue of a branch that accepts writes while it is cut off; without it none are.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields, default)]
+struct WriteQueueDocument {
+    seats: Vec<String>,
+    classes: Vec<String>,
+    #[serde(rename = "writes")]
+    max_writes: usize,
+    #[serde(rename = "of_one")]
+    max_writes_per_customer: usize,
+    #[serde(rename = "longest_s")]
+    max_age_s: u64,
+    cut_after_ms: u64,
+    #[serde(rename = "out")]
+    max_in_flight: usize,
+    per_s: u32,
+    on_failure: OnFailure,
+}
+
+impl Default for WriteQueueDocument {
+    fn default() -> WriteQueueDocument {
+        WriteQueueDocument {
+            seats: Vec::new(),
+            classes: Vec::new(),
+            max_writes: 10_000,
+            max_writes_per_customer: 1000,
+            max_age_s: 3600,
+            cut_after_ms: 2000,
+            max_in_flight: 20,
+            per_s: 100,
+            on_failure: OnFailure::ByClass(BTreeMap::new()),
+        }
+    }
+}
+
+/// What becomes of writes that come after one that was not done.
+#[derive(Deserialize, PartialEq)]
+enum AfterFailure {
+    #[serde(rename = "go on")]
+    Continue,
+    #[serde(rename = "stop")]
+    Stop,
+}
+
+/// The same for all classes, or for each that is named; others continue.
+#[derive(Deserialize)]
+#[serde(untagged, expecting = "expected \"go on\", \"stop\", or a table of classes with one of these")]
+enum OnFailure {
+    AllClasses(AfterFailure),
+    ByClass(BTreeMap<String, AfterFailure>),
+}
+
+impl OnFailure {
+    /// The classes after whose writes, where one was not done, no later one is forwarded.
+    fn stop_classes(&self, classes: &[String]) -> Vec<String> {
+        match self {
+            OnFailure::AllClasses(AfterFailure::Continue) => Vec::new(),
+            OnFailure::AllClasses(AfterFailure::Stop) => classes.to_vec(),
+            OnFailure::ByClass(each) => {
+                let stopping = each.iter().filter(|(_, after)| **after == AfterFailure::Stop);
+                stopping.map(|(class, _)| class.clone()).collect()
+            }
+        }
+    }
+}
+
+impl WriteQueueDocument {
+    /// The write queue's settings; its gateways have to be seats of the cluster.
+    fn settings(&self, seats: &[String]) -> Result<write_queue::Terms, ConfigError> {
+        let seat_number = |name: &String| match seats.iter().position(|seat| seat == name) {
+            Some(number) => Ok(number as u16),
+            None => Err(ConfigError::UnknownName { key: "branch.seats", kind: "seat", name: name.clone() }),
+        };
+        Ok(write_queue::Terms {
+            seats: self.seats.iter().map(seat_number).collect::<Result<_, _>>()?,
+            most: self.max_writes,
+            most_of_one: self.max_writes_per_customer,
+            longest: Micros(self.max_age_s.saturating_mul(MICROS_PER_SECOND)),
+            cut_after: micros(self.cut_after_ms),
+            // Both known once the site's classes are.
+            patience: Micros(0),
+            stop: Vec::new(),
+            out: self.max_in_flight,
+            per_s: self.per_s,
+        })
+    }
+}
+
+/// Rollouts of routing rules; without it there are none.
+#[derive(Deserialize, Default)]
+#[serde(deny_unknown_fields, default)]
+struct RolloutDocument {
+    /// The rules in force before any rollout.
+    #[serde(rename = "rule")]
+    rules: Vec<Rule>,
+}
+
+/// The ledger of requests in flight; without it none is kept.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields, default)]
+struct LedgerDocument {
+    #[serde(rename = "holders")]
+    replicas: usize,
+    lease_ms: u64,
+    #[serde(rename = "life_ms")]
+    record_lifetime_ms: u64,
+    wait_ms: u64,
+    dir: Option<PathBuf>,
+    #[serde(rename = "finish")]
+    finish_classes: Vec<String>,
+}
+
+impl Default for LedgerDocument {
+    fn default() -> LedgerDocument {
+        LedgerDocument {
+            replicas: 3,
+            lease_ms: 600,
+            record_lifetime_ms: 10_000,
+            wait_ms: 10,
+            dir: None,
+            finish_classes: Vec::new(),
+        }
+    }
+}
+
+impl LedgerDocument {
+    fn settings(&self) -> ledger::Terms {
+        ledger::Terms {
+            holders: self.replicas,
+            lease: micros(self.lease_ms),
+            life: micros(self.record_lifetime_ms),
+        }
+    }
+}
+
+/// Reads the text of a cluster's file, for a gateway whose environment gives this name.
+pub(super) fn parse(text: &str, name: &str) -> Result<ClusterConfig, ConfigError> {
+    let document: ClusterDocument = toml::from_str(text).map_err(|error| toml_error(text, &error))?;
+    let write_queue = document.write_queue.as_ref();
+    let branch = write_queue.map(|queue| queue.settings(&document.seats)).transpose()?;
+    let ledger_wait_ms = document.ledger.as_ref().map_or(0, |ledger| ledger.wait_ms);
+    if ledger_wait_ms > MAX_LEDGER_WAIT_MS {
+        return Err(ConfigError::WrongValue {
+            key: "ledger.wait_ms",
+            expected: format!("0 to {MAX_LEDGER_WAIT_MS}"),
+            found: ledger_wait_ms.to_string(),
+        });
+    }
+    let settings = node_settings(&document, branch, name);
+    settings.check().map_err(ConfigError::ClusterSettings)?;
+    let lendable = document.lendable_part;
+    if !(0.0..=1.0).contains(&lendable) || lendable > 0.0 && settings.seats.is_empty() {
+        let problem = "lend: expected 0 to 1, and seats where it is above 0";
+        return Err(ConfigError::ClusterSettings(SettingsError(problem.into())));
+    }
+    let stop_classes = write_queue.map(|queue| queue.on_failure.stop_classes(&queue.classes));
+    let (storage_dir, finish_classes) = match document.ledger {
+        Some(ledger) => (ledger.dir, ledger.finish_classes),
+        None => (None, Vec::new()),
+    };
+    Ok(ClusterConfig {
+        listen: document.listen,
+        lendable_part: lendable,
+        ledger_timeout: Duration::from_millis(ledger_wait_ms),
+        finish_classes,
+        storage_dir,
+        write_queue_stop_classes: stop_classes.unwrap_or_default(),
+        write_queue_classes: document.write_queue.map(|queue| queue.classes).unwrap_or_default(),
+        settings,
+    })
+}
+
+/// The cluster node's settings.
+fn node_settings(
+    document: &ClusterDocument,
+    branch: Option<write_queue::Terms>,
+    name: &str,
+) -> cluster::Settings {
+    let name = document.name.as_deref().unwrap_or(name);
+    let mut peers = document.peers.clone();
+    peers.remove(name);
+    cluster::Settings {
+        cluster: document.cluster.clone(),
+        name: name.to_string(),
+        metadata: MemberMetadata {
+            zone: document.zone.clone(),
+            version: env!("CARGO_PKG_VERSION").to_string(),
+            capabilities: capabilities(document),
+            advertise: document.advertise,
+        },
+        peers,
+        probe_period: Duration::from_millis(document.period_ms),
+        seats: document.seats.clone(),
+        ledger: document.ledger.as_ref().map(LedgerDocument::settings),
+        rules: document.rollout.as_ref().map(|rollout| Rules(rollout.rules.clone())),
+        branch,
+        disk: None,
+    }
+}
+
+fn capabilities(document: &ClusterDocument) -> u32 {
+    let ledger = if document.ledger.is_some() { CAPABILITY_LEDGER } else { 0 };
+    let rollout = if document.rollout.is_some() { CAPABILITY_ROLLOUT } else { 0 };
+    ledger | rollout
+}
+
+fn micros(milliseconds: u64) -> Micros {
+    Micros(milliseconds.saturating_mul(MICROS_PER_MILLI))
+}
+
+/// The error on one line, with the line of the file.
+fn toml_error(text: &str, error: &toml::de::Error) -> ConfigError {
+    let lines_before = |at: usize| text[..at.min(text.len())].matches('\n').count();
+    let line = error.span().map_or(1, |span| 1 + lines_before(span.start));
+    ConfigError::Toml { line, problem: error.message().lines().collect::<Vec<_>>().join(" ") }
+}
--- a/src/proxy/control_plane/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -81,9 +81,9 @@
 }
 
 fn put_known(out: &mut Listing, config: &Config) {
-    out.put("known.revision", config.known.revision);
-    out.put("known.complete", config.known.complete);
-    for (at, member) in config.known.endpoints.iter().enumerate() {
+    out.put("known.revision", config.known_endpoints.revision);
+    out.put("known.complete", config.known_endpoints.complete);
+    for (at, member) in config.known_endpoints.endpoints.iter().enumerate() {
         let key = |key: &str| format!("known.members.{at}.{key}");
         out.put(&key("id"), &member.name);
         out.put(&key("host_port"), member.address);
@@ -103,7 +103,7 @@
     out.put("listen", config.listen);
     out.put("discovery", config.discovery);
     out.put("counter", config.counter);
-    out.put("ops", config.ops);
+    out.put("ops", config.operators);
     out.put("seed", format!("{:x}", config.seed));
     out.put("limits.sockets, for clients", config.sockets.clients);
     out.put("limits.sockets, for backends", config.sockets.backends);
@@ -126,7 +126,7 @@
     out.put("settings.bounds.retry_after", settings.retry_after);
     out.put("settings.bounds.max_retry_after", settings.max_retry_after.0);
     out.put("settings.bounds.dial_timeout", settings.connect_timeout.0);
-    out.put("settings.bounds.conn_idle", config.conn_idle.as_micros());
+    out.put("settings.bounds.conn_idle", config.backend_idle_timeout.as_micros());
     out.put("settings.specifics.counter", settings.counter_enabled);
     out.put("settings.specifics.count_limit", settings.counter_timeout.0);
     out.put("settings.specifics.units_top", settings.max_request_units);
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -106,8 +106,8 @@
     let mut names: Vec<(&String, usize)> = config.site.classes.iter().map(|(name, &i)| (name, i)).collect();
     names.sort_by_key(|(_, i)| *i);
     let figures = Rc::new(Metrics::new(names.into_iter().map(|(name, _)| name.clone())));
-    let (listen, ops, sockets) = (config.listen, config.ops, config.sockets);
-    let (accept_fd, folder) = (config.accept_fd, config.folder.clone());
+    let (listen, ops, sockets) = (config.listen, config.operators, config.sockets);
+    let (accept_fd, folder) = (config.accept_descriptor, config.handover_folder.clone());
     let classes = config.site.classes.iter().map(|(name, &i)| {
         let class = &config.site.settings.classes[i];
         (name.clone(), (crate::decision::ClassId(i), class.idempotency, class.deadline))
@@ -125,27 +125,10 @@
         plans: config.site.plans.keys().cloned().collect(),
     };
     let name = config.name.clone();
-    let longest = config.site.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-    let mut fleet = config.fleet.clone();
-    if let Some(fleet) = fleet.as_mut() {
-        let class = |name: &String| config.site.classes.get(name).map(|i| *i as u16);
-        let unknown = |name: &&String| class(name).is_none();
-        let mut named = fleet.write_queue_classes.iter().chain(&fleet.write_queue_stop_classes);
-        if let Some(name) = named.find(unknown) {
-            return Err(RunError::Config(ConfigError::of(format!("branch: there is no class '{name}'"))));
-        }
-        let stops = fleet.write_queue_stop_classes.iter().filter_map(class).collect();
-        if let Some(terms) = fleet.settings.branch.as_mut() {
-            (terms.patience, terms.stop) = (longest + last_moment, stops);
-        }
-    }
+    let fleet = config.cluster.clone();
     let memory = Rc::new(MemoryBudget::new(config.memory_mb, config.sockets));
-    let unknown = |class: &&String| !names.classes.contains(*class);
-    if let Some(class) = fleet.as_ref().and_then(|fleet| fleet.finish_classes.iter().find(unknown)) {
-        return Err(RunError::Config(ConfigError::of(format!("ledger.finish: there is no class '{class}'"))));
-    }
     if let Some(rules) = fleet.as_ref().and_then(|fleet| fleet.settings.rules.as_ref()) {
-        names.check(rules).map_err(|e| RunError::Config(ConfigError::of(e)))?;
+        names.check(rules).map_err(|e| RunError::Config(ConfigError::RoutingRules(e)))?;
     }
     let (mut driver, orders) = Runtime::new(config, clock, duty.clone(), figures.clone(), memory.clone())
         .map_err(RunError::Config)?;
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -121,7 +121,16 @@
         figures: Rc<Metrics>,
         memory: Rc<MemoryBudget>,
     ) -> Result<(Runtime, AdminSender), ConfigError> {
-        let Config { site, counter, sockets, seed, known, conn_idle, fleet, .. } = config;
+        let Config {
+            site,
+            counter,
+            sockets,
+            seed,
+            known_endpoints: known,
+            backend_idle_timeout: conn_idle,
+            cluster: fleet,
+            ..
+        } = config;
         let gateway = Gateway::new(seed, site.settings.clone()).map_err(ConfigError::from)?;
         let connect_timeout = duration(site.settings.connect_timeout);
         let (inbox, inputs) = mpsc::channel(INBOX);
