--- a/src/proxy/lifecycle/drain.rs
+++ b/src/proxy/lifecycle/drain.rs
@@ -1,50 +1,85 @@
-//! Whether the gateway serves, drains or ends: one state for `/_health`, the operators, the accept loop and the
+//! Whether the process serves, drains or ends: one state for `/_health`, the operators, the accept loop and the
 //! connections that clients keep.
 
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long a client's connection may stand idle: clients are promised 2 s.
-const IDLE: Duration = Duration::from_millis(2100);
-/// The same while the gateway drains, which must be over within 4 s: longer than a busy client's connection is
-/// idle between two requests, and less than half of that time.
-const IDLE_DRAINING: Duration = Duration::from_millis(1000);
+/// How long a client's connection may be idle: clients are promised 2 s.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
+/// The same while the gateway drains, which must be over within 4 s: longer than a busy client's connection is idle
+/// between two requests, and less than half of that time.
+const DRAINING_IDLE_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// How near its end the process is. It only goes on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// Not in sight.
+    /// No end in sight.
     #[default]
     Running,
-    /// SIGTERM came: every connection is let go after its answer.
+    /// SIGTERM came: every connection is closed after its response.
     Stopping,
-    /// The last moments after SIGTERM: what is still open is failed.
+    /// The last moments after SIGTERM: what is still in flight is failed.
     Final,
 }
 
-/// What the process is about.
+/// What the process is doing.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LifecycleState {
-    /// The list of backends is in hand.
+    /// The endpoint list is known.
     pub endpoints_known: bool,
-    /// It may serve: a process before it, if there was one, has handed over.
+    /// It may serve: its predecessor, if there was one, has handed over.
     pub serving: bool,
-    /// An operator empties the gateway: what comes is still served, and connections are let go.
+    /// An operator drains the gateway: what comes is still served, and connections are closed.
     pub draining: bool,
-    /// Another process takes the new connections.
+    /// Another process accepts the new connections.
     pub replaced: bool,
     /// How near the end is.
     pub shutdown: ShutdownPhase,
 }
 
-/// The state, and who waits for it to change.
+impl LifecycleState {
+    fn may_serve(&self) -> bool {
+        self.endpoints_known && self.serving && !self.draining
+    }
+
+    /// Whether this process is ready to serve.
+    fn is_ready(&self) -> bool {
+        self.may_serve() && self.shutdown == ShutdownPhase::Running
+    }
+
+    /// Whether clients should come to the gateway. While another process accepts the new connections, the end of this
+    /// one is not the gateway's.
+    fn is_healthy(&self) -> bool {
+        self.may_serve() && (self.replaced || self.shutdown == ShutdownPhase::Running)
+    }
+
+    /// Whether a response is the last on its connection.
+    fn closes_connections(&self) -> bool {
+        self.draining || self.replaced || self.shutdown > ShutdownPhase::Running
+    }
+
+    /// How long a client's connection may be idle. At the end new connections are still accepted, so a request that
+    /// crosses the close is retried on one of them; where another process accepts them there is time to wait until a
+    /// connection is idle for as long as ever.
+    fn idle_timeout(&self) -> Duration {
+        match self {
+            LifecycleState { replaced: true, .. } => IDLE_TIMEOUT,
+            LifecycleState { shutdown: ShutdownPhase::Stopping | ShutdownPhase::Final, .. } => Duration::ZERO,
+            LifecycleState { draining: true, .. } => DRAINING_IDLE_TIMEOUT,
+            _ => IDLE_TIMEOUT,
+        }
+    }
+}
+
+/// The state of the process, and who waits for it to change.
 #[derive(Default)]
 pub struct Lifecycle {
     state: watch::Sender<LifecycleState>,
 }
 
 impl Lifecycle {
-    fn set(&self, change: impl FnOnce(&mut LifecycleState)) -> bool {
+    /// Changes the state. Returns whether that made a difference.
+    fn update(&self, change: impl FnOnce(&mut LifecycleState)) -> bool {
         self.state.send_if_modified(|state| {
             let before = *state;
             change(state);
@@ -52,101 +87,57 @@
         })
     }
 
-    /// The list of backends is in hand. Returns whether that is news.
+    /// The endpoint list is known. Returns whether it was not before.
     pub fn mark_endpoints_known(&self) -> bool {
-        self.set(|state| state.endpoints_known = true)
+        self.update(|state| state.endpoints_known = true)
     }
     /// The process may serve.
     pub fn start_serving(&self) {
-        self.set(|state| state.serving = true);
+        self.update(|state| state.serving = true);
     }
-    /// An operator's word: empty the gateway, or back to work.
-    pub fn set_draining(&self, on: bool) {
-        self.set(|state| state.draining = on);
+    /// An operator drains the gateway, or puts it back into service.
+    pub fn set_draining(&self, draining: bool) {
+        self.update(|state| state.draining = draining);
     }
     /// Another process has taken over, or is gone again.
-    pub fn set_replaced(&self, on: bool) {
-        self.set(|state| state.replaced = on);
+    pub fn set_replaced(&self, replaced: bool) {
+        self.update(|state| state.replaced = replaced);
     }
     /// Goes on towards the end, never back.
-    pub fn advance_shutdown(&self, to: ShutdownPhase) {
-        self.set(|state| state.shutdown = state.shutdown.max(to));
+    pub fn advance_shutdown(&self, phase: ShutdownPhase) {
+        self.update(|state| state.shutdown = state.shutdown.max(phase));
     }
 
     /// The state now.
     pub fn state(&self) -> LifecycleState {
         *self.state.borrow()
     }
-    /// Tells each change.
+    /// Reports each change.
     pub fn subscribe(&self) -> watch::Receiver<LifecycleState> {
         self.state.subscribe()
     }
-    /// Another process takes the new connections.
+
+    /// Whether another process accepts the new connections.
     pub fn is_replaced(&self) -> bool {
         self.state().replaced
     }
-
     /// Whether this process is ready to serve.
     pub fn is_ready(&self) -> bool {
-        let state = self.state();
-        state.endpoints_known && state.serving && !state.draining && state.shutdown == ShutdownPhase::Running
+        self.state().is_ready()
     }
-    /// Whether clients should come to the gateway. While another process takes the new connections, the word
-    /// about the end of this one is not the gateway's.
+    /// Whether clients should come to the gateway, which may be another process by now.
     pub fn is_healthy(&self) -> bool {
-        let state = self.state();
-        state.endpoints_known
-            && state.serving
-            && !state.draining
-            && (state.replaced || state.shutdown == ShutdownPhase::Running)
+        self.state().is_healthy()
     }
-    /// Whether an answer is the last on its connection.
+    /// Whether a response is the last on its connection.
     pub fn closes_connections(&self) -> bool {
-        let state = self.state();
-        state.draining || state.replaced || state.shutdown > ShutdownPhase::Running
+        self.state().closes_connections()
     }
-    /// How long a connection of a client may stand idle now. At the end new connections are still taken, so a
-    /// request that crosses the closing comes back on one of them; where another process takes them there is
-    /// time to wait until a connection is idle for as long as ever.
+    /// How long a client's connection may be idle now.
     pub fn idle_timeout(&self) -> Duration {
-        match self.state() {
-            LifecycleState { replaced: true, .. } => IDLE,
-            LifecycleState { shutdown: ShutdownPhase::Stopping | ShutdownPhase::Final, .. } => Duration::ZERO,
-            LifecycleState { draining: true, .. } => IDLE_DRAINING,
-            _ => IDLE,
-        }
+        self.state().idle_timeout()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_drain_is_undone_and_an_end_is_not() {
-        let duty = Lifecycle::default();
-        assert!(duty.mark_endpoints_known() && !duty.mark_endpoints_known());
-        assert!(!duty.is_ready(), "not before it may serve");
-        duty.start_serving();
-        assert!(duty.is_ready() && duty.is_healthy() && !duty.closes_connections());
-        duty.set_draining(true);
-        assert!(!duty.is_ready() && !duty.is_healthy() && duty.closes_connections());
-        duty.set_draining(false);
-        assert!(duty.is_ready() && !duty.closes_connections());
-        duty.advance_shutdown(ShutdownPhase::Final);
-        duty.advance_shutdown(ShutdownPhase::Stopping);
-        assert_eq!(duty.state().shutdown, ShutdownPhase::Final);
-        assert!(!duty.is_ready() && !duty.is_healthy() && duty.closes_connections());
-    }
-
-    #[test]
-    fn a_replaced_process_speaks_for_the_gateway_until_its_end() {
-        let duty = Lifecycle::default();
-        duty.mark_endpoints_known();
-        duty.start_serving();
-        duty.set_replaced(true);
-        duty.advance_shutdown(ShutdownPhase::Stopping);
-        assert!(duty.is_healthy() && !duty.is_ready() && duty.closes_connections());
-        assert_eq!(duty.idle_timeout(), IDLE, "no connection is closed in a hurry");
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/proxy/lifecycle/drain/tests.rs
@@ -0,0 +1,31 @@
+//! What the process answers of itself while it starts, drains, is replaced and ends.
+
+use super::{Lifecycle, ShutdownPhase, IDLE_TIMEOUT};
+
+#[test]
+fn a_drain_is_undone_and_a_shutdown_is_not() {
+    let lifecycle = Lifecycle::default();
+    assert!(lifecycle.mark_endpoints_known() && !lifecycle.mark_endpoints_known());
+    assert!(!lifecycle.is_ready(), "not before it may serve");
+    lifecycle.start_serving();
+    assert!(lifecycle.is_ready() && lifecycle.is_healthy() && !lifecycle.closes_connections());
+    lifecycle.set_draining(true);
+    assert!(!lifecycle.is_ready() && !lifecycle.is_healthy() && lifecycle.closes_connections());
+    lifecycle.set_draining(false);
+    assert!(lifecycle.is_ready() && !lifecycle.closes_connections());
+    lifecycle.advance_shutdown(ShutdownPhase::Final);
+    lifecycle.advance_shutdown(ShutdownPhase::Stopping);
+    assert_eq!(lifecycle.state().shutdown, ShutdownPhase::Final);
+    assert!(!lifecycle.is_ready() && !lifecycle.is_healthy() && lifecycle.closes_connections());
+}
+
+#[test]
+fn a_replaced_process_is_healthy_until_its_end() {
+    let lifecycle = Lifecycle::default();
+    lifecycle.mark_endpoints_known();
+    lifecycle.start_serving();
+    lifecycle.set_replaced(true);
+    lifecycle.advance_shutdown(ShutdownPhase::Stopping);
+    assert!(lifecycle.is_healthy() && !lifecycle.is_ready() && lifecycle.closes_connections());
+    assert_eq!(lifecycle.idle_timeout(), IDLE_TIMEOUT, "no connection is closed in a hurry");
+}
