--- a/src/main.rs
+++ b/src/main.rs
@@ -1,59 +1,80 @@
-//! One real gateway. It is told where and how by the environment, reads its configuration again at SIGHUP, and
-//! ends at SIGTERM.
+//! One real gateway. The environment says where and how it runs. It reads its configuration again at SIGHUP and ends at
+//! SIGTERM.
 #![forbid(unsafe_code)]
 
-use quota_gateway::proxy::{self, control_plane::config::Config};
-use std::error::Error;
+use quota_gateway::proxy;
+use quota_gateway::proxy::control_plane::config::{Config, ConfigError, ServiceAddresses};
+use std::fmt::Display;
+use std::io;
 use std::process::ExitCode;
-use tokio::signal::unix::{signal, SignalKind};
+use thiserror::Error;
+use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::watch;
-use tokio::task::LocalSet;
+use tokio::task::{spawn_local, LocalSet};
 use tracing::level_filters::LevelFilter;
 use tracing::{info, warn};
 
-fn run() -> Result<(), Box<dyn Error>> {
+/// The least severe level that is logged: `error`, `warn`, `info`, `debug` or `trace`. At `debug` each request, attempt and
+/// change of an endpoint has its lines.
+const LOG_LEVEL: &str = "NODE_LOG";
+
+/// Why the program ends with a failure.
+#[derive(Debug, Error)]
+enum ProgramError {
+    #[error("{LOG_LEVEL}: expected a level such as info, found '{0}'")]
+    LogLevel(String),
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Run(#[from] proxy::RunError),
+}
+
+fn log_level() -> Result<LevelFilter, ProgramError> {
+    match std::env::var(LOG_LEVEL) {
+        Ok(level) => level.parse().map_err(|_| ProgramError::LogLevel(level)),
+        Err(_) => Ok(LevelFilter::INFO),
+    }
+}
+
+/// Reads the configuration again at each SIGHUP.
+async fn reload_at_hang_up(mut hang_up: Signal, services: watch::Sender<ServiceAddresses>) {
+    while hang_up.recv().await.is_some() {
+        match Config::reload() {
+            Ok(reloaded) => {
+                info!(discovery = %reloaded.discovery, "configuration reloaded");
+                services.send_replace(reloaded);
+            }
+            Err(error) => warn!(%error, "configuration not reloaded; the one before stays in force"),
+        }
+    }
+}
+
+/// Tells the gateway to stop at the first SIGTERM.
+async fn stop_at_terminate(mut terminate: Signal, stop: watch::Sender<bool>) {
+    if terminate.recv().await.is_some() {
+        info!("stopping");
+        // The gateway may have ended by itself.
+        let _ = stop.send(true);
+        std::future::pending::<()>().await;
+    }
+}
+
+fn run() -> Result<(), ProgramError> {
     let config = Config::from_environment()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let local = LocalSet::new();
-    local.block_on(&runtime, async {
-        let (mut terminate, mut hang_up) = (signal(SignalKind::terminate())?, signal(SignalKind::hangup())?);
+    LocalSet::new().block_on(&runtime, async {
+        let (terminate, hang_up) = (signal(SignalKind::terminate())?, signal(SignalKind::hangup())?);
         let (stop, stopping) = watch::channel(false);
-        let (change, services) = watch::channel(config.services());
-        tokio::task::spawn_local(async move {
-            while hang_up.recv().await.is_some() {
-                match Config::reload() {
-                    Ok(services) => {
-                        info!(discovery = %services.discovery, "configuration read again");
-                        change.send_replace(services);
-                    }
-                    Err(error) => warn!(%error, "the configuration stays as it was"),
-                }
-            }
-        });
-        tokio::task::spawn_local(async move {
-            if terminate.recv().await.is_some() {
-                info!("stopping");
-                // The gateway may have ended by itself.
-                let _ = stop.send(true);
-                std::future::pending::<()>().await;
-            }
-        });
+        let (service_sender, services) = watch::channel(config.services());
+        spawn_local(reload_at_hang_up(hang_up, service_sender));
+        spawn_local(stop_at_terminate(terminate, stop));
         Ok(proxy::run(config, services, stopping).await?)
     })
 }
 
-/// How much is logged: `NODE_LOG` may say `error`, `warn`, `info`, `debug` or `trace`. At `debug` each request, attempt
-/// and change of a backend has its lines.
-fn log_level() -> Result<LevelFilter, String> {
-    match std::env::var("NODE_LOG") {
-        Ok(level) => {
-            level.parse().map_err(|_| format!("NODE_LOG: expected a level such as info, found '{level}'"))
-        }
-        Err(_) => Ok(LevelFilter::INFO),
-    }
-}
-
-fn failed(error: &(impl std::fmt::Display + ?Sized)) -> ExitCode {
+fn fail(error: &impl Display) -> ExitCode {
     eprintln!("quota-gateway: {error}");
     ExitCode::FAILURE
 }
@@ -61,11 +82,11 @@
 fn main() -> ExitCode {
     let level = match log_level() {
         Ok(level) => level,
-        Err(e) => return failed(&e),
+        Err(error) => return fail(&error),
     };
-    tracing_subscriber::fmt().with_ansi(false).with_writer(std::io::stderr).with_max_level(level).init();
+    tracing_subscriber::fmt().with_ansi(false).with_writer(io::stderr).with_max_level(level).init();
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => failed(e.as_ref()),
+        Err(error) => fail(&error),
     }
 }
--- a/src/proxy/control_plane/mod.rs
+++ b/src/proxy/control_plane/mod.rs
@@ -1,5 +1,6 @@
-//! What a gateway is told from outside: configuration, discovery, and the shared counter.
+//! What a gateway is told from outside: its configuration, discovery's endpoint list, and the shared counter.
 
 pub mod config;
 pub mod counter;
 pub mod discovery;
+pub(super) mod service_watch;
--- a/src/proxy/lifecycle/handover.rs
+++ b/src/proxy/lifecycle/handover.rs
@@ -1,285 +1,214 @@
-//! The replacement of the process under load. The elder, which serves, waits at a socket in `$TMPDIR`; the
-//! younger connects there when it is about to serve, and both form one gateway until the elder's end.
+//! The replacement of the process under load. The predecessor, which serves, listens on a socket in `$TMPDIR`; the
+//! successor connects there when it is about to serve, and both form one gateway until the predecessor's end.
 //!
-//! Lines of JSON go both ways over that one connection. Nothing here keeps a process from serving: a peer that
-//! is dead, silent or garbled costs a moment, and then the process goes on alone.
+//! Lines of JSON go both ways over that one connection. Nothing here keeps a process from serving: another process that
+//! is dead, silent or sends garbage costs a moment, and then this one goes on alone.
+
+mod connection;
+mod message;
+
+pub use message::{HandoverMessage, HandoverSnapshot};
 
-use crate::decision::HandoverState;
-use crate::proxy::control_plane::discovery::{EndpointList, MAX_ENDPOINTS};
 use crate::proxy::downstream::accept::AcceptBackoff;
 use crate::proxy::lifecycle::drain::Lifecycle;
+use crate::proxy::lifecycle::permits::Permits;
 use crate::proxy::runtime::{AdminCommand, AdminSender};
-use serde::{Deserialize, Serialize};
+use connection::{within, HandoverConnection, HandoverError, STEP_TIMEOUT};
 use std::io;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
-use tokio::net::unix::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::{mpsc, oneshot, watch};
-use tokio::time::{interval, timeout};
+use tokio::time::interval;
 use tracing::{info, warn};
 
-/// The longest wait for any one step of the peer's: for its next bytes, or for it to take some.
-const STEP_TIME: Duration = Duration::from_millis(500);
-/// The longest wait for the first bytes of what the elder leaves, which it has to put together with what it has of a core.
-const WILL_TIME: Duration = Duration::from_secs(3);
-/// The longest wait for a whole line, however long: as long as a process may take until it is ready.
-const LINE_TIME: Duration = Duration::from_secs(10);
-/// The most bytes of a backend and of a customer in what a process leaves.
-const LONGEST_BACKEND: usize = 1200;
-const LONGEST_CUSTOMER: usize = 800;
-/// Customers of a gateway within the two minutes in which it remembers them, at 250 new ones a second.
-const MOST_CUSTOMERS: usize = 30_000;
-/// The longest line, in bytes: 31.7 MB, all that a gateway of the largest fleet can leave. Read as it comes, so that no more
-/// memory is taken than the line has.
-const LONGEST: usize = 2 * MAX_ENDPOINTS * LONGEST_BACKEND + MOST_CUSTOMERS * LONGEST_CUSTOMER;
-/// Bytes that are written in one step.
-const PIECE: usize = 64 * 1024;
-/// How often the elder tells what it still holds.
-const TELL_EVERY: Duration = Duration::from_millis(100);
-/// Words that may wait to be written to the peer.
-pub const WORDS: usize = 64;
-
-/// What the elder leaves.
-#[derive(Serialize, Deserialize)]
-pub struct Will {
-    /// The list of backends as it last had it.
-    #[serde(rename = "members")]
-    pub endpoints: EndpointList,
-    /// What the module must know.
-    pub estate: HandoverState,
-}
-
-/// What the two processes tell each other.
-#[derive(Serialize, Deserialize)]
-pub enum Word {
-    /// The younger's first: it is about to serve.
-    Hello,
-    /// The elder's answer. From here on it takes no new connections.
-    Will(Box<Will>),
-    /// The elder: so many connections of clients it still holds.
-    Held(usize),
-    /// An operator's order to the other process.
-    Maintain {
-        /// The backend.
-        id: String,
-        /// Out, or back.
-        out: bool,
-    },
-}
-
-/// The ends of the connection.
-struct Line {
-    reader: BufReader<OwnedReadHalf>,
-    writer: OwnedWriteHalf,
-    /// What has come of the next line.
-    begun: Vec<u8>,
-}
-
-impl Line {
-    fn new(stream: UnixStream) -> Line {
-        let (reader, writer) = stream.into_split();
-        Line { reader: BufReader::new(reader), writer, begun: Vec::new() }
-    }
-
-    /// The next word; none once the peer is gone or makes no sense. May be called off and called again.
-    async fn hear(&mut self) -> Option<Word> {
-        while !self.hear_piece().await? {}
-        self.whole_line()
-    }
-
-    /// The same where the peer is to begin within this time and then not to stop for longer than a step may take.
-    async fn hear_within(&mut self, first: Duration) -> Option<Word> {
-        let line = async {
-            let mut limit = first;
-            while !timeout(limit, self.hear_piece()).await.ok()?? {
-                limit = STEP_TIME;
-            }
-            self.whole_line()
-        };
-        timeout(LINE_TIME, line).await.ok()?
-    }
-
-    /// Reads what has come of the next line; whether that is all of it.
-    async fn hear_piece(&mut self) -> Option<bool> {
-        let come = self.reader.fill_buf().await.ok().filter(|come| !come.is_empty())?;
-        let end = come.iter().position(|byte| *byte == b'\n');
-        let length = end.map_or(come.len(), |end| end + 1);
-        self.begun.extend_from_slice(&come[..length]);
-        self.reader.consume(length);
-        if self.begun.len() > LONGEST {
-            warn!(bytes = self.begun.len(), limit = LONGEST, "the other process's word is too long");
-            return None;
-        }
-        Some(end.is_some())
-    }
-
-    fn whole_line(&mut self) -> Option<Word> {
-        let line = std::mem::take(&mut self.begun);
-        let word = serde_json::from_slice(&line);
-        word.inspect_err(|error| warn!(%error, bytes = line.len(), "the other process's word makes no sense"))
-            .ok()
-    }
-
-    async fn tell(&mut self, word: &Word) -> Option<()> {
-        let mut text = serde_json::to_vec(word).ok()?;
-        text.push(b'\n');
-        for piece in text.chunks(PIECE) {
-            timeout(STEP_TIME, self.writer.write_all(piece)).await.ok()?.ok()?;
-        }
-        Some(())
-    }
-}
+/// The longest wait for the first bytes of the snapshot, which the predecessor has to put together with what it has of
+/// a core.
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(3);
+/// How often the predecessor reports how many connections it still has.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Messages of the runtime that may wait to be written to the other process.
+const MAX_QUEUED_MESSAGES: usize = 64;
 
 /// One process's part in a replacement.
-pub struct Succession {
-    path: PathBuf,
-    /// The way to the driver.
-    orders: AdminSender,
-    duty: Rc<Lifecycle>,
-    /// How many connections of clients this process holds.
-    held: Rc<dyn Fn() -> usize>,
-    /// How many the other holds, on which this one must not count.
-    elsewhere: watch::Sender<usize>,
+pub struct Handover {
+    socket_path: PathBuf,
+    runtime: AdminSender,
+    lifecycle: Rc<Lifecycle>,
+    /// Taken for each connection of a client.
+    client_permits: Rc<Permits>,
+    /// Reports how many the other process has, on which this one must not count.
+    other_process_connections: watch::Sender<usize>,
 }
 
-impl Succession {
+impl Handover {
     /// For the gateway whose clients come to this address; others have their sockets in the folder as well.
     pub fn new(
-        folder: PathBuf,
+        folder: &Path,
         address: SocketAddr,
-        orders: AdminSender,
-        duty: Rc<Lifecycle>,
-        held: Rc<dyn Fn() -> usize>,
-        elsewhere: watch::Sender<usize>,
-    ) -> Succession {
-        let path = folder.join(format!("starlinghill-{address}.sock"));
-        Succession { path, orders, duty, held, elsewhere }
+        runtime: AdminSender,
+        lifecycle: Rc<Lifecycle>,
+        client_permits: Rc<Permits>,
+        other_process_connections: watch::Sender<usize>,
+    ) -> Handover {
+        // An older build looks for its successor or predecessor by this name.
+        let socket_path = folder.join(format!("starlinghill-{address}.sock"));
+        Handover { socket_path, runtime, lifecycle, client_permits, other_process_connections }
     }
 
     /// Takes over from the process that serves, if there is one. Returns once this one may serve.
-    pub async fn inherit(self: &Rc<Succession>) {
-        let Ok(Ok(stream)) = timeout(STEP_TIME, UnixStream::connect(&self.path)).await else { return };
-        let mut line = Line::new(stream);
-        if line.tell(&Word::Hello).await.is_none() {
+    pub async fn take_over(self: &Rc<Handover>) {
+        let connecting = UnixStream::connect(&self.socket_path);
+        let Ok(Ok(stream)) = within(STEP_TIMEOUT, connecting).await else { return };
+        let mut connection = HandoverConnection::new(stream);
+        if connection.send(&HandoverMessage::Hello).await.is_err() {
             return;
         }
-        let Some(Word::Will(will)) = line.hear_within(WILL_TIME).await else {
-            warn!("the process before this one tells nothing that makes sense; starting as after a crash");
-            return;
+        let snapshot = match connection.receive_within(SNAPSHOT_TIMEOUT).await {
+            Ok(HandoverMessage::Snapshot(snapshot)) => snapshot,
+            Ok(_) => return warn!("no snapshot from the predecessor; starting as after a crash"),
+            Err(error) => {
+                return warn!(%error, "no snapshot from the predecessor; starting as after a crash");
+            }
         };
-        let (words, outgoing) = mpsc::channel(WORDS);
-        if self
-            .order(|done| AdminCommand::TakeOver { snapshot: will, messages: words, reply: done })
-            .await
-            .is_none()
-        {
+        let (messages, outgoing) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let taken = self.command(|reply| AdminCommand::TakeOver { snapshot, messages, reply }).await;
+        if taken.is_none() {
             return;
         }
-        info!("taking over from the process before");
-        let younger = self.clone();
-        tokio::task::spawn_local(async move {
-            younger.converse(line, outgoing).await;
-            info!("the process before has ended");
-            younger.elsewhere.send_replace(0);
-            younger.order(AdminCommand::PeerProcessExited).await;
-        });
+        info!("taking over from the predecessor process");
+        tokio::task::spawn_local(self.clone().follow_predecessor(connection, outgoing));
     }
 
-    async fn order<T>(&self, order: impl FnOnce(oneshot::Sender<T>) -> AdminCommand) -> Option<T> {
-        let (done, answer) = oneshot::channel();
-        self.orders.send(order(done)).await.ok()?;
+    /// Forms one gateway with the predecessor until its end.
+    async fn follow_predecessor(
+        self: Rc<Handover>,
+        connection: HandoverConnection,
+        outgoing: mpsc::Receiver<HandoverMessage>,
+    ) {
+        self.relay(connection, outgoing).await;
+        info!("the predecessor process has ended");
+        self.other_process_connections.send_replace(0);
+        self.command(AdminCommand::PeerProcessExited).await;
+    }
+
+    /// Sends the runtime a command and waits for its reply; none once the runtime is gone.
+    async fn command<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> AdminCommand) -> Option<T> {
+        let (reply, answer) = oneshot::channel();
+        self.runtime.send(command(reply)).await.ok()?;
         answer.await.ok()
     }
 
-    /// Binds the socket under another name first, so that it takes the place of a stale one, or of the other
-    /// process's, in one step.
-    fn publish(&self) -> io::Result<UnixListener> {
-        let new = self.path.with_extension(format!("{}", std::process::id()));
-        match std::fs::remove_file(&new) {
+    /// Binds the socket under another name first, so that it takes the place of a stale one, or of the other process's,
+    /// in one step.
+    fn bind_socket(&self) -> io::Result<UnixListener> {
+        let temporary = self.socket_path.with_extension(format!("{}", std::process::id()));
+        match std::fs::remove_file(&temporary) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
             _ => {}
         }
-        let listener = UnixListener::bind(&new)?;
-        std::fs::rename(&new, &self.path)?;
+        let listener = UnixListener::bind(&temporary)?;
+        std::fs::rename(&temporary, &self.socket_path)?;
         Ok(listener)
     }
 
-    /// Waits for a process that takes over from this one, for ever.
-    pub async fn bequeath(self: Rc<Succession>) {
+    /// Waits for processes that take over from this one, for ever.
+    pub async fn serve_successors(self: Rc<Handover>) {
         loop {
-            let listener = match self.publish() {
+            let listener = match self.bind_socket() {
                 Ok(listener) => listener,
-                Err(error) => return warn!(%error, path = %self.path.display(), "no process can take over"),
+                Err(error) => {
+                    return warn!(%error, path = %self.socket_path.display(), "no process can take over");
+                }
             };
-            let mut accepting = AcceptBackoff::default();
-            loop {
-                let stream = match listener.accept().await {
-                    Ok((stream, _)) => stream,
-                    Err(error) => {
-                        accepting.failed(&error).await;
-                        continue;
-                    }
-                };
-                accepting.succeeded();
-                // One at a time: who asks meanwhile waits, and gives up in time.
-                let mut line = Line::new(stream);
-                if !matches!(line.hear_within(STEP_TIME).await, Some(Word::Hello)) {
+            // Until another's socket stands in the place of this one's.
+            self.accept_successor(&listener).await;
+        }
+    }
+
+    /// Returns once a process has taken over from this one and is gone again.
+    async fn accept_successor(&self, listener: &UnixListener) {
+        let mut accepting = AcceptBackoff::default();
+        loop {
+            let stream = match listener.accept().await {
+                Ok((stream, _)) => stream,
+                Err(error) => {
+                    accepting.failed(&error).await;
                     continue;
                 }
-                if self.hand_over(line).await {
-                    // The other's socket stands in the place of this one's.
-                    break;
+            };
+            accepting.succeeded();
+            // One at a time: another one waits, and gives up in time.
+            let mut connection = HandoverConnection::new(stream);
+            match connection.receive_within(STEP_TIMEOUT).await {
+                Ok(HandoverMessage::Hello) => {}
+                Ok(_) => continue,
+                Err(error) => {
+                    error.log();
+                    continue;
                 }
             }
+            if self.hand_over(connection).await.is_ok() {
+                return;
+            }
         }
     }
 
-    /// Hands the gateway over and returns when the other process is gone: whether it had begun.
-    async fn hand_over(&self, mut line: Line) -> bool {
-        let (words, outgoing) = mpsc::channel(WORDS);
-        self.duty.set_replaced(true);
-        let will = self.order(|done| AdminCommand::HandOver { messages: words, reply: done }).await;
-        let told = match will {
-            Some(will) => line.tell(&Word::Will(will)).await,
-            None => None,
+    /// Hands the gateway over and returns when the other process is gone; an error where it never took over.
+    async fn hand_over(&self, mut connection: HandoverConnection) -> Result<(), HandoverError> {
+        let (messages, outgoing) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        self.lifecycle.set_replaced(true);
+        let snapshot = self.command(|reply| AdminCommand::HandOver { messages, reply }).await;
+        let sent = match snapshot {
+            Some(snapshot) => connection.send(&HandoverMessage::Snapshot(snapshot)).await,
+            None => Err(HandoverError::Closed),
         };
-        if told.is_some() {
-            info!("another process takes over");
-            self.converse(line, outgoing).await;
-            warn!("the process that took over is gone; serving again");
+        if sent.is_ok() {
+            info!("handing over to the successor process");
+            self.relay(connection, outgoing).await;
+            warn!("the successor process is gone; serving again");
         }
-        self.order(AdminCommand::PeerProcessExited).await;
-        self.duty.set_replaced(false);
-        told.is_some()
+        self.command(AdminCommand::PeerProcessExited).await;
+        self.lifecycle.set_replaced(false);
+        sent
     }
 
-    /// Passes words on, both ways, until the other process is gone.
-    async fn converse(&self, mut line: Line, mut outgoing: mpsc::Receiver<Word>) {
-        let mut tell = interval(TELL_EVERY);
+    /// Passes messages on, both ways, until the other process is gone.
+    async fn relay(&self, mut connection: HandoverConnection, mut outgoing: mpsc::Receiver<HandoverMessage>) {
+        let mut report = interval(REPORT_INTERVAL);
         loop {
-            let word = tokio::select! {
-                heard = line.hear() => {
-                    match heard {
-                        Some(Word::Held(held)) => drop(self.elsewhere.send_replace(held)),
-                        Some(Word::Maintain { id, out }) => {
-                            self.order(|done| AdminCommand::SetMaintenance { endpoint: id, in_maintenance: out, relayed: true, reply: done }).await;
+            let message = tokio::select! {
+                received = connection.receive() => {
+                    match received {
+                        Ok(HandoverMessage::ClientConnections(connections)) => {
+                            self.other_process_connections.send_replace(connections);
+                        }
+                        Ok(HandoverMessage::SetMaintenance { endpoint, in_maintenance }) => {
+                            self.set_maintenance(endpoint, in_maintenance).await;
                         }
-                        Some(Word::Hello | Word::Will(_)) | None => return,
+                        Ok(HandoverMessage::Hello | HandoverMessage::Snapshot(_)) => return,
+                        Err(error) => return error.log(),
                     }
                     continue;
                 }
-                Some(word) = outgoing.recv() => word,
-                _ = tell.tick(), if self.duty.is_replaced() => Word::Held((self.held)()),
+                Some(message) = outgoing.recv() => message,
+                _ = report.tick(), if self.lifecycle.is_replaced() => {
+                    HandoverMessage::ClientConnections(self.client_permits.in_use())
+                }
             };
-            if line.tell(&word).await.is_none() {
+            if connection.send(&message).await.is_err() {
                 return;
             }
         }
     }
+
+    /// Carries out an operator's order that the other process received.
+    async fn set_maintenance(&self, endpoint: String, in_maintenance: bool) {
+        let command = |reply| AdminCommand::SetMaintenance { endpoint, in_maintenance, relayed: true, reply };
+        self.command(command).await;
+    }
 }
 
 #[cfg(test)]
--- a/src/proxy/lifecycle/mod.rs
+++ b/src/proxy/lifecycle/mod.rs
@@ -1,4 +1,5 @@
-//! Start, drain, and the replacement of the process.
+//! The life of a process: its listening socket, serving, drain and end, and its replacement by another process of the
+//! same gateway.
 
 pub mod drain;
 pub mod handover;
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -1,409 +1,310 @@
-//! The one owner of the decision module: events in, actions out, timers. It translates and never chooses;
-//! its request table sees to it that every request gets exactly one final answer.
+//! The one owner of the decision module: events in, actions out, timers. It translates and never chooses; its request
+//! table sees to it that every request gets exactly one final answer.
 
+mod admin_commands;
 mod attempts;
+mod clock;
 mod endpoints;
 mod messages;
+mod requests;
+mod routing;
+mod timers;
 
+pub use clock::{duration, Clock};
 pub use messages::{
-    send_event, AdminCommand, AdminSender, AttemptId, Clock, FinalResponse, NewRequest, RuntimeEvent,
-    RuntimeSender,
+    send_event, AdminCommand, AdminSender, AttemptId, FinalResponse, NewRequest, RuntimeEvent, RuntimeSender,
 };
 
-use crate::cluster::rollout::{Arm, Ended as Judgement, Key, Rule};
-use crate::cluster::InForce;
-use crate::decision::{
-    has_canary_rules, Action, Arrival, AttemptEnded, CellId, ClassId, CounterKey, EndpointCounts, EndpointId,
-    EndpointStatus, EndpointUpdate, Event, Gateway, LoadReport, Micros, Outcome, PlanId, QuotaLease,
-    RejectionReason, RequestId, RouteRule, RoutingRules, TimerId, WatchScope,
-};
-use crate::proxy::admin::metrics::{Metrics, NotSentReason};
-use crate::proxy::cluster_transport::outcome_recorder::{OutcomeRecorder, RolloutOutcome, RolloutRequest};
+use crate::decision::{Action, EndpointId, Event, Gateway, Micros, QuotaLease, RequestId};
+use crate::proxy::admin::metrics::Metrics;
+use crate::proxy::cluster_transport::outcome_recorder::OutcomeRecorder;
 use crate::proxy::control_plane::config::{Config, ConfigError};
-use crate::proxy::control_plane::counter::{CallNumber, CounterClient, CounterReply, Increment, ReplyOrder};
+use crate::proxy::control_plane::counter::{CounterClient, ReplyOrder};
 use crate::proxy::control_plane::discovery::{DiscoveredEndpoint, EndpointList};
-use crate::proxy::downstream::response_body::{ResponseBody, UpstreamResponseBody};
 use crate::proxy::lifecycle::drain::Lifecycle;
-use crate::proxy::lifecycle::handover::{Will, Word};
+use crate::proxy::lifecycle::handover::HandoverMessage;
 use crate::proxy::memory_budget::MemoryBudget;
-use crate::proxy::upstream::backend::{AttemptResult, Backend, ConnectionPool};
-use crate::proxy::upstream::forwarded_request::ForwardedRequest;
+use crate::proxy::upstream::backend::{Backend, ConnectionPool};
 use crate::site_settings::Site;
-use http_body_util::Full;
-use std::cell::Cell;
-use std::cmp::Reverse;
-use std::collections::{BinaryHeap, HashMap, HashSet};
-use std::net::SocketAddr;
+use endpoints::EndpointStart;
+use requests::{OpenRequest, RequestTable};
+use routing::ActiveRollout;
+use std::collections::HashMap;
 use std::rc::Rc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use tokio::sync::{mpsc, oneshot};
-use tokio::time::{sleep_until, Instant};
-use tracing::{debug, info, warn};
-
-/// How many inputs may wait for the driver; whoever has one more waits with it.
-const INBOX: usize = 1024;
-/// How many orders of operators may wait for the driver.
-const ORDERS: usize = 16;
-/// How often connections that stand idle are looked at.
-const RETIRE_EVERY: Duration = Duration::from_secs(1);
-
-/// How long a gateway that knows a list from before waits for news of it before it is ready.
-const WAIT_FOR_DISCOVERY: Duration = Duration::from_secs(1);
-
-/// A request in the table: until it has its answer and nothing of it is out.
-struct Open {
-    reply: Option<oneshot::Sender<FinalResponse>>,
-    forward: Rc<ForwardedRequest>,
-    attempts: Vec<Attempt>,
-    /// How it ends is counted for a rollout.
-    judged: Option<RolloutRequest>,
-}
+use std::time::Duration;
+use timers::Timers;
+use tokio::sync::mpsc;
+use tokio::time::{sleep, sleep_until, Instant};
+use tracing::debug;
 
-struct Attempt {
-    out: bool,
-    /// Calls it off.
-    call_off: Option<oneshot::Sender<()>>,
-}
+/// How many events may wait for the runtime; whoever has one more waits with it.
+const MAX_QUEUED_EVENTS: usize = 1024;
+/// How many commands may wait for the runtime.
+const MAX_QUEUED_COMMANDS: usize = 16;
+/// How often idle connections to backends are looked at.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a gateway that knows an endpoint list from before waits for discovery's before it is ready.
+const DISCOVERY_WAIT: Duration = Duration::from_secs(1);
+/// The shortest time between two turns: a gateway that calls its decision module without pause would only burn its core.
+const MIN_TICK: Duration = Duration::from_millis(1);
 
-impl Open {
-    /// The way to the client, for the one answer; nothing more is sent for it.
-    fn take_reply(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
-        self.forward.wanted.set(false);
-        self.reply.take()
-    }
-    fn over(&self) -> bool {
-        self.reply.is_none() && !self.attempts.iter().any(|a| a.out)
-    }
+/// What the runtime shares with the rest of the process.
+#[derive(Clone)]
+pub struct SharedParts {
+    /// The decision module's clock.
+    pub clock: Clock,
+    /// Told once the endpoint list is known.
+    pub lifecycle: Rc<Lifecycle>,
+    /// Counts what happens, for operators.
+    pub metrics: Rc<Metrics>,
+    /// The budget for buffers.
+    pub memory: Rc<MemoryBudget>,
+    /// Takes the outcomes of requests and attempts.
+    pub outcomes: Rc<OutcomeRecorder>,
 }
 
-/// The driver.
+/// The owner of the decision module.
 pub struct Runtime {
     gateway: Gateway,
     site: Site,
     clock: Clock,
+    /// The shortest time between two turns.
     tick: Duration,
-    inbox: RuntimeSender,
-    inputs: mpsc::Receiver<RuntimeEvent>,
-    orders: mpsc::Receiver<AdminCommand>,
+    sender: RuntimeSender,
+    events: mpsc::Receiver<RuntimeEvent>,
+    commands: mpsc::Receiver<AdminCommand>,
     pool: Rc<ConnectionPool>,
     memory: Rc<MemoryBudget>,
     counter: Option<Rc<CounterClient>>,
-    order: ReplyOrder,
+    counter_replies: ReplyOrder,
     backends: HashMap<EndpointId, Rc<Backend>>,
-    /// The list of backends as it was last told.
+    /// The endpoint list as discovery last sent it.
     listed: HashMap<EndpointId, DiscoveredEndpoint>,
-    /// When backends started: as told, in milliseconds of the wall clock, and on the own clock.
-    starts: HashMap<EndpointId, (u64, Micros)>,
-    revision: u64,
-    /// The way to the other process of this gateway, while there is one.
-    other: Option<mpsc::Sender<Word>>,
-    requests: HashMap<RequestId, Open>,
-    timers: BinaryHeap<Reverse<(Micros, TimerId)>>,
-    batch: Vec<Event>,
+    starts: HashMap<EndpointId, EndpointStart>,
+    list_revision: u64,
+    /// Sends the other process of this gateway messages, while there is one.
+    other_process: Option<mpsc::Sender<HandoverMessage>>,
+    requests: RequestTable,
+    timers: Timers,
+    /// What the decision module is told at the next turn.
+    pending_events: Vec<Event>,
+    /// Kept between turns for its room.
     actions: Vec<Action>,
-    /// Told once the list of backends is in hand.
-    duty: Rc<Lifecycle>,
-    figures: Rc<Metrics>,
-    /// When the list known from before is taken for it.
+    lifecycle: Rc<Lifecycle>,
+    metrics: Rc<Metrics>,
+    /// When the gateway serves by the list that it knows from before.
     ready_at: Option<Instant>,
-    /// The rollout that runs, and how it deals the customers out.
-    rolled: Option<(Key, RoutingRules)>,
-    /// Where its ends are counted.
-    arms: Rc<OutcomeRecorder>,
+    rollout: Option<ActiveRollout>,
+    outcomes: Rc<OutcomeRecorder>,
 }
 
 impl Runtime {
-    /// A driver that knows nothing yet but the configuration.
-    pub fn new(
-        config: Config,
-        clock: Clock,
-        duty: Rc<Lifecycle>,
-        figures: Rc<Metrics>,
-        memory: Rc<MemoryBudget>,
-    ) -> Result<(Runtime, AdminSender), ConfigError> {
-        let Config {
-            site,
-            counter,
-            sockets,
-            seed,
-            known_endpoints: known,
-            backend_idle_timeout: conn_idle,
-            cluster: fleet,
-            ..
-        } = config;
-        let gateway = Gateway::new(seed, site.settings.clone()).map_err(ConfigError::from)?;
-        let connect_timeout = duration(site.settings.connect_timeout);
-        let (inbox, inputs) = mpsc::channel(INBOX);
-        let (ordering, orders) = mpsc::channel(ORDERS);
-        let counter =
-            counter.map(|a| CounterClient::new(a, duration(site.settings.counter_timeout), sockets.counter));
-        let mut driver = Runtime {
+    /// A runtime that knows nothing yet but the configuration, and the way of commands to it.
+    ///
+    /// # Errors
+    /// The settings contradict each other.
+    pub fn new(config: Config, shared: SharedParts) -> Result<(Runtime, AdminSender), ConfigError> {
+        let SharedParts { clock, lifecycle, metrics, memory, outcomes } = shared;
+        let Config { site, counter, sockets, seed, known_endpoints, backend_idle_timeout, cluster, .. } =
+            config;
+        let settings = &site.settings;
+        let gateway = Gateway::new(seed, settings.clone()).map_err(ConfigError::from)?;
+        let (sender, events) = mpsc::channel(MAX_QUEUED_EVENTS);
+        let (admin_sender, commands) = mpsc::channel(MAX_QUEUED_COMMANDS);
+        let counter_timeout = duration(settings.counter_timeout);
+        let counter = counter.map(|address| CounterClient::new(address, counter_timeout, sockets.counter));
+        let pool = ConnectionPool::new(
+            sockets.backends,
+            duration(settings.connect_timeout),
+            backend_idle_timeout,
+            metrics.clone(),
+            memory.clone(),
+        );
+        let mut runtime = Runtime {
             gateway,
             clock,
-            // A gateway that calls its module without pause would only burn its core.
-            tick: duration(site.settings.tick).max(Duration::from_millis(1)),
+            tick: duration(settings.tick).max(MIN_TICK),
             site,
-            inbox,
-            inputs,
-            orders,
-            pool: Rc::new(ConnectionPool::new(
-                sockets.backends,
-                connect_timeout,
-                conn_idle,
-                figures.clone(),
-                memory.clone(),
-            )),
+            sender,
+            events,
+            commands,
+            pool: Rc::new(pool),
             memory,
             counter: counter.map(Rc::new),
-            order: ReplyOrder::default(),
+            counter_replies: ReplyOrder::default(),
             backends: HashMap::new(),
             listed: HashMap::new(),
             starts: HashMap::new(),
-            revision: 0,
-            other: None,
-            requests: HashMap::new(),
-            timers: BinaryHeap::new(),
-            batch: Vec::new(),
+            list_revision: 0,
+            other_process: None,
+            requests: RequestTable::default(),
+            timers: Timers::default(),
+            pending_events: Vec::new(),
             actions: Vec::new(),
-            duty,
-            figures,
+            lifecycle,
+            metrics,
             ready_at: None,
-            rolled: None,
-            arms: Rc::default(),
+            rollout: None,
+            outcomes,
         };
-        // Where shares are lent, this gateway's may be with others until it is known not to be.
-        let part = fleet.map_or(0.0, |fleet| fleet.lendable_part);
-        if part > 0.0 {
-            driver
-                .batch
-                .push(Event::QuotaLeaseChanged(QuotaLease { fraction: part, ..QuotaLease::default() }));
-        }
-        // It may be old, but it is what there is until discovery speaks, which is waited for a little.
-        if !known.endpoints.is_empty() {
-            driver.members(EndpointList { complete: true, ..known });
-            driver.ready_at = Some(Instant::now() + WAIT_FOR_DISCOVERY);
+        runtime.start_quota_lease(cluster.map_or(0.0, |cluster| cluster.lendable_part));
+        runtime.start_from_known_list(known_endpoints);
+        Ok((runtime, admin_sender))
+    }
+
+    /// Where quota shares are leased, this gateway's may be with others until it is known not to be.
+    fn start_quota_lease(&mut self, lendable_part: f64) {
+        if lendable_part > 0.0 {
+            let lease = QuotaLease { fraction: lendable_part, ..QuotaLease::default() };
+            self.pending_events.push(Event::QuotaLeaseChanged(lease));
         }
-        Ok((driver, ordering))
     }
 
-    /// How requests end under a rollout is noted there.
-    pub fn counts(&mut self, arms: Rc<OutcomeRecorder>) {
-        self.arms = arms;
+    /// The list from before may be old, but it is what there is until discovery answers, which is waited for a little.
+    fn start_from_known_list(&mut self, known: EndpointList) {
+        if !known.endpoints.is_empty() {
+            self.apply_endpoint_list(EndpointList { complete: true, ..known });
+            self.ready_at = Some(Instant::now() + DISCOVERY_WAIT);
+        }
     }
 
-    /// The way in.
-    pub fn inbox(&self) -> RuntimeSender {
-        self.inbox.clone()
+    /// Sends this runtime events.
+    pub fn sender(&self) -> RuntimeSender {
+        self.sender.clone()
     }
 
-    /// Runs for ever. Like the simulator it tells the module what has come in at most once a tick.
+    /// Runs for ever. Like the simulator it tells the decision module what has come in at most once a tick.
     pub async fn run(mut self) {
-        let pool = self.pool.clone();
-        tokio::task::spawn_local(async move {
-            loop {
-                tokio::time::sleep(RETIRE_EVERY).await;
-                pool.retire();
-            }
-        });
-        let mut last = Instant::now();
+        tokio::task::spawn_local(close_idle_connections(self.pool.clone()));
+        let mut last_turn = Instant::now();
         loop {
-            let due = match self.timers.peek() {
-                _ if !self.batch.is_empty() => Some(last + self.tick),
-                Some(Reverse((at, _))) => Some(self.clock.instant(*at).max(last + self.tick)),
-                None => None,
-            };
+            let next_turn = self.next_turn(last_turn);
             tokio::select! {
                 biased;
-                Some(order) = self.orders.recv() => self.obey(order),
-                () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
-                    last = Instant::now();
+                Some(command) = self.commands.recv() => self.obey(command),
+                () = sleep_until(next_turn.unwrap_or_else(Instant::now)), if next_turn.is_some() => {
+                    last_turn = Instant::now();
                     self.turn();
                 }
                 () = sleep_until(self.ready_at.unwrap_or_else(Instant::now)), if self.ready_at.is_some() => {
                     self.become_ready();
                 }
-                input = self.inputs.recv() => {
-                    let mut next = input;
-                    while let Some(input) = next {
-                        self.take(input);
-                        next = self.inputs.try_recv().ok();
+                event = self.events.recv() => {
+                    let mut next = event;
+                    while let Some(event) = next {
+                        self.handle_event(event);
+                        next = self.events.try_recv().ok();
                     }
                 }
             }
         }
     }
 
-    /// Tells the module all that has come in and carries out what it decides.
+    /// When the decision module is called next: a tick after the last turn where an event waits, else with the next timer.
+    fn next_turn(&self, last_turn: Instant) -> Option<Instant> {
+        let earliest = last_turn + self.tick;
+        if !self.pending_events.is_empty() {
+            return Some(earliest);
+        }
+        let timer: Micros = self.timers.next_at()?;
+        Some(self.clock.instant(timer).max(earliest))
+    }
+
+    /// Tells the decision module all that has come in and carries out what it decides.
     fn turn(&mut self) {
         let now = self.clock.now();
-        while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
-            self.batch.extend(self.timers.pop().map(|Reverse((_, id))| Event::TimerFired { timer: id }));
+        while let Some(timer) = self.timers.pop_fired(now) {
+            self.pending_events.push(Event::TimerFired { timer });
         }
         let mut actions = std::mem::take(&mut self.actions);
-        for event in std::mem::take(&mut self.batch) {
-            let ends = match &event {
-                Event::ClientDisconnected { request: id } => Some(*id),
-                Event::AttemptEnded(end) => Some(end.request),
-                _ => None,
-            };
+        for event in std::mem::take(&mut self.pending_events) {
+            let ended_request = request_that_may_be_finished(&event);
             self.gateway.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action);
+                self.perform(now, action);
+            }
+            // Not before the decision module has heard: until then it may send for this request, and each of its sends
+            // must be told its end, or the capacity that it takes at an endpoint is never free again.
+            if let Some(request) = ended_request {
+                self.requests.remove_if_finished(request);
             }
-            // Not before the module has heard: until then it may send for this request, and each of its sends
-            // must be told its end, or the place that it takes at a server is never free again.
-            ends.into_iter().for_each(|id| self.tidy(id));
         }
         self.actions = actions;
     }
 
-    /// Translates what came in to an event of the module's.
-    fn take(&mut self, input: RuntimeEvent) {
-        match input {
-            RuntimeEvent::RequestReceived(taken) => {
-                let NewRequest { arrival, forward, reply } = *taken;
-                debug!(
-                    request = arrival.id.0,
-                    call = forward.call_id(),
-                    class = arrival.class.0,
-                    customer = arrival.customer.0,
-                    "taken"
-                );
-                // The module counts the attempts of earlier owners as well.
-                let before = arrival.prior_attempts.iter().map(|_| Attempt { out: false, call_off: None });
-                let attempts: Vec<Attempt> = before.collect();
-                let judged = self.rolled.as_ref().map(|(key, routing)| RolloutRequest {
-                    key: *key,
-                    arm: if has_canary_rules(routing, arrival.customer) { Arm::New } else { Arm::Old },
-                    class: arrival.class,
-                    came: self.clock.now(),
-                    before: attempts.len(),
-                });
-                let open = Open { reply: Some(reply), forward: Rc::new(forward), attempts, judged };
-                self.requests.insert(arrival.id, open);
-                self.batch.push(Event::RequestArrived(arrival));
-            }
-            RuntimeEvent::ClientDisconnected(id) => {
-                if self.requests.get_mut(&id).and_then(Open::take_reply).is_some() {
-                    debug!(request = id.0, "the client left");
-                    self.batch.push(Event::ClientDisconnected { request: id });
-                }
+    /// Translates what came in to an event of the decision module's.
+    fn handle_event(&mut self, event: RuntimeEvent) {
+        match event {
+            RuntimeEvent::RequestReceived(request) => self.request_received(*request),
+            RuntimeEvent::RequestBodyEnded { request, deadline } => {
+                self.pending_events.push(Event::RequestBodyEnded { request, deadline });
             }
+            RuntimeEvent::ClientDisconnected(request) => self.client_disconnected(request),
             RuntimeEvent::EndpointsChanged(list) => {
-                self.members(list);
+                self.apply_endpoint_list(list);
                 self.become_ready();
             }
             RuntimeEvent::CounterAddressChanged(address) => {
-                // Calls under way end where they were made.
+                // Calls in flight end where they were made.
                 self.counter = self.counter.take().map(|counter| Rc::new(counter.at_address(address)));
             }
-            RuntimeEvent::QuotaLeaseChanged(lent) => self.batch.push(Event::QuotaLeaseChanged(lent)),
-            RuntimeEvent::RoutingChanged(in_force) => self.routing(*in_force),
-            RuntimeEvent::CounterReplied { key, call, reply } => {
-                let ready = self.order.reply_received(key, call, reply);
-                self.batch.extend(ready.into_iter().map(|c| Event::CounterReplied {
-                    key,
-                    outcome: c.outcome,
-                    total: c.total,
-                }));
-            }
-            RuntimeEvent::RequestBodyEnded { request: id, deadline } => {
-                self.batch.push(Event::RequestBodyEnded { request: id, deadline })
+            RuntimeEvent::QuotaLeaseChanged(lease) => {
+                self.pending_events.push(Event::QuotaLeaseChanged(lease));
             }
-            RuntimeEvent::AttemptEnded { attempt: ended_attempt, result: ended, elapsed: took } => {
-                let AttemptId { request: id, number: attempt, endpoint: server } = ended_attempt;
-                let Some(open) = self.requests.get_mut(&id) else { return };
-                let unsent = ended.unsent;
-                debug!(request = id.0, attempt, outcome = ?ended.outcome, ?unsent, took_us = took.0, "attempt ends");
-                self.figures.outcomes.raise(ended.outcome);
-                // The first 200 is the client's at once and ends the request; the module hears of it.
-                let judged = open.judged.filter(|_| ended.body.is_some() && open.reply.is_some());
-                if let Some(judged) = judged {
-                    let at = self.clock.now();
-                    let aim = self
-                        .site
-                        .settings
-                        .classes
-                        .get(judged.class.0)
-                        .map_or(Micros(1), |c| c.latency_objective);
-                    let part_of_aim = (at - judged.came).secs() / aim.secs().max(1e-6);
-                    let ended = if part_of_aim <= 1.0 { Judgement::InTime } else { Judgement::Late };
-                    self.arms.note(RolloutOutcome { judged, at, ended, part_of_aim });
-                }
-                match ended.body.and_then(|body| Some((body, open.take_reply()?))) {
-                    Some((UpstreamResponseBody::Streamed(mut download), reply)) => {
-                        let inbox = self.inbox.clone();
-                        download.tells(move |whole| {
-                            send_event(
-                                &inbox,
-                                RuntimeEvent::ResponseBodyEnded { attempt: ended_attempt, complete: whole },
-                            )
-                        });
-                        self.batch.push(Event::ResponseStarted { request: id, attempt, elapsed: took });
-                        let _ = reply.send(FinalResponse::Served(ResponseBody::Streamed(download)));
-                        return;
-                    }
-                    Some((UpstreamResponseBody::Buffered(bytes, room), reply)) => {
-                        open.forward.work.iter().for_each(|work| work.answered(&bytes));
-                        let _ =
-                            reply.send(FinalResponse::Served(ResponseBody::Buffered(Full::new(bytes), room)));
-                    }
-                    None => {}
+            RuntimeEvent::RoutingChanged(in_force) => self.apply_routing(*in_force),
+            RuntimeEvent::CounterReplied { key, call, reply } => {
+                for reply in self.counter_replies.reply_received(key, call, reply) {
+                    let (outcome, total) = (reply.outcome, reply.total);
+                    self.pending_events.push(Event::CounterReplied { key, outcome, total });
                 }
-                self.attempt_over(id, attempt);
-                self.ended(id, attempt, server, ended.outcome, took, ended.report);
             }
-            RuntimeEvent::ResponseBodyEnded { attempt, complete: whole } => {
-                let AttemptId { request: id, number: attempt, endpoint: server } = attempt;
-                self.attempt_over(id, attempt);
-                let outcome = if whole { Outcome::Success } else { Outcome::ConnectionReset };
-                self.ended(id, attempt, server, outcome, Micros(0), LoadReport::default());
+            RuntimeEvent::AttemptEnded { attempt, result, elapsed } => {
+                self.attempt_ended(attempt, result, elapsed);
+            }
+            RuntimeEvent::ResponseBodyEnded { attempt, complete } => {
+                self.response_body_ended(attempt, complete);
             }
         }
     }
 
-    /// Names become the numbers by which the module knows them.
-    fn routing(&mut self, in_force: InForce) {
-        let InForce { key, counts, old, new, share } = in_force;
-        let own = self.site.settings.zone;
-        let mut routes = |rules: Vec<Rule>| -> Vec<Rc<RouteRule>> {
-            let here = rules.into_iter().filter_map(|rule| {
-                let zone = rule.zone.as_ref().map(|zone| self.site.zone(zone));
-                zone.is_none_or(|zone| zone == own).then_some(rule)
-            });
-            here.collect::<Vec<_>>().into_iter().map(|rule| Rc::new(route(&mut self.site, rule))).collect()
-        };
-        let salt = key.map_or(0, |key| key.id);
-        let routing =
-            RoutingRules { baseline: routes(old.0), canary: routes(new.0), canary_share: share, salt };
-        self.rolled = key.filter(|_| counts).map(|key| (key, routing.clone()));
-        self.batch.push(Event::RoutingChanged(routing));
+    fn request_received(&mut self, request: NewRequest) {
+        let NewRequest { arrival, forward, reply } = request;
+        debug!(
+            request = arrival.id.0,
+            call = forward.call_id(),
+            class = arrival.class.0,
+            customer = arrival.customer.0,
+            "request received"
+        );
+        let rollout = self.rollout_request(&arrival);
+        let request = OpenRequest::new(forward, reply, arrival.prior_attempts.len(), rollout);
+        self.requests.insert(arrival.id, request);
+        self.pending_events.push(Event::RequestArrived(arrival));
     }
 
-    fn tidy(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(Open::over) {
-            self.requests.remove(&id);
+    fn client_disconnected(&mut self, request: RequestId) {
+        if self.requests.take_reply(request).is_some() {
+            debug!(request = request.0, "client disconnected");
+            self.pending_events.push(Event::ClientDisconnected { request });
         }
     }
 }
 
-/// A rule in the module's terms.
-fn route(site: &mut Site, rule: Rule) -> RouteRule {
-    let part = |percent: u16| f64::from(percent) / 100.0;
-    RouteRule {
-        class: rule.class.and_then(|name| site.classes.get(&name).copied()).map(ClassId),
-        plan: rule.plan.and_then(|name| site.plans.get(&name).copied()).map(PlanId),
-        zone_weights: rule.zones.iter().map(|(zone, weight)| (site.zone(zone), part(*weight))).collect(),
-        label_weights: rule.labels.iter().map(|(label, weight)| (site.label(label), part(*weight))).collect(),
-        max_attempts: rule.attempts.map(usize::from),
-        give_up_fraction: rule.give_up.map(|percent| part(percent.into())),
-        slow_start_fraction: rule.cold.map(|percent| part(percent.into())),
+/// The request that may be forgotten once the decision module has heard of this event.
+fn request_that_may_be_finished(event: &Event) -> Option<RequestId> {
+    match event {
+        Event::ClientDisconnected { request } => Some(*request),
+        Event::AttemptEnded(end) => Some(end.request),
+        _ => None,
     }
 }
 
-/// A span as the runtime has it.
-pub fn duration(span: Micros) -> Duration {
-    Duration::from_micros(span.0)
+/// Closes connections to backends that were idle for too long, for ever.
+async fn close_idle_connections(pool: Rc<ConnectionPool>) {
+    loop {
+        sleep(IDLE_CHECK_INTERVAL).await;
+        pool.retire();
+    }
 }
 
 #[cfg(test)]
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -1,131 +1,238 @@
-//! Actions of the module: attempts that are sent and how they end, and the one answer of each request.
+//! Actions of the decision module: attempts that are sent and how they end, calls to the counter, and the one final
+//! answer of each request.
 
-use crate::proxy::runtime::*;
+use super::messages::{send_event, AttemptId, FinalResponse, RuntimeEvent};
+use super::{Clock, Runtime};
+use crate::cluster::rollout::Ended;
+use crate::decision::{
+    Action, AttemptEnded, CounterKey, EndpointId, Event, LoadReport, Micros, Outcome, RejectionReason,
+    RequestId,
+};
+use crate::proxy::admin::metrics::NotSentReason;
+use crate::proxy::cluster_transport::outcome_recorder::{OutcomeRecorder, RolloutOutcome, RolloutRequest};
+use crate::proxy::control_plane::counter::Increment;
+use crate::proxy::downstream::response_body::{ResponseBody, UpstreamResponseBody};
+use crate::proxy::upstream::backend::{AttemptResult, Backend, ConnectionPool};
+use crate::proxy::upstream::forwarded_request::ForwardedRequest;
+use http_body_util::Full;
+use std::rc::Rc;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+use tracing::debug;
 
-impl Runtime {
-    pub(super) fn attempt_over(&mut self, id: RequestId, attempt: usize) {
-        let open = self.requests.get_mut(&id);
-        open.and_then(|o| o.attempts.get_mut(attempt)).into_iter().for_each(|a| a.out = false);
-    }
+/// Guards the division by a latency objective of 0, in seconds.
+const MIN_OBJECTIVE_SECONDS: f64 = 1e-6;
 
-    /// Tells the module of an attempt's end with the next batch.
-    pub(super) fn ended(
-        &mut self,
-        id: RequestId,
-        attempt: usize,
-        server: EndpointId,
-        outcome: Outcome,
-        took: Micros,
-        report: LoadReport,
-    ) {
-        let ended = self.requests.get(&id).is_none_or(|open| open.reply.is_none());
-        let end = AttemptEnded {
-            request: id,
-            attempt,
-            endpoint: server,
-            outcome,
-            elapsed: took,
-            request_finished: ended,
-            settled_units: None,
-            load: report,
-        };
-        self.batch.push(Event::AttemptEnded(end));
-    }
-
-    pub(super) fn act(&mut self, now: Micros, action: Action) {
+impl Runtime {
+    /// Carries out one action.
+    pub(super) fn perform(&mut self, now: Micros, action: Action) {
         match action {
-            Action::SendAttempt { request: id, endpoint: server, give_up_at: until } => {
-                self.send(now, id, server, until)
+            Action::SendAttempt { request, endpoint, give_up_at } => {
+                self.send_attempt(now, request, endpoint, give_up_at);
             }
-            Action::Reject { request: id, retry_after: wait, reason } => {
-                self.turn_back(id, FinalResponse::Rejected { retry_after: wait }, reason)
+            Action::Reject { request, retry_after, reason } => {
+                self.answer_without_backend(request, FinalResponse::Rejected { retry_after }, reason);
             }
-            Action::Fail { request: id, reason } => self.turn_back(id, FinalResponse::Failed, reason),
-            Action::CancelAttempt { request: id, attempt } => {
-                let attempt = self.requests.get_mut(&id).and_then(|open| open.attempts.get_mut(attempt));
-                if let Some(call_off) = attempt.and_then(|a| a.call_off.take()) {
-                    // The attempt tells its end itself, once its connection is closed; it may have ended.
-                    let _ = call_off.send(());
-                }
+            Action::Fail { request, reason } => {
+                self.answer_without_backend(request, FinalResponse::Failed, reason);
             }
-            Action::IncrementCounter { key: name, amount, lifetime: life } => self.count(name, amount, life),
-            Action::SetTimer { timer: id, after } => self.timers.push(Reverse((now + after, id))),
-            // The watch on the list never stops.
+            Action::CancelAttempt { request, attempt } => self.requests.cancel_attempt(request, attempt),
+            Action::IncrementCounter { key, amount, lifetime } => {
+                self.increment_counter(key, amount, lifetime);
+            }
+            Action::SetTimer { timer, after } => self.timers.set(now + after, timer),
+            // The watch on the endpoint list never stops.
             Action::Subscribe => {}
         }
     }
 
     /// Answers a request for which no backend did.
-    fn turn_back(&mut self, id: RequestId, answer: FinalResponse, reason: RejectionReason) {
-        let refused = matches!(answer, FinalResponse::Rejected { .. });
-        debug!(request = id.0, refused, ?reason, "answered without a backend");
-        self.figures.refusals.raise(reason);
-        self.answer(id, answer);
+    fn answer_without_backend(&mut self, id: RequestId, response: FinalResponse, reason: RejectionReason) {
+        let rejected = matches!(response, FinalResponse::Rejected { .. });
+        debug!(request = id.0, rejected, ?reason, "answered without a backend");
+        self.metrics.refusals.raise(reason);
+        let Some(reply) = self.requests.take_reply(id) else { return };
+        self.record_unserved(id);
+        // A client that has just gone needs no answer.
+        let _ = reply.send(response);
+        self.requests.remove_if_finished(id);
     }
 
-    pub(super) fn answer(&mut self, id: RequestId, answer: FinalResponse) {
-        if let Some(reply) = self.requests.get_mut(&id).and_then(Open::take_reply) {
-            let open = self.requests.get(&id);
-            if let Some((open, judged)) = open.and_then(|open| Some((open, open.judged?))) {
-                let sent = open.attempts.len() > judged.before;
-                let ended = if sent { Judgement::Failed } else { Judgement::Refused };
-                self.arms.note(RolloutOutcome { judged, at: self.clock.now(), ended, part_of_aim: 0.0 });
-            }
-            // A client that has just gone needs no answer.
-            let _ = reply.send(answer);
-            self.tidy(id);
-        }
+    /// Counts a request that no backend answered for its rollout.
+    fn record_unserved(&self, id: RequestId) {
+        let Some(request) = self.requests.get(id) else { return };
+        let Some(rollout) = request.rollout else { return };
+        let was_sent = request.attempt_count() > rollout.before;
+        let ended = if was_sent { Ended::Failed } else { Ended::Refused };
+        self.outcomes.note(RolloutOutcome { judged: rollout, at: self.clock.now(), ended, part_of_aim: 0.0 });
     }
 
-    pub(super) fn send(&mut self, now: Micros, id: RequestId, server: EndpointId, until: Micros) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let attempt = open.attempts.len();
-        let backend = self.backends.get(&server).filter(|_| open.reply.is_some()).cloned();
+    /// Counts a request that a backend answered for its rollout.
+    fn record_served(&self, rollout: RolloutRequest) {
+        let at = self.clock.now();
+        let class = self.site.settings.classes.get(rollout.class.0);
+        let objective = class.map_or(Micros(1), |class| class.latency_objective);
+        let part_of_aim = (at - rollout.came).secs() / objective.secs().max(MIN_OBJECTIVE_SECONDS);
+        let ended = if part_of_aim <= 1.0 { Ended::InTime } else { Ended::Late };
+        self.outcomes.note(RolloutOutcome { judged: rollout, at, ended, part_of_aim });
+    }
+
+    /// Tells the decision module of an attempt's end with the next batch.
+    fn report_attempt_end(
+        &mut self,
+        attempt: AttemptId,
+        outcome: Outcome,
+        elapsed: Micros,
+        load: LoadReport,
+    ) {
+        let request = self.requests.get(attempt.request);
+        let request_finished = request.is_none_or(|request| request.is_answered());
+        self.pending_events.push(Event::AttemptEnded(AttemptEnded {
+            request: attempt.request,
+            attempt: attempt.number,
+            endpoint: attempt.endpoint,
+            outcome,
+            elapsed,
+            request_finished,
+            settled_units: None,
+            load,
+        }));
+    }
+
+    fn send_attempt(&mut self, now: Micros, id: RequestId, endpoint: EndpointId, give_up_at: Micros) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let attempt = AttemptId { request: id, number: request.attempt_count(), endpoint };
+        let backend = self.backends.get(&endpoint).filter(|_| !request.is_answered()).cloned();
         let Some(backend) = backend else {
-            // The client went, or the list changed, after the module was told last.
-            open.attempts.push(Attempt { out: false, call_off: None });
-            return self.ended(id, attempt, server, Outcome::NotSent, Micros(0), LoadReport::default());
+            // The client went, or the list changed, after the decision module was told last.
+            request.add_unsent_attempt();
+            return self.report_attempt_end(attempt, Outcome::NotSent, Micros(0), LoadReport::default());
+        };
+        debug!(request = id.0, attempt = attempt.number, backend = %backend.address, "attempt begins");
+        let cancelled = request.add_attempt();
+        let task = AttemptTask {
+            attempt,
+            backend,
+            request: request.forwarded.clone(),
+            pool: self.pool.clone(),
+            outcomes: self.outcomes.clone(),
+            clock: self.clock,
+            sent_at: now,
+            give_up_at: self.clock.instant(give_up_at),
         };
-        debug!(request = id.0, attempt, backend = %backend.address, "attempt begins");
-        let sent_attempt = AttemptId { request: id, number: attempt, endpoint: server };
-        let (call_off, called_off) = oneshot::channel();
-        open.attempts.push(Attempt { out: true, call_off: Some(call_off) });
-        let (pool, forward, inbox) = (self.pool.clone(), open.forward.clone(), self.inbox.clone());
-        let (until, clock, arms) = (self.clock.instant(until), self.clock, self.arms.clone());
-        // Before its request can be answered: whoever asks then has to hear of it.
-        forward.tries.iter().for_each(|tries| tries.begins());
+        if let Some(tracker) = &task.request.tries {
+            // Before its request can be answered: whoever asks then has to hear of it.
+            tracker.begins();
+        }
+        let runtime = self.sender.clone();
         tokio::task::spawn_local(async move {
-            let ended = match &forward.work {
-                Some(work) if !work.before_send(server.0).await => pool.unsent(NotSentReason::NotOwner),
-                _ => pool.attempt(&backend, &forward, until, called_off).await,
-            };
-            forward.work.iter().for_each(|work| work.ended(server.0, ended.outcome));
-            forward.tries.iter().for_each(|tries| tries.ended(ended.outcome));
-            match ended.outcome {
-                Outcome::Success | Outcome::ServerError | Outcome::Rejected => arms.saw(true),
-                Outcome::ConnectFailed | Outcome::Timeout => arms.saw(false),
-                Outcome::ConnectionReset | Outcome::Cancelled | Outcome::NotSent => {}
-            }
-            // An upload's time begins with its last byte.
-            let since = ended.whole_at.map_or(now, |at| clock.at(at).max(now));
-            let took = ended.begun_at.map_or(clock.now(), |at| clock.at(at)) - since;
-            // The driver outlives every attempt but for the exit of the process.
-            let _ = inbox
-                .send(RuntimeEvent::AttemptEnded { attempt: sent_attempt, result: ended, elapsed: took })
-                .await;
+            // The runtime outlives every attempt but for the exit of the process.
+            let _ = runtime.send(task.run(cancelled).await).await;
         });
     }
 
-    pub(super) fn count(&mut self, name: CounterKey, amount: f64, life: Micros) {
-        let serial = self.order.call_made(name);
-        let (counter, inbox) = (self.counter.clone(), self.inbox.clone());
+    /// An attempt ended, or its streamed response began. The first 200 is the client's at once and ends the request; the
+    /// decision module hears of it.
+    pub(super) fn attempt_ended(&mut self, attempt: AttemptId, result: AttemptResult, elapsed: Micros) {
+        let Some(request) = self.requests.get_mut(attempt.request) else { return };
+        let (id, number) = (attempt.request, attempt.number);
+        let AttemptResult { outcome, body, report, unsent, .. } = result;
+        debug!(request = id.0, attempt = number, ?outcome, ?unsent, took_us = elapsed.0, "attempt ends");
+        self.metrics.outcomes.raise(outcome);
+        let forwarded = request.forwarded.clone();
+        let rollout = request.rollout.filter(|_| body.is_some() && !request.is_answered());
+        let reply = if body.is_some() { request.take_reply() } else { None };
+        if let Some(rollout) = rollout {
+            self.record_served(rollout);
+        }
+        match (body, reply) {
+            (Some(UpstreamResponseBody::Streamed(mut body)), Some(reply)) => {
+                let runtime = self.sender.clone();
+                body.tells(move |complete| {
+                    send_event(&runtime, RuntimeEvent::ResponseBodyEnded { attempt, complete });
+                });
+                self.pending_events.push(Event::ResponseStarted { request: id, attempt: number, elapsed });
+                let _ = reply.send(FinalResponse::Served(ResponseBody::Streamed(body)));
+                // The attempt ends with the body.
+                return;
+            }
+            (Some(UpstreamResponseBody::Buffered(bytes, permit)), Some(reply)) => {
+                if let Some(claim) = &forwarded.work {
+                    claim.answered(&bytes);
+                }
+                let body = ResponseBody::Buffered(Full::new(bytes), permit);
+                let _ = reply.send(FinalResponse::Served(body));
+            }
+            _ => {}
+        }
+        self.requests.end_attempt(attempt);
+        self.report_attempt_end(attempt, outcome, elapsed, report);
+    }
+
+    /// A streamed response ended.
+    pub(super) fn response_body_ended(&mut self, attempt: AttemptId, complete: bool) {
+        self.requests.end_attempt(attempt);
+        let outcome = if complete { Outcome::Success } else { Outcome::ConnectionReset };
+        self.report_attempt_end(attempt, outcome, Micros(0), LoadReport::default());
+    }
+
+    fn increment_counter(&mut self, key: CounterKey, amount: f64, lifetime: Micros) {
+        let call = self.counter_replies.call_made(key);
+        let (counter, runtime) = (self.counter.clone(), self.sender.clone());
         tokio::task::spawn_local(async move {
-            let counted = match counter {
-                Some(counter) => counter.increment(Increment { key: name, amount, lifetime: life }).await,
+            let reply = match counter {
+                Some(counter) => counter.increment(Increment { key, amount, lifetime }).await,
                 None => Outcome::ConnectFailed.into(),
             };
-            let _ =
-                inbox.send(RuntimeEvent::CounterReplied { key: name, call: serial, reply: counted }).await;
+            let _ = runtime.send(RuntimeEvent::CounterReplied { key, call, reply }).await;
         });
     }
 }
+
+/// One attempt on its way.
+struct AttemptTask {
+    attempt: AttemptId,
+    backend: Rc<Backend>,
+    request: Rc<ForwardedRequest>,
+    pool: Rc<ConnectionPool>,
+    outcomes: Rc<OutcomeRecorder>,
+    clock: Clock,
+    sent_at: Micros,
+    give_up_at: Instant,
+}
+
+impl AttemptTask {
+    /// Makes the attempt and returns its end.
+    async fn run(self, cancelled: oneshot::Receiver<()>) -> RuntimeEvent {
+        let endpoint = self.attempt.endpoint.0;
+        let result = match &self.request.work {
+            Some(claim) if !claim.before_send(endpoint).await => self.pool.unsent(NotSentReason::NotOwner),
+            _ => self.pool.attempt(&self.backend, &self.request, self.give_up_at, cancelled).await,
+        };
+        if let Some(claim) = &self.request.work {
+            claim.ended(endpoint, result.outcome);
+        }
+        if let Some(tracker) = &self.request.tries {
+            tracker.ended(result.outcome);
+        }
+        self.record_reachability(result.outcome);
+        let elapsed = self.elapsed(&result);
+        RuntimeEvent::AttemptEnded { attempt: self.attempt, result, elapsed }
+    }
+
+    /// Notes whether a backend could be reached, where the outcome says so.
+    fn record_reachability(&self, outcome: Outcome) {
+        match outcome {
+            Outcome::Success | Outcome::ServerError | Outcome::Rejected => self.outcomes.saw(true),
+            Outcome::ConnectFailed | Outcome::Timeout => self.outcomes.saw(false),
+            Outcome::ConnectionReset | Outcome::Cancelled | Outcome::NotSent => {}
+        }
+    }
+
+    /// From the last byte of the request, which for a streamed body comes after the send, to the first of its response.
+    fn elapsed(&self, result: &AttemptResult) -> Micros {
+        let since = result.whole_at.map_or(self.sent_at, |at| self.clock.at(at).max(self.sent_at));
+        let until = result.begun_at.map_or(self.clock.now(), |at| self.clock.at(at));
+        until - since
+    }
+}
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -1,159 +1,150 @@
-//! Which backends there are: discovery's lists, operators' orders, and the two processes of one gateway.
+//! The endpoint list: discovery's names and addresses become the decision module's endpoints and the pool's backends.
 
-use crate::proxy::runtime::*;
+use super::Runtime;
+use crate::decision::{CellId, EndpointId, EndpointStatus, EndpointUpdate, Event, Micros, WatchScope};
+use crate::proxy::control_plane::discovery::{DiscoveredEndpoint, EndpointList};
+use crate::proxy::upstream::backend::Backend;
+use std::cell::Cell;
+use std::collections::HashSet;
+use std::rc::Rc;
+use tracing::{debug, info};
 
-impl Runtime {
-    pub(super) fn obey(&mut self, order: AdminCommand) {
-        match order {
-            AdminCommand::CountEndpoints(reply) => {
-                let counts = self.gateway.endpoint_counts(self.clock.now());
-                // An operator who has left needs no answer.
-                let _ = reply.send(counts);
-            }
-            AdminCommand::SetMaintenance { endpoint: id, in_maintenance: out, relayed, reply: done } => {
-                let server = self.site.seen(&id);
-                let server =
-                    server.filter(|s| self.backends.contains_key(s) || self.gateway.is_in_maintenance(*s));
-                if let Some(server) = server {
-                    // What stands open will be dead once the backend has restarted.
-                    self.backends.get(&server).into_iter().for_each(|b| self.pool.forget(b.address));
-                    self.batch.push(Event::MaintenanceChanged { endpoint: server, in_maintenance: out });
-                    self.turn();
-                    // The other process still sends to backends as well.
-                    let other = self.other.as_ref().filter(|_| !relayed);
-                    let told = other.map(|other| other.try_send(Word::Maintain { id, out }));
-                    told.filter(Result::is_err).into_iter().for_each(|_| warn!("an order was not passed on"));
-                }
-                let _ = done.send(server.is_some());
-            }
-            AdminCommand::HandOver { messages: words, reply: done } => {
-                self.share(Some(words), 3);
-                self.turn();
-                let endpoints = self.listed.values().cloned().collect();
-                let endpoints = EndpointList { revision: self.revision, complete: true, endpoints };
-                let _ = done.send(Box::new(Will { endpoints, estate: self.gateway.hand_over() }));
-            }
-            AdminCommand::TakeOver { snapshot: will, messages: words, reply: done } => {
-                self.share(Some(words), 1);
-                if will.endpoints.revision > self.revision {
-                    self.members(will.endpoints);
-                }
-                self.turn();
-                self.gateway.take_over(will.estate);
-                let _ = done.send(());
-            }
-            AdminCommand::PeerProcessExited(done) => {
-                self.share(None, 0);
-                self.batch.push(Event::PeerProcessExited);
-                self.turn();
-                let _ = done.send(());
-            }
-        }
-    }
+/// Microseconds in a millisecond.
+const MICROS_PER_MILLI: u64 = 1000;
 
-    /// Leaves so many quarters of the connections to the other process of this gateway.
-    pub(super) fn share(&mut self, other: Option<mpsc::Sender<Word>>, quarters: usize) {
-        self.other = other;
-        self.pool.leave(quarters);
-        self.memory.leave(quarters);
-        self.counter.iter().for_each(|counter| counter.reserve_for_other_process(quarters));
-    }
+/// A start of an endpoint.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct EndpointStart {
+    /// As discovery tells it, Unix time in milliseconds.
+    unix_ms: u64,
+    /// On this gateway's clock.
+    at: Micros,
+}
 
-    pub(super) fn members(&mut self, list: EndpointList) {
-        let scope = if list.complete { WatchScope::Complete } else { WatchScope::Incremental };
-        if list.endpoints.is_empty() && !list.complete {
-            self.revision = list.revision;
+impl Runtime {
+    /// Applies a list from discovery, complete or as changes.
+    pub(super) fn apply_endpoint_list(&mut self, list: EndpointList) {
+        let EndpointList { revision, complete, endpoints } = list;
+        self.list_revision = revision;
+        if endpoints.is_empty() && !complete {
             return;
         }
-        let entries = list.endpoints.len();
-        let draining =
-            list.endpoints.iter().filter(|member| member.status == EndpointStatus::Draining).count();
-        match list.complete {
-            true => info!(revision = list.revision, entries, draining, "whole list of backends"),
-            false => debug!(revision = list.revision, entries, draining, "changes of the list of backends"),
-        }
-        self.revision = list.revision;
-        if list.complete {
+        log_list(revision, complete, &endpoints);
+        if complete {
             self.listed.clear();
         }
-        let mut entries = Vec::with_capacity(list.endpoints.len());
-        for member in list.endpoints {
-            let server = self.site.server(&member.name);
-            let listed = member.status;
-            let before = self.listed.get(&server).map(|member| member.status);
-            if before != Some(member.status) {
-                debug!(backend = member.name, address = %member.address, ?before, phase = ?member.status, "backend changes");
-            }
-            let backend = Backend {
-                address: member.address,
-                up_since_ms: member.started_at_unix_ms,
-                open: Cell::new(listed == EndpointStatus::InService),
-            };
-            if let Some(old) = self.backends.get(&server) {
-                let same = old.address == backend.address && old.up_since_ms == backend.up_since_ms;
-                // Guards against old connections to a backend that moved, restarted or will end soon, and
-                // against attempts that still wait for one.
-                if !same || !backend.open.get() {
-                    self.pool.forget(old.address);
-                    old.open.set(false);
-                }
-            }
-            entries.push(EndpointUpdate {
-                endpoint: server,
-                zone: self.site.zone(&member.zone),
-                cell: CellId(member.cell),
-                status: listed,
-                weight: member.weight,
-                started_at: self.start_of(server, member.started_at_unix_ms),
-                label: self.site.label(&member.release_label),
-            });
-            if listed == EndpointStatus::Removed {
-                self.starts.remove(&server);
-                self.backends.remove(&server);
-                self.listed.remove(&server);
-            } else {
-                self.listed.insert(server, member);
-                self.backends.insert(server, Rc::new(backend));
-            }
+        let updates: Vec<EndpointUpdate> =
+            endpoints.into_iter().map(|endpoint| self.apply_endpoint(endpoint)).collect();
+        if complete {
+            self.retain_listed(&updates);
+        }
+        self.report_open_backends();
+        let scope = if complete { WatchScope::Complete } else { WatchScope::Incremental };
+        self.pending_events.push(Event::EndpointsChanged { scope, endpoints: updates });
+    }
+
+    /// Applies one entry of a list.
+    fn apply_endpoint(&mut self, entry: DiscoveredEndpoint) -> EndpointUpdate {
+        let endpoint = self.site.server(&entry.name);
+        self.log_change(endpoint, &entry);
+        let backend = Backend {
+            address: entry.address,
+            up_since_ms: entry.started_at_unix_ms,
+            open: Cell::new(entry.status == EndpointStatus::InService),
+        };
+        self.close_previous_backend(endpoint, &backend);
+        let update = EndpointUpdate {
+            endpoint,
+            zone: self.site.zone(&entry.zone),
+            cell: CellId(entry.cell),
+            status: entry.status,
+            weight: entry.weight,
+            started_at: self.started_at(endpoint, entry.started_at_unix_ms),
+            label: self.site.label(&entry.release_label),
+        };
+        if entry.status == EndpointStatus::Removed {
+            self.starts.remove(&endpoint);
+            self.backends.remove(&endpoint);
+            self.listed.remove(&endpoint);
+        } else {
+            self.listed.insert(endpoint, entry);
+            self.backends.insert(endpoint, Rc::new(backend));
         }
-        if list.complete {
-            let told: HashSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
-            self.starts.retain(|server, _| told.contains(server));
-            self.backends.retain(|server, backend| {
-                let stays = told.contains(server);
-                if !stays {
-                    backend.open.set(false);
-                    self.pool.forget(backend.address);
-                }
-                stays
-            });
+        update
+    }
+
+    /// Guards against old connections to a backend that moved, restarted or will end soon, and against attempts that
+    /// still wait for one.
+    fn close_previous_backend(&self, endpoint: EndpointId, next: &Backend) {
+        let Some(previous) = self.backends.get(&endpoint) else { return };
+        let is_same = previous.address == next.address && previous.up_since_ms == next.up_since_ms;
+        if !is_same || !next.open.get() {
+            self.pool.forget(previous.address);
+            previous.open.set(false);
         }
-        if self.arms.is_watched() {
+    }
+
+    /// Forgets the endpoints that a complete list does not name.
+    fn retain_listed(&mut self, updates: &[EndpointUpdate]) {
+        let listed: HashSet<EndpointId> = updates.iter().map(|update| update.endpoint).collect();
+        self.starts.retain(|endpoint, _| listed.contains(endpoint));
+        self.backends.retain(|endpoint, backend| {
+            let stays = listed.contains(endpoint);
+            if !stays {
+                backend.open.set(false);
+                self.pool.forget(backend.address);
+            }
+            stays
+        });
+    }
+
+    /// Says which backends may be asked whether the network is up, where somebody wants to know.
+    fn report_open_backends(&self) {
+        if self.outcomes.is_watched() {
             let open = self.backends.values().filter(|backend| backend.open.get());
-            self.arms.backends(open.map(|backend| backend.address).collect());
+            self.outcomes.backends(open.map(|backend| backend.address).collect());
         }
-        self.batch.push(Event::EndpointsChanged { scope, endpoints: entries });
     }
 
-    /// When a backend started, on this gateway's clock: reckoned once for each start, so that a step of the wall clock makes
-    /// no new one of it.
-    fn start_of(&mut self, server: EndpointId, up_since_ms: u64) -> Option<Micros> {
-        if up_since_ms == 0 {
+    /// When an endpoint started, on this gateway's clock: reckoned once for each start, so that a step of the wall clock
+    /// makes no new start of it.
+    fn started_at(&mut self, endpoint: EndpointId, unix_ms: u64) -> Option<Micros> {
+        if unix_ms == 0 {
             return None;
         }
-        let known = self.starts.get(&server).filter(|(told, _)| *told == up_since_ms);
-        let at = match known {
-            Some((_, at)) => *at,
-            None => self.clock.now() - self.clock.age_of(Micros(up_since_ms.saturating_mul(1000))),
+        let start = match self.starts.get(&endpoint) {
+            Some(start) if start.unix_ms == unix_ms => *start,
+            _ => {
+                let age = self.clock.age_of(Micros(unix_ms.saturating_mul(MICROS_PER_MILLI)));
+                EndpointStart { unix_ms, at: self.clock.now() - age }
+            }
         };
-        self.starts.insert(server, (up_since_ms, at));
-        Some(at)
+        self.starts.insert(endpoint, start);
+        Some(start.at)
     }
 
+    /// The endpoint list is known: the gateway may serve.
     pub(super) fn become_ready(&mut self) {
         self.ready_at = None;
-        if self.duty.mark_endpoints_known() {
+        if self.lifecycle.mark_endpoints_known() {
             info!(backends = self.backends.len(), "ready");
         }
     }
+
+    fn log_change(&self, endpoint: EndpointId, entry: &DiscoveredEndpoint) {
+        let before = self.listed.get(&endpoint).map(|listed| listed.status);
+        if before != Some(entry.status) {
+            let status = entry.status;
+            debug!(endpoint = entry.name, address = %entry.address, ?before, ?status, "endpoint changes");
+        }
+    }
+}
+
+fn log_list(revision: u64, complete: bool, endpoints: &[DiscoveredEndpoint]) {
+    let entries = endpoints.len();
+    let draining = endpoints.iter().filter(|entry| entry.status == EndpointStatus::Draining).count();
+    match complete {
+        true => info!(revision, entries, draining, "complete endpoint list"),
+        false => debug!(revision, entries, draining, "changes of the endpoint list"),
+    }
 }
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -1,42 +1,51 @@
-//! What the driver is told and asked, and the gateway's clock.
+//! What the runtime is told and asked.
 
-use crate::proxy::runtime::*;
+use crate::cluster::InForce;
+use crate::decision::{Arrival, CounterKey, EndpointCounts, EndpointId, Micros, QuotaLease, RequestId};
+use crate::proxy::control_plane::counter::{CallNumber, CounterReply};
+use crate::proxy::control_plane::discovery::EndpointList;
+use crate::proxy::downstream::response_body::ResponseBody;
+use crate::proxy::lifecycle::handover::{HandoverMessage, HandoverSnapshot};
+use crate::proxy::upstream::backend::AttemptResult;
+use crate::proxy::upstream::forwarded_request::ForwardedRequest;
+use std::net::SocketAddr;
+use tokio::sync::{mpsc, oneshot};
 
-/// The way to the driver.
+/// Sends the runtime events.
 pub type RuntimeSender = mpsc::Sender<RuntimeEvent>;
 
-/// The way of operators to the driver, which waits behind no request.
+/// Sends the runtime commands, which wait behind no event.
 pub type AdminSender = mpsc::Sender<AdminCommand>;
 
-/// What operators ask of the driver.
+/// What operators and the other process of this gateway ask of the runtime.
 pub enum AdminCommand {
-    /// How many backends there are.
+    /// Count the endpoints.
     CountEndpoints(oneshot::Sender<EndpointCounts>),
-    /// Take a backend out, or put it back.
+    /// Take an endpoint out of service, or put it back.
     SetMaintenance {
         /// Its name at discovery.
         endpoint: String,
-        /// Out, or back.
+        /// Out of service, or back.
         in_maintenance: bool,
-        /// The other process of this gateway has heard already.
+        /// The order comes from the other process of this gateway.
         relayed: bool,
-        /// Told whether there is such a backend, once it is done.
+        /// Told whether there is such an endpoint, once it is done.
         reply: oneshot::Sender<bool>,
     },
-    /// Another process takes this gateway over; these words go to it.
+    /// Another process takes this gateway over.
     HandOver {
-        /// The way to it.
-        messages: mpsc::Sender<Word>,
+        /// Sends that process messages.
+        messages: mpsc::Sender<HandoverMessage>,
         /// Told what it must know.
-        reply: oneshot::Sender<Box<Will>>,
+        reply: oneshot::Sender<Box<HandoverSnapshot>>,
     },
     /// This process takes the gateway over from another.
     TakeOver {
-        /// What that one left.
-        snapshot: Box<Will>,
-        /// The way to it.
-        messages: mpsc::Sender<Word>,
-        /// Told when the module has heard.
+        /// What that one handed over.
+        snapshot: Box<HandoverSnapshot>,
+        /// Sends that process messages.
+        messages: mpsc::Sender<HandoverMessage>,
+        /// Told once the decision module has the snapshot.
         reply: oneshot::Sender<()>,
     },
     /// The other process is gone.
@@ -45,24 +54,24 @@
 
 /// The final answer to a client.
 pub enum FinalResponse {
-    /// A backend's 200, whole or as it comes.
+    /// A backend's 200, buffered or streamed.
     Served(ResponseBody),
-    /// Refused: trying again is harmless, best after this time.
+    /// Rejected: a retry runs nothing twice.
     Rejected {
-        /// Best after this time.
+        /// How long the client should wait before it.
         retry_after: Option<Micros>,
     },
-    /// Failed, with no promise.
+    /// Failed; a retry may run the request twice.
     Failed,
 }
 
-/// A request that a client has sent whole.
+/// A request that a client has sent.
 pub struct NewRequest {
-    /// What the module is told of it. Its id is new, whatever the client called it.
+    /// What the decision module is told of it. Its id is new, whatever the client called it.
     pub arrival: Arrival,
-    /// What goes on to backends.
+    /// What is forwarded to backends.
     pub forward: ForwardedRequest,
-    /// Where the answer goes.
+    /// Takes the final answer.
     pub reply: oneshot::Sender<FinalResponse>,
 }
 
@@ -73,15 +82,15 @@
     pub request: RequestId,
     /// Its place among the attempts of the request.
     pub number: usize,
-    /// The backend that it goes to.
+    /// The endpoint that it goes to.
     pub endpoint: EndpointId,
 }
 
-/// What the driver hears.
+/// What the runtime is told.
 pub enum RuntimeEvent {
-    /// A request.
+    /// A request came in.
     RequestReceived(Box<NewRequest>),
-    /// The last byte of a request's body has come; its deadline.
+    /// The last byte of a request's body has come.
     RequestBodyEnded {
         /// The request.
         request: RequestId,
@@ -90,13 +99,13 @@
     },
     /// The client of a request closed its connection.
     ClientDisconnected(RequestId),
-    /// News of the backends.
+    /// Discovery sent an endpoint list, complete or as changes.
     EndpointsChanged(EndpointList),
-    /// Calls to the counter go to this address from now on.
+    /// The counter is called at this address from now on.
     CounterAddressChanged(SocketAddr),
-    /// What the gateways know together of each other's shares.
+    /// The gateways agree on other quota leases.
     QuotaLeaseChanged(QuotaLease),
-    /// Other rules of routing are in force.
+    /// Other routing rules are in force.
     RoutingChanged(Box<InForce>),
     /// A call to the counter ended.
     CounterReplied {
@@ -107,7 +116,7 @@
         /// How it ended.
         reply: CounterReply,
     },
-    /// An attempt ended.
+    /// An attempt ended, or its streamed response began.
     AttemptEnded {
         /// Which.
         attempt: AttemptId,
@@ -116,7 +125,7 @@
         /// For how long it was in flight.
         elapsed: Micros,
     },
-    /// A long response that had begun ended.
+    /// A streamed response ended.
     ResponseBodyEnded {
         /// The attempt that it answers.
         attempt: AttemptId,
@@ -125,42 +134,10 @@
     },
 }
 
-/// Tells the driver from where nothing can wait.
-pub fn send_event(inbox: &RuntimeSender, input: RuntimeEvent) {
-    if let Err(mpsc::error::TrySendError::Full(input)) = inbox.try_send(input) {
-        let inbox = inbox.clone();
-        tokio::task::spawn_local(async move { inbox.send(input).await });
-    }
-}
-
-/// The clock of the module: Unix time, which all gateways share, but never going back.
-#[derive(Clone, Copy)]
-pub struct Clock {
-    pub(super) base: Micros,
-    pub(super) start: Instant,
-}
-
-impl Clock {
-    /// Reads the system's clock once; from then on the monotonic one counts.
-    pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { base: Micros(unix.as_micros() as u64), start: Instant::now() }
-    }
-    /// Now.
-    pub fn now(&self) -> Micros {
-        self.at(Instant::now())
-    }
-    /// The time on this clock.
-    pub fn at(&self, instant: Instant) -> Micros {
-        self.base + Micros(instant.saturating_duration_since(self.start).as_micros() as u64)
-    }
-    /// How long ago a moment of the wall clock was. That clock may have stepped since this process read it, and all machines
-    /// read one: by the clock of before and by that of now, the shorter of the two, as who started just now is cold.
-    pub fn age_of(&self, unix: Micros) -> Micros {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        (self.now() - unix).min(Micros(wall.as_micros() as u64) - unix)
-    }
-    pub(super) fn instant(&self, at: Micros) -> Instant {
-        self.start + Duration::from_micros((at - self.base).0)
+/// Sends the runtime an event from where nothing can wait.
+pub fn send_event(runtime: &RuntimeSender, event: RuntimeEvent) {
+    if let Err(mpsc::error::TrySendError::Full(event)) = runtime.try_send(event) {
+        let runtime = runtime.clone();
+        tokio::task::spawn_local(async move { runtime.send(event).await });
     }
 }
--- /dev/null
+++ b/src/proxy/runtime/routing.rs
@@ -0,0 +1,91 @@
+//! Routing rules: the names of a rollout become the numbers by which the decision module knows classes, plans, zones and
+//! labels.
+
+use super::Runtime;
+use crate::cluster::rollout::{Arm, Key, Rule};
+use crate::cluster::InForce;
+use crate::decision::{
+    has_canary_rules, Arrival, ClassId, CustomerId, Event, PlanId, RouteRule, RoutingRules,
+};
+use crate::proxy::cluster_transport::outcome_recorder::RolloutRequest;
+use crate::site_settings::Site;
+use std::rc::Rc;
+
+/// A rollout whose outcomes are counted.
+pub(super) struct ActiveRollout {
+    key: Key,
+    /// How it splits the customers.
+    rules: RoutingRules,
+}
+
+impl ActiveRollout {
+    fn arm_of(&self, customer: CustomerId) -> Arm {
+        match has_canary_rules(&self.rules, customer) {
+            true => Arm::New,
+            false => Arm::Old,
+        }
+    }
+}
+
+impl Runtime {
+    /// Puts other routing rules in force.
+    pub(super) fn apply_routing(&mut self, in_force: InForce) {
+        let InForce { key, counts, old, new, share } = in_force;
+        let rules = RoutingRules {
+            baseline: route_rules(&mut self.site, old.0),
+            canary: route_rules(&mut self.site, new.0),
+            canary_share: share,
+            salt: key.map_or(0, |key| key.id),
+        };
+        self.rollout = match key {
+            Some(key) if counts => Some(ActiveRollout { key, rules: rules.clone() }),
+            _ => None,
+        };
+        self.pending_events.push(Event::RoutingChanged(rules));
+    }
+
+    /// What is noted of a request whose outcome counts for a rollout.
+    pub(super) fn rollout_request(&self, arrival: &Arrival) -> Option<RolloutRequest> {
+        let rollout = self.rollout.as_ref()?;
+        Some(RolloutRequest {
+            key: rollout.key,
+            arm: rollout.arm_of(arrival.customer),
+            class: arrival.class,
+            came: self.clock.now(),
+            before: arrival.prior_attempts.len(),
+        })
+    }
+}
+
+/// The rules for gateways of this zone, in the decision module's terms.
+fn route_rules(site: &mut Site, rules: Vec<Rule>) -> Vec<Rc<RouteRule>> {
+    let own_zone = site.settings.zone;
+    let mut own_rules = Vec::new();
+    for rule in rules {
+        let zone = rule.zone.as_ref().map(|zone| site.zone(zone));
+        if zone.is_none_or(|zone| zone == own_zone) {
+            own_rules.push(rule);
+        }
+    }
+    own_rules.into_iter().map(|rule| Rc::new(route_rule(site, rule))).collect()
+}
+
+fn route_rule(site: &mut Site, rule: Rule) -> RouteRule {
+    RouteRule {
+        class: rule.class.and_then(|name| site.classes.get(&name).copied()).map(ClassId),
+        plan: rule.plan.and_then(|name| site.plans.get(&name).copied()).map(PlanId),
+        zone_weights: rule.zones.iter().map(|(zone, weight)| (site.zone(zone), fraction(*weight))).collect(),
+        label_weights: rule
+            .labels
+            .iter()
+            .map(|(label, weight)| (site.label(label), fraction(*weight)))
+            .collect(),
+        max_attempts: rule.attempts.map(usize::from),
+        give_up_fraction: rule.give_up.map(|percent| fraction(percent.into())),
+        slow_start_fraction: rule.cold.map(|percent| fraction(percent.into())),
+    }
+}
+
+fn fraction(percent: u16) -> f64 {
+    f64::from(percent) / 100.0
+}
