--- a/src/cluster/membership_node.rs
+++ b/src/cluster/membership_node.rs
@@ -133,10 +133,14 @@
             return Ok(());
         }
         match payload {
-            Payload::Ledger { seat_list, seat, message } => self.books_hear(seat_list, seat, message, out),
-            Payload::Rollout { seat_list, seat, message } => self.rolling_hear(seat_list, seat, message, out),
+            Payload::Ledger { seat_list, seat, message } => {
+                self.on_ledger_message(seat_list, seat, message, out)
+            }
+            Payload::Rollout { seat_list, seat, message } => {
+                self.on_rollout_message(seat_list, seat, message, out)
+            }
             Payload::WriteQueue { seat_list, seat, message } => {
-                self.filing_hear(seat_list, seat, message, out)
+                self.on_queue_message(seat_list, seat, message, out)
             }
             Payload::Swim { known_incarnation, is_present, suspicion } => {
                 let known = KnownIncarnation { incarnation: known_incarnation, is_present };
@@ -209,10 +213,10 @@
         }
         let own = self.own().incarnation;
         self.yielded_to = Some(other.incarnation);
-        self.desk = None;
-        self.steward = None;
-        self.branch = None;
-        self.keeping = None;
+        self.ledger = None;
+        self.rollout = None;
+        self.write_queue = None;
+        self.persistence = None;
         if self.quota_leases.take().is_some() {
             out.push(Effect::QuotaSharesChanged(QuotaShares::default()));
         }
--- a/src/proxy/cluster_transport/ledger_request.rs
+++ b/src/proxy/cluster_transport/ledger_request.rs
@@ -1,7 +1,7 @@
 //! A request of which the ledger keeps a record: begun here, joined, answered from its record, or taken over.
 
-use crate::cluster::ledger::{Finding, RecordId};
-use crate::decision::{Arrival, EndpointId, Micros, PriorAttempt};
+use crate::cluster::ledger::{ClaimOutcome, RecordId, RecordedAttempt};
+use crate::decision::{Arrival, EndpointId, PriorAttempt};
 use crate::proxy::cluster_transport::ledger_claim::{pause, LedgerClaim};
 use crate::proxy::cluster_transport::ClusterTransport;
 use crate::proxy::downstream::request::carried;
@@ -27,9 +27,10 @@
 }
 
 /// Attempts of owners before this one, as the module is told of them.
-pub fn earlier(sent: Vec<(u64, Micros)>) -> Vec<PriorAttempt> {
-    sent.into_iter()
-        .map(|(server, sent)| PriorAttempt { endpoint: EndpointId(server), sent_at: sent })
+pub fn earlier(attempts: Vec<RecordedAttempt>) -> Vec<PriorAttempt> {
+    attempts
+        .into_iter()
+        .map(|attempt| PriorAttempt { endpoint: EndpointId(attempt.endpoint), sent_at: attempt.sent_at })
         .collect()
 }
 
@@ -60,20 +61,20 @@
                 answer = begin(&work, Vec::new(), false) => return Ok(answer),
             }
             // What went ahead is called back, and may be about to be sent under this claim: only another may write.
-            if matches!(work.found().await, Finding::Clear { .. }) {
+            if matches!(work.found().await, ClaimOutcome::Acquired { .. }) {
                 let Some(other) = peers.claim(id, digest, request.clone()) else { continue };
                 work = other;
             }
         }
         match work.found().await {
-            Finding::Answered(body) => {
+            ClaimOutcome::Completed(body) => {
                 return Ok(FinalResponse::Served(ResponseBody::Buffered(Full::new(Bytes::from(body)), None)))
             }
-            Finding::Mistake => {
+            ClaimOutcome::KeyReused => {
                 let problem = "the key stands for another request\n";
                 return Err(RequestError(StatusCode::UNPROCESSABLE_ENTITY, problem));
             }
-            Finding::Running(left) => {
+            ClaimOutcome::InProgress(left) => {
                 let now = front.clock.now();
                 // As late as the module itself would say so.
                 if now + front.last_moment >= arrival.deadline {
@@ -84,13 +85,13 @@
                 sleep(wait.min(crate::proxy::runtime::duration(arrival.deadline - now - front.last_moment)))
                     .await;
             }
-            Finding::Lost | Finding::Confirmed(_) => {}
-            Finding::Unheld => return Ok(begin(&work, Vec::new(), false).await),
-            Finding::Clear { sent, found } => {
+            ClaimOutcome::Lost | ClaimOutcome::Confirmed(_) => {}
+            ClaimOutcome::Unavailable => return Ok(begin(&work, Vec::new(), false).await),
+            ClaimOutcome::Acquired { attempts, existed } => {
                 tokio::select! {
                     biased;
                     () = work.lost() => {}
-                    answer = begin(&work, earlier(sent), found) => return Ok(answer),
+                    answer = begin(&work, earlier(attempts), existed) => return Ok(answer),
                 }
             }
         }
--- a/src/proxy/control_plane/config/cluster.rs
+++ b/src/proxy/control_plane/config/cluster.rs
@@ -65,8 +65,8 @@
         }
         if let Some(settings) = &mut self.settings.branch {
             let number = |name: &String| site.classes.get(name).map(|number| *number as u16);
-            settings.patience = longest_write(site);
-            settings.stop = self.write_queue_stop_classes.iter().filter_map(number).collect();
+            settings.send_timeout = longest_write(site);
+            settings.blocking_classes = self.write_queue_stop_classes.iter().filter_map(number).collect();
         }
         match self.finish_classes.iter().find(is_unknown) {
             Some(name) => Err(unknown("ledger.finish", name)),
--- a/src/proxy/control_plane/config/cluster_file.rs
+++ b/src/proxy/control_plane/config/cluster_file.rs
@@ -1,7 +1,7 @@
 //! The TOML of the cluster's file. Nothing behind this module knows its keys.
 
 use super::{ClusterConfig, ConfigError};
-use crate::cluster::rollout::{Rule, Rules};
+use crate::cluster::rollout::{RuleConfig, RuleSet};
 use crate::cluster::{
     self, ledger, write_queue, MemberMetadata, Micros, SettingsError, CAPABILITY_LEDGER, CAPABILITY_ROLLOUT,
 };
@@ -117,22 +117,22 @@
 
 impl WriteQueueDocument {
     /// The write queue's settings; its gateways have to be seats of the cluster.
-    fn settings(&self, seats: &[String]) -> Result<write_queue::Terms, ConfigError> {
+    fn settings(&self, seats: &[String]) -> Result<write_queue::WriteQueueSettings, ConfigError> {
         let seat_number = |name: &String| match seats.iter().position(|seat| seat == name) {
             Some(number) => Ok(number as u16),
             None => Err(ConfigError::UnknownName { key: "branch.seats", kind: "seat", name: name.clone() }),
         };
-        Ok(write_queue::Terms {
+        Ok(write_queue::WriteQueueSettings {
             seats: self.seats.iter().map(seat_number).collect::<Result<_, _>>()?,
-            most: self.max_writes,
-            most_of_one: self.max_writes_per_customer,
-            longest: Micros(self.max_age_s.saturating_mul(MICROS_PER_SECOND)),
-            cut_after: micros(self.cut_after_ms),
+            max_pending: self.max_writes,
+            max_pending_per_customer: self.max_writes_per_customer,
+            max_age: Micros(self.max_age_s.saturating_mul(MICROS_PER_SECOND)),
+            uplink_timeout: micros(self.cut_after_ms),
             // Both known once the site's classes are.
-            patience: Micros(0),
-            stop: Vec::new(),
-            out: self.max_in_flight,
-            per_s: self.per_s,
+            send_timeout: Micros(0),
+            blocking_classes: Vec::new(),
+            max_in_flight: self.max_in_flight,
+            max_sends_per_second: self.per_s,
         })
     }
 }
@@ -143,7 +143,7 @@
 struct RolloutDocument {
     /// The rules in force before any rollout.
     #[serde(rename = "rule")]
-    rules: Vec<Rule>,
+    rules: Vec<RuleConfig>,
 }
 
 /// The ledger of requests in flight; without it none is kept.
@@ -175,11 +175,11 @@
 }
 
 impl LedgerDocument {
-    fn settings(&self) -> ledger::Terms {
-        ledger::Terms {
-            holders: self.replicas,
+    fn settings(&self) -> ledger::LedgerSettings {
+        ledger::LedgerSettings {
+            replicas: self.replicas,
             lease: micros(self.lease_ms),
-            life: micros(self.record_lifetime_ms),
+            record_lifetime: micros(self.record_lifetime_ms),
         }
     }
 }
@@ -224,7 +224,7 @@
 /// The cluster node's settings.
 fn node_settings(
     document: &ClusterDocument,
-    branch: Option<write_queue::Terms>,
+    branch: Option<write_queue::WriteQueueSettings>,
     name: &str,
 ) -> cluster::Settings {
     let name = document.name.as_deref().unwrap_or(name);
@@ -243,7 +243,7 @@
         probe_period: Duration::from_millis(document.period_ms),
         seats: document.seats.clone(),
         ledger: document.ledger.as_ref().map(LedgerDocument::settings),
-        rules: document.rollout.as_ref().map(|rollout| Rules(rollout.rules.clone())),
+        rules: document.rollout.as_ref().map(|rollout| RuleSet(rollout.rules.clone())),
         branch,
         disk: None,
     }
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -3,7 +3,7 @@
 
 use super::messages::{send_event, AttemptId, FinalResponse, RuntimeEvent};
 use super::{Clock, Runtime};
-use crate::cluster::rollout::Ended;
+use crate::cluster::rollout::RequestOutcome;
 use crate::decision::{
     Action, AttemptEnded, CounterKey, EndpointId, Event, LoadReport, Micros, Outcome, RejectionReason,
     RequestId,
@@ -63,7 +63,7 @@
         let Some(request) = self.requests.get(id) else { return };
         let Some(rollout) = request.rollout else { return };
         let was_sent = request.attempt_count() > rollout.before;
-        let ended = if was_sent { Ended::Failed } else { Ended::Refused };
+        let ended = if was_sent { RequestOutcome::Failed } else { RequestOutcome::Rejected };
         self.outcomes.note(RolloutOutcome { judged: rollout, at: self.clock.now(), ended, part_of_aim: 0.0 });
     }
 
@@ -73,7 +73,7 @@
         let class = self.site.settings.classes.get(rollout.class.0);
         let objective = class.map_or(Micros(1), |class| class.latency_objective);
         let part_of_aim = (at - rollout.came).secs() / objective.secs().max(MIN_OBJECTIVE_SECONDS);
-        let ended = if part_of_aim <= 1.0 { Ended::InTime } else { Ended::Late };
+        let ended = if part_of_aim <= 1.0 { RequestOutcome::OnTime } else { RequestOutcome::Late };
         self.outcomes.note(RolloutOutcome { judged: rollout, at, ended, part_of_aim });
     }
 
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -1,6 +1,6 @@
 //! What the runtime is told and asked.
 
-use crate::cluster::InForce;
+use crate::cluster::RoutingInForce;
 use crate::decision::{Arrival, CounterKey, EndpointCounts, EndpointId, Micros, QuotaLease, RequestId};
 use crate::proxy::control_plane::counter::{CallNumber, CounterReply};
 use crate::proxy::control_plane::discovery::EndpointList;
@@ -106,7 +106,7 @@
     /// The gateways agree on other quota leases.
     QuotaLeaseChanged(QuotaLease),
     /// Other routing rules are in force.
-    RoutingChanged(Box<InForce>),
+    RoutingChanged(Box<RoutingInForce>),
     /// A call to the counter ended.
     CounterReplied {
         /// The counter that was called.
--- a/src/proxy/runtime/routing.rs
+++ b/src/proxy/runtime/routing.rs
@@ -2,8 +2,8 @@
 //! labels.
 
 use super::Runtime;
-use crate::cluster::rollout::{Arm, Key, Rule};
-use crate::cluster::InForce;
+use crate::cluster::rollout::{Arm, RolloutKey, RuleConfig};
+use crate::cluster::RoutingInForce;
 use crate::decision::{
     has_canary_rules, Arrival, ClassId, CustomerId, Event, PlanId, RouteRule, RoutingRules,
 };
@@ -13,7 +13,7 @@
 
 /// A rollout whose outcomes are counted.
 pub(super) struct ActiveRollout {
-    key: Key,
+    key: RolloutKey,
     /// How it splits the customers.
     rules: RoutingRules,
 }
@@ -21,24 +21,24 @@
 impl ActiveRollout {
     fn arm_of(&self, customer: CustomerId) -> Arm {
         match has_canary_rules(&self.rules, customer) {
-            true => Arm::New,
-            false => Arm::Old,
+            true => Arm::Canary,
+            false => Arm::Baseline,
         }
     }
 }
 
 impl Runtime {
     /// Puts other routing rules in force.
-    pub(super) fn apply_routing(&mut self, in_force: InForce) {
-        let InForce { key, counts, old, new, share } = in_force;
+    pub(super) fn apply_routing(&mut self, in_force: RoutingInForce) {
+        let RoutingInForce { key, counts_outcomes, baseline, canary, canary_share } = in_force;
         let rules = RoutingRules {
-            baseline: route_rules(&mut self.site, old.0),
-            canary: route_rules(&mut self.site, new.0),
-            canary_share: share,
+            baseline: route_rules(&mut self.site, baseline.0),
+            canary: route_rules(&mut self.site, canary.0),
+            canary_share,
             salt: key.map_or(0, |key| key.id),
         };
         self.rollout = match key {
-            Some(key) if counts => Some(ActiveRollout { key, rules: rules.clone() }),
+            Some(key) if counts_outcomes => Some(ActiveRollout { key, rules: rules.clone() }),
             _ => None,
         };
         self.pending_events.push(Event::RoutingChanged(rules));
@@ -58,7 +58,7 @@
 }
 
 /// The rules for gateways of this zone, in the decision module's terms.
-fn route_rules(site: &mut Site, rules: Vec<Rule>) -> Vec<Rc<RouteRule>> {
+fn route_rules(site: &mut Site, rules: Vec<RuleConfig>) -> Vec<Rc<RouteRule>> {
     let own_zone = site.settings.zone;
     let mut own_rules = Vec::new();
     for rule in rules {
@@ -70,19 +70,23 @@
     own_rules.into_iter().map(|rule| Rc::new(route_rule(site, rule))).collect()
 }
 
-fn route_rule(site: &mut Site, rule: Rule) -> RouteRule {
+fn route_rule(site: &mut Site, rule: RuleConfig) -> RouteRule {
     RouteRule {
         class: rule.class.and_then(|name| site.classes.get(&name).copied()).map(ClassId),
         plan: rule.plan.and_then(|name| site.plans.get(&name).copied()).map(PlanId),
-        zone_weights: rule.zones.iter().map(|(zone, weight)| (site.zone(zone), fraction(*weight))).collect(),
+        zone_weights: rule
+            .zone_weights
+            .iter()
+            .map(|(zone, weight)| (site.zone(zone), fraction(*weight)))
+            .collect(),
         label_weights: rule
-            .labels
+            .label_weights
             .iter()
             .map(|(label, weight)| (site.label(label), fraction(*weight)))
             .collect(),
-        max_attempts: rule.attempts.map(usize::from),
-        give_up_fraction: rule.give_up.map(|percent| fraction(percent.into())),
-        slow_start_fraction: rule.cold.map(|percent| fraction(percent.into())),
+        max_attempts: rule.max_attempts.map(usize::from),
+        give_up_fraction: rule.give_up_percent.map(|percent| fraction(percent.into())),
+        slow_start_fraction: rule.slow_start_percent.map(|percent| fraction(percent.into())),
     }
 }
 
