--- a/src/cluster/membership/swim.rs
+++ b/src/cluster/membership/swim.rs
@@ -63,8 +63,9 @@
     has_left: bool,
 }
 
-fn micros(span: Duration) -> Micros {
-    Micros(span.as_micros().min(u128::from(u64::MAX)) as u64)
+/// A span in microseconds.
+pub fn micros(span: Duration) -> Micros {
+    Micros(u64::try_from(span.as_micros()).unwrap_or(u64::MAX))
 }
 
 impl Swim {
--- a/src/cluster/membership_node.rs
+++ b/src/cluster/membership_node.rs
@@ -6,7 +6,7 @@
 use crate::cluster::membership::identity::Identity;
 use crate::cluster::membership::join::JoinSchedule;
 use crate::cluster::membership::ring_probe::{RingContext, RingProbeAction};
-use crate::cluster::membership::swim::OutgoingMessage;
+use crate::cluster::membership::swim::{micros, OutgoingMessage};
 use crate::cluster::node::ClusterNode;
 use crate::cluster::quota_lease::seat_lease::QuotaShares;
 use crate::decision::Micros;
@@ -50,7 +50,7 @@
         let token = self.rng.u64(..);
         let context = RingContext {
             awake: self.swim.awake(),
-            period: Micros(self.settings.probe_period.as_micros() as u64),
+            period: micros(self.settings.probe_period),
             own_name: &self.settings.name,
             records: self.swim.records(),
             health: self.swim.health(),
--- a/src/cluster/tests.rs
+++ b/src/cluster/tests.rs
@@ -88,20 +88,24 @@
     assert_eq!(members[0].present(), 2);
 }
 
+fn queue_settings() -> write_queue::WriteQueueSettings {
+    write_queue::WriteQueueSettings {
+        seats: vec![0, 1, 2],
+        max_pending: 10,
+        max_pending_per_customer: 10,
+        max_age: Micros(1_000_000),
+        uplink_timeout: Micros(1_000_000),
+        send_timeout: Micros(1_000_000),
+        max_in_flight: 1,
+        max_sends_per_second: 1,
+        blocking_classes: Vec::new(),
+    }
+}
+
 impl ClusterNode {
     /// A gateway with a ledger, a branch and a disk, whose counters all differ, for the test of `/stats`.
     pub(crate) fn with_distinct_counts() -> ClusterNode {
-        let terms = write_queue::WriteQueueSettings {
-            seats: vec![0, 1, 2],
-            max_pending: 10,
-            max_pending_per_customer: 10,
-            max_age: Micros(1_000_000),
-            uplink_timeout: Micros(1_000_000),
-            send_timeout: Micros(1_000_000),
-            max_in_flight: 1,
-            max_sends_per_second: 1,
-            blocking_classes: Vec::new(),
-        };
+        let queue_settings = queue_settings();
         let ledger = ledger::LedgerSettings {
             replicas: 3,
             lease: Micros(400_000),
@@ -110,7 +114,7 @@
         let settings = Settings {
             seats: ["a", "b", "c"].map(String::from).to_vec(),
             ledger: Some(ledger),
-            branch: Some(terms.clone()),
+            branch: Some(queue_settings.clone()),
             disk: Some(MachineId { boot: 7, uptime: Micros(0) }),
             ..settings("a")
         };
@@ -134,7 +138,7 @@
         };
         ledger.replica_mut().rejections =
             ledger::RejectionCounts { not_voting: 21, at_capacity: 22, late: 23, invalid: 24 };
-        let mut replica = write_queue::QueueReplica::new(0, terms, 1, Micros(0));
+        let mut replica = write_queue::QueueReplica::new(0, queue_settings, 1, Micros(0));
         replica.counts = write_queue::QueueCounts {
             accepted: 31,
             rejected: 32,
