--- a/src/cluster/ledger/client.rs
+++ b/src/cluster/ledger/client.rs
@@ -17,7 +17,7 @@
 pub struct AddressedMessage {
     /// The replica's seat.
     pub to: u16,
-    /// What it is told.
+    /// The message.
     pub message: LedgerMessage,
 }
 
--- a/src/cluster/ledger/client/write.rs
+++ b/src/cluster/ledger/client/write.rs
@@ -70,7 +70,7 @@
     }
 
     /// To whom the next write goes first. A quorum that accepted the last is enough, and where one of it is silent the
-    /// others are told with the next tick; but all that were sent the request have to hear that it is done with.
+    /// others are sent it with the next tick; but all that hold the request have to learn that it is completed.
     fn receivers(&self) -> Vec<u16> {
         let quorum_is_enough =
             self.is_confirmed() && self.sequence > 0 && (self.record.owned || !self.request_sent);
--- a/src/cluster/ledger/message.rs
+++ b/src/cluster/ledger/message.rs
@@ -35,7 +35,7 @@
         id: RecordId,
         /// To which ballot.
         ballot: Ballot,
-        /// What it holds, if anything that still lives.
+        /// What it holds, unless that has expired.
         held: Option<RecordSnapshot>,
     },
     /// The replica does not promise: the record is answered, or its owner's lease runs.
--- a/src/cluster/ledger/node.rs
+++ b/src/cluster/ledger/node.rs
@@ -126,7 +126,7 @@
         &self.replica
     }
 
-    /// The same, to be told of its storage.
+    /// The same, for the events of its storage.
     pub fn replica_mut(&mut self) -> &mut Replica {
         &mut self.replica
     }
--- a/src/cluster/ledger/replica.rs
+++ b/src/cluster/ledger/replica.rs
@@ -54,7 +54,7 @@
         accepted + self.request.as_ref().map_or(0, Vec::len)
     }
 
-    /// The same with its times told by another clock.
+    /// The same with its times converted to another clock.
     pub fn with_times(mut self, convert: impl Fn(Micros) -> Micros) -> ReplicaEntry {
         self.promised_at = convert(self.promised_at);
         self.offered_at = self.offered_at.map(&convert);
@@ -118,7 +118,7 @@
         self.changed = Some(BTreeSet::new());
     }
 
-    /// Its storage is read and held these. `complete`: it is all that earlier processes said, so that it votes at once;
+    /// Its storage is read and held these. `complete`: it is all that earlier processes promised and accepted, so that it votes at once;
     /// otherwise it waits as one that starts without.
     pub fn restore(&mut self, now: Micros, entries: Vec<(RecordId, ReplicaEntry)>, complete: bool) {
         self.votes_from = if complete { now } else { now + self.settings.vote_delay() };
@@ -189,8 +189,8 @@
         }
     }
 
-    /// Forgets what nobody can need: promises on which nothing was written, and records whose life is over for so long
-    /// that no replica takes them for alive.
+    /// Removes what nobody can need: promises on which nothing was written, and records that have expired for so long
+    /// that no replica takes them for current.
     pub fn remove_expired(&mut self, now: Micros) {
         let retention = self.settings.record_lifetime + self.settings.ballot_retention();
         let promise_retention = PROMISE_LIFETIME + ROUND_TRIP_LIMIT + ROUND_TRIP_LIMIT;
--- a/src/cluster/ledger/replica/abandoned.rs
+++ b/src/cluster/ledger/replica/abandoned.rs
@@ -11,7 +11,7 @@
 const REPLICA_STAGGER: Micros = Micros(400_000);
 /// An offer is made again after this: who was to finish the request may have died too.
 const OFFER_AGAIN_AFTER: Micros = Micros(1_500_000);
-/// Nothing is begun so late in a record's life.
+/// A request is not continued when its record expires within this.
 const MIN_REMAINING_LIFE: Micros = Micros(500_000);
 
 /// A request that its owner left with the replicas of its record, and that may be finished by another gateway.
--- a/src/cluster/ledger/replica/vote.rs
+++ b/src/cluster/ledger/replica/vote.rs
@@ -15,8 +15,8 @@
         let Some(entry) = self.entries.get_mut(&id) else {
             return self.promise_first(now, id, ballot);
         };
-        let lives = |write: &&AcceptedWrite| now - write.record_began < lifetime;
-        let held = entry.accepted.as_ref().filter(lives).map(|write| RecordSnapshot {
+        let is_current = |write: &&AcceptedWrite| now - write.record_began < lifetime;
+        let held = entry.accepted.as_ref().filter(is_current).map(|write| RecordSnapshot {
             ballot: write.ballot,
             sequence: write.sequence,
             record: write.record.clone(),
--- a/src/cluster/ledger/settings.rs
+++ b/src/cluster/ledger/settings.rs
@@ -1,11 +1,11 @@
-//! What a gateway is told of the ledger, and the limits that follow from it.
+//! The settings of the ledger, and the limits that follow from them.
 
 use crate::decision::{Micros, SettingsError};
 
 /// A client counts a promise only if it came within this, and a replica drops a first write that was under way for
 /// longer. Ages of records are passed on with no more error than this.
 pub const ROUND_TRIP_LIMIT: Micros = Micros(100_000);
-/// A promise on which nothing was written is kept for this long.
+/// A promise on which nothing was written is remembered for this long.
 pub const PROMISE_LIFETIME: Micros = Micros(2_000_000);
 /// The most owners of one record: with each, its age is known by one `ROUND_TRIP_LIMIT` less exactly.
 pub const MAX_OWNERS: u32 = 8;
@@ -21,14 +21,14 @@
 /// Bounds of `ledger.life_ms`.
 const RECORD_LIFETIME_MS: std::ops::RangeInclusive<u64> = 2_000..=60_000;
 
-/// What a gateway is told of the ledger, the same at every gateway of the cluster.
+/// The settings of the ledger, the same at every gateway of the cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LedgerSettings {
     /// How many gateways hold each record: 3 or 5.
     pub replicas: usize,
     /// How long an owner may act after it last had its record confirmed.
     pub lease: Micros,
-    /// How long a record lives.
+    /// How long after its beginning a record expires.
     pub record_lifetime: Micros,
 }
 
@@ -61,7 +61,7 @@
         self.replicas / 2 + 1
     }
 
-    /// How long a record's ballots are remembered after its life, until no replica can take it for alive: the errors
+    /// How long a record's ballots are remembered after it expired, until no replica can take it for current: the errors
     /// in its age at two replicas, and the drift of their clocks.
     pub fn ballot_retention(&self) -> Micros {
         let age_errors = 2 * u64::from(MAX_OWNERS) * ROUND_TRIP_LIMIT.0;
--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -1,5 +1,5 @@
-//! The ledger within a cluster node: claims of this gateway go out to the seats that hold a record, and what these say
-//! comes in.
+//! The ledger within a cluster node: claims of this gateway go out to the seats that hold a record, and their replies
+//! come in.
 
 use super::datagram::{self, DatagramError, Payload};
 use super::event::Effect;
@@ -42,7 +42,7 @@
 pub(super) struct LeaseStatus {
     /// It runs.
     pub(super) is_held: bool,
-    /// It still runs when others hear of what is begun now.
+    /// It still runs when others learn of what is begun now.
     pub(super) is_held_with_margin: bool,
     /// It is over though it was held: the claim is to be released.
     pub(super) lapsed: Option<ClaimId>,
--- a/src/cluster/rollout/command.rs
+++ b/src/cluster/rollout/command.rs
@@ -9,7 +9,7 @@
 /// The longest scope that another gateway may name, in bytes.
 const MAX_SCOPE_BYTES: usize = 40;
 
-/// Which rollout: of two, the one with the greater key is in force. A rollout that a quorum of the seats was once heard to
+/// Which rollout: of two, the one with the greater key is in force. A rollout that a quorum of the seats was once seen to
 /// know (`confirmed`) goes before one by the same number that nobody confirmed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RolloutKey {
--- a/src/cluster/rollout/controller.rs
+++ b/src/cluster/rollout/controller.rs
@@ -16,9 +16,9 @@
 
 /// How often a controller is to be called.
 pub const TICK_INTERVAL: Micros = Micros(500_000);
-/// So many others are told what is in force at each tick, whoever they are.
+/// So many others, drawn at random, are sent what is in force at each tick.
 const GOSSIP_FANOUT: usize = 2;
-/// A process that is younger may not have heard yet of a rollout that runs, and begins none.
+/// A process that is younger may not know yet of a rollout that runs, and begins none.
 const MIN_AGE_TO_BEGIN: Micros = Micros(3_000_000);
 
 /// What a controller wants done.
@@ -28,7 +28,7 @@
     Send {
         /// The seat.
         to: u16,
-        /// What it is told.
+        /// The message.
         message: RolloutMessage,
     },
     /// Claim the rollout's record.
@@ -41,7 +41,7 @@
     Notify(RolloutNotice),
 }
 
-/// What operators should hear of a rollout.
+/// Something for the log about a rollout.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RolloutNotice {
     /// Another stage, or pause, is in force here.
@@ -78,7 +78,7 @@
     }
 }
 
-/// Another gateway that said that it leads.
+/// Another gateway that announced that it leads.
 #[derive(Debug, Clone, Copy)]
 struct LeaderSighting {
     seat: u16,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// What is in force here; none before the first rollout that was heard of.
+    /// What is in force here; none before the first rollout.
     pub fn command(&self) -> Option<&RolloutCommand> {
         self.command.as_ref()
     }
@@ -222,7 +222,7 @@
     }
 
     /// Merges a command, and passes on what is new at once: what is in force elsewhere, or was when this gateway's last
-    /// process had heard of it.
+    /// process stored it.
     pub fn apply(
         &mut self,
         now: Micros,
--- a/src/cluster/rollout/controller/counting.rs
+++ b/src/cluster/rollout/controller/counting.rs
@@ -10,7 +10,7 @@
 
 /// So many of those present collect all counts: each side of a partition has its own.
 const COLLECTORS: usize = 3;
-/// Counts are sent for so long after the end, so that operators see who has heard of it.
+/// Counts are sent for so long after the end, so that operators see who knows of it.
 const COUNTS_AFTER_END: Micros = Micros(30_000_000);
 
 impl RolloutController {
--- a/src/cluster/rollout/controller/leading.rs
+++ b/src/cluster/rollout/controller/leading.rs
@@ -7,7 +7,7 @@
 use crate::cluster::rollout::sequential_test::{halt_reason, is_in_force, may_pass, StageStart};
 use crate::decision::Micros;
 
-/// A leader that was not heard for so long is replaced.
+/// A leader of which nothing was received for so long is replaced.
 const LEADER_TIMEOUT: Micros = Micros(2_500_000);
 /// Candidates claim within this, in microseconds, not all at once.
 const CANDIDACY_JITTER_US: u64 = 1_500_000;
@@ -56,7 +56,7 @@
         Some(key)
     }
 
-    /// The leader, if it was heard lately.
+    /// The leader, if something was received of it lately.
     pub(super) fn live_leader(&self, now: Micros) -> Option<u16> {
         self.leader.filter(|leader| now - leader.at < LEADER_TIMEOUT).map(|leader| leader.seat)
     }
--- a/src/cluster/rollout/controller/report.rs
+++ b/src/cluster/rollout/controller/report.rs
@@ -38,19 +38,19 @@
     }
 }
 
-/// Seats that were heard lately, and of them those that go by the same stage and end.
+/// Seats that reported lately, and of them those that go by the same stage and end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(into = "(usize, usize)")]
 pub struct SeatsHeard {
-    /// Seats that were heard within 2 s.
-    pub heard: usize,
+    /// Seats that reported within 2 s.
+    pub reporting: usize,
     /// Of them those that go by this stage and end.
     pub following: usize,
 }
 
 impl From<SeatsHeard> for (usize, usize) {
     fn from(seats: SeatsHeard) -> (usize, usize) {
-        (seats.heard, seats.following)
+        (seats.reporting, seats.following)
     }
 }
 
@@ -74,9 +74,9 @@
     pub reason: Option<String>,
     /// This gateway leads it.
     pub leads: bool,
-    /// This gateway collects the counts: the rest is told by such alone.
+    /// This gateway collects the counts: the rest is known at collectors alone.
     pub collects: bool,
-    /// Seats that were heard.
+    /// Seats that reported lately.
     #[serde(rename = "heard")]
     pub seats: SeatsHeard,
     /// By arm (baseline, canary): requests on time, late, failed, rejected.
@@ -88,7 +88,7 @@
 }
 
 impl RolloutController {
-    /// What operators read; none before the first rollout that was heard of.
+    /// What operators read; none before the first rollout.
     pub fn report(&self, now: Micros) -> Option<RolloutReport> {
         let command = self.command.as_ref()?;
         let RolloutCommand { key, stage, pause, settings, .. } = command;
@@ -105,7 +105,10 @@
             reason: reason_of(command),
             leads: self.is_leading,
             collects: self.is_collector,
-            seats: SeatsHeard { heard: fresh.len(), following: fresh.values().filter(is_following).count() },
+            seats: SeatsHeard {
+                reporting: fresh.len(),
+                following: fresh.values().filter(is_following).count(),
+            },
             outcomes: self.outcome_sums(),
             rejected: self.collected.rejected,
         })
--- a/src/cluster/rollout/count_rows.rs
+++ b/src/cluster/rollout/count_rows.rs
@@ -1,4 +1,4 @@
-//! What was heard of all gateways' counts: of each process the newest, so that loss, duplicates, order and late messages
+//! The counts received of all gateways: of each process the newest, so that loss, duplicates, order and late messages
 //! change nothing.
 
 use super::command::RolloutKey;
@@ -61,7 +61,7 @@
     pub value: T,
 }
 
-/// What one process of a gateway was heard to say.
+/// What was received of one process of a gateway.
 #[derive(Debug, Clone)]
 pub struct ProcessCounts {
     /// Its zone.
@@ -93,7 +93,7 @@
     pub process: u64,
 }
 
-/// All counts that were heard.
+/// All counts that were received.
 #[derive(Debug, Clone, Default)]
 pub struct CollectedCounts {
     processes: BTreeMap<ProcessKey, ProcessCounts>,
@@ -137,7 +137,7 @@
         self.processes.iter().map(|(key, counts)| (*key, counts))
     }
 
-    /// The seats whose newest message is fresh, each with its process that was heard last.
+    /// The seats whose newest message is fresh, each with its process that reported last.
     pub fn fresh(&self, now: Micros) -> BTreeMap<u16, &ProcessCounts> {
         let mut fresh: BTreeMap<u16, &ProcessCounts> = BTreeMap::new();
         for (key, counts) in &self.processes {
--- a/src/cluster/rollout/sequential_test.rs
+++ b/src/cluster/rollout/sequential_test.rs
@@ -148,7 +148,7 @@
     }
 }
 
-/// Whether enough gateways are heard, all going by this stage, and more than half of each zone's.
+/// Whether enough gateways have reported lately, all going by this stage, and more than half of each zone's.
 pub fn is_in_force(now: Micros, counts: &CollectedCounts, stage: u8, seats: usize) -> bool {
     let fresh = counts.fresh(now);
     let following = fresh.values().filter(|process| process.stage >= stage).count();
@@ -159,11 +159,11 @@
     for (key, process) in counts.processes() {
         known.entry(&process.zone).or_default().insert(key.seat);
     }
-    let mut heard: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut reporting: BTreeMap<&str, usize> = BTreeMap::new();
     for process in fresh.values() {
-        *heard.entry(&process.zone).or_default() += 1;
+        *reporting.entry(&process.zone).or_default() += 1;
     }
-    known.iter().all(|(zone, seats)| heard.get(zone).copied().unwrap_or(0) * 2 > seats.len())
+    known.iter().all(|(zone, seats)| reporting.get(zone).copied().unwrap_or(0) * 2 > seats.len())
 }
 
 /// Requests of one arm that were sent, and how many of them failed.
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -13,7 +13,7 @@
 use crate::decision::Micros;
 
 impl ClusterNode {
-    /// An operator wants a rollout. What becomes of it is told by `Effect::RolloutStarted`.
+    /// An operator wants a rollout. What becomes of it follows as `Effect::RolloutStarted`.
     pub fn start_rollout(
         &mut self,
         now: Micros,
@@ -168,7 +168,7 @@
         });
     }
 
-    /// What was stored of a rollout is in force again, as far as nothing newer was heard.
+    /// What was stored of a rollout is in force again, as far as nothing newer was received.
     pub(super) fn restore_rollout(&mut self, command: Option<RolloutCommand>, out: &mut Vec<Effect>) {
         let Some(command) = command.filter(RolloutCommand::is_valid) else { return };
         let now = self.now;
--- a/src/cluster/storage/durability_gate.rs
+++ b/src/cluster/storage/durability_gate.rs
@@ -1,7 +1,7 @@
 //! Effects that go out only once this gateway's storage holds the changes that they rest on (a write-ahead log's rule).
 //!
 //! Parts change what they hold at once, in memory; each message and answer that follows waits here, in its order, until
-//! all changes before it are stored. So whatever a process has said, the next one under its name remembers.
+//! all changes before it are stored. So whatever a process has sent, the next one under its name remembers.
 
 use crate::decision::Micros;
 use std::collections::VecDeque;
@@ -11,7 +11,7 @@
 /// With so many waiting, no write of a client's is begun.
 pub const BUSY_WAITING: usize = 2000;
 
-/// The machine's own clock, by which stored times are told: the next process on it reads the same one.
+/// The machine's own clock, by which times are stored: the next process on it reads the same one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MachineId {
     /// Names this start of the machine.
--- a/src/cluster/storage/mod.rs
+++ b/src/cluster/storage/mod.rs
@@ -1,4 +1,4 @@
-//! What a gateway keeps on its disk, and what it says only once that is there.
+//! What a gateway keeps on its disk, and what it sends only once that is there.
 //!
 //! No I/O: `proxy::cluster_transport::disk` holds the file. `docs/decisions/0004-ledger.md` and
 //! `docs/decisions/0006-branch-queue.md` say what outlives a process and a machine.
--- a/src/cluster/storage/persistence.rs
+++ b/src/cluster/storage/persistence.rs
@@ -38,11 +38,11 @@
 pub struct Restored {
     /// Writes of the branch.
     pub writes: Vec<LogEntry>,
-    /// They are all that was ever said in the branch, so that it has its vote at once.
+    /// They are all that was ever acknowledged in the branch, so that it has its vote at once.
     pub writes_complete: bool,
     /// Records of the ledger.
     pub records: Vec<(RecordId, ReplicaEntry)>,
-    /// They are all that was ever said at the ledger.
+    /// They are all that was ever promised and accepted at the ledger.
     pub records_complete: bool,
     /// What was in force of a rollout.
     pub command: Option<RolloutCommand>,
@@ -50,7 +50,7 @@
     has_unreadable: bool,
 }
 
-/// How stored times are told on this process' clock.
+/// Reads what is stored, with its times converted to this process' clock.
 struct Reader<'a> {
     gate: &'a DurabilityGate<GatedEffect>,
     now: Micros,
@@ -158,7 +158,7 @@
         Some(StoredKey::RolloutCommand.put(encode(command)))
     }
 
-    /// The storage was opened and held this. Returns what earlier processes of this gateway said, and what is to be stored
+    /// The storage was opened and held this. Returns what earlier processes of this gateway held, and what is to be stored
     /// for it: the own header, and the removal of what is of other seats or can't be read. Records are removed, too, where
     /// the machine was started since, as their times say nothing then.
     pub fn restore(
--- a/src/cluster/storage/stored_form.rs
+++ b/src/cluster/storage/stored_form.rs
@@ -32,7 +32,7 @@
     Header,
     /// What is in force of a rollout: a `RolloutCommand`.
     RolloutCommand,
-    /// An earlier process had a vote in the branch: what it said is all stored. No value.
+    /// An earlier process had a vote in the branch: all that it acknowledged is stored. No value.
     QueueVote,
     /// The same at the ledger.
     LedgerVote,
--- a/src/cluster/storage_node.rs
+++ b/src/cluster/storage_node.rs
@@ -1,4 +1,4 @@
-//! The storage within a cluster node: what the parts change is stored, and what they say waits for that.
+//! The storage within a cluster node: what the parts change is stored, and what they send waits for that.
 
 use super::event::{ClusterNotice, Effect};
 use super::ledger_node::OwnSeat;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The storage was opened and held this: what the parts said in earlier processes they remember.
+    /// The storage was opened and held this: the parts take over what earlier processes held.
     pub(super) fn on_storage_loaded(&mut self, stored: &[StorageWrite], out: &mut Vec<Effect>) {
         let now = self.now;
         let Some(OwnSeat { seat_list, seat }) = self.own_seat() else { return };
--- a/src/cluster/write_queue/replay.rs
+++ b/src/cluster/write_queue/replay.rs
@@ -142,7 +142,7 @@
 ) -> Option<ReplayStep> {
     let dot = entry.write.dot;
     let attempt = match entry.state {
-        // An owner before this one may have forwarded it, and may yet hear how that ends.
+        // An owner before this one may have forwarded it, and may yet learn how that ends.
         WriteState::Sent(_) if entry.first_sent_at.is_some_and(|at| now - at < settings.send_timeout) => {
             return None
         }
--- a/src/cluster/write_queue/replica.rs
+++ b/src/cluster/write_queue/replica.rs
@@ -33,7 +33,7 @@
     Send {
         /// The seat.
         to: u16,
-        /// What it is told.
+        /// The message.
         message: QueueMessage,
     },
     /// A write that was asked for here is accepted under this name, or not.
@@ -68,7 +68,7 @@
     },
 }
 
-/// What a client that asks for a write is told.
+/// The answer to a client that asks for a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteStatus {
     /// What is known of it.
@@ -92,7 +92,7 @@
     pub not_completed: u64,
 }
 
-/// What a replica says of its writes for one customer and object.
+/// What a replica holds for one customer and object.
 struct Heads {
     newest: Vec<Dot>,
     position: u64,
@@ -106,7 +106,7 @@
     sent_at: Micros,
     /// By seat, this one among them.
     heads: BTreeMap<u16, Heads>,
-    /// Who holds the write, once a quorum has told its heads.
+    /// Who holds the write, once a quorum has sent its heads.
     held_by: Option<BTreeSet<u16>>,
 }
 
@@ -221,7 +221,7 @@
         self.log.track_changes();
     }
 
-    /// Its storage is read and held these. `complete`: an earlier process had a vote, and all that it said is among them.
+    /// Its storage is read and held these. `complete`: an earlier process had a vote, and all that it acknowledged is among them.
     pub fn restore(&mut self, now: Micros, entries: &[LogEntry], complete: bool) {
         for entry in entries.iter().filter(|entry| entry.write.fits()) {
             self.log.merge(now, &entry.write, entry.state, entry.accepted_at, entry.first_sent_at);
@@ -234,7 +234,7 @@
     }
 
     /// Its storage takes nothing more: it gives up its vote, and keeps what it holds. Writes that wait for votes are
-    /// rejected, and what was not forwarded by now is not forwarded from here: its own word on them was never stored.
+    /// rejected, and what was not forwarded by now is not forwarded from here: its own announcement of them was never stored.
     pub fn lose_storage(&mut self, now: Micros, out: &mut Vec<QueueEffect>) {
         self.is_barred = true;
         self.has_vote = false;
--- a/src/cluster/write_queue/replica/accept.rs
+++ b/src/cluster/write_queue/replica/accept.rs
@@ -1,6 +1,6 @@
 //! Writes that wait for their votes: asked for, held by a quorum, then accepted, or rejected.
 //!
-//! Two rounds: a quorum tells the newest writes of the customer and of the object, on which the new one then depends;
+//! Two rounds: a quorum sends the newest writes of the customer and of the object, on which the new one then depends;
 //! then a quorum holds it with all that it depends on.
 
 use super::{Heads, PendingAccept, QueueEffect, QueueReplica};
@@ -19,7 +19,7 @@
 const DEPENDENCY_BYTES: usize = 120;
 
 impl QueueReplica {
-    /// A write is to be accepted; whether it is, is told later under this name. None: it can't be.
+    /// A write is to be accepted; whether it is, follows as `QueueEffect::Decided`. None: it can't be.
     pub fn accept(&mut self, now: Micros, request: WriteRequest, out: &mut Vec<QueueEffect>) -> Option<Dot> {
         // A client that comes again with its key meets its write, once a quorum holds it.
         let known = self.log.find_by_key(request.customer, request.key).filter(|_| self.has_vote);
@@ -184,7 +184,7 @@
         let late: Vec<u64> = late.map(|(token, _)| *token).collect();
         for token in late {
             if let Some(dot) = self.reject(token, out) {
-                // Some may hold it: its client was told that it was not accepted, and may come again.
+                // Some may hold it: its client was answered that it was not accepted, and may retry.
                 self.announce(now, dot, WriteState::Ended(WriteOutcome::Expired), out);
             }
         }
--- a/src/cluster/write_queue/replica/catch_up.rs
+++ b/src/cluster/write_queue/replica/catch_up.rs
@@ -34,13 +34,12 @@
             return;
         }
         walk.peer_has_vote = page.has_vote;
-        let knows_more = page
-            .entries
-            .iter()
-            .filter(|told| log.get(told.dot).is_none_or(|entry| entry.state.rank() < told.rank));
-        walk.missing = knows_more.map(|told| told.dot).collect();
+        let knows_more = page.entries.iter().filter(|page_entry| {
+            log.get(page_entry.dot).is_none_or(|entry| entry.state.rank() < page_entry.rank)
+        });
+        walk.missing = knows_more.map(|page_entry| page_entry.dot).collect();
         walk.is_last_page = !page.has_more;
-        walk.until = page.entries.last().map(|told| told.dot).or(walk.after);
+        walk.until = page.entries.last().map(|page_entry| page_entry.dot).or(walk.after);
         walk.asked_at = now;
         let missing: Vec<Dot> = walk.missing.iter().copied().collect();
         for dots in missing.chunks(FETCH_LIMIT) {
@@ -124,7 +123,7 @@
         }
     }
 
-    /// Begins all walks anew with the next tick: those that had begun may have missed what was said last.
+    /// Begins all walks anew with the next tick: those that had begun may have missed the latest announcements.
     pub(super) fn restart_walks(&mut self) {
         for walk in self.catch_ups.values_mut() {
             walk.round = 0;
--- a/src/cluster/write_queue/replica/notify.rs
+++ b/src/cluster/write_queue/replica/notify.rs
@@ -126,13 +126,13 @@
         out.push(QueueEffect::NotCompleted { dot, outcome });
     }
 
-    /// Forwards what may go: not before a quorum told what it holds since this one took the lead.
+    /// Forwards what may go: not before a quorum sent all that it holds since this one took the lead.
     pub(super) fn forward_next(&mut self, now: Micros, out: &mut Vec<QueueEffect>) {
         let is_single = self.settings.is_single();
         let since = match self.leads_since_walk {
             Some(since) => since,
             None => {
-                // Walks that had begun before may have missed what an owner before this one said last.
+                // Walks that had begun before may have missed what an owner before this one announced last.
                 self.leads_since_walk = Some(self.completed_walks);
                 self.restart_walks();
                 self.tick_catch_ups(now, out);
--- a/src/cluster/write_queue/replica/store.rs
+++ b/src/cluster/write_queue/replica/store.rs
@@ -1,4 +1,4 @@
-//! Holding the writes of others, and saying so.
+//! Holding the writes of others, and acknowledging them.
 
 use super::{QueueEffect, QueueReplica, RESEND_AFTER};
 use crate::cluster::write_queue::message::{QueueMessage, ReplicatedWrite};
@@ -6,13 +6,13 @@
 use crate::cluster::write_queue::write_log::ENDED_RETENTION;
 use crate::decision::Micros;
 
-/// A time that was told is off by no more than a datagram may be under way.
+/// A received span is too short by no more than a datagram may be in transit.
 const MAX_TRANSIT: Micros = Micros(100_000);
 /// Others' pending writes are held up to so many times as many as may be pending here.
 const PENDING_HEADROOM: usize = 2;
 
 impl QueueReplica {
-    /// Another gateway says what it knows of a write.
+    /// Another gateway sends what it knows of a write.
     pub(super) fn on_replicate(
         &mut self,
         now: Micros,
@@ -46,16 +46,16 @@
         self.next_page(now, from, out);
     }
 
-    /// Says that it holds a write. One that is new has a vote here once all is here that it depends on.
+    /// Acknowledges that it holds a write. One that is new has a vote here once all is here that it depends on.
     fn acknowledge(
         &self,
         to: u16,
         dot: Dot,
-        told: WriteState,
+        received: WriteState,
         dependencies: &[Dot],
         out: &mut Vec<QueueEffect>,
     ) {
-        let is_new = told == WriteState::Pending(0);
+        let is_new = received == WriteState::Pending(0);
         let missing = if is_new { self.log.missing(dependencies) } else { Vec::new() };
         if !missing.is_empty() {
             out.push(QueueEffect::Send { to, message: QueueMessage::Fetch(missing) });
@@ -67,7 +67,7 @@
         }
     }
 
-    /// What is told of a write.
+    /// What is sent of a write.
     pub(super) fn replicate_message(&self, now: Micros, dot: Dot) -> Option<QueueMessage> {
         let entry = self.log.get(dot)?;
         Some(QueueMessage::Replicate(ReplicatedWrite {
--- a/src/cluster/write_queue/settings.rs
+++ b/src/cluster/write_queue/settings.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told of its branch's write queue.
+//! The settings of a branch's write queue.
 
 use crate::decision::{Micros, SettingsError};
 use std::ops::RangeInclusive;
@@ -16,7 +16,7 @@
 /// Bounds of `branch.per_s`.
 const MAX_SENDS_PER_SECOND: RangeInclusive<u32> = 1..=10_000;
 
-/// What a gateway is told of its branch's write queue, the same at each gateway of the branch.
+/// The settings of a branch's write queue, the same at each gateway of the branch.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WriteQueueSettings {
     /// The branch's gateways, by seat: 1 to 15 of them, this one among them.
--- a/src/cluster/write_queue/uplink.rs
+++ b/src/cluster/write_queue/uplink.rs
@@ -1,4 +1,4 @@
-//! Whether a branch is isolated from the backends: by the gateway's own attempts, and by what a quorum of the branch says.
+//! Whether a branch is isolated from the backends: by the gateway's own attempts, and by what a quorum of the branch reports.
 
 use super::settings::WriteQueueSettings;
 use crate::decision::Micros;
@@ -12,7 +12,7 @@
 const FIRST_HOLD: Micros = Micros(1_000_000);
 const MAX_HOLD: Micros = Micros(16_000_000);
 
-/// What another gateway says of its uplink.
+/// What another gateway reports of its uplink.
 #[derive(Debug, Clone, Copy)]
 struct PeerStatus {
     received_at: Micros,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// An attempt at a backend, or a health check, got a response, whatever it said, or none.
+    /// An attempt at a backend, or a health check, got a response, of whatever status, or none.
     pub fn record_attempt(&mut self, now: Micros, responded: bool, settings: &WriteQueueSettings) {
         match responded {
             true => self.record_response(now),
@@ -91,7 +91,7 @@
         (self.hold + self.hold).min(MAX_HOLD)
     }
 
-    /// Another gateway of the branch tells the status of its uplink.
+    /// Another gateway of the branch reports the status of its uplink.
     pub fn record_peer_status(&mut self, now: Micros, seat: u16, is_down: bool) {
         self.peers.insert(seat, PeerStatus { received_at: now, is_down });
     }
@@ -106,7 +106,7 @@
         now - self.last_response
     }
 
-    /// Whether the branch is isolated: down from here, and a quorum of the branch says so. Where others still have
+    /// Whether the branch is isolated: down from here, and a quorum of the branch reports the same. Where others still have
     /// responses it is this gateway's own fault.
     pub fn update(&mut self, now: Micros, settings: &WriteQueueSettings) -> bool {
         self.peers.retain(|_, status| now - status.received_at < PEER_STATUS_LIFETIME);
--- a/src/cluster/write_queue/write_log.rs
+++ b/src/cluster/write_queue/write_log.rs
@@ -1,4 +1,4 @@
-//! What a gateway of a branch holds: all writes that it heard of, with what became of them, within bounds.
+//! What a gateway of a branch holds: all writes that it received, with what became of them, within bounds.
 
 use super::message::DotRank;
 use super::settings::WriteQueueSettings;
@@ -29,7 +29,7 @@
 }
 
 impl LogEntry {
-    /// The same with its times told by another clock.
+    /// The same with its times converted to another clock.
     pub fn with_times(self, convert: impl Fn(Micros) -> Micros) -> LogEntry {
         LogEntry {
             accepted_at: convert(self.accepted_at),
@@ -48,7 +48,7 @@
     pending: BTreeSet<(u64, Dot)>,
     by_customer: BTreeMap<u64, Vec<Dot>>,
     by_object: BTreeMap<u64, Vec<Dot>>,
-    /// The highest position heard of.
+    /// The highest position received.
     highest_position: u64,
     /// What has changed since it was last asked for; none where the gateway has no storage.
     changed: Option<BTreeSet<Dot>>,
@@ -120,7 +120,7 @@
         index.get(&key).into_iter().flatten().filter_map(|dot| self.get(*dot))
     }
 
-    /// The highest position heard of.
+    /// The highest position received.
     pub fn highest_position(&self) -> u64 {
         self.highest_position
     }
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -99,7 +99,7 @@
         }
         let Some(queue) = self.write_queue.as_ref() else { return };
         let lease = self.lease_status(queue.claim());
-        // Nothing is begun so late that the lease would be over before the others have heard of it.
+        // Nothing is begun so late that the lease would be over before the others have learned of it.
         let leads = lease.is_held_with_margin;
         let is_unused = leads && queue.is_idle();
         let to_release = lease.lapsed.or(queue.claim().filter(|_| is_unused || self.left));
