--- a/src/proxy/admin/metrics.rs
+++ b/src/proxy/admin/metrics.rs
@@ -2,7 +2,7 @@
 //! at no request.
 
 use crate::decision::{ClassId, EndpointCounts, Outcome, RejectionReason};
-use crate::proxy::control_plane::discovery::FailureKind;
+use crate::proxy::control_plane::discovery::call::FailureKind;
 use std::cell::Cell;
 use std::fmt::Write;
 use std::marker::PhantomData;
--- a/src/proxy/admin/mod.rs
+++ b/src/proxy/admin/mod.rs
@@ -5,9 +5,10 @@
 pub mod metrics;
 pub mod rollout_calls;
 use crate::proxy::cluster_transport::ClusterTransport;
+use crate::proxy::control_plane::config::socket_limits::MAX_OPERATOR_CONNECTIONS;
 use crate::proxy::downstream::accept::AcceptBackoff;
 use crate::proxy::lifecycle::drain::Lifecycle;
-use crate::proxy::runtime::{AdminCommand, AdminSender};
+use crate::proxy::runtime::messages::{AdminCommand, AdminSender};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -29,7 +30,7 @@
 use tracing::{debug, info};
 
 /// The most callers at once; one more ends the one that has waited longest.
-pub const CALLERS: usize = 8;
+const CALLERS: usize = MAX_OPERATOR_CONNECTIONS;
 /// A call must have come within this, and its answer be written within twice as long.
 const CALL_TIME: Duration = Duration::from_millis(800);
 /// How long the driver may take over a call; answers are due within 1 s.
--- a/src/proxy/cluster_transport/abandoned_requests.rs
+++ b/src/proxy/cluster_transport/abandoned_requests.rs
@@ -9,7 +9,7 @@
 use crate::proxy::downstream::request::carried;
 use crate::proxy::downstream::request_head::RequestHead;
 use crate::proxy::downstream::server::ProxyContext;
-use crate::proxy::runtime::FinalResponse;
+use crate::proxy::runtime::messages::FinalResponse;
 use crate::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -112,7 +112,7 @@
         match answer {
             FinalResponse::Served(_) => return AbandonedOutcome::Finished,
             FinalResponse::Rejected { retry_after: wait } => {
-                let told = wait.map_or(Duration::ZERO, crate::proxy::runtime::duration);
+                let told = wait.map_or(Duration::ZERO, crate::proxy::runtime::clock::duration);
                 drop(work);
                 sleep((AGAIN * 2u32.pow(tried)).max(told.min(AGAIN * 8))).await;
             }
--- a/src/proxy/cluster_transport/ledger_request.rs
+++ b/src/proxy/cluster_transport/ledger_request.rs
@@ -8,7 +8,7 @@
 use crate::proxy::downstream::request_head::RequestHead;
 use crate::proxy::downstream::response_body::ResponseBody;
 use crate::proxy::downstream::server::{ProxyContext, RequestError};
-use crate::proxy::runtime::FinalResponse;
+use crate::proxy::runtime::messages::FinalResponse;
 use crate::proxy::upstream::forwarded_request::ForwardedRequest;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -82,8 +82,12 @@
                 }
                 let wait = pause(looks, left);
                 looks += 1;
-                sleep(wait.min(crate::proxy::runtime::duration(arrival.deadline - now - front.last_moment)))
-                    .await;
+                sleep(
+                    wait.min(crate::proxy::runtime::clock::duration(
+                        arrival.deadline - now - front.last_moment,
+                    )),
+                )
+                .await;
             }
             ClaimOutcome::Lost | ClaimOutcome::Confirmed(_) => {}
             ClaimOutcome::Unavailable => return Ok(begin(&work, Vec::new(), false).await),
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -25,7 +25,8 @@
 use crate::decision::QuotaLease;
 use crate::proxy::control_plane::config::ClusterConfig;
 use crate::proxy::lifecycle::drain::{Lifecycle, ShutdownPhase};
-use crate::proxy::runtime::{send_event, Clock, RuntimeEvent, RuntimeSender};
+use crate::proxy::runtime::clock::Clock;
+use crate::proxy::runtime::messages::{send_event, RuntimeEvent, RuntimeSender};
 use disk::{Disk, DiskEvent};
 use ledger_claim::{ClaimProgress, LedgerClaim};
 use outcome_recorder::OutcomeRecorder;
--- a/src/proxy/cluster_transport/tests.rs
+++ b/src/proxy/cluster_transport/tests.rs
@@ -5,7 +5,7 @@
 use crate::proxy::cluster_transport::outcome_recorder::OutcomeRecorder;
 use crate::proxy::control_plane::config::ClusterConfig;
 use crate::proxy::lifecycle::drain::Lifecycle;
-use crate::proxy::runtime::Clock;
+use crate::proxy::runtime::clock::Clock;
 use std::path::Path;
 use std::rc::Rc;
 use tokio::sync::mpsc;
--- a/src/proxy/cluster_transport/write_queue_sender.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -13,7 +13,7 @@
 use crate::proxy::downstream::request::carried;
 use crate::proxy::downstream::request_head::RequestHead;
 use crate::proxy::downstream::server::ProxyContext;
-use crate::proxy::runtime::FinalResponse;
+use crate::proxy::runtime::messages::FinalResponse;
 use crate::proxy::upstream::forwarded_request::{AttemptTracker, ForwardedRequest, RequestPayload};
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
--- a/src/proxy/control_plane/config.rs
+++ b/src/proxy/control_plane/config.rs
@@ -5,13 +5,13 @@
 mod document;
 mod environment;
 mod error;
-mod socket_limits;
+pub(in crate::proxy) mod socket_limits;
 
 pub use cluster::ClusterConfig;
 pub use error::ConfigError;
 pub use socket_limits::SocketLimits;
 
-use crate::proxy::control_plane::discovery::EndpointList;
+use crate::proxy::control_plane::discovery::endpoint_list::EndpointList;
 use crate::site_settings::Site;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/src/proxy/control_plane/config/document.rs
+++ b/src/proxy/control_plane/config/document.rs
@@ -2,7 +2,7 @@
 //! [`crate::site_settings`] reads for the simulator as well.
 
 use super::{Config, ConfigError, SocketLimits};
-use crate::proxy::control_plane::discovery::EndpointList;
+use crate::proxy::control_plane::discovery::endpoint_list::EndpointList;
 use crate::site_settings::{flatten, Fields, Site};
 use serde::Deserialize;
 use std::collections::BTreeMap;
--- a/src/proxy/control_plane/config/socket_limits.rs
+++ b/src/proxy/control_plane/config/socket_limits.rs
@@ -1,10 +1,10 @@
 //! How the process's descriptors are shared out between kinds of connections, so that none can starve another.
 
-use crate::proxy::admin::CALLERS;
-
+/// The most operators that are served at once.
+pub const MAX_OPERATOR_CONNECTIONS: usize = 8;
 /// Descriptors for all but clients, backends and the counter: standard streams, listeners, epoll, signals, calls to
 /// discovery, the client that waits for a permit, and operators.
-const RESERVED_DESCRIPTORS: usize = 16 + CALLERS;
+const RESERVED_DESCRIPTORS: usize = 16 + MAX_OPERATOR_CONNECTIONS;
 /// The counter gets one descriptor of so many.
 const DESCRIPTORS_PER_COUNTER_CONNECTION: usize = 32;
 /// The counter resets further connections.
--- a/src/proxy/control_plane/discovery/endpoint_list.rs
+++ b/src/proxy/control_plane/discovery/endpoint_list.rs
@@ -1,8 +1,6 @@
 //! Discovery's list of endpoints (the servers behind the gateway), and the bounds on its size.
 
-use super::wire::WireEndpointList;
 use crate::decision::EndpointStatus;
-use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
 /// The most endpoints of a deployment, from the operators' page.
@@ -14,9 +12,8 @@
 /// The longest list, in bytes: 3.3 MB. A complete list of the largest deployment, indented, takes 0.7 MB.
 pub const MAX_LIST_BYTES: usize = MAX_ENDPOINTS * MAX_ENTRIES_PER_ENDPOINT * MAX_ENTRY_BYTES;
 
-/// The list of endpoints, complete or as the changes since an earlier revision.
-#[derive(Debug, Clone, Default, Serialize, Deserialize)]
-#[serde(from = "WireEndpointList", into = "WireEndpointList")]
+/// The list of endpoints, complete or as the changes since an earlier revision. `wire` reads and writes it.
+#[derive(Debug, Clone, Default)]
 pub struct EndpointList {
     /// The list's revision; it rises with each change.
     pub revision: u64,
--- a/src/proxy/control_plane/discovery/mod.rs
+++ b/src/proxy/control_plane/discovery/mod.rs
@@ -9,9 +9,9 @@
 //! Bound: while discovery can be reached, a change is in the runtime's channel at most hold + silence + one round trip
 //! after discovery has it, which is below the 6 s after which it counts as announced.
 
-mod call;
+pub(in crate::proxy) mod call;
 mod calls_in_flight;
-mod endpoint_list;
+pub(in crate::proxy) mod endpoint_list;
 mod wire;
 
 pub use call::FailureKind;
@@ -20,7 +20,7 @@
 use crate::decision::Settings;
 use crate::proxy::admin::metrics::Metrics;
 use crate::proxy::log_rate_limit::LogRateLimiter;
-use crate::proxy::runtime::{RuntimeEvent, RuntimeSender};
+use crate::proxy::runtime::messages::{RuntimeEvent, RuntimeSender};
 use crate::proxy::upstream::connection::Connection;
 use call::{Call, CallFailure, ListResponse};
 use calls_in_flight::CallsInFlight;
--- a/src/proxy/control_plane/discovery/wire.rs
+++ b/src/proxy/control_plane/discovery/wire.rs
@@ -3,12 +3,12 @@
 
 use super::endpoint_list::{DiscoveredEndpoint, EndpointList};
 use crate::decision::EndpointStatus;
-use serde::{Deserialize, Serialize};
+use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::net::SocketAddr;
 
 /// The list, complete or as the changes since an earlier revision.
 #[derive(Serialize, Deserialize)]
-pub(super) struct WireEndpointList {
+struct WireEndpointList {
     revision: u64,
     #[serde(default)]
     complete: bool,
@@ -52,6 +52,18 @@
     1.0
 }
 
+impl<'de> Deserialize<'de> for EndpointList {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<EndpointList, D::Error> {
+        WireEndpointList::deserialize(deserializer).map(EndpointList::from)
+    }
+}
+
+impl Serialize for EndpointList {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        WireEndpointList::from(self.clone()).serialize(serializer)
+    }
+}
+
 impl From<WireEndpointList> for EndpointList {
     fn from(wire: WireEndpointList) -> EndpointList {
         let WireEndpointList { revision, complete, endpoints } = wire;
--- a/src/proxy/control_plane/service_watch.rs
+++ b/src/proxy/control_plane/service_watch.rs
@@ -3,7 +3,7 @@
 use super::config::ServiceAddresses;
 use super::discovery::{self, PollTiming};
 use crate::proxy::admin::metrics::Metrics;
-use crate::proxy::runtime::{RuntimeEvent, RuntimeSender};
+use crate::proxy::runtime::messages::{RuntimeEvent, RuntimeSender};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/proxy/downstream/request.rs
+++ b/src/proxy/downstream/request.rs
@@ -13,7 +13,7 @@
 use crate::proxy::downstream::server::{giving, plain, Body, ProxyContext, RequestError, WRITES};
 use crate::proxy::lifecycle::drain::ShutdownPhase;
 use crate::proxy::memory_budget::MemoryBudget;
-use crate::proxy::runtime::{send_event, FinalResponse, NewRequest, RuntimeEvent, RuntimeSender};
+use crate::proxy::runtime::messages::{send_event, FinalResponse, NewRequest, RuntimeEvent, RuntimeSender};
 use crate::proxy::upstream::connection::MAX_BODY;
 use crate::proxy::upstream::forwarded_request::{strip_hop_by_hop, ForwardedRequest, RequestPayload};
 use bytes::Bytes;
--- a/src/proxy/lifecycle/handover.rs
+++ b/src/proxy/lifecycle/handover.rs
@@ -5,14 +5,14 @@
 //! is dead, silent or sends garbage costs a moment, and then this one goes on alone.
 
 mod connection;
-mod message;
+pub mod message;
 
 pub use message::{HandoverMessage, HandoverSnapshot};
 
 use crate::proxy::downstream::accept::AcceptBackoff;
 use crate::proxy::lifecycle::drain::Lifecycle;
 use crate::proxy::lifecycle::permits::Permits;
-use crate::proxy::runtime::{AdminCommand, AdminSender};
+use crate::proxy::runtime::messages::{AdminCommand, AdminSender};
 use connection::{within, HandoverConnection, HandoverError, STEP_TIMEOUT};
 use std::io;
 use std::net::SocketAddr;
--- a/src/proxy/lifecycle/handover/connection.rs
+++ b/src/proxy/lifecycle/handover/connection.rs
@@ -1,7 +1,7 @@
 //! The connection between two processes of one gateway: messages as lines of JSON, with limits on time and length.
 
 use super::message::HandoverMessage;
-use crate::proxy::control_plane::discovery::MAX_ENDPOINTS;
+use crate::proxy::control_plane::discovery::endpoint_list::MAX_ENDPOINTS;
 use std::future::Future;
 use std::io;
 use std::time::Duration;
--- a/src/proxy/lifecycle/handover/message.rs
+++ b/src/proxy/lifecycle/handover/message.rs
@@ -2,7 +2,7 @@
 //! build may be at the other end, so they never change.
 
 use crate::decision::HandoverState;
-use crate::proxy::control_plane::discovery::EndpointList;
+use crate::proxy::control_plane::discovery::endpoint_list::EndpointList;
 use serde::{Deserialize, Serialize};
 
 /// What the predecessor hands over.
--- a/src/proxy/memory_budget.rs
+++ b/src/proxy/memory_budget.rs
@@ -1,6 +1,6 @@
 //! One budget of memory over all connections.
 
-use crate::proxy::control_plane::config::SocketLimits;
+use crate::proxy::control_plane::config::socket_limits::SocketLimits;
 use crate::proxy::lifecycle::permits::Permits;
 use tokio::sync::OwnedSemaphorePermit;
 
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -3,9 +3,9 @@
 
 mod admin_commands;
 mod attempts;
-mod clock;
+pub mod clock;
 mod endpoints;
-mod messages;
+pub mod messages;
 mod requests;
 mod routing;
 mod timers;
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -3,9 +3,9 @@
 use crate::cluster::RoutingInForce;
 use crate::decision::{Arrival, CounterKey, EndpointCounts, EndpointId, Micros, QuotaLease, RequestId};
 use crate::proxy::control_plane::counter::{CallNumber, CounterReply};
-use crate::proxy::control_plane::discovery::EndpointList;
+use crate::proxy::control_plane::discovery::endpoint_list::EndpointList;
 use crate::proxy::downstream::response_body::ResponseBody;
-use crate::proxy::lifecycle::handover::{HandoverMessage, HandoverSnapshot};
+use crate::proxy::lifecycle::handover::message::{HandoverMessage, HandoverSnapshot};
 use crate::proxy::upstream::backend::AttemptResult;
 use crate::proxy::upstream::forwarded_request::ForwardedRequest;
 use std::net::SocketAddr;
