--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -249,7 +249,7 @@
 
     /// The digest of this gateway's list of seats, and its seat.
     pub(super) fn own_seat(&self) -> Option<(u64, u16)> {
-        self.quota_leases.as_ref().map(|leases| (leases.seat_list(), leases.seat().0 as u16))
+        self.quota_leases.as_ref().map(|leases| (leases.seat_list(), leases.own_seat()))
     }
 }
 
--- a/src/cluster/node.rs
+++ b/src/cluster/node.rs
@@ -70,8 +70,8 @@
         let Some(leases) = &quota_leases else {
             return SeatedParts { quota_leases, ledger: None, rollout: None, write_queue: None };
         };
-        let (own_seat, seats) = leases.seat();
-        let own_seat = own_seat as u16;
+        let own_seat = leases.own_seat();
+        let seats = leases.seat_count();
         let ledger = settings.ledger.map(|ledger_settings| {
             LedgerNode::new(ledger_settings, own_seat, seats, leases.seat_list(), rng.u64(..), now)
         });
--- a/src/cluster/quota_lease/mod.rs
+++ b/src/cluster/quota_lease/mod.rs
@@ -82,9 +82,14 @@
         })
     }
 
-    /// This gateway's seat, and how many there are.
-    pub fn seat(&self) -> (usize, usize) {
-        (self.own_seat, self.seat_numbers.len())
+    /// This gateway's seat.
+    pub fn own_seat(&self) -> u16 {
+        self.own_seat as u16
+    }
+
+    /// How many seats there are.
+    pub fn seat_count(&self) -> usize {
+        self.seat_numbers.len()
     }
 
     /// The digest of the list of seats.
