--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -257,7 +257,7 @@
     pub(super) fn own_seat(&self) -> Option<OwnSeat> {
         self.quota_leases
             .as_ref()
-            .map(|leases| OwnSeat { seat_list: leases.seat_list(), seat: leases.seat().0 as u16 })
+            .map(|leases| OwnSeat { seat_list: leases.seat_list(), seat: leases.own_seat() })
     }
 }
 
