--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -31,7 +31,7 @@
 pub use crate::decision::{Micros, SettingsError};
 pub use datagram::{DatagramError, MAX_DATAGRAM_BYTES};
 pub use event::{ClusterNotice, Effect, Event, RoutingInForce, TrafficCounters, WriteQueueEffect};
-pub use ledger_node::LEDGER_TICK_INTERVAL;
+pub use ledger::LEDGER_TICK_INTERVAL;
 pub use membership::identity::{
     is_valid_name, Identity, MemberMetadata, CAPABILITY_LEDGER, CAPABILITY_ROLLOUT, MAX_NAME_BYTES,
 };
@@ -42,9 +42,9 @@
 pub use quota_lease::seat_lease::QuotaShares;
 pub use quota_lease::view::MAX_SEATS;
 pub use report::{ClusterReport, MemberReport, ViewReport};
-pub use rollout_node::CommandResult;
+pub use rollout::CommandResult;
 pub use settings::Settings;
-pub use storage::{MachineId, StorageWrite};
+pub use storage::{MachineId, StorageStatus, StorageWrite};
 pub use write_queue::WriteQueue;
 
 #[cfg(test)]
--- a/src/cluster/node.rs
+++ b/src/cluster/node.rs
@@ -185,11 +185,6 @@
         1 + self.records().filter(|record| record.state.is_present()).count()
     }
 
-    /// Whether its storage works, and how many effects wait for it; none where it has no storage.
-    pub fn disk(&self) -> Option<(bool, usize)> {
-        self.persistence.as_ref().map(|persistence| (persistence.is_working(), persistence.waiting()))
-    }
-
     /// Datagrams, bytes and what was dropped.
     pub fn traffic(&self) -> &TrafficCounters {
         &self.traffic
