--- a/src/cluster/membership_node.rs
+++ b/src/cluster/membership_node.rs
@@ -61,7 +61,7 @@
                 let addresses: Vec<SocketAddr> = self.addresses(&target).collect();
                 if let Some(bytes) = self.encode(&Payload::RingProbe { token }, &[]) {
                     for address in addresses {
-                        self.send_frame(address, bytes.clone(), out);
+                        self.send_datagram(address, bytes.clone(), out);
                     }
                 }
             }
@@ -244,7 +244,7 @@
             let addresses: Vec<SocketAddr> = self.addresses(&to).collect();
             self.traffic.unaddressed += u64::from(addresses.is_empty());
             for address in addresses {
-                self.send_frame(address, bytes.clone(), out);
+                self.send_datagram(address, bytes.clone(), out);
             }
         }
     }
@@ -257,7 +257,7 @@
     /// Sends a datagram without a message of the membership protocol.
     pub(super) fn send_payload(&mut self, to: SocketAddr, payload: &Payload, out: &mut Vec<Effect>) {
         if let Some(bytes) = self.encode(payload, &[]) {
-            self.send_frame(to, bytes, out);
+            self.send_datagram(to, bytes, out);
         }
     }
 
@@ -266,7 +266,7 @@
     }
 
     /// Sends a whole datagram, and counts it.
-    pub(super) fn send_frame(&mut self, to: SocketAddr, bytes: Vec<u8>, out: &mut Vec<Effect>) {
+    pub(super) fn send_datagram(&mut self, to: SocketAddr, bytes: Vec<u8>, out: &mut Vec<Effect>) {
         self.traffic.sent += 1;
         self.traffic.sent_bytes += bytes.len() as u64;
         out.push(Effect::Send { to, bytes });
