--- a/tests/counter.rs
+++ b/tests/counter.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_call_is_written_as_the_counter_reads_it() {
+fn a_call_has_the_counters_wire_form() {
     let stub = Stub::start(|_| http("200 OK", "38.5\n"));
     let counter = CounterClient::new(stub.address, Duration::from_secs(5), 2);
     let counted = on_runtime(add(&counter, 9041552));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn each_trouble_has_its_own_outcome_and_no_call_is_made_twice() {
+fn each_fault_has_its_own_outcome_and_no_call_is_made_twice() {
     let refusing = Refusing::start();
     let gone = refusing.address();
     let refused = CounterClient::new(gone, Duration::from_secs(5), 2);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_late_answer_meets_no_later_call_and_blocks_none() {
+fn a_late_response_is_not_taken_for_a_later_calls_and_blocks_none() {
     let asked = AtomicUsize::new(0);
     let stub = Stub::start(move |_| match asked.fetch_add(1, Ordering::SeqCst) {
         0 => {
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_call_that_found_no_free_line_was_never_made() {
+fn a_call_that_got_no_connection_was_never_made() {
     let stub = Stub::start(|_| Reply::Silence);
     let counter = CounterClient::new(stub.address, TIMEOUT, 1);
     on_runtime(async {
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn answers_for_one_name_come_in_the_order_of_their_calls() {
+fn replies_for_one_key_come_in_the_order_of_their_calls() {
     let told = |total| CounterReply { outcome: Outcome::Success, total };
     let mut order = ReplyOrder::default();
     let (a, b) = (CounterKey(1), CounterKey(2));
--- a/tests/sockets/closing.rs
+++ b/tests/sockets/closing.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A gateway whose limits leave few places for clients, and how many.
+/// A gateway whose limits leave few permits for clients, and how many.
 fn small_gateway(discovery: &Discovery, counter: &Stub) -> (Node, usize) {
     let text =
         config(discovery.stub.address, counter.address).replace(r#""sockets":1024"#, r#""sockets":64"#);
@@ -16,11 +16,11 @@
 }
 
 #[test]
-fn at_sigterm_whoever_waits_for_a_place_is_still_served() {
+fn at_sigterm_a_client_that_waits_for_a_permit_is_still_served() {
     let backend = Stub::start(|_| http("200 OK", "ok"));
     let (discovery, counter) = (Discovery::start(&member("s-1", backend.address, "ready")), counter());
     let (mut node, places) = small_gateway(&discovery, &counter);
-    // Bodies that do not come to their end hold all places for more than a second.
+    // Bodies that do not come to their end hold all permits for more than a second.
     let unfinished = request("buy", 4000);
     let unfinished = &unfinished[..unfinished.len() - 3];
     let mut holders: Vec<Client> = (0..places).map(|_| node.client()).collect();
@@ -37,7 +37,7 @@
     assert_eq!(node.ended(), Some(0));
 }
 
-/// A client whose machine takes little of an answer before the client reads it: the rest waits at the gateway.
+/// A client whose machine takes little of a response before the client reads it: the rest waits at the gateway.
 fn client_with_small_window(address: SocketAddr) -> Client {
     on_runtime(async {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_last_answer_is_whole_though_the_client_has_sent_more() {
+fn the_last_response_is_complete_though_the_client_has_sent_more() {
     const LENGTH: usize = 24 * 1024;
     let release = Arc::new(Gate::default());
     let gate = release.clone();
@@ -62,11 +62,11 @@
     let mut client = client_with_small_window(node.address);
     client.send(&request("look", 4000));
     backend.wait_for("the attempt", |log| log.requests.len() == 1);
-    // From now on every answer is the last on its connection. What the client sends behind its request stays unread.
+    // From now on every response is the last on its connection. What the client sends behind its request stays unread.
     node.terminate_and_wait();
     client.send(&request("look", 4000).repeat(400));
     release.open();
-    // The gateway closes its side while most of the answer is still to be delivered.
+    // The gateway closes its side while most of the response is still to be delivered.
     std::thread::sleep(Duration::from_millis(500));
     let answer = client.answer().expect("a whole answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn what_comes_late_after_sigterm_is_answered_before_the_process_is_killed() {
+fn late_requests_after_sigterm_are_answered_before_the_process_is_killed() {
     let backend = Stub::start(|_| Reply::Silence);
     let (discovery, counter) = (Discovery::start(&member("s-1", backend.address, "ready")), counter());
     // The longest deadline is 1.5 s, so the process may be killed 2.2 s after SIGTERM.
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn at_sigterm_all_that_was_taken_is_answered() {
+fn at_sigterm_every_accepted_request_is_answered() {
     let (backend, _discovery, _counter, mut node) = before(|_| {
         std::thread::sleep(Duration::from_millis(300));
         http("200 OK", "ok")
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn at_sigterm_a_request_is_served_that_takes_longer_than_new_connections_are_taken() {
+fn at_sigterm_a_request_is_served_that_takes_longer_than_new_connections_are_accepted() {
     let (backend, _discovery, _counter, mut node) = before(|_| {
         std::thread::sleep(Duration::from_millis(1500));
         http("200 OK", "ok")
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn at_sigterm_what_no_backend_answers_is_failed_before_the_end() {
+fn at_sigterm_a_request_that_no_backend_answers_is_failed_before_the_end() {
     let (backend, _discovery, _counter, mut node) = before(|_| Reply::Silence);
     let mut client = node.client();
     client.send(&request("once", 4000));
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_closing_at_sigterm_is_answered_on_a_new_connection() {
+fn a_request_that_crosses_the_close_at_sigterm_is_answered_on_a_new_connection() {
     use std::sync::atomic::{AtomicUsize, Ordering};
     let (_backend, _discovery, _counter, mut node) = before(|_| http("200 OK", "ok"));
     let (answered, stopped) = (AtomicUsize::new(0), std::sync::OnceLock::<Instant>::new());
--- a/tests/sockets/departures.rs
+++ b/tests/sockets/departures.rs
@@ -1,4 +1,4 @@
-//! Clients that leave while something of their request is still to be done.
+//! Clients that disconnect while something of their request is still to be done.
 
 use crate::world::*;
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn nothing_is_written_for_a_client_that_left_while_the_connection_came_up() {
+fn nothing_is_written_for_a_client_that_disconnected_while_the_connection_came_up() {
     for class in ["look", "buy", "once"] {
         let backend = LateListener::start();
         let discovery = Discovery::start(&member("s-1", backend.address(), "ready"));
@@ -21,7 +21,7 @@
         node.wait_ready();
         let mut client = node.client();
         client.send(&request(class, 4000));
-        // Its units are counted before it is sent on, so the attempt begins about now.
+        // Its units are counted before it is sent, so the attempt begins about now.
         counter.wait_for("the count", |log| log.requests.len() == 1);
         node.wait_for_figure("in_flight", 1);
         std::thread::sleep(Duration::from_millis(200));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_behind_pipelined_requests_is_missed() {
+fn a_client_that_disconnects_behind_pipelined_requests_is_noticed() {
     let backend = Stub::start(|_| Reply::Silence);
     let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
     let counter = counter();
--- a/tests/sockets/large_lists.rs
+++ b/tests/sockets/large_lists.rs
@@ -1,14 +1,15 @@
-//! Lists of the largest fleet: thousands of backends, whole lists and changes, in every length and pace that is legal.
+//! Endpoint lists of the largest deployment: thousands of endpoints, complete lists and changes, in every length and at
+//! every pace that is legal.
 
 use crate::world::*;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// The most backends that a fleet has.
-const MOST_BACKENDS: usize = 3200;
+/// The most endpoints of a deployment.
+const MAX_ENDPOINTS: usize = 3200;
 
-/// The backends of a large fleet: every other one at one server, the rest at another, so that both are in the part of the
-/// fleet that a gateway uses.
+/// The endpoints of a large deployment: every other one at one server, the rest at another, so that both are in the
+/// subset that a gateway uses.
 struct LargeFleet {
     old: Stub,
     new: Stub,
@@ -64,35 +65,38 @@
     }
 }
 
-/// What discovery has counts as told after this, and sends have to cease so much later.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
+/// A change counts as announced so long after discovery has it, and attempts have to cease so much later.
+const ANNOUNCED_AFTER: Duration = Duration::from_secs(6);
 const GRACE: Duration = Duration::from_secs(1);
 
 #[test]
-fn a_drain_is_heard_among_thousands_of_backends() {
+fn a_drain_is_applied_among_thousands_of_backends() {
     for complete in [true, false] {
-        let fleet = LargeFleet::start(MOST_BACKENDS);
+        let fleet = LargeFleet::start(MAX_ENDPOINTS);
         let (discovery, counter) = (Discovery::start(&fleet.all("ready")), counter());
         let node = fleet.gateway(&discovery, &counter);
         fleet.use_both(&node);
         let members = if complete { fleet.all("draining") } else { fleet.drains() };
         discovery.say(42, &list(42, complete, &members));
         let told = Instant::now();
-        while node.figure("backends_excluded") < (MOST_BACKENDS / 2) as u64 {
-            assert!(told.elapsed() < TOLD_AFTER + GRACE, "whole list {complete}: the drain is not heard");
+        while node.figure("backends_excluded") < (MAX_ENDPOINTS / 2) as u64 {
+            assert!(
+                told.elapsed() < ANNOUNCED_AFTER + GRACE,
+                "whole list {complete}: the drain is not heard"
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
         fleet.assert_only_new_is_used(&node);
     }
 }
 
-/// More than any list of a legal fleet has.
-const TOO_LONG: usize = 4 << 20;
+/// More than any legal list has, in bytes.
+const OVERLONG_LIST_BYTES: usize = 4 << 20;
 
 #[test]
-fn a_list_that_is_too_long_is_counted_and_asked_for_less_and_less_often() {
+fn a_list_that_is_too_long_is_counted_and_polled_with_backoff() {
     let fleet = LargeFleet::start(2);
-    let endless = list(41, true, &(fleet.all("ready") + &" ".repeat(TOO_LONG)));
+    let endless = list(41, true, &(fleet.all("ready") + &" ".repeat(OVERLONG_LIST_BYTES)));
     let discovery = Stub::start(move |_| http("200 OK", &endless));
     let counter = counter();
     let node = Node::spawn(program(&config(discovery.address, counter.address)));
@@ -106,13 +110,13 @@
     assert_eq!(node.figure("discovery.lists"), 0);
 }
 
-/// An answer that comes at so many bytes a second.
+/// A response that comes at so many bytes a second.
 fn paced(text: &str, bytes_a_second: usize) -> Reply {
     let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
     Reply::Paced(text, bytes_a_second / 20, Duration::from_millis(50))
 }
 
-/// Discovery that has nothing but a whole list, and tells it in its own way.
+/// Discovery that has nothing but a complete list, and sends it in its own way.
 fn discovery_of(whole: String, tell: impl Fn(&str) -> Reply + Send + Sync + 'static) -> Stub {
     Stub::start(move |request| match WatchCall::of(request) {
         None => tell(&whole),
@@ -141,7 +145,7 @@
     let calls = AtomicUsize::new(0);
     let discovery = discovery_of(list(41, true, &fleet.all("ready")), move |whole| {
         match calls.fetch_add(1, Ordering::SeqCst) {
-            // Half of it, and nothing more: on as many calls as may be out at once.
+            // Half of it, and nothing more: on as many calls as may be in flight at once.
             0..=2 => {
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", whole.len());
                 Reply::Raw(head + &whole[..whole.len() / 2])
@@ -162,7 +166,7 @@
 }
 
 #[test]
-fn discovery_that_takes_seconds_for_each_answer_is_heard() {
+fn discovery_that_takes_seconds_for_each_response_is_followed() {
     for mode in ["automatic", "subscribe"] {
         let fleet = LargeFleet::start(2);
         let whole = list(41, true, &fleet.all("ready"));
@@ -179,13 +183,13 @@
 }
 
 #[test]
-fn a_gateway_asks_for_what_has_changed_since_the_list_of_its_configuration() {
-    let fleet = LargeFleet::start(MOST_BACKENDS);
+fn a_gateway_polls_for_changes_since_the_list_of_its_configuration() {
+    let fleet = LargeFleet::start(MAX_ENDPOINTS);
     let (discovery, counter) = (Discovery::start(&fleet.all("ready")), counter());
     discovery.say(42, &list(42, false, &fleet.entry(0, "draining")));
     let node = fleet.gateway(&discovery, &counter);
     node.wait_for_figure("backends_excluded", 1);
-    assert_eq!(node.figure("backends_known"), MOST_BACKENDS as u64);
+    assert_eq!(node.figure("backends_known"), MAX_ENDPOINTS as u64);
     assert!(node.figure("discovery.list_bytes") < 10_000, "{}", node.figure("discovery.list_bytes"));
     let calls = discovery.stub.requests();
     assert!(calls.iter().all(|call| WatchCall::of(call).is_some()), "a whole list was asked for");
@@ -196,17 +200,17 @@
 const CLIENTS: usize = 32;
 
 #[test]
-fn a_large_gateway_is_handed_over_with_all_that_it_knows() {
-    let fleet = LargeFleet::start(MOST_BACKENDS);
+fn a_large_gateway_is_handed_over_with_its_whole_state() {
+    let fleet = LargeFleet::start(MAX_ENDPOINTS);
     let (discovery, counter, platform) =
         (Discovery::start(&fleet.all("ready")), counter(), crate::replacement::Platform::new());
     let config = config(discovery.stub.address, counter.address);
-    let elder = Node::spawn(platform.command(&config));
-    crate::replacement::wait_until_serving(&elder);
-    elder.wait_for_figure("backends_known", MOST_BACKENDS as u64);
+    let predecessor = Node::spawn(platform.command(&config));
+    crate::replacement::wait_until_serving(&predecessor);
+    predecessor.wait_for_figure("backends_known", MAX_ENDPOINTS as u64);
     std::thread::scope(|scope| {
         for first in 0..CLIENTS {
-            let mut client = elder.client();
+            let mut client = predecessor.client();
             scope.spawn(move || {
                 for customer in (first..MANY_CUSTOMERS).step_by(CLIENTS) {
                     let of_customer =
@@ -216,10 +220,10 @@
             });
         }
     });
-    assert_eq!(elder.operate("POST", "/backends/s-00000007/maint").status(), 200);
-    elder.wait_for_figure("backends_excluded", 1);
-    let younger = Node::spawn(platform.command(&config));
-    crate::replacement::wait_until_serving(&younger);
-    younger.wait_for_figure("backends_known", MOST_BACKENDS as u64);
-    assert_eq!(younger.figure("backends_excluded"), 1, "the order went over");
+    assert_eq!(predecessor.operate("POST", "/backends/s-00000007/maint").status(), 200);
+    predecessor.wait_for_figure("backends_excluded", 1);
+    let successor = Node::spawn(platform.command(&config));
+    crate::replacement::wait_until_serving(&successor);
+    successor.wait_for_figure("backends_known", MAX_ENDPOINTS as u64);
+    assert_eq!(successor.figure("backends_excluded"), 1, "the order went over");
 }
--- a/tests/sockets/lists.rs
+++ b/tests/sockets/lists.rs
@@ -1,12 +1,12 @@
-//! Lists of backends: watches that fall silent, end or answer late, and every form in which a list may come.
+//! Endpoint lists from discovery: watches that fall silent, end or answer late, and every form in which a list may come.
 
 use crate::world::*;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A change counts as told so long after discovery had it, whatever became of the watch.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
+/// A change counts as announced so long after discovery had it, whatever became of the watch.
+const ANNOUNCED_AFTER: Duration = Duration::from_secs(6);
 
 /// Two backends, of which discovery lists `old` as draining at some time.
 struct Pair {
@@ -53,8 +53,8 @@
     }
 }
 
-/// Discovery's word that nothing has changed, once the hold is over.
-fn no_news(watch: WatchCall) -> Reply {
+/// Discovery's response that nothing has changed, once the hold is over.
+fn no_change(watch: WatchCall) -> Reply {
     std::thread::sleep(watch.hold);
     http("200 OK", &list(watch.from, false, ""))
 }
@@ -67,14 +67,14 @@
 }
 
 #[test]
-fn a_silent_watch_is_opened_anew_before_its_news_counts_as_told() {
+fn a_silent_watch_is_retried_before_its_change_counts_as_announced() {
     for silent_watches in [1, 2] {
         let pair = Pair::start();
         let (whole, drain) = (list(41, true, &pair.both_ready()), list(42, false, &pair.drain()));
         let watches = AtomicUsize::new(0);
         let discovery = Stub::start(move |request| match WatchCall::of(request) {
             None => http("200 OK", &whole),
-            Some(watch) if watch.from == 42 => no_news(watch),
+            Some(watch) if watch.from == 42 => no_change(watch),
             Some(_) if watches.fetch_add(1, Ordering::SeqCst) < silent_watches => Reply::Silence,
             Some(_) => http("200 OK", &drain),
         });
@@ -83,16 +83,16 @@
         let silent_since = Instant::now();
         wait_for_watch(&discovery, 42);
         let told_after = silent_since.elapsed();
-        assert!(told_after < TOLD_AFTER, "{silent_watches} silent watches: told after {told_after:?}");
+        assert!(told_after < ANNOUNCED_AFTER, "{silent_watches} silent watches: told after {told_after:?}");
         pair.assert_only_new_is_used(&node);
     }
 }
 
 #[test]
-fn the_late_answer_of_an_abandoned_watch_undoes_nothing() {
+fn the_late_response_of_an_abandoned_watch_undoes_nothing() {
     let pair = Pair::start();
     let (whole, drain) = (list(41, true, &pair.both_ready()), list(43, false, &pair.drain()));
-    // Older than what the next watch tells, and no more true: the drained one is ready and alone.
+    // Older than the next watch's response, and no longer true: the drained one is ready and alone.
     let late = list(42, true, &member("s-1", pair.old.address, "ready"));
     let (watches, newer_is_told, late_is_written) =
         (AtomicUsize::new(0), Arc::new(Gate::default()), Arc::new(Gate::default()));
@@ -101,7 +101,7 @@
         None => http("200 OK", &whole),
         Some(watch) if watch.from == 43 => {
             gate.open();
-            no_news(watch)
+            no_change(watch)
         }
         Some(_) if watches.fetch_add(1, Ordering::SeqCst) == 0 => {
             gate.wait();
@@ -118,14 +118,14 @@
 }
 
 #[test]
-fn while_discovery_is_silent_it_is_asked_again_over_few_connections() {
+fn while_discovery_is_silent_it_is_polled_over_few_connections() {
     let pair = Pair::start();
     let (whole, drain) = (list(41, true, &pair.both_ready()), list(42, false, &pair.drain()));
     let speaks = Arc::new(AtomicBool::new(false));
     let spoken = speaks.clone();
     let discovery = Stub::start(move |request| match WatchCall::of(request) {
         None => http("200 OK", &whole),
-        Some(watch) if watch.from == 42 => no_news(watch),
+        Some(watch) if watch.from == 42 => no_change(watch),
         Some(_) if spoken.load(Ordering::SeqCst) => http("200 OK", &drain),
         Some(_) => Reply::Silence,
     });
@@ -134,21 +134,21 @@
         assert!(log.opened - log.closed <= 5, "{} connections at once", log.opened - log.closed);
         log.requests.len() >= 8
     });
-    // What is asked after its return is told at once, whatever the calls before wait for.
+    // A call after its return is answered at once, whatever the calls before wait for.
     speaks.store(true, Ordering::SeqCst);
     wait_for_watch(&discovery, 42);
     pair.assert_only_new_is_used(&node);
 }
 
 #[test]
-fn a_watch_that_ends_instead_of_telling_is_made_again_and_what_a_whole_list_omits_is_gone() {
+fn a_watch_that_ends_without_a_list_is_retried_and_what_a_complete_list_omits_is_removed() {
     let pair = Pair::start();
     let whole = list(41, true, &pair.both_ready());
     let without_old = list(42, true, &member("s-2", pair.new.address, "ready"));
     let watches = AtomicUsize::new(0);
     let discovery = Stub::start(move |request| match WatchCall::of(request) {
         None => http("200 OK", &whole),
-        Some(watch) if watch.from == 42 => no_news(watch),
+        Some(watch) if watch.from == 42 => no_change(watch),
         Some(_) => match watches.fetch_add(1, Ordering::SeqCst) {
             0 => Reply::RawThenClose(String::new()),
             1 => {
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_list_is_read_in_every_form_that_http_has() {
+fn a_list_is_read_in_every_http_framing() {
     let framings: [fn(&str) -> Reply; 5] = [
         |text| http("200 OK", text),
         |text| Reply::Raw(chunked(text, 7)),
@@ -191,7 +191,7 @@
         let drain = indented(&list(42, false, &pair.drain())).replace("127.0.0.1 : ", "127.0.0.1:");
         let discovery = Stub::start(move |request| match WatchCall::of(request) {
             None => framing(&whole),
-            Some(watch) if watch.from == 42 => no_news(watch),
+            Some(watch) if watch.from == 42 => no_change(watch),
             Some(_) => framing(&drain),
         });
         let node = pair.gateway_ready_before(&discovery);
@@ -203,10 +203,10 @@
 }
 
 #[test]
-fn a_drain_that_only_the_new_discovery_tells_is_heard_after_a_reload() {
+fn a_drain_that_only_the_new_discovery_lists_is_applied_after_a_reload() {
     let pair = Pair::start();
     let whole = list(41, true, &pair.both_ready());
-    // The old one says nothing more; the new one counts its versions from elsewhere.
+    // The old one answers no more; the new one counts its revisions from elsewhere.
     let silent = Stub::start(move |request| match WatchCall::of(request) {
         None => http("200 OK", &whole),
         Some(_) => Reply::Silence,
@@ -220,7 +220,7 @@
     node.wait_ready();
     wait_for_watch(&silent, 41);
     std::fs::write(path, config(discovery.stub.address, counter.address)).expect("written");
-    // Two at once are as good as one.
+    // Two reloads at once are as good as one.
     node.signal("HUP");
     node.signal("HUP");
     discovery.wait_for_watch(41);
--- a/tests/sockets/reload.rs
+++ b/tests/sockets/reload.rs
@@ -1,10 +1,10 @@
-//! SIGHUP with requests under way, with another customer's file, and before SIGTERM.
+//! SIGHUP with requests in flight, with another customer's file, and before SIGTERM.
 
 use crate::world::*;
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// A gateway, the file that it reads, and what stands round it.
+/// A gateway, its configuration file, and the services around it.
 struct Scene {
     backend: Stub,
     discovery: Discovery,
@@ -23,7 +23,7 @@
         Scene { backend, discovery, counter, file, node }
     }
     /// The same with a request at its backend, which answers once the gate is open.
-    fn with_a_request_under_way() -> (Scene, Client, Arc<Gate>) {
+    fn with_a_request_in_flight() -> (Scene, Client, Arc<Gate>) {
         let release = Arc::new(Gate::default());
         let gate = release.clone();
         let scene = Scene::start(Stub::start(move |_| {
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_reload_takes_addresses_and_nothing_of_another_customers_settings() {
+fn a_reload_takes_addresses_and_no_other_settings() {
     let scene = Scene::start(Stub::start(|_| http("200 OK", "ok")));
     scene.reload(&of_another_customer(&scene.text()));
     let mut client = scene.node.client();
@@ -80,8 +80,8 @@
 }
 
 #[test]
-fn a_request_under_way_is_answered_over_reloads_good_and_bad() {
-    let (scene, mut client, release) = Scene::with_a_request_under_way();
+fn a_request_in_flight_is_answered_over_valid_and_invalid_reloads() {
+    let (scene, mut client, release) = Scene::with_a_request_in_flight();
     std::fs::write(&scene.file, "{\"listen\":7}").expect("written");
     scene.node.signal("HUP");
     scene.reload(&scene.text());
@@ -91,8 +91,8 @@
 }
 
 #[test]
-fn sigterm_right_after_sighup_ends_the_process_with_all_answered() {
-    let (scene, mut client, release) = Scene::with_a_request_under_way();
+fn sigterm_right_after_sighup_ends_the_process_with_all_requests_answered() {
+    let (scene, mut client, release) = Scene::with_a_request_in_flight();
     let mut node = scene.node;
     node.signal("HUP");
     node.terminate();
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn at_sighup_discovery_and_the_counter_are_asked_at_their_new_addresses() {
+fn at_sighup_discovery_and_the_counter_are_called_at_their_new_addresses() {
     let (old, new) = (Stub::start(|_| http("200 OK", "old")), Stub::start(|_| http("200 OK", "new")));
     let (first, second) = (
         Discovery::start(&member("s-1", old.address, "ready")),
--- a/tests/sockets/replacement.rs
+++ b/tests/sockets/replacement.rs
@@ -1,4 +1,4 @@
-//! A process takes another's place while clients come.
+//! A process takes another's place under load.
 
 use crate::world::*;
 use std::net::TcpListener;
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The platform's side: the clients' socket and the folder that processes share.
+/// What the platform holds: the clients' listening socket and the folder that the processes share.
 pub struct Platform {
     listener: TcpListener,
     folder: PathBuf,
@@ -54,14 +54,14 @@
 }
 
 #[test]
-fn under_load_no_request_is_lost_and_maintenance_goes_over() {
+fn a_replacement_under_load_loses_no_request_and_keeps_maintenance() {
     let (first, second) = (Stub::start(|_| http("200 OK", "1")), Stub::start(|_| http("200 OK", "2")));
     let both = [member("s-1", first.address, "ready"), member("s-2", second.address, "ready")].join(",");
     let (discovery, counter, platform) = (Discovery::start(&both), counter(), Platform::new());
     let config = config(discovery.stub.address, counter.address);
-    let mut elder = Node::spawn(platform.command(&config));
-    wait_until_serving(&elder);
-    assert_eq!(elder.operate("POST", "/backends/s-1/maint").status(), 200);
+    let mut predecessor = Node::spawn(platform.command(&config));
+    wait_until_serving(&predecessor);
+    assert_eq!(predecessor.operate("POST", "/backends/s-1/maint").status(), 200);
     let before = first.requests().len();
     let over = std::sync::atomic::AtomicBool::new(false);
     std::thread::scope(|scope| {
@@ -70,9 +70,9 @@
                 scope.spawn(|| {
                     let mut served = 0;
                     while !over.load(Ordering::Relaxed) {
-                        let mut client = elder.client();
+                        let mut client = predecessor.client();
                         loop {
-                            // On a connection that was not let go every request is answered.
+                            // On a connection that was not closed every request is answered.
                             let answer = client.answer_to(&request("look", 3000)).expect("an answer");
                             assert_eq!(answer.status(), 200);
                             served += 1;
@@ -90,54 +90,54 @@
             })
             .collect();
         std::thread::sleep(Duration::from_millis(100));
-        let younger = Node::spawn(platform.command(&config));
-        wait_until_serving(&younger);
-        let served = || younger.figure("requests.look.served");
+        let successor = Node::spawn(platform.command(&config));
+        wait_until_serving(&successor);
+        let served = || successor.figure("requests.look.served");
         let until = Instant::now() + LIMIT;
         while served() < 50 {
-            assert!(Instant::now() < until, "the younger serves");
+            assert!(Instant::now() < until, "the successor serves");
             std::thread::sleep(Duration::from_millis(5));
         }
-        // Orders to one hold for both, and the elder speaks well of the gateway to the end.
-        assert_eq!(younger.figure("backends_excluded"), 1);
+        // A maintenance order to one holds for both, and the predecessor reports the gateway healthy to the end.
+        assert_eq!(successor.figure("backends_excluded"), 1);
         assert_eq!(first.requests().len(), before, "nothing to the one that is out");
-        assert_eq!(younger.operate("POST", "/backends/s-1/ready").status(), 200);
-        elder.wait_for_figure("backends_excluded", 0);
-        assert_eq!(younger.operate("POST", "/backends/s-1/maint").status(), 200);
-        elder.wait_for_figure("backends_excluded", 1);
-        elder.terminate();
+        assert_eq!(successor.operate("POST", "/backends/s-1/ready").status(), 200);
+        predecessor.wait_for_figure("backends_excluded", 0);
+        assert_eq!(successor.operate("POST", "/backends/s-1/maint").status(), 200);
+        predecessor.wait_for_figure("backends_excluded", 1);
+        predecessor.terminate();
         std::thread::sleep(Duration::from_millis(300));
         over.store(true, Ordering::Relaxed);
         for client in clients {
             assert!(client.join().expect("no request is lost") > 0);
         }
-        // The younger is alone now and goes on.
-        assert_eq!(younger.client().ask(&request("look", 3000)).status(), 200);
+        // The successor is the only process now and goes on.
+        assert_eq!(successor.client().ask(&request("look", 3000)).status(), 200);
     });
-    assert_eq!(elder.ended(), Some(0));
+    assert_eq!(predecessor.ended(), Some(0));
 }
 
 #[test]
-fn the_elder_serves_again_when_its_successor_dies() {
+fn the_predecessor_serves_again_when_its_successor_dies() {
     let backend = Stub::start(|_| http("200 OK", "ok"));
     let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
     let (counter, platform) = (counter(), Platform::new());
     let config = config(discovery.stub.address, counter.address);
-    let elder = Node::spawn(platform.command(&config));
-    wait_until_serving(&elder);
+    let predecessor = Node::spawn(platform.command(&config));
+    wait_until_serving(&predecessor);
     for _ in 0..2 {
-        let younger = Node::spawn(platform.command(&config));
-        wait_until_serving(&younger);
-        assert_eq!(younger.client().ask(&request("look", 3000)).status(), 200);
-        assert_eq!(elder.figure("requests.look.served"), 0, "the younger takes what comes");
-        drop(younger);
+        let successor = Node::spawn(platform.command(&config));
+        wait_until_serving(&successor);
+        assert_eq!(successor.client().ask(&request("look", 3000)).status(), 200);
+        assert_eq!(predecessor.figure("requests.look.served"), 0, "the successor takes what comes");
+        drop(successor);
     }
-    assert_eq!(elder.client().ask(&request("look", 3000)).status(), 200);
-    assert_eq!(elder.figure("requests.look.served"), 1);
+    assert_eq!(predecessor.client().ask(&request("look", 3000)).status(), 200);
+    assert_eq!(predecessor.figure("requests.look.served"), 1);
 }
 
-/// Two processes of one gateway, the elder with a request under way whose backend answers when the gate opens.
-fn both_with_a_request_at_the_elder(release: &Arc<Gate>) -> (Node, Node, Client) {
+/// Two processes of one gateway, the predecessor with a request in flight whose backend answers when the gate opens.
+fn both_with_a_request_at_the_predecessor(release: &Arc<Gate>) -> (Node, Node, Client) {
     let gate = release.clone();
     let backend = Stub::start(move |_| {
         gate.wait();
@@ -146,55 +146,56 @@
     let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
     let (counter, platform) = (counter(), Platform::new());
     let config = config(discovery.stub.address, counter.address);
-    let elder = Node::spawn(platform.command(&config));
-    wait_until_serving(&elder);
-    let mut client = elder.client();
+    let predecessor = Node::spawn(platform.command(&config));
+    wait_until_serving(&predecessor);
+    let mut client = predecessor.client();
     client.send(&request("once", 8000));
     backend.wait_for("the attempt", |log| log.requests.len() == 1);
-    let younger = Node::spawn(platform.command(&config));
-    wait_until_serving(&younger);
-    (elder, younger, client)
+    let successor = Node::spawn(platform.command(&config));
+    wait_until_serving(&successor);
+    (predecessor, successor, client)
 }
 
 #[test]
-fn a_request_on_the_wire_is_answered_whichever_of_two_processes_is_told_to_end() {
+fn a_request_in_flight_is_answered_whichever_of_two_processes_is_stopped() {
     let release = Arc::new(Gate::default());
-    let (mut elder, mut younger, mut at_elder) = both_with_a_request_at_the_elder(&release);
-    let mut at_younger = younger.client();
-    at_younger.send(&request("once", 8000));
-    younger.wait_for_figure("in_flight", 1);
-    // Both are told to end, the younger first.
-    younger.terminate();
-    elder.terminate();
+    let (mut predecessor, mut successor, mut at_predecessor) =
+        both_with_a_request_at_the_predecessor(&release);
+    let mut at_successor = successor.client();
+    at_successor.send(&request("once", 8000));
+    successor.wait_for_figure("in_flight", 1);
+    // Both are stopped, the successor first.
+    successor.terminate();
+    predecessor.terminate();
     release.open();
-    assert_eq!(at_elder.answer().expect("the elder's answer").status(), 200);
-    assert_eq!(at_younger.answer().expect("the younger's answer").status(), 200);
-    assert_eq!((elder.ended(), younger.ended()), (Some(0), Some(0)));
+    assert_eq!(at_predecessor.answer().expect("the predecessor's answer").status(), 200);
+    assert_eq!(at_successor.answer().expect("the successor's answer").status(), 200);
+    assert_eq!((predecessor.ended(), successor.ended()), (Some(0), Some(0)));
 }
 
 #[test]
-fn the_request_of_an_elder_is_answered_though_its_successor_is_killed() {
+fn a_request_of_the_predecessor_is_answered_though_its_successor_is_killed() {
     let release = Arc::new(Gate::default());
-    let (elder, younger, mut client) = both_with_a_request_at_the_elder(&release);
-    drop(younger);
+    let (predecessor, successor, mut client) = both_with_a_request_at_the_predecessor(&release);
+    drop(successor);
     release.open();
     assert_eq!(client.answer().expect("an answer").status(), 200);
-    // It takes what comes again.
-    wait_until_serving(&elder);
-    assert_eq!(elder.client().ask(&request("once", 3000)).status(), 200);
+    // It accepts what comes from now on.
+    wait_until_serving(&predecessor);
+    assert_eq!(predecessor.client().ask(&request("once", 3000)).status(), 200);
 }
 
 #[test]
-fn a_younger_whose_elder_is_killed_serves_alone() {
+fn a_successor_whose_predecessor_is_killed_serves_alone() {
     let release = Arc::new(Gate::default());
-    let (elder, younger, client) = both_with_a_request_at_the_elder(&release);
+    let (predecessor, successor, client) = both_with_a_request_at_the_predecessor(&release);
     release.open();
-    drop(elder);
+    drop(predecessor);
     drop(client);
     for _ in 0..5 {
-        assert_eq!(younger.client().ask(&request("once", 3000)).status(), 200);
+        assert_eq!(successor.client().ask(&request("once", 3000)).status(), 200);
     }
-    assert_eq!(younger.figure("requests.once.served"), 5);
+    assert_eq!(successor.figure("requests.once.served"), 5);
 }
 
 /// What may stand at the socket's place without being a gateway.
@@ -229,7 +230,7 @@
 }
 
 #[test]
-fn a_descriptor_that_is_no_socket_is_one_plain_line() {
+fn a_descriptor_that_is_no_socket_is_a_one_line_error() {
     let config = config("127.0.0.1:1".parse().unwrap(), "127.0.0.1:1".parse().unwrap());
     for (number, named) in [("seven", "NODE_ACCEPT_FD"), ("1", "NODE_ACCEPT_FD"), ("93", "listen")] {
         let done = program(&config).env("NODE_ACCEPT_FD", number).output().expect("it runs");
