--- a/src/main.rs
+++ b/src/main.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Tells the gateway to stop at the first SIGTERM.
+/// Stops the gateway at the first SIGTERM.
 async fn stop_at_terminate(mut terminate: Signal, stop: watch::Sender<bool>) {
     if terminate.recv().await.is_some() {
         info!("stopping");
--- a/src/proxy/control_plane/config.rs
+++ b/src/proxy/control_plane/config.rs
@@ -1,4 +1,4 @@
-//! What the platform tells a gateway: the environment, the configuration file, and the cluster's file.
+//! A gateway's configuration: the environment, the configuration file, and the cluster's file.
 
 mod cluster;
 mod cluster_file;
@@ -19,7 +19,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// All that a gateway is told at its start.
+/// The configuration of a gateway.
 pub struct Config {
     /// Its place in a cluster, where it has one.
     pub(crate) cluster: Option<ClusterConfig>,
--- a/src/proxy/control_plane/config/cluster.rs
+++ b/src/proxy/control_plane/config/cluster.rs
@@ -1,4 +1,4 @@
-//! A gateway's place in its cluster, as the cluster's file tells it.
+//! A gateway's place in its cluster, as the cluster's file defines it.
 
 use super::{cluster_file, environment, ConfigError};
 use crate::cluster;
--- a/src/proxy/control_plane/discovery/mod.rs
+++ b/src/proxy/control_plane/discovery/mod.rs
@@ -138,7 +138,7 @@
 
 impl EndpointWatch {
     /// Guards against a stale response that would undo a drain already announced, and against changes to a list that is
-    /// not held. The complete list, which is asked for anew, is what discovery has.
+    /// not held. The complete list, which is fetched anew, is what discovery has.
     fn follows(&self, list: &EndpointList) -> bool {
         match self.revision {
             Some(held) => list.revision >= held,
--- a/src/proxy/control_plane/mod.rs
+++ b/src/proxy/control_plane/mod.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told from outside: its configuration, discovery's endpoint list, and the shared counter.
+//! What a gateway learns from outside: its configuration, discovery's endpoint list, and the shared counter.
 
 pub mod config;
 pub mod counter;
--- a/src/proxy/control_plane/service_watch.rs
+++ b/src/proxy/control_plane/service_watch.rs
@@ -11,7 +11,7 @@
 
 /// Watches discovery from the revision that is held from before, and after a change of the services' addresses calls
 /// discovery and the counter at the new ones. Another discovery may count its revisions otherwise: there the complete
-/// list is asked for.
+/// list is fetched.
 pub async fn follow_services(
     mut services: watch::Receiver<ServiceAddresses>,
     mut held_revision: Option<u64>,
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -53,7 +53,7 @@
 pub struct SharedParts {
     /// The decision module's clock.
     pub clock: Clock,
-    /// Told once the endpoint list is known.
+    /// Notified once the endpoint list is known.
     pub lifecycle: Rc<Lifecycle>,
     /// Counts what happens, for operators.
     pub metrics: Rc<Metrics>,
@@ -86,7 +86,7 @@
     other_process: Option<mpsc::Sender<HandoverMessage>>,
     requests: RequestTable,
     timers: Timers,
-    /// What the decision module is told at the next turn.
+    /// Events for the decision module, which it handles at the next turn.
     pending_events: Vec<Event>,
     /// Kept between turns for its room.
     actions: Vec<Action>,
@@ -173,7 +173,7 @@
         self.sender.clone()
     }
 
-    /// Runs for ever. Like the simulator it tells the decision module what has come in at most once a tick.
+    /// Runs for ever. Like the simulator it passes events on to the decision module at most once a tick.
     pub async fn run(mut self) {
         tokio::task::spawn_local(close_idle_connections(self.pool.clone()));
         let mut last_turn = Instant::now();
@@ -210,7 +210,7 @@
         Some(self.clock.instant(timer).max(earliest))
     }
 
-    /// Tells the decision module all that has come in and carries out what it decides.
+    /// Passes all pending events on to the decision module and carries out what it decides.
     fn turn(&mut self) {
         let now = self.clock.now();
         while let Some(timer) = self.timers.pop_fired(now) {
@@ -224,7 +224,7 @@
                 self.perform(now, action);
             }
             // Not before the decision module has heard: until then it may send for this request, and each of its sends
-            // must be told its end, or the capacity that it takes at an endpoint is never free again.
+            // must be reported as ended, or the capacity that it takes at an endpoint is never free again.
             if let Some(request) = ended_request {
                 self.requests.remove_if_finished(request);
             }
@@ -232,7 +232,7 @@
         self.actions = actions;
     }
 
-    /// Translates what came in to an event of the decision module's.
+    /// Translates what came in to an event of the decision module.
     fn handle_event(&mut self, event: RuntimeEvent) {
         match event {
             RuntimeEvent::RequestReceived(request) => self.request_received(*request),
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -77,7 +77,7 @@
         self.outcomes.note(RolloutOutcome { judged: rollout, at, ended, part_of_aim });
     }
 
-    /// Tells the decision module of an attempt's end with the next batch.
+    /// Reports an attempt's end to the decision module with the next batch.
     fn report_attempt_end(
         &mut self,
         attempt: AttemptId,
@@ -104,7 +104,7 @@
         let attempt = AttemptId { request: id, number: request.attempt_count(), endpoint };
         let backend = self.backends.get(&endpoint).filter(|_| !request.is_answered()).cloned();
         let Some(backend) = backend else {
-            // The client went, or the list changed, after the decision module was told last.
+            // The client disconnected, or the list changed, after the decision module's last turn.
             request.add_unsent_attempt();
             return self.report_attempt_end(attempt, Outcome::NotSent, Micros(0), LoadReport::default());
         };
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -15,7 +15,7 @@
 /// A start of an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EndpointStart {
-    /// As discovery tells it, Unix time in milliseconds.
+    /// As discovery reports it, Unix time in milliseconds.
     unix_ms: u64,
     /// On this gateway's clock.
     at: Micros,
@@ -98,7 +98,7 @@
         });
     }
 
-    /// Says which backends may be asked whether the network is up, where somebody wants to know.
+    /// Reports which backends may be dialled to see whether the uplink is back, where a write queue watches that.
     fn report_open_backends(&self) {
         if self.outcomes.is_watched() {
             let open = self.backends.values().filter(|backend| backend.open.get());
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -1,4 +1,4 @@
-//! What the runtime is told and asked.
+//! The runtime's events and commands.
 
 use crate::cluster::RoutingInForce;
 use crate::decision::{Arrival, CounterKey, EndpointCounts, EndpointId, Micros, QuotaLease, RequestId};
@@ -29,14 +29,14 @@
         in_maintenance: bool,
         /// The order comes from the other process of this gateway.
         relayed: bool,
-        /// Told whether there is such an endpoint, once it is done.
+        /// Receives whether there is such an endpoint, once it is done.
         reply: oneshot::Sender<bool>,
     },
     /// Another process takes this gateway over.
     HandOver {
         /// Sends that process messages.
         messages: mpsc::Sender<HandoverMessage>,
-        /// Told what it must know.
+        /// Receives what that process must know.
         reply: oneshot::Sender<Box<HandoverSnapshot>>,
     },
     /// This process takes the gateway over from another.
@@ -45,7 +45,7 @@
         snapshot: Box<HandoverSnapshot>,
         /// Sends that process messages.
         messages: mpsc::Sender<HandoverMessage>,
-        /// Told once the decision module has the snapshot.
+        /// Notified once the decision module has the snapshot.
         reply: oneshot::Sender<()>,
     },
     /// The other process is gone.
@@ -67,7 +67,7 @@
 
 /// A request that a client has sent.
 pub struct NewRequest {
-    /// What the decision module is told of it. Its id is new, whatever the client called it.
+    /// The request as the decision module sees it. Its id is new, whatever the client called it.
     pub arrival: Arrival,
     /// What is forwarded to backends.
     pub forward: ForwardedRequest,
@@ -80,13 +80,13 @@
 pub struct AttemptId {
     /// Its request.
     pub request: RequestId,
-    /// Its place among the attempts of the request.
+    /// Its index among the attempts of the request.
     pub number: usize,
     /// The endpoint that it goes to.
     pub endpoint: EndpointId,
 }
 
-/// What the runtime is told.
+/// What happens outside the runtime.
 pub enum RuntimeEvent {
     /// A request came in.
     RequestReceived(Box<NewRequest>),
--- a/src/proxy/runtime/requests.rs
+++ b/src/proxy/runtime/requests.rs
@@ -61,7 +61,7 @@
         self.attempts.push(OpenAttempt::default());
     }
 
-    /// Adds an attempt that is in flight. The receiver is told to cancel it.
+    /// Adds an attempt that is in flight. The receiver is notified when it is to be cancelled.
     pub fn add_attempt(&mut self) -> oneshot::Receiver<()> {
         let (cancel, cancelled) = oneshot::channel();
         self.attempts.push(OpenAttempt { in_flight: true, cancel: Some(cancel) });
--- a/src/proxy/startup.rs
+++ b/src/proxy/startup.rs
@@ -4,7 +4,7 @@
 use super::admin::rollout_calls::KnownNames;
 use super::admin::{self, AdminContext};
 use super::cluster_transport::outcome_recorder::OutcomeRecorder;
-use super::cluster_transport::write_queue_sender::{self, look_outside};
+use super::cluster_transport::write_queue_sender::{self, look_outside, QueuedWrite};
 use super::cluster_transport::{abandoned_requests, ClusterTransport};
 use super::control_plane::config::{ClusterConfig, Config, ConfigError, ServiceAddresses};
 use super::control_plane::discovery::PollTiming;
@@ -18,6 +18,7 @@
 use super::runtime::clock::Clock;
 use super::runtime::messages::{AdminSender, RuntimeSender};
 use super::runtime::{Runtime, SharedParts};
+use crate::cluster::ledger::AbandonedRequest;
 use crate::decision::{ClassId, Idempotency, Micros, PlanId};
 use crate::site_settings::Site;
 use std::cell::Cell;
@@ -73,21 +74,12 @@
     stopping: watch::Receiver<bool>,
 ) -> Result<(), RunError> {
     let plan = StartPlan::of(&config)?;
-    let parts = SharedParts {
-        clock: Clock::start(),
-        lifecycle: Rc::new(Lifecycle::default()),
-        metrics: Rc::new(Metrics::new(class_names(&config.site))),
-        memory: Rc::new(MemoryBudget::new(config.memory_mb, config.sockets)),
-        outcomes: Rc::new(OutcomeRecorder::default()),
-    };
+    let parts = shared_parts(&config);
     let (runtime, commands) = Runtime::new(config, parts.clone())?;
     let sender = runtime.sender();
     let (queued_writes, writes_to_send) = mpsc::channel(MAX_QUEUED_WRITES);
     let (abandoned, requests_to_finish) = mpsc::channel(MAX_ABANDONED_REQUESTS);
-    let transport = plan.cluster.clone().map(|cluster| {
-        let (clock, lifecycle, outcomes) = (parts.clock, parts.lifecycle.clone(), parts.outcomes.clone());
-        ClusterTransport::new(cluster, clock, lifecycle, sender.clone(), outcomes, (queued_writes, abandoned))
-    });
+    let transport = plan.cluster_transport(&parts, &sender, queued_writes, abandoned);
     let listener = plan.listen().await?;
     let address = listener.local_addr().map_err(cannot_listen(plan.listen))?;
     if let Some(transport) = &transport {
@@ -128,6 +120,17 @@
     }
 }
 
+/// What the runtime shares with the rest of the process.
+fn shared_parts(config: &Config) -> SharedParts {
+    SharedParts {
+        clock: Clock::start(),
+        lifecycle: Rc::new(Lifecycle::default()),
+        metrics: Rc::new(Metrics::new(class_names(&config.site))),
+        memory: Rc::new(MemoryBudget::new(config.memory_mb, config.sockets)),
+        outcomes: Rc::new(OutcomeRecorder::default()),
+    }
+}
+
 /// What of the configuration the start needs beside the runtime's.
 struct StartPlan {
     name: String,
@@ -220,6 +223,20 @@
         self.cluster.as_ref().is_some_and(|cluster| !cluster.finish_classes.is_empty())
     }
 
+    /// The gateway's place in its cluster, where it has one.
+    fn cluster_transport(
+        &self,
+        parts: &SharedParts,
+        runtime: &RuntimeSender,
+        queued_writes: mpsc::Sender<QueuedWrite>,
+        abandoned: mpsc::Sender<AbandonedRequest>,
+    ) -> Option<Rc<ClusterTransport>> {
+        let cluster = self.cluster.clone()?;
+        let (clock, lifecycle, outcomes) = (parts.clock, parts.lifecycle.clone(), parts.outcomes.clone());
+        let senders = (queued_writes, abandoned);
+        Some(ClusterTransport::new(cluster, clock, lifecycle, runtime.clone(), outcomes, senders))
+    }
+
     /// The clients' listening socket, inherited or its own.
     async fn listen(&self) -> Result<TcpListener, RunError> {
         let listener = match self.accept_descriptor {
@@ -290,7 +307,7 @@
     classes.into_iter().map(|(name, _)| name.clone()).collect()
 }
 
-/// Goes towards the end once the process is told to stop.
+/// Begins the shutdown once the process is to stop.
 async fn begin_shutdown(mut stopping: watch::Receiver<bool>, lifecycle: Rc<Lifecycle>) {
     if stopping.wait_for(|stop| *stop).await.is_ok() {
         lifecycle.advance_shutdown(ShutdownPhase::Stopping);
