--- a/src/cluster/rollout/mod.rs
+++ b/src/cluster/rollout/mod.rs
@@ -8,6 +8,7 @@
 //! * [`sequential_test`] decides on a halt, and on the next stage.
 
 mod command;
+mod command_result;
 mod controller;
 mod count_rows;
 mod lease;
@@ -17,6 +18,7 @@
 pub mod sequential_test;
 
 pub use command::{HaltReason, Pause, RolloutCommand, RolloutEnd, RolloutKey};
+pub use command_result::CommandResult;
 pub use controller::report::{RolloutReport, RolloutState};
 pub use controller::{ControllerEffect, RolloutController, RolloutNotice, TICK_INTERVAL};
 pub use count_rows::{ClassRow, CollectedCounts, CountRow};
--- a/src/proxy/runtime/admin_commands.rs
+++ b/src/proxy/runtime/admin_commands.rs
@@ -41,7 +41,7 @@
 
     /// Takes an endpoint out of service, or puts it back. Returns whether there is one by this name.
     fn set_maintenance(&mut self, name: String, in_maintenance: bool, relayed: bool) -> bool {
-        let Some(endpoint) = self.site.seen(&name) else { return false };
+        let Some(endpoint) = self.site.known_endpoint_id(&name) else { return false };
         if !self.backends.contains_key(&endpoint) && !self.gateway.is_in_maintenance(endpoint) {
             return false;
         }
