--- a/src/proxy/admin/rollout_calls.rs
+++ b/src/proxy/admin/rollout_calls.rs
@@ -1,26 +1,57 @@
-//! The operators' calls for rollouts of rules: `/rollout`, and what they answer.
+//! The operators' calls for rollouts of routing rules, `/rollout`.
 
+use super::reply::{changing, is_reading, AdminCallError, AdminReply};
 use crate::cluster::rollout::{Rules, Start};
 use crate::cluster::Taken;
+use crate::decision::SettingsError;
+use crate::proxy::cluster_transport::rollouts::{RolloutCommand, RolloutStartError};
 use crate::proxy::cluster_transport::ClusterTransport;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
-use hyper::StatusCode;
+use hyper::{Method, StatusCode};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::timeout;
+use tracing::info;
 
 /// The longest text of a rollout, in bytes.
-const LONGEST: usize = 8 * 1024;
-/// The longest wait for the rollout's record.
-const BEGIN: Duration = Duration::from_millis(500);
+const MAX_TEXT_BYTES: usize = 8 * 1024;
+/// The longest wait for the text, and then for the rollout's record in the ledger.
+const START_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a call is answered with.
-pub type Said = (StatusCode, String);
+/// One call for a rollout.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RolloutCall {
+    /// `GET /rollout`.
+    Report,
+    /// `POST /rollout`, with the rollout in the body.
+    Start,
+    /// `POST /rollout/pause`, `/resume` and `/abort`.
+    Command(RolloutCommand),
+}
+
+impl RolloutCall {
+    /// Reads the method, and what stands behind `/rollout/` in the path.
+    ///
+    /// # Errors
+    ///
+    /// There is no such command, or it takes another method.
+    pub fn parse(method: &Method, command: &str) -> Result<RolloutCall, AdminCallError> {
+        match command {
+            "" if is_reading(method) => Ok(RolloutCall::Report),
+            "" if method == Method::POST => Ok(RolloutCall::Start),
+            "" => Err(AdminCallError::MethodNotAllowed { allow: "GET, HEAD, POST" }),
+            "pause" => changing(method, RolloutCall::Command(RolloutCommand::Pause)),
+            "resume" => changing(method, RolloutCall::Command(RolloutCommand::Resume)),
+            "abort" => changing(method, RolloutCall::Command(RolloutCommand::Abort)),
+            _ => Err(AdminCallError::UnknownPath),
+        }
+    }
+}
 
-/// The names that rules may use.
+/// The names that routing rules may use.
 #[derive(Debug, Default)]
 pub struct KnownNames {
     /// Classes of requests.
@@ -29,53 +60,132 @@
     pub plans: BTreeSet<String>,
 }
 
+/// A rule names something that this site does not have.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[error("rule: {what}: there is no '{name}' here")]
+pub struct UnknownName {
+    what: &'static str,
+    name: String,
+}
+
 impl KnownNames {
-    /// Whether the rules name classes and plans of this site alone.
-    pub fn check(&self, rules: &Rules) -> Result<(), String> {
-        let known = |what: &str, name: &Option<String>, names: &BTreeSet<String>| match name {
-            Some(name) if !names.contains(name) => Err(format!("rule: {what}: there is no '{name}' here")),
-            _ => Ok(()),
+    /// Checks that the rules name only classes and plans of this site.
+    ///
+    /// # Errors
+    ///
+    /// The first name that is unknown, in the order of the rules.
+    pub fn check(&self, rules: &Rules) -> Result<(), UnknownName> {
+        for rule in &rules.0 {
+            check_name("class", rule.class.as_ref(), &self.classes)?;
+            check_name("plan", rule.plan.as_ref(), &self.plans)?;
+        }
+        Ok(())
+    }
+}
+
+fn check_name(
+    what: &'static str,
+    name: Option<&String>,
+    known: &BTreeSet<String>,
+) -> Result<(), UnknownName> {
+    match name {
+        Some(name) if !known.contains(name) => Err(UnknownName { what, name: name.clone() }),
+        _ => Ok(()),
+    }
+}
+
+/// Why a rollout was not started.
+#[derive(Debug, thiserror::Error)]
+enum StartError {
+    /// The text is longer, or was not sent in time.
+    #[error("expected a text of up to {MAX_TEXT_BYTES} bytes at once")]
+    TooLongOrSlow,
+    /// It is not UTF-8.
+    #[error("expected a text")]
+    NotText,
+    /// It is no rollout, or one beyond the bounds.
+    #[error(transparent)]
+    Invalid(#[from] SettingsError),
+    /// It names what the site does not have.
+    #[error(transparent)]
+    UnknownName(#[from] UnknownName),
+    /// The cluster does not start it.
+    #[error(transparent)]
+    Cluster(#[from] RolloutStartError),
+    /// The ledger gave no answer within `START_TIMEOUT`.
+    #[error("the ledger does not answer; look at /rollout")]
+    LedgerTimeout,
+}
+
+impl From<StartError> for AdminReply {
+    fn from(error: StartError) -> AdminReply {
+        let status = match &error {
+            StartError::TooLongOrSlow => StatusCode::PAYLOAD_TOO_LARGE,
+            StartError::NotText | StartError::Invalid(_) | StartError::UnknownName(_) => {
+                StatusCode::BAD_REQUEST
+            }
+            StartError::Cluster(RolloutStartError::NoRecord) => StatusCode::CONFLICT,
+            StartError::Cluster(RolloutStartError::NotTaken(taken)) => return command_reply(*taken),
+            StartError::LedgerTimeout => StatusCode::SERVICE_UNAVAILABLE,
         };
-        rules.0.iter().try_for_each(|rule| {
-            known("class", &rule.class, &self.classes)?;
-            known("plan", &rule.plan, &self.plans)
-        })
+        AdminReply::text(status, format!("{error}\n"))
+    }
+}
+
+/// Answers a call for a rollout.
+pub async fn perform(
+    call: RolloutCall,
+    cluster: &Rc<ClusterTransport>,
+    names: &KnownNames,
+    body: Incoming,
+) -> AdminReply {
+    match call {
+        RolloutCall::Report => report(cluster),
+        RolloutCall::Start => {
+            let reply = start(cluster, names, body).await.unwrap_or_else(AdminReply::from);
+            info!(status = reply.status.as_u16(), said = reply.body(), "an operator starts a rollout");
+            reply
+        }
+        RolloutCall::Command(command) => {
+            info!(?command, "an operator commands the rollout");
+            command_reply(cluster.command_rollout(command))
+        }
     }
 }
 
-fn said(status: StatusCode, words: impl Into<String>) -> Said {
-    (status, words.into())
+fn report(cluster: &ClusterTransport) -> AdminReply {
+    match cluster.rollout() {
+        Some(report) => AdminReply::json(report),
+        None => AdminReply::text(StatusCode::NOT_FOUND, "no rollout yet\n"),
+    }
 }
 
-/// Begins a rollout of the rules in this text.
-pub async fn start(peers: &Rc<ClusterTransport>, names: &KnownNames, body: Incoming) -> Said {
-    let Ok(Ok(body)) = timeout(BEGIN, Limited::new(body, LONGEST).collect()).await else {
-        return said(StatusCode::PAYLOAD_TOO_LARGE, "expected a text of up to 8192 bytes at once\n");
+/// Starts a rollout of the rules in the body.
+async fn start(
+    cluster: &Rc<ClusterTransport>,
+    names: &KnownNames,
+    body: Incoming,
+) -> Result<AdminReply, StartError> {
+    let Ok(Ok(body)) = timeout(START_TIMEOUT, Limited::new(body, MAX_TEXT_BYTES).collect()).await else {
+        return Err(StartError::TooLongOrSlow);
     };
     let body: Bytes = body.to_bytes();
-    let Ok(text) = std::str::from_utf8(&body) else {
-        return said(StatusCode::BAD_REQUEST, "expected a text\n");
-    };
-    let start = Start::parse(text).map_err(|e| e.0);
-    let start = start.and_then(|start| names.check(&start.rules).map(|()| start));
-    match start {
-        Err(problem) => said(StatusCode::BAD_REQUEST, format!("{problem}\n")),
-        Ok(start) => match timeout(BEGIN, peers.start_rollout(start)).await {
-            Ok(Ok(Some(key))) => said(StatusCode::ACCEPTED, format!("rollout {} begins\n", key.number)),
-            Ok(Ok(None)) => {
-                said(StatusCode::CONFLICT, "another rollout runs, or the ledger has no majority\n")
-            }
-            Ok(Err(taken)) => answer(taken),
-            Err(_) => said(StatusCode::SERVICE_UNAVAILABLE, "the ledger does not answer; look at /rollout\n"),
-        },
+    let text = std::str::from_utf8(&body).map_err(|_| StartError::NotText)?;
+    let start = Start::parse(text)?;
+    names.check(&start.rules)?;
+    match timeout(START_TIMEOUT, cluster.start_rollout(start)).await {
+        Ok(started) => {
+            let key = started?;
+            Ok(AdminReply::text(StatusCode::ACCEPTED, format!("rollout {} begins\n", key.number)))
+        }
+        Err(_) => Err(StartError::LedgerTimeout),
     }
 }
 
-/// How an order was taken, as an answer.
-pub fn answer(taken: Taken) -> Said {
+fn command_reply(taken: Taken) -> AdminReply {
     match taken {
-        Taken::Done => said(StatusCode::OK, "done\n"),
-        Taken::Conflict => said(StatusCode::CONFLICT, "not while this is so; look at /rollout\n"),
-        Taken::Off => said(StatusCode::NOT_FOUND, "no rollouts here\n"),
+        Taken::Done => AdminReply::done(),
+        Taken::Conflict => AdminReply::text(StatusCode::CONFLICT, "not while this is so; look at /rollout\n"),
+        Taken::Off => AdminReply::text(StatusCode::NOT_FOUND, "no rollouts here\n"),
     }
 }
--- a/src/proxy/cluster_transport/claims.rs
+++ b/src/proxy/cluster_transport/claims.rs
@@ -1,6 +1,10 @@
 //! A request's work at the ledger, as whoever carries it calls for it.
 
-use crate::proxy::cluster_transport::*;
+use super::ledger_claim::{ClaimProgress, LedgerClaim};
+use super::ClusterTransport;
+use crate::cluster::ledger::{Change, ClaimId, RecordId};
+use crate::cluster::{ClusterNode, Effect, Micros};
+use std::rc::Rc;
 
 impl ClusterTransport {
     /// Whether a ledger of work is kept.
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -3,35 +3,33 @@
 pub(crate) mod abandoned_requests;
 mod claims;
 pub(crate) mod disk;
-mod gauges;
 pub(crate) mod ledger_claim;
 pub(crate) mod ledger_request;
 mod notices;
 pub(crate) mod outcome_recorder;
-mod rollouts;
+pub mod rollouts;
 pub(crate) mod serialized_request;
+pub mod stats;
 #[cfg(test)]
 mod tests;
 pub(crate) mod write_queue_sender;
 mod writes;
 
-use crate::cluster::ledger::{Change, ClaimId, Orphan, RecordId};
-use crate::cluster::rollout::{End as RolloutEnd, Key, Start, Told, Why};
-use crate::cluster::write_queue::{Dot, Fate, Status};
+use crate::cluster::ledger::{ClaimId, Orphan};
+use crate::cluster::rollout::Key;
+use crate::cluster::write_queue::Dot;
 use crate::cluster::{
-    Agreement, ClusterNode, ClusterNotice, ClusterReport, Effect, Errand, Event, MemberState, Micros,
-    QuotaShares, Taken, LEDGER_TICK_INTERVAL, MAX_DATAGRAM_BYTES, TICK_INTERVAL,
+    ClusterNode, Effect, Event, Micros, QuotaShares, LEDGER_TICK_INTERVAL, MAX_DATAGRAM_BYTES, TICK_INTERVAL,
 };
 use crate::decision::QuotaLease;
 use crate::proxy::control_plane::config::FleetConfig;
 use crate::proxy::lifecycle::drain::{Duty, End};
 use crate::proxy::runtime::{tell, Clock, Inbox, Input};
 use disk::{Disk, Word};
-use ledger_claim::{ClaimProgress, LedgerClaim};
+use ledger_claim::ClaimProgress;
 use outcome_recorder::OutcomeRecorder;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
-use std::fmt::Write;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/proxy/cluster_transport/notices.rs
+++ b/src/proxy/cluster_transport/notices.rs
@@ -1,6 +1,8 @@
 //! Lines of the log about the fleet.
 
-use crate::proxy::cluster_transport::*;
+use crate::cluster::rollout::{End as RolloutEnd, Told, Why};
+use crate::cluster::ClusterNotice;
+use tracing::{info, warn};
 
 /// What becomes of a rollout.
 pub(super) fn log_rollout(told: &Told) {
--- /dev/null
+++ b/src/proxy/cluster_transport/stats.rs
@@ -0,0 +1,121 @@
+//! What operators read of the cluster: a report as JSON, and the figures that `/stats` shows.
+
+use super::ClusterTransport;
+use crate::cluster::ledger::{Refusals, Tallies as LedgerTallies};
+use crate::cluster::rollout::Report as RolloutReport;
+use crate::cluster::write_queue::Tallies as WriteQueueTallies;
+use crate::cluster::{ClusterNode, ClusterReport};
+
+/// Figures of the cluster as this gateway sees it, at one moment.
+pub struct ClusterStats {
+    /// Members, view and traffic.
+    pub report: ClusterReport,
+    /// The ledger, where one is kept.
+    pub ledger: Option<LedgerStats>,
+    /// The write queue of a branch, where the gateway is of one.
+    pub write_queue: Option<WriteQueueStats>,
+    /// Rollouts of routing rules, where there may be any.
+    pub rollout: Option<RolloutStats>,
+    /// The disk, where the gateway has one.
+    pub storage: Option<StorageStats>,
+    /// Datagrams that the kernel did not take.
+    pub datagrams_not_sent: u64,
+}
+
+/// The ledger at this gateway: as a replica of others' records, and as the owner of its own requests.
+pub struct LedgerStats {
+    /// As a replica it votes.
+    pub votes: bool,
+    /// Records that it holds for others.
+    pub records: usize,
+    /// Its own open claims.
+    pub open_claims: usize,
+    /// How its claims ended.
+    pub claims: LedgerTallies,
+    /// Abandoned requests that were finished here.
+    pub finished: u64,
+    /// Abandoned requests that could not be finished here.
+    pub not_finished: u64,
+    /// What it refused as a replica.
+    pub refusals: Refusals,
+}
+
+/// The write queue at this gateway.
+pub struct WriteQueueStats {
+    /// The branch is cut off.
+    pub cut_off: bool,
+    /// It votes on writes.
+    pub votes: bool,
+    /// Writes that have not ended.
+    pub waiting: usize,
+    /// Writes that are being forwarded.
+    pub forwarding: usize,
+    /// Writes that it accepted or forwarded, by their ends.
+    pub totals: WriteQueueTallies,
+}
+
+/// Rollouts at this gateway.
+pub struct RolloutStats {
+    /// The last rollout, if there has been one.
+    pub report: Option<RolloutReport>,
+    /// Outcomes that found no room to be counted.
+    pub outcomes_dropped: u64,
+}
+
+/// The gateway's disk.
+pub struct StorageStats {
+    /// What it is given is stored.
+    pub works: bool,
+    /// Messages that wait for their state to be stored.
+    pub waiting: usize,
+}
+
+impl ClusterTransport {
+    /// The report for operators, as JSON. None: another process stands for the gateway.
+    pub fn report(&self) -> Option<String> {
+        let report: ClusterReport = self.fleet.borrow().as_ref()?.report();
+        serde_json::to_string_pretty(&report).ok()
+    }
+
+    /// The figures for `/stats`. None: another process stands for the gateway.
+    pub fn stats(&self) -> Option<ClusterStats> {
+        let fleet = self.fleet.borrow();
+        let node = fleet.as_ref()?;
+        Some(ClusterStats {
+            report: node.report(),
+            ledger: self.ledger_stats(node),
+            write_queue: write_queue_stats(node),
+            rollout: self.keeps_rules().then(|| RolloutStats {
+                report: node.rollout(self.clock.now()),
+                outcomes_dropped: self.arms.dropped(),
+            }),
+            storage: node.disk().map(|(works, waiting)| StorageStats { works, waiting }),
+            datagrams_not_sent: self.unsent.get(),
+        })
+    }
+
+    fn ledger_stats(&self, node: &ClusterNode) -> Option<LedgerStats> {
+        let desk = node.desk()?;
+        let replica = desk.holder();
+        Some(LedgerStats {
+            votes: replica.votes(self.clock.now()),
+            records: replica.len(),
+            open_claims: desk.claims(),
+            claims: desk.tallies.clone(),
+            finished: self.finished.0.get(),
+            not_finished: self.finished.1.get(),
+            refusals: replica.refusals.clone(),
+        })
+    }
+}
+
+fn write_queue_stats(node: &ClusterNode) -> Option<WriteQueueStats> {
+    let replica = node.branch()?.clerk();
+    Some(WriteQueueStats {
+        cut_off: replica.is_cut(),
+        votes: replica.votes(),
+        waiting: replica.shelf().open(),
+        forwarding: replica.out(),
+        totals: replica.tallies.clone(),
+    })
+}
--- a/src/proxy/cluster_transport/tests.rs
+++ b/src/proxy/cluster_transport/tests.rs
@@ -2,6 +2,7 @@
 
 use super::ClusterTransport;
 use crate::cluster::ClusterNode;
+use crate::proxy::admin::stats::cluster_lines;
 use crate::proxy::cluster_transport::outcome_recorder::OutcomeRecorder;
 use crate::proxy::control_plane::config::FleetConfig;
 use crate::proxy::lifecycle::drain::Duty;
@@ -20,13 +21,13 @@
     let ((writes, _w), (orphans, _o)) = (mpsc::channel(1), mpsc::channel(1));
     let (duty, arms) = (Rc::new(Duty::default()), Rc::new(OutcomeRecorder::default()));
     let peers = ClusterTransport::new(config, Clock::start(), duty, inbox, arms, (writes, orphans));
-    assert_eq!(peers.gauges(), "", "nothing while another process stands for the gateway");
+    assert!(peers.stats().is_none(), "nothing while another process stands for the gateway");
     *peers.fleet.borrow_mut() = Some(ClusterNode::with_distinct_counts());
     peers.unsent.set(61);
     peers.finished.0.set(62);
     peers.finished.1.set(63);
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/stats-gauges.txt");
-    let text = peers.gauges();
+    let text = cluster_lines(&peers.stats().expect("it takes part"));
     if std::env::var_os("WRITE_NEW_FIXTURES").is_some() && !path.exists() {
         std::fs::write(&path, &text).expect("written");
     }
--- a/src/proxy/cluster_transport/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -1,6 +1,11 @@
 //! Writes of a branch, as whoever takes and sends requests calls for them.
 
-use crate::proxy::cluster_transport::*;
+use super::write_queue_sender::QueuedWrite;
+use super::ClusterTransport;
+use crate::cluster::write_queue::{Dot, Fate, Status};
+use crate::cluster::{ClusterNode, Errand};
+use tokio::sync::oneshot;
+use tracing::{info, warn};
 
 impl ClusterTransport {
     /// Whether this gateway is of a branch that accepts writes.
--- a/src/proxy/control_plane/config.rs
+++ b/src/proxy/control_plane/config.rs
@@ -102,7 +102,7 @@
 
 /// Descriptors for all but clients, backends and the counter: standard streams, listeners, epoll, signals, calls to
 /// discovery, the client that waits for a place, and operators.
-const RESERVE: usize = 16 + crate::proxy::admin::CALLERS;
+const RESERVE: usize = 16 + crate::proxy::admin::server::MAX_CONNECTIONS;
 
 impl SocketLimits {
     fn of(sockets: usize) -> SocketLimits {
--- a/src/proxy/control_plane/discovery/mod.rs
+++ b/src/proxy/control_plane/discovery/mod.rs
@@ -121,7 +121,7 @@
         }
         watch.answered = true;
         watch.revision = Some(list.revision);
-        watch.figures.discovery.listed(list.revision, length);
+        watch.figures.discovery.list_applied(list.revision, length);
         if inbox.send(Input::Members(list)).await.is_err() {
             return;
         }
@@ -187,7 +187,7 @@
             held = self.revision,
             "discovery told what does not follow; asking for all"
         );
-        self.figures.discovery.failed(FailureKind::OutOfOrder);
+        self.figures.discovery.call_failed(FailureKind::OutOfOrder);
         self.revision = None;
     }
 
@@ -199,7 +199,7 @@
         let hold = if self.answered && self.revision.is_some() { self.pace.hold } else { Duration::ZERO };
         // Dropped with the answer, which ends the other calls and closes their connections.
         let mut calls = Calls::default();
-        self.figures.discovery.called();
+        self.figures.discovery.call_started();
         calls.start(Call { hold, ..prompt }, resting, self.pace.patience);
         let mut interval = self.pace.silence;
         let mut next_call = Instant::now() + hold + interval;
@@ -226,7 +226,7 @@
                         continue;
                     }
                     if calls.have_room() {
-                        self.figures.discovery.called();
+                        self.figures.discovery.call_started();
                         calls.start(prompt, None, self.pace.patience);
                     }
                     next_call = now + interval;
@@ -250,7 +250,7 @@
 
     fn failed(&mut self, failure: &CallFailure) {
         let kind = failure.kind();
-        self.figures.discovery.failed(kind);
+        self.figures.discovery.call_failed(kind);
         self.failures += 1;
         let news = self.failing.replace(kind) != Some(kind);
         if self.logged.speaks(Instant::now()) || news {
--- a/src/proxy/downstream/request.rs
+++ b/src/proxy/downstream/request.rs
@@ -105,7 +105,7 @@
             return Err(RequestError(StatusCode::BAD_REQUEST, "a GET carries no body\n"));
         }
         Received::Whole(body) => {
-            ticket = Some(front.figures.taken(asked.arrival.class));
+            ticket = Some(front.figures.request_received(asked.arrival.class));
             (RequestPayload::Buffered(body), None)
         }
         Received::Begun(..) if head.method == Method::GET => {
@@ -129,8 +129,8 @@
             let mut response = plain(StatusCode::ACCEPTED, "accepted\n");
             let place = HeaderValue::from_str(&format!("{WRITES}{dot}")).ok();
             place.into_iter().for_each(|at| drop(response.headers_mut().insert(header::LOCATION, at)));
-            let mut ticket = ticket.unwrap_or_else(|| front.figures.taken(asked.arrival.class));
-            ticket.ends(RequestResult::Served);
+            let mut ticket = ticket.unwrap_or_else(|| front.figures.request_received(asked.arrival.class));
+            ticket.set_result(RequestResult::Served);
             response.body_mut().ticket = Some(ticket);
             return Ok(response);
         }
@@ -149,7 +149,7 @@
         let wanted = peers.finishes(front.class_name(class));
         let request = if wanted { kept(&head.method, &uri, &headers, whole) } else { None };
         let answer = recorded(front, peers, (of, request), arrival, forward).await?;
-        return Ok(answered(answer, ticket.unwrap_or_else(|| front.figures.taken(class))));
+        return Ok(answered(answer, ticket.unwrap_or_else(|| front.figures.request_received(class))));
     }
     let forward = ForwardedRequest::new(head.method, uri, headers, body);
     let (reply, mut answer) = oneshot::channel();
@@ -176,7 +176,7 @@
                 arrived = None;
                 match how {
                     Ok(RequestBodyResult::Whole) => {
-                        ticket = Some(front.figures.taken(class));
+                        ticket = Some(front.figures.request_received(class));
                         let deadline = front.clock.now() + asked.budget;
                         let _ = front.inbox.send(Input::Uploaded(id, deadline)).await;
                     }
@@ -193,7 +193,7 @@
     if let Some(Ok(RequestBodyResult::Left(rest))) = arrived.as_mut().map(|arrived| arrived.try_recv()) {
         tokio::task::spawn_local(rest.drain());
     }
-    Ok(answered(answer, ticket.unwrap_or_else(|| front.figures.taken(class))))
+    Ok(answered(answer, ticket.unwrap_or_else(|| front.figures.request_received(class))))
 }
 
 /// Takes a request that is whole through the driver to its answer.
@@ -219,7 +219,7 @@
     let mut response = match answer {
         Answer::Served(body) => {
             // A long answer is served once its last byte is passed on.
-            ticket.ends(if matches!(body, ResponseBody::Buffered(..)) {
+            ticket.set_result(if matches!(body, ResponseBody::Buffered(..)) {
                 RequestResult::Served
             } else {
                 RequestResult::Failed
@@ -227,14 +227,14 @@
             giving(StatusCode::OK, body)
         }
         Answer::Refused(wait) => {
-            ticket.ends(RequestResult::Refused);
+            ticket.set_result(RequestResult::Rejected);
             let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "refused\n");
             let wait = wait.and_then(|w| HeaderValue::from_str(&format!("{:.3}", w.secs())).ok());
             wait.into_iter().for_each(|w| drop(response.headers_mut().insert(header::RETRY_AFTER, w)));
             response
         }
         Answer::Failed => {
-            ticket.ends(RequestResult::Failed);
+            ticket.set_result(RequestResult::Failed);
             plain(StatusCode::BAD_GATEWAY, "failed\n")
         }
     };
--- a/src/proxy/downstream/server.rs
+++ b/src/proxy/downstream/server.rs
@@ -178,18 +178,18 @@
     let why = tokio::select! {
         biased;
         done = connection => match done {
-            Ok(()) => ConnectionCloseReason::Ended,
+            Ok(()) => ConnectionCloseReason::Completed,
             Err(error) => {
                 debug!(%error, "a client's connection broke");
                 ConnectionCloseReason::Broken
             }
         },
-        () = peer.closed() => ConnectionCloseReason::Quiet,
-        () = ended_by_client(&stream) => ConnectionCloseReason::LeftUnread,
+        () = peer.closed() => ConnectionCloseReason::Idle,
+        () = ended_by_client(&stream) => ConnectionCloseReason::ClosedByClient,
     };
     debug!(?why, client = ?stream.peer_addr().ok(), "a client's connection is closed");
-    front.figures.closes.raise(why);
-    let had_last_answer = matches!(why, ConnectionCloseReason::Ended | ConnectionCloseReason::Broken);
+    front.figures.connection_closes.increment(why);
+    let had_last_answer = matches!(why, ConnectionCloseReason::Completed | ConnectionCloseReason::Broken);
     // Where no answer can be under way there is nothing to guard: bytes that cross the close are left unread, and the
     // reset tells the client that it may send them once more.
     if had_last_answer && front.places.free() > 0 {
@@ -215,7 +215,7 @@
         let next = Pin::new(&mut self.giving).poll_frame(cx);
         // Until its last byte is passed on, a long answer may yet fail.
         if matches!(&self.giving, ResponseBody::Streamed(download) if download.is_whole()) {
-            self.ticket.iter_mut().for_each(|ticket| ticket.ends(RequestResult::Served));
+            self.ticket.iter_mut().for_each(|ticket| ticket.set_result(RequestResult::Served));
         }
         next
     }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -10,8 +10,8 @@
 pub mod runtime;
 mod tcp_io;
 pub mod upstream;
+use admin::call::AdminContext;
 use admin::metrics::Metrics;
-use admin::AdminContext;
 use cluster_transport::outcome_recorder::OutcomeRecorder;
 use cluster_transport::ClusterTransport;
 use control_plane::config::{Config, ConfigError, Services};
@@ -145,7 +145,7 @@
         return Err(RunError::Config(ConfigError::of(format!("ledger.finish: there is no class '{class}'"))));
     }
     if let Some(rules) = fleet.as_ref().and_then(|fleet| fleet.settings.rules.as_ref()) {
-        names.check(rules).map_err(|e| RunError::Config(ConfigError::of(e)))?;
+        names.check(rules).map_err(|e| RunError::Config(ConfigError::of(e.to_string())))?;
     }
     let (mut driver, orders) = Driver::new(config, clock, duty.clone(), figures.clone(), memory.clone())
         .map_err(RunError::Config)?;
@@ -182,7 +182,7 @@
         info!(%ops, "operators");
         let (orders, figures, duty) = (orders.clone(), figures.clone(), duty.clone());
         let desk = AdminContext { orders, figures, duty, peers: peers.clone(), names };
-        tokio::task::spawn_local(admin::serve(listener, Rc::new(desk)));
+        tokio::task::spawn_local(admin::server::serve(listener, Rc::new(desk)));
     }
     info!(name, %address, "listening");
     let ends = duty.clone();
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -302,7 +302,7 @@
                 let Some(open) = self.requests.get_mut(&id) else { return };
                 let unsent = ended.unsent;
                 debug!(request = id.0, attempt, outcome = ?ended.outcome, ?unsent, took_us = took.0, "attempt ends");
-                self.figures.outcomes.raise(ended.outcome);
+                self.figures.attempt_outcomes.increment(ended.outcome);
                 // The first 200 is the client's at once and ends the request; the module hears of it.
                 let judged = open.judged.filter(|_| ended.body.is_some() && open.reply.is_some());
                 if let Some(judged) = judged {
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -59,7 +59,7 @@
     fn turn_back(&mut self, id: RequestId, answer: Answer, reason: RejectionReason) {
         let refused = matches!(answer, Answer::Refused(_));
         debug!(request = id.0, refused, ?reason, "answered without a backend");
-        self.figures.refusals.raise(reason);
+        self.figures.rejections.increment(reason);
         self.answer(id, answer);
     }
 
--- a/src/proxy/upstream/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -165,7 +165,7 @@
 
     /// The end of an attempt that the gateway itself keeps back.
     pub fn unsent(&self, why: NotSentReason) -> AttemptResult {
-        self.figures.unsent.raise(why);
+        self.figures.not_sent.increment(why);
         AttemptResult { unsent: Some(why), ..Outcome::NotSent.into() }
     }
 
@@ -183,7 +183,9 @@
         called_off: oneshot::Receiver<()>,
     ) -> AttemptResult {
         // Guards the limit on descriptors: an attempt without a place was never sent.
-        let Some(place) = self.places.try_take() else { return self.unsent(NotSentReason::NoPlace) };
+        let Some(place) = self.places.try_take() else {
+            return self.unsent(NotSentReason::NoConnectionPermit);
+        };
         while self.held() > self.places.free() {
             self.evict();
         }
@@ -223,7 +225,7 @@
                     match timeout(self.dial_timeout, opening).await {
                         Ok(Ok(connection)) => (connection, false),
                         Ok(Err(error)) if is_own_shortage(&error) => {
-                            return self.unsent(NotSentReason::Shortage)
+                            return self.unsent(NotSentReason::LocalResourceShortage)
                         }
                         _ => return Outcome::ConnectFailed.into(),
                     }
@@ -232,10 +234,10 @@
             // Guards against sending to a backend that began to drain while the connection came up, and for a client
             // that left meanwhile, also where attempts must not be called off.
             if !backend.open.get() {
-                return self.unsent(NotSentReason::Drained);
+                return self.unsent(NotSentReason::EndpointDraining);
             }
             if !request.wanted.get() {
-                return self.unsent(NotSentReason::Unwanted);
+                return self.unsent(NotSentReason::RequestEnded);
             }
             // Guards against an owner that was paused and has been taken over meanwhile.
             if request.work.as_ref().is_some_and(|work| !work.may_act()) {
@@ -243,15 +245,17 @@
             }
             // Guards against writing in the moment in which the time is up.
             if Instant::now() >= until {
-                return self.unsent(NotSentReason::OutOfTime);
+                return self.unsent(NotSentReason::AttemptTimedOut);
             }
             let idle = connection.idle_since.elapsed();
-            let Some(call) = request.request(until) else { return self.unsent(NotSentReason::BodySpent) };
+            let Some(call) = request.request(until) else {
+                return self.unsent(NotSentReason::BodyAlreadySent);
+            };
             // From here on the attempt may have run, for all that a caller who stops waiting can know.
             wrote.set(true);
             let whole = || {
                 whole_at.set(Some(Instant::now()));
-                self.figures.attempt();
+                self.figures.attempts_sent.increment();
             };
             match connection.begin(call, whole).await {
                 Ok(response) => return self.read(backend.address, response, connection, place).await,
--- a/tests/stats_keys.rs
+++ b/tests/stats_keys.rs
@@ -4,6 +4,7 @@
 use quota_gateway::proxy::admin::metrics::{
     ConnectionCloseReason, EndpointCounts, Metrics, NotSentReason, RequestResult,
 };
+use quota_gateway::proxy::admin::stats::process_lines;
 use quota_gateway::proxy::control_plane::discovery::FailureKind;
 use std::path::Path;
 use std::rc::Rc;
@@ -22,28 +23,28 @@
 
 #[test]
 fn every_counter_has_its_key_place_and_value_in_the_stats() {
-    let figures = Rc::new(Metrics::new(["look".to_string(), "buy".to_string()]));
+    let metrics = Rc::new(Metrics::new(["look".to_string(), "buy".to_string()]));
     for (class, ends) in [(0, [3, 4, 5]), (1, [6, 7, 8])] {
         for (end, count) in
-            [RequestResult::Served, RequestResult::Refused, RequestResult::Failed].into_iter().zip(ends)
+            [RequestResult::Served, RequestResult::Rejected, RequestResult::Failed].into_iter().zip(ends)
         {
             for _ in 0..count {
-                figures.taken(ClassId(class)).ends(end);
+                metrics.request_received(ClassId(class)).set_result(end);
             }
         }
     }
-    let _in_flight = [figures.taken(ClassId(0)), figures.taken(ClassId(1))];
-    (0..9).for_each(|_| figures.attempt());
-    (0..10).for_each(|_| figures.discovery.called());
+    let _in_flight = [metrics.request_received(ClassId(0)), metrics.request_received(ClassId(1))];
+    (0..9).for_each(|_| metrics.attempts_sent.increment());
+    (0..10).for_each(|_| metrics.discovery.call_started());
     for (revision, bytes) in [(41, 100), (42, 23), (43, 7)] {
-        figures.discovery.listed(revision, bytes);
+        metrics.discovery.list_applied(revision, bytes);
     }
-    raise(FailureKind::VARIANTS, 11, |kind| figures.discovery.failed(kind));
-    raise(Outcome::VARIANTS, 21, |kind| figures.outcomes.raise(kind));
-    raise(NotSentReason::VARIANTS, 31, |kind| figures.unsent.raise(kind));
-    raise(RejectionReason::VARIANTS, 41, |kind| figures.refusals.raise(kind));
-    raise(ConnectionCloseReason::VARIANTS, 51, |kind| figures.closes.raise(kind));
-    let text = figures.text(EndpointCounts { known: 61, excluded: 62 });
+    raise(FailureKind::VARIANTS, 11, |kind| metrics.discovery.call_failed(kind));
+    raise(Outcome::VARIANTS, 21, |kind| metrics.attempt_outcomes.increment(kind));
+    raise(NotSentReason::VARIANTS, 31, |kind| metrics.not_sent.increment(kind));
+    raise(RejectionReason::VARIANTS, 41, |kind| metrics.rejections.increment(kind));
+    raise(ConnectionCloseReason::VARIANTS, 51, |kind| metrics.connection_closes.increment(kind));
+    let text = process_lines(&metrics, EndpointCounts { known: 61, excluded: 62 });
     // The only value that the clock decides.
     let line = |line: &str| match line.split_once("last_list_ms_ago=") {
         Some((before, ago)) => {
