--- a/src/proxy/cluster_transport/abandoned_requests.rs
+++ b/src/proxy/cluster_transport/abandoned_requests.rs
@@ -98,7 +98,7 @@
             prior_attempts: earlier(sent),
             ..asked.arrival.clone()
         };
-        let with = ForwardedRequest { work: Some(work.clone()), ..forward.again() };
+        let with = ForwardedRequest { claim: Some(work.clone()), ..forward.duplicate() };
         let answer = tokio::select! {
             biased;
             () = work.lost() => return AbandonedOutcome::Elsewhere,
--- a/src/proxy/cluster_transport/ledger_claim.rs
+++ b/src/proxy/cluster_transport/ledger_claim.rs
@@ -122,7 +122,7 @@
     }
 
     /// An attempt is about to be sent to this server: the record says so first. Returns whether it may go.
-    pub async fn before_send(&self, server: u64) -> bool {
+    pub async fn record_attempt(&self, server: u64) -> bool {
         if self.alone.get() {
             return true;
         }
@@ -157,14 +157,14 @@
     }
 
     /// An attempt at this server ended.
-    pub fn ended(&self, server: u64, outcome: Outcome) {
+    pub fn attempt_ended(&self, server: u64, outcome: Outcome) {
         if outcome.never_ran() && !self.alone.get() {
             self.peers.never_ran(self.era, self.claim, server);
         }
     }
 
     /// Its answer, for whoever comes again.
-    pub fn answered(&self, answer: &[u8]) {
+    pub fn complete(&self, answer: &[u8]) {
         if !self.answered.replace(true) {
             self.peers.let_go(self.era, self.claim, Some(answer.to_vec()));
         }
--- a/src/proxy/cluster_transport/write_queue_sender.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -12,7 +12,8 @@
 use crate::proxy::downstream::request_head::RequestHead;
 use crate::proxy::downstream::server::ProxyContext;
 use crate::proxy::runtime::Answer;
-use crate::proxy::upstream::forwarded_request::{AttemptTracker, ForwardedRequest, RequestPayload};
+use crate::proxy::upstream::attempt_tracker::AttemptTracker;
+use crate::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use std::rc::Rc;
@@ -111,11 +112,12 @@
         (Some(key), RequestPayload::Buffered(body)) => Some(record_of(&asked, key, &forward, body)),
         _ => None,
     };
-    let tries = AttemptTracker::that_ran(order.before);
+    let tries = AttemptTracker::new(order.before);
     if !order.before {
         let deadline = front.clock.now() + asked.budget;
         let arrival = Arrival { deadline, ..asked.arrival.clone() };
-        let with = |work| ForwardedRequest { work, tries: Some(tries.clone()), ..forward.again() };
+        let with =
+            |work| ForwardedRequest { claim: work, tracker: Some(tries.clone()), ..forward.duplicate() };
         let answer = match record {
             Some(record) => recorded(front, peers, (record, None), arrival, with).await,
             None => Ok(carried(front, arrival, with(None)).await),
--- a/src/proxy/control_plane/counter.rs
+++ b/src/proxy/control_plane/counter.rs
@@ -94,7 +94,7 @@
             match connection.call(self.request(name, amount, life)).await {
                 Ok(response) => {
                     let (counted, problem) = reading(response.status(), response.body());
-                    let problem = problem.filter(|_| self.garbled.speaks(Instant::now()));
+                    let problem = problem.filter(|_| self.garbled.allows(Instant::now()));
                     problem.into_iter().for_each(|problem| warn!(status = %response.status(), problem));
                     // Guards against taking what is left of a broken answer for the next call's.
                     if counted.outcome != Outcome::ServerError && connection.is_usable() {
@@ -105,7 +105,9 @@
                 }
                 Err(CallError::NotSent) if reused => wrote.set(false),
                 Err(CallError::NotSent) => return Outcome::ConnectFailed.into(),
-                Err(CallError::Broken | CallError::Cut) => return Outcome::ConnectionReset.into(),
+                Err(CallError::Broken | CallError::RequestBodyAborted) => {
+                    return Outcome::ConnectionReset.into()
+                }
             }
         }
     }
--- a/src/proxy/control_plane/discovery/mod.rs
+++ b/src/proxy/control_plane/discovery/mod.rs
@@ -253,7 +253,7 @@
         self.figures.discovery.call_failed(kind);
         self.failures += 1;
         let news = self.failing.replace(kind) != Some(kind);
-        if self.logged.speaks(Instant::now()) || news {
+        if self.logged.allows(Instant::now()) || news {
             warn!(problem = %failure, failures = self.failures, held = self.revision, "discovery failed; the list stays as it is");
         }
     }
--- a/src/proxy/downstream/accept.rs
+++ b/src/proxy/downstream/accept.rs
@@ -47,7 +47,7 @@
     pub async fn failed(&mut self, error: &io::Error) {
         self.in_a_row = self.in_a_row.saturating_add(1);
         self.failures += 1;
-        if self.logged.speaks(Instant::now()) {
+        if self.logged.allows(Instant::now()) {
             warn!(%error, failures = self.failures, "accept failed");
         }
         let of_one = Errno::from_io_error(error).is_some_and(|errno| OF_ONE_CONNECTION.contains(&errno));
--- a/src/proxy/downstream/request.rs
+++ b/src/proxy/downstream/request.rs
@@ -139,7 +139,7 @@
         let forward = |work| {
             let (method, uri, headers) = (head.method.clone(), uri.clone(), headers.clone());
             ForwardedRequest {
-                work,
+                claim: work,
                 ..ForwardedRequest::new(method, uri, headers, RequestPayload::Buffered(whole.clone()))
             }
         };
--- a/src/proxy/downstream/request_head.rs
+++ b/src/proxy/downstream/request_head.rs
@@ -2,7 +2,7 @@
 
 use crate::decision::{Arrival, CustomerId, Idempotency, Micros};
 use crate::proxy::downstream::server::{ProxyContext, RequestError};
-use crate::proxy::upstream::forwarded_request::BUDGET;
+use crate::proxy::upstream::forwarded_request::BUDGET_MS;
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{Method, StatusCode};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -34,7 +34,7 @@
         let plan = named("x-plan").and_then(|plan| front.plans.get(plan));
         let plan = plan.ok_or_else(|| bad("X-Plan: expected a known plan\n"))?;
         let customer = query.and_then(customer).ok_or_else(|| bad("customer: expected 16 hex digits\n"))?;
-        let budget = text(BUDGET).and_then(|v| v.parse::<u64>().ok());
+        let budget = text(BUDGET_MS).and_then(|v| v.parse::<u64>().ok());
         let budget = budget.ok_or_else(|| bad("X-Budget-Ms: expected whole milliseconds\n"))?;
         let (units, spread, first) = named("x-quota")
             .and_then(quota)
--- a/src/proxy/downstream/server.rs
+++ b/src/proxy/downstream/server.rs
@@ -7,11 +7,12 @@
 use crate::proxy::downstream::close::{end_after_answer, ended_by_client};
 use crate::proxy::downstream::idle_connections::{IdleConnections, OpenRequestGuard, SWEEP_EVERY};
 use crate::proxy::downstream::request::take;
-use crate::proxy::downstream::response_body::{ResponseBody, ResponseBodyError};
+use crate::proxy::downstream::response_body::ResponseBody;
 use crate::proxy::lifecycle::drain::{self, Duty};
 use crate::proxy::lifecycle::permits::Share;
 use crate::proxy::memory_budget::MemoryBudget;
 use crate::proxy::runtime::{duration, Clock, Inbox};
+use crate::proxy::upstream::streamed_response::ResponseBodyError;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Frame, Incoming, SizeHint};
@@ -214,7 +215,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
         let next = Pin::new(&mut self.giving).poll_frame(cx);
         // Until its last byte is passed on, a long answer may yet fail.
-        if matches!(&self.giving, ResponseBody::Streamed(download) if download.is_whole()) {
+        if matches!(&self.giving, ResponseBody::Streamed(download) if download.is_complete()) {
             self.ticket.iter_mut().for_each(|ticket| ticket.set_result(RequestResult::Served));
         }
         next
--- a/src/proxy/memory_budget.rs
+++ b/src/proxy/memory_budget.rs
@@ -4,62 +4,51 @@
 use crate::proxy::lifecycle::permits::Share;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// Of the machine's memory, what buffers of connections may take in all, and what messages that are kept whole
-/// may; the rest is for the program and what it remembers.
-const BUFFERS: f64 = 0.375;
-const WHOLE: f64 = 0.1875;
-/// A connection's buffer is at least so long, as the protocol machine wants, and at the most as long as a head
-/// may be.
-const LEAST_BUFFER: usize = 8 * 1024;
-const MOST_BUFFER: usize = 32 * 1024;
-/// Messages are counted in pieces of this many bytes.
-const PIECE: usize = 1024;
+/// The part of the machine's memory that buffers of connections may take in all. What neither this nor
+/// `MESSAGES_FRACTION` takes is for the program and its state.
+const BUFFERS_FRACTION: f64 = 0.375;
+/// The part that buffered messages may take in all.
+const MESSAGES_FRACTION: f64 = 0.1875;
+/// A transfer holds up to three buffers: read, in transit, to be written.
+const BUFFERS_PER_CONNECTION: usize = 3;
+/// The shortest buffer of a connection, in bytes, as hyper requires.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
+/// The longest buffer of a connection, in bytes: as long as a head may be.
+const MAX_BUFFER_BYTES: usize = 32 * 1024;
+/// Messages are accounted for in units of this many bytes.
+const PERMIT_BYTES: usize = 1024;
 
 /// The budget.
 pub struct MemoryBudget {
-    whole: Share,
-    buffer: usize,
+    messages: Share,
+    buffer_bytes: usize,
 }
 
 impl MemoryBudget {
-    /// What a machine with so much memory has for so many connections.
+    /// What a machine with so much memory, in millions of bytes, has for so many connections.
     pub fn new(megabytes: f64, sockets: SocketLimits) -> MemoryBudget {
         let bytes = megabytes.clamp(1.0, 1e6) * 1e6;
-        // A transfer holds up to three buffers: read, on the way, to be written.
-        let buffers = 3 * (sockets.clients + sockets.backends);
-        let buffer = ((bytes * BUFFERS) as usize / buffers).clamp(LEAST_BUFFER, MOST_BUFFER);
-        MemoryBudget { whole: Share::new((bytes * WHOLE) as usize / PIECE), buffer }
+        let buffers = BUFFERS_PER_CONNECTION * (sockets.clients + sockets.backends);
+        let buffer_bytes = (bytes * BUFFERS_FRACTION) as usize / buffers;
+        let permits = (bytes * MESSAGES_FRACTION) as usize / PERMIT_BYTES;
+        MemoryBudget {
+            messages: Share::new(permits),
+            buffer_bytes: buffer_bytes.clamp(MIN_BUFFER_BYTES, MAX_BUFFER_BYTES),
+        }
     }
 
-    /// How long a connection's buffer may grow.
+    /// How long a connection's buffer may grow, in bytes.
     pub fn buffer(&self) -> usize {
-        self.buffer
+        self.buffer_bytes
     }
 
-    /// Room to keep a message of so many bytes whole, if there is any.
+    /// Reserves memory for a buffered message of so many bytes. None: there is not enough left.
     pub fn hold(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
-        self.whole.try_take_many(bytes.div_ceil(PIECE))
+        self.messages.try_take_many(bytes.div_ceil(PERMIT_BYTES))
     }
 
     /// Leaves so many quarters to the other process of this gateway.
     pub fn leave(&self, quarters: usize) {
-        self.whole.leave(self.whole.all() * quarters / 4);
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_kept_whole_stays_within_its_part() {
-        let sockets = SocketLimits { clients: 64, backends: 32, counter: 4 };
-        let memory = MemoryBudget::new(16.0, sockets);
-        let held: Vec<_> = std::iter::from_fn(|| memory.hold(64 * 1024)).collect();
-        assert!((30..=47).contains(&held.len()), "{}", held.len());
-        drop(held);
-        assert!(memory.hold(64 * 1024).is_some());
-        let buffers = 3 * memory.buffer() * (sockets.clients + sockets.backends);
-        assert!(buffers <= 8_000_000, "{buffers}");
+        self.messages.leave(self.messages.all() * quarters / 4);
     }
 }
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -19,12 +19,15 @@
 use crate::proxy::control_plane::config::{Config, ConfigError};
 use crate::proxy::control_plane::counter::{Counted, Counter, Order};
 use crate::proxy::control_plane::discovery::{Member, MemberList, Phase};
-use crate::proxy::downstream::response_body::{ResponseBody, UpstreamResponseBody};
+use crate::proxy::downstream::response_body::ResponseBody;
 use crate::proxy::lifecycle::drain::Duty;
 use crate::proxy::lifecycle::handover::{Will, Word};
 use crate::proxy::memory_budget::MemoryBudget;
-use crate::proxy::upstream::backend::{AttemptResult, Backend, ConnectionPool};
+use crate::proxy::upstream::attempt::AttemptResult;
+use crate::proxy::upstream::backend::Backend;
 use crate::proxy::upstream::forwarded_request::ForwardedRequest;
+use crate::proxy::upstream::pool::ConnectionPool;
+use crate::proxy::upstream::response::UpstreamResponseBody;
 use crate::site_settings::Site;
 use http_body_util::Full;
 use std::cell::Cell;
@@ -300,8 +303,8 @@
             }
             Input::Ended(id, attempt, server, ended, took) => {
                 let Some(open) = self.requests.get_mut(&id) else { return };
-                let unsent = ended.unsent;
-                debug!(request = id.0, attempt, outcome = ?ended.outcome, ?unsent, took_us = took.0, "attempt ends");
+                let not_sent = ended.not_sent;
+                debug!(request = id.0, attempt, outcome = ?ended.outcome, ?not_sent, took_us = took.0, "attempt ends");
                 self.figures.attempt_outcomes.increment(ended.outcome);
                 // The first 200 is the client's at once and ends the request; the module hears of it.
                 let judged = open.judged.filter(|_| ended.body.is_some() && open.reply.is_some());
@@ -320,13 +323,15 @@
                 match ended.body.and_then(|body| Some((body, open.take_reply()?))) {
                     Some((UpstreamResponseBody::Streamed(mut download), reply)) => {
                         let inbox = self.inbox.clone();
-                        download.tells(move |whole| tell(&inbox, Input::Passed(id, attempt, server, whole)));
+                        download.on_end(move |whole| tell(&inbox, Input::Passed(id, attempt, server, whole)));
                         self.batch.push(Event::ResponseStarted { request: id, attempt, elapsed: took });
                         let _ = reply.send(Answer::Served(ResponseBody::Streamed(download)));
                         return;
                     }
                     Some((UpstreamResponseBody::Buffered(bytes, room), reply)) => {
-                        open.forward.work.iter().for_each(|work| work.answered(&bytes));
+                        if let Some(claim) = &open.forward.claim {
+                            claim.complete(&bytes);
+                        }
                         let _ = reply.send(Answer::Served(ResponseBody::Buffered(Full::new(bytes), room)));
                     }
                     None => {}
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -92,22 +92,30 @@
         let (pool, forward, inbox) = (self.pool.clone(), open.forward.clone(), self.inbox.clone());
         let (until, clock, arms) = (self.clock.instant(until), self.clock, self.arms.clone());
         // Before its request can be answered: whoever asks then has to hear of it.
-        forward.tries.iter().for_each(|tries| tries.begins());
+        if let Some(tracker) = &forward.tracker {
+            tracker.attempt_started();
+        }
         tokio::task::spawn_local(async move {
-            let ended = match &forward.work {
-                Some(work) if !work.before_send(server.0).await => pool.unsent(NotSentReason::NotOwner),
+            let ended = match &forward.claim {
+                Some(claim) if !claim.record_attempt(server.0).await => {
+                    pool.not_sent(NotSentReason::NotOwner)
+                }
                 _ => pool.attempt(&backend, &forward, until, called_off).await,
             };
-            forward.work.iter().for_each(|work| work.ended(server.0, ended.outcome));
-            forward.tries.iter().for_each(|tries| tries.ended(ended.outcome));
+            if let Some(claim) = &forward.claim {
+                claim.attempt_ended(server.0, ended.outcome);
+            }
+            if let Some(tracker) = &forward.tracker {
+                tracker.attempt_ended(ended.outcome);
+            }
             match ended.outcome {
                 Outcome::Success | Outcome::ServerError | Outcome::Rejected => arms.saw(true),
                 Outcome::ConnectFailed | Outcome::Timeout => arms.saw(false),
                 Outcome::ConnectionReset | Outcome::Cancelled | Outcome::NotSent => {}
             }
             // An upload's time begins with its last byte.
-            let since = ended.whole_at.map_or(now, |at| clock.at(at).max(now));
-            let took = ended.begun_at.map_or(clock.now(), |at| clock.at(at)) - since;
+            let since = ended.request_sent_at.map_or(now, |at| clock.at(at).max(now));
+            let took = ended.response_started_at.map_or(clock.now(), |at| clock.at(at)) - since;
             // The driver outlives every attempt but for the exit of the process.
             let _ = inbox.send(Input::Ended(id, attempt, server, ended, took)).await;
         });
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -1,5 +1,5 @@
-//! One HTTP/1.1 connection to a backend, the counter or discovery. It never sends anything by itself: a call
-//! is written once, and the caller learns whether any of it was.
+//! One HTTP/1.1 connection to a backend, the counter or discovery. It never retries by itself: a call is written once, and
+//! the caller learns how much of it was, which decides whether it may have run.
 
 use crate::proxy::downstream::request_body::{BodyProgress, OutboundBody};
 use crate::proxy::tcp_io;
@@ -20,72 +20,75 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The longest body that is kept whole.
+/// The longest body that is buffered, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
 
-/// Why a call has no answer.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+/// Why a call has no response.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// It was not written to its end: the other side never had it whole.
+    /// It was not written to its end: the other side never had all of it, and did not run it.
+    #[error("the call was not written to its end")]
     NotSent,
-    /// The same, and not for the other side's fault: the client did not bring its body to an end.
-    Cut,
-    /// It broke after it was written, at least in part: it may have had its effect.
+    /// The same, and not for the other side's fault: the client did not send its body to the end.
+    #[error("the client did not send the call's body to its end")]
+    RequestBodyAborted,
+    /// The connection broke after the call was written, or may have been: it may have run.
+    #[error("the connection broke after the call was written")]
     Broken,
 }
 
-/// How far the present call is written.
+/// How much of the present call is written.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Written {
+enum WriteState {
     Nothing,
     Part,
-    Whole,
+    Complete,
 }
 
 /// A socket that remembers how much of a call was written to it.
-struct Metered {
+struct MeteredStream {
     stream: TcpStream,
-    written: Rc<Cell<Written>>,
-    /// How much of the present call's body is in the protocol machine's buffer.
+    written: Rc<Cell<WriteState>>,
+    /// How much of the present call's body hyper has taken.
     progress: Rc<RefCell<Rc<Cell<BodyProgress>>>>,
 }
 
-impl Metered {
-    fn note(&self, done: &Poll<io::Result<usize>>) {
-        if self.written.get() == Written::Nothing && matches!(done, Poll::Ready(Ok(n)) if *n > 0) {
-            self.written.set(Written::Part);
+impl MeteredStream {
+    fn note_write(&self, result: &Poll<io::Result<usize>>) {
+        if self.written.get() == WriteState::Nothing && matches!(result, Poll::Ready(Ok(n)) if *n > 0) {
+            self.written.set(WriteState::Part);
         }
     }
 }
 
-impl AsyncRead for Metered {
+impl AsyncRead for MeteredStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         tcp_io::poll_read(&self.stream, cx, buf).map_ok(drop)
     }
 }
 
-impl AsyncWrite for Metered {
+impl AsyncWrite for MeteredStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let done = tcp_io::poll_write(&self.stream, cx, buf);
-        self.note(&done);
-        done
+        let result = tcp_io::poll_write(&self.stream, cx, buf);
+        self.note_write(&result);
+        result
     }
     fn poll_write_vectored(
         self: Pin<&mut Self>,
         cx: &mut Context,
         bufs: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
-        let done = tcp_io::poll_write_vectored(&self.stream, cx, bufs);
-        self.note(&done);
-        done
+        let result = tcp_io::poll_write_vectored(&self.stream, cx, bufs);
+        self.note_write(&result);
+        result
     }
     fn is_write_vectored(&self) -> bool {
         self.stream.is_write_vectored()
     }
-    /// The protocol machine flushes the socket when its own buffer is empty.
+    /// hyper flushes the socket when its own buffer is empty: then all that it has taken of the call is written.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        if self.written.get() == Written::Part && self.progress.borrow().get() == BodyProgress::Ended {
-            self.written.set(Written::Whole);
+        if self.written.get() == WriteState::Part && self.progress.borrow().get() == BodyProgress::Ended {
+            self.written.set(WriteState::Complete);
         }
         Pin::new(&mut self.stream).poll_flush(cx)
     }
@@ -94,33 +97,37 @@
     }
 }
 
-/// A connection and its protocol machine. Dropping it closes the socket at once, whatever is under way.
+/// A connection and hyper's state machine for it. Dropping it closes the socket at once, whatever is in flight.
 pub struct Connection {
     sender: http1::SendRequest<OutboundBody>,
-    machine: Pin<Box<http1::Connection<TokioIo<Metered>, OutboundBody>>>,
-    written: Rc<Cell<Written>>,
+    state_machine: Pin<Box<http1::Connection<TokioIo<MeteredStream>, OutboundBody>>>,
+    written: Rc<Cell<WriteState>>,
     progress: Rc<RefCell<Rc<Cell<BodyProgress>>>>,
     closed: bool,
-    /// When it was last given back unused.
+    /// When it was opened, or last given back to its pool.
     pub idle_since: Instant,
 }
 
 impl Connection {
     /// Connects, with a buffer of at most so many bytes. The caller bounds the time.
+    ///
+    /// # Errors
+    ///
+    /// What the system says of the connection.
     pub async fn open(address: SocketAddr, buffer: usize) -> io::Result<Connection> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let written = Rc::new(Cell::new(Written::Nothing));
+        let written = Rc::new(Cell::new(WriteState::Nothing));
         let progress = Rc::new(RefCell::default());
-        let metered = Metered { stream, written: written.clone(), progress: progress.clone() };
-        let (sender, machine) = http1::Builder::new()
+        let metered = MeteredStream { stream, written: written.clone(), progress: progress.clone() };
+        let (sender, state_machine) = http1::Builder::new()
             .max_buf_size(buffer)
             .handshake(TokioIo::new(metered))
             .await
             .map_err(io::Error::other)?;
         Ok(Connection {
             sender,
-            machine: Box::pin(machine),
+            state_machine: Box::pin(state_machine),
             written,
             progress,
             closed: false,
@@ -128,28 +135,28 @@
         })
     }
 
-    /// Whether it can carry another call, as far as the socket has told.
+    /// Whether it can carry another call, as far as is known here.
     pub fn is_usable(&mut self) -> bool {
-        self.turn(&mut Context::from_waker(Waker::noop()));
+        self.poll_io(&mut Context::from_waker(Waker::noop()));
         !self.closed && self.sender.is_ready()
     }
 
-    /// Whether the other side has ended it.
+    /// Whether the other side has closed it.
     pub fn is_closed(&self) -> bool {
         self.closed
     }
 
     /// Reads and writes what can be.
-    pub fn turn(&mut self, cx: &mut Context) {
-        // A finished machine must not be polled again.
-        self.closed = self.closed || self.machine.as_mut().poll(cx).is_ready();
+    pub fn poll_io(&mut self, cx: &mut Context) {
+        // A finished state machine must not be polled again.
+        self.closed = self.closed || self.state_machine.as_mut().poll(cx).is_ready();
     }
 
-    /// Polls a future with the machine that feeds it; gives up when the machine stops first.
+    /// Polls a future together with the state machine that feeds it. None: the connection ended first.
     pub async fn drive<T>(&mut self, future: impl Future<Output = T>) -> Option<T> {
         let mut future = pin!(future);
         std::future::poll_fn(|cx| {
-            self.turn(cx);
+            self.poll_io(cx);
             match future.as_mut().poll(cx) {
                 Poll::Ready(value) => Poll::Ready(Some(value)),
                 Poll::Pending if self.closed => Poll::Ready(None),
@@ -159,34 +166,50 @@
         .await
     }
 
-    /// Makes one call and reads the head of its answer; `whole` hears when all of the call was written. After
-    /// an error the connection is of no further use.
+    /// Makes one call and reads the head of its response; `on_sent` is called when the last byte of the call was
+    /// written. After an error the connection is of no further use.
+    ///
+    /// # Errors
+    ///
+    /// How much of the call was written when the connection ended.
     pub async fn begin(
         &mut self,
         request: Request<OutboundBody>,
-        whole: impl FnOnce(),
+        on_sent: impl FnOnce(),
     ) -> Result<Response<Incoming>, CallError> {
-        self.written.set(Written::Nothing);
+        self.written.set(WriteState::Nothing);
         *self.progress.borrow_mut() = request.body().progress();
-        let (written, mut whole) = (self.written.clone(), Some(whole));
+        let written = self.written.clone();
+        let mut on_sent = Some(on_sent);
         let mut sending = pin!(self.sender.try_send_request(request));
-        // Polled after the machine, so that it sees what was just written.
+        // Polled after the state machine, so that it sees what was just written.
         let sending = std::future::poll_fn(|cx| {
-            if written.get() == Written::Whole {
-                whole.take().into_iter().for_each(|whole| whole());
+            if written.get() == WriteState::Complete {
+                if let Some(on_sent) = on_sent.take() {
+                    on_sent();
+                }
             }
             sending.as_mut().poll(cx)
         });
         let head = self.drive(sending).await.and_then(Result::ok);
-        head.ok_or(match (self.written.get(), self.progress.borrow().get()) {
-            (Written::Nothing | Written::Part, BodyProgress::Broken) => CallError::Cut,
-            // Nobody begins with half a body.
-            (Written::Nothing, _) | (Written::Part, BodyProgress::Coming) => CallError::NotSent,
+        head.ok_or_else(|| self.call_error())
+    }
+
+    /// What it means for the present call that the connection ended.
+    fn call_error(&self) -> CallError {
+        match (self.written.get(), self.progress.borrow().get()) {
+            (WriteState::Nothing | WriteState::Part, BodyProgress::Broken) => CallError::RequestBodyAborted,
+            // No server runs a request of which it has half the body.
+            (WriteState::Nothing, _) | (WriteState::Part, BodyProgress::Coming) => CallError::NotSent,
             _ => CallError::Broken,
-        })
+        }
     }
 
-    /// Makes one call and reads the whole answer.
+    /// Makes one call and reads its response to the end.
+    ///
+    /// # Errors
+    ///
+    /// As `begin`; `Broken` also where the response is longer than `MAX_BODY`.
     pub async fn call(&mut self, request: Request<OutboundBody>) -> Result<Response<Bytes>, CallError> {
         let (head, body) = self.begin(request, || {}).await?.into_parts();
         let body = self.drive(Limited::new(body, MAX_BODY).collect()).await;
--- /dev/null
+++ b/src/proxy/upstream/load_report.rs
@@ -0,0 +1,36 @@
+//! The load report that a backend sends with its responses, a wire form: `X-Load-Report: TEXT name=number, name=number`.
+
+use crate::decision::LoadReport;
+use crate::site_settings::note;
+use hyper::header::{HeaderMap, HeaderName};
+
+const LOAD_REPORT: HeaderName = HeaderName::from_static("x-load-report");
+
+/// A load report as far as it could be read.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub struct ParsedLoadReport {
+    /// What it says.
+    pub report: LoadReport,
+    /// Part of it makes no sense and was ignored.
+    pub malformed: bool,
+}
+
+/// Reads the load report in a response's headers; what makes no sense is ignored. Without the header there is nothing to
+/// report.
+pub fn parse(headers: &HeaderMap) -> ParsedLoadReport {
+    let mut parsed = ParsedLoadReport::default();
+    let Some(header) = headers.get(LOAD_REPORT) else { return parsed };
+    let Some(text) = header.to_str().ok().and_then(|text| text.strip_prefix("TEXT ")) else {
+        parsed.malformed = true;
+        return parsed;
+    };
+    for pair in text.split(',') {
+        match pair.trim().split_once('=').map(|(name, value)| (name, value.parse::<f64>())) {
+            Some((name, Ok(value))) if value.is_finite() && value >= 0.0 => {
+                note(&mut parsed.report, name, value);
+            }
+            _ => parsed.malformed = true,
+        }
+    }
+    parsed
+}
--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -5,8 +5,10 @@
 use quota_gateway::decision::Outcome;
 use quota_gateway::proxy::control_plane::config::SocketLimits;
 use quota_gateway::proxy::memory_budget::MemoryBudget;
-use quota_gateway::proxy::upstream::backend::{AttemptResult, Backend, ConnectionPool};
+use quota_gateway::proxy::upstream::attempt::AttemptResult;
+use quota_gateway::proxy::upstream::backend::Backend;
 use quota_gateway::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
+use quota_gateway::proxy::upstream::pool::ConnectionPool;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -152,8 +154,8 @@
     on_runtime(async {
         // Nothing says how long it is, and no more comes: it has begun all the same.
         let ended = attempt(&pool, &backend, LONG).await;
-        let begun = ended.begun_at.expect("it has begun");
+        let begun = ended.response_started_at.expect("it has begun");
         assert_eq!(ended.outcome, Outcome::Success);
-        assert!(ended.whole_at.is_some_and(|whole| whole <= begun) && begun < Instant::now());
+        assert!(ended.request_sent_at.is_some_and(|whole| whole <= begun) && begun < Instant::now());
     });
 }
