--- a/src/decision/gateway.rs
+++ b/src/decision/gateway.rs
@@ -166,7 +166,6 @@
             }
             Event::RequestBodyEnded { request: id, deadline } => self.on_body_ended(id, deadline),
             Event::ClientDisconnected { request: id } => self.finish(id, None),
-            Event::EndpointProbed { .. } => {}
             Event::CounterReplied { key: name, outcome, total } => self.on_counted(name, outcome, total),
             Event::AttemptEnded(end) => self.on_attempt(end),
             Event::MaintenanceChanged { endpoint: server, in_maintenance: out } => {
@@ -394,10 +393,13 @@
         self.line_up();
     }
 
-    /// How many servers are listed, and how many of them are avoided: taken out by hand, draining or ejected.
-    pub fn fleet(&self, now: Micros) -> (usize, usize) {
+    /// How many endpoints are listed, and how many of them are excluded.
+    pub fn endpoint_counts(&self, now: Micros) -> EndpointCounts {
         let listed = || self.servers.values().filter(|s| s.listed.is_some());
-        (listed().count(), listed().filter(|s| !s.in_service() || now < s.ejected_until).count())
+        EndpointCounts {
+            known: listed().count(),
+            excluded: listed().filter(|s| !s.in_service() || now < s.ejected_until).count(),
+        }
     }
 
     /// The other process of this gateway is gone. An elder that is alone again after all starts with empty
--- a/src/proxy/admin/call.rs
+++ b/src/proxy/admin/call.rs
@@ -7,8 +7,8 @@
 use super::rollout_calls::{self, KnownNames, RolloutCall};
 use super::stats;
 use crate::proxy::cluster_transport::ClusterTransport;
-use crate::proxy::lifecycle::drain::Duty;
-use crate::proxy::runtime::{Control, Orders};
+use crate::proxy::lifecycle::drain::Lifecycle;
+use crate::proxy::runtime::{AdminCommand, AdminSender};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use std::rc::Rc;
@@ -23,11 +23,11 @@
 /// What the calls need.
 pub struct AdminContext {
     /// Commands to the runtime, which wait behind no request.
-    pub orders: Orders,
+    pub orders: AdminSender,
     /// The counters of this process.
     pub figures: Rc<Metrics>,
     /// Whether the gateway serves, drains or ends.
-    pub duty: Rc<Duty>,
+    pub duty: Rc<Lifecycle>,
     /// The cluster, where the gateway is part of one.
     pub peers: Option<Rc<ClusterTransport>>,
     /// The names that routing rules may use.
@@ -119,7 +119,7 @@
         AdminCall::Readiness => readiness(context),
         AdminCall::SetDraining(draining) => {
             info!(draining, "an operator sets draining");
-            context.duty.drain(draining);
+            context.duty.set_draining(draining);
             AdminReply::done()
         }
         AdminCall::Stats => stats_reply(context).await,
@@ -136,14 +136,14 @@
 }
 
 fn readiness(context: &AdminContext) -> AdminReply {
-    match context.duty.ready() {
+    match context.duty.is_ready() {
         true => AdminReply::text(StatusCode::OK, "ready\n"),
         false => AdminReply::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
     }
 }
 
 async fn stats_reply(context: &AdminContext) -> AdminReply {
-    let Some(endpoints) = ask_runtime(context, Control::Fleet).await else {
+    let Some(endpoints) = ask_runtime(context, AdminCommand::CountEndpoints).await else {
         return AdminReply::runtime_timeout();
     };
     let mut text = stats::process_lines(&context.figures, endpoints);
@@ -161,7 +161,7 @@
 }
 
 async fn set_maintenance(endpoint: String, in_maintenance: bool, context: &AdminContext) -> AdminReply {
-    let command = |done| Control::Maintain { id: endpoint, out: in_maintenance, relayed: false, done };
+    let command = |reply| AdminCommand::SetMaintenance { endpoint, in_maintenance, relayed: false, reply };
     match ask_runtime(context, command).await {
         Some(true) => AdminReply::done(),
         Some(false) => AdminReply::text(StatusCode::NOT_FOUND, "no such backend\n"),
@@ -172,7 +172,7 @@
 /// Sends a command to the runtime, which answers between two turns. None: it did not within `RUNTIME_TIMEOUT`.
 async fn ask_runtime<T>(
     context: &AdminContext,
-    command: impl FnOnce(oneshot::Sender<T>) -> Control,
+    command: impl FnOnce(oneshot::Sender<T>) -> AdminCommand,
 ) -> Option<T> {
     let (reply, answer) = oneshot::channel();
     let asking = async {
--- a/src/proxy/admin/metrics.rs
+++ b/src/proxy/admin/metrics.rs
@@ -22,15 +22,6 @@
     Failed,
 }
 
-/// How many endpoints there are.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct EndpointCounts {
-    /// Endpoints in the list.
-    pub known: usize,
-    /// Those of them that get no requests now.
-    pub excluded: usize,
-}
-
 /// Why an attempt was not written to its backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, IntoStaticStr, VariantArray)]
 pub enum NotSentReason {
--- a/src/proxy/admin/stats.rs
+++ b/src/proxy/admin/stats.rs
@@ -2,8 +2,9 @@
 //!
 //! One line a figure, `edge_node.KEY=VALUE`, each value a whole number. Dashboards read the keys: they never change.
 
-use super::metrics::{ClassMetrics, CounterSet, DiscoveryMetrics, EndpointCounts, Metrics};
+use super::metrics::{ClassMetrics, CounterSet, DiscoveryMetrics, Metrics};
 use crate::cluster::{Agreement, ClusterReport, MemberState, ViewReport};
+use crate::decision::EndpointCounts;
 use crate::proxy::cluster_transport::stats::{
     ClusterStats, LedgerStats, RolloutStats, StorageStats, WriteQueueStats,
 };
@@ -112,13 +113,12 @@
 }
 
 fn view_lines(lines: &mut StatsText, view: &ViewReport) {
-    let (holding, heard, _) = view.holding;
     lines.line("view.number", view.number);
-    lines.line("view.holding", holding as u64);
-    lines.line("view.heard", heard as u64);
+    lines.line("view.holding", view.support.stating as u64);
+    lines.line("view.heard", view.support.heard as u64);
     lines.flag("view.agreed", view.agreement == Agreement::Agreed);
     lines.line("share.for_ms", view.share_for_ms);
-    lines.line("share.away", view.away.len() as u64);
+    lines.line("share.away", view.free_seats.len() as u64);
 }
 
 fn ledger_lines(lines: &mut StatsText, ledger: &LedgerStats) {
@@ -173,13 +173,13 @@
 
 fn traffic_lines(lines: &mut StatsText, stats: &ClusterStats) {
     let report = &stats.report;
-    lines.line("rivals", report.rivals.len() as u64);
+    lines.line("rivals", report.duplicate_names.len() as u64);
     lines.line("health", u64::from(report.health));
-    lines.line("late", report.late.0);
-    lines.line("heard", report.heard.0);
-    lines.line("sent", report.sent.0);
+    lines.line("late", report.late_calls.count);
+    lines.line("heard", report.received.datagrams);
+    lines.line("sent", report.sent.datagrams);
     lines.line("unsent", stats.datagrams_not_sent);
-    for (reason, count) in &report.strangers {
+    for (reason, count) in &report.dropped {
         lines.line(&format!("strangers.{reason}"), *count);
     }
 }
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -22,9 +22,9 @@
     ClusterNode, Effect, Event, Micros, QuotaShares, LEDGER_TICK_INTERVAL, MAX_DATAGRAM_BYTES, TICK_INTERVAL,
 };
 use crate::decision::QuotaLease;
-use crate::proxy::control_plane::config::FleetConfig;
-use crate::proxy::lifecycle::drain::{Duty, End};
-use crate::proxy::runtime::{tell, Clock, Inbox, Input};
+use crate::proxy::control_plane::config::ClusterConfig;
+use crate::proxy::lifecycle::drain::{Lifecycle, ShutdownPhase};
+use crate::proxy::runtime::{send_event, Clock, RuntimeEvent, RuntimeSender};
 use disk::{Disk, Word};
 use ledger_claim::ClaimProgress;
 use outcome_recorder::OutcomeRecorder;
@@ -50,10 +50,10 @@
 
 /// The gateway's place in its fleet.
 pub struct ClusterTransport {
-    config: FleetConfig,
+    config: ClusterConfig,
     clock: Clock,
-    duty: Rc<Duty>,
-    inbox: Inbox,
+    duty: Rc<Lifecycle>,
+    inbox: RuntimeSender,
     fleet: RefCell<Option<ClusterNode>>,
     /// Datagrams that the kernel did not take.
     unsent: Cell<u64>,
@@ -79,10 +79,10 @@
 impl ClusterTransport {
     /// For a gateway whose configuration names a fleet.
     pub fn new(
-        config: FleetConfig,
+        config: ClusterConfig,
         clock: Clock,
-        duty: Rc<Duty>,
-        inbox: Inbox,
+        duty: Rc<Lifecycle>,
+        inbox: RuntimeSender,
         arms: Rc<OutcomeRecorder>,
         (writes, orphans): (mpsc::Sender<QueuedWrite>, mpsc::Sender<Orphan>),
     ) -> Rc<ClusterTransport> {
@@ -123,7 +123,7 @@
         mut opened: Option<UdpSocket>,
         mut elsewhere: watch::Receiver<BTreeMap<String, SocketAddr>>,
     ) {
-        let mut duty = self.duty.changes();
+        let mut duty = self.duty.subscribe();
         loop {
             if duty.wait_for(|s| s.serving && !s.replaced).await.is_err() {
                 return;
@@ -165,26 +165,28 @@
         let unix = Micros(unix.as_micros().min(u128::from(u64::MAX)) as u64);
         let settings = crate::cluster::Settings {
             peers: elsewhere.borrow_and_update().clone(),
-            disk: self.config.dir.as_ref().map(|_| disk::machine()),
+            disk: self.config.storage_dir.as_ref().map(|_| disk::machine()),
             ..self.config.settings.clone()
         };
         match ClusterNode::new(settings, self.clock.now(), unix, fastrand::u64(..)) {
             Ok(fleet) => {
                 info!(name = %fleet.own().name, incarnation = fleet.own().incarnation, "joining the fleet");
                 let in_force = fleet.in_force().filter(|f| !f.old.0.is_empty());
-                in_force.into_iter().for_each(|f| tell(&self.inbox, Input::Routing(Box::new(f))));
+                in_force
+                    .into_iter()
+                    .for_each(|f| send_event(&self.inbox, RuntimeEvent::RoutingChanged(Box::new(f))));
                 *self.fleet.borrow_mut() = Some(fleet);
                 self.era.set(self.era.get() + 1);
             }
             // Read and checked at the start.
             Err(error) => return warn!(%error, "no fleet"),
         }
-        let mut words = self.config.dir.as_ref().map(|folder| {
+        let mut words = self.config.storage_dir.as_ref().map(|folder| {
             let (disk, words) = Disk::open(folder);
             *self.disk.borrow_mut() = Some(disk);
             words
         });
-        let (mut duty, mut leaving) = (self.duty.changes(), false);
+        let (mut duty, mut leaving) = (self.duty.subscribe(), false);
         let (mut wake, mut refill, mut budget) = (Instant::now(), Instant::now(), BUDGET);
         let (mut strangers, mut told) = (0, Instant::now());
         let mut beat = self.keeps_ledger().then(Instant::now);
@@ -216,7 +218,7 @@
             if state.replaced {
                 return;
             }
-            if state.end >= End::Stopping && !std::mem::replace(&mut leaving, true) {
+            if state.shutdown >= ShutdownPhase::Stopping && !std::mem::replace(&mut leaving, true) {
                 self.give(Event::Leave);
             }
             tokio::select! {
@@ -265,18 +267,22 @@
                         self.give(Event::StorageFailed);
                     }
                 }
-                Effect::QuotaSharesChanged(QuotaShares { until, free_seats }) if self.config.lend > 0.0 => {
-                    tell(
+                Effect::QuotaSharesChanged(QuotaShares { until, free_seats })
+                    if self.config.lendable_part > 0.0 =>
+                {
+                    send_event(
                         &self.inbox,
-                        Input::Lent(QuotaLease {
-                            fraction: self.config.lend,
+                        RuntimeEvent::QuotaLeaseChanged(QuotaLease {
+                            fraction: self.config.lendable_part,
                             valid_until: until,
                             absent_gateways: free_seats,
                         }),
                     );
                 }
                 Effect::QuotaSharesChanged(_) => {}
-                Effect::RoutingChanged(in_force) => tell(&self.inbox, Input::Routing(in_force)),
+                Effect::RoutingChanged(in_force) => {
+                    send_event(&self.inbox, RuntimeEvent::RoutingChanged(in_force))
+                }
                 Effect::WriteQueue(errand) => self.run_errand(errand),
                 // Where there is no room it is offered again, here or elsewhere.
                 Effect::RequestAbandoned(orphan) => drop(self.orphans.try_send(orphan)),
@@ -297,10 +303,10 @@
 
     fn tell_strangers(&self, before: &mut u64) {
         let fleet = self.fleet.borrow();
-        let Some(strangers) = fleet.as_ref().map(|f| &f.traffic().strangers) else { return };
+        let Some(strangers) = fleet.as_ref().map(|f| &f.traffic().dropped) else { return };
         let all = strangers.values().sum();
         if all > *before {
-            let why: Vec<String> = strangers.iter().map(|(s, n)| format!("{} {n}", s.name())).collect();
+            let why: Vec<String> = strangers.iter().map(|(s, n)| format!("{} {n}", s.key())).collect();
             warn!(since_last = all - *before, all = why.join(", "), "datagrams of strangers dropped");
         }
         *before = all;
--- a/src/proxy/cluster_transport/write_queue_sender.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -11,7 +11,7 @@
 use crate::proxy::downstream::request::carried;
 use crate::proxy::downstream::request_head::RequestHead;
 use crate::proxy::downstream::server::ProxyContext;
-use crate::proxy::runtime::Answer;
+use crate::proxy::runtime::FinalResponse;
 use crate::proxy::upstream::attempt_tracker::AttemptTracker;
 use crate::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
 use bytes::Bytes;
@@ -123,9 +123,11 @@
             None => Ok(carried(front, arrival, with(None)).await),
         };
         match answer {
-            Ok(Answer::Served(_)) => return Fate::Answered(200),
+            Ok(FinalResponse::Served(_)) => return Fate::Answered(200),
             // Whether trying again is harmless for a client that comes at once says nothing of later.
-            Ok(Answer::Refused(_) | Answer::Failed) if !tries.may_have_run(CALLED_OFF).await => {
+            Ok(FinalResponse::Rejected { .. } | FinalResponse::Failed)
+                if !tries.may_have_run(CALLED_OFF).await =>
+            {
                 return Fate::Refused
             }
             Ok(_) => {}
--- a/src/proxy/downstream/request.rs
+++ b/src/proxy/downstream/request.rs
@@ -11,9 +11,9 @@
 use crate::proxy::downstream::request_head::RequestHead;
 use crate::proxy::downstream::response_body::ResponseBody;
 use crate::proxy::downstream::server::{giving, plain, Body, ProxyContext, RequestError, WRITES};
-use crate::proxy::lifecycle::drain;
+use crate::proxy::lifecycle::drain::ShutdownPhase;
 use crate::proxy::memory_budget::MemoryBudget;
-use crate::proxy::runtime::{tell, Answer, Inbox, Input, Taken};
+use crate::proxy::runtime::{send_event, FinalResponse, NewRequest, RuntimeEvent, RuntimeSender};
 use crate::proxy::upstream::connection::MAX_BODY;
 use crate::proxy::upstream::forwarded_request::{strip_hop_by_hop, ForwardedRequest, RequestPayload};
 use bytes::Bytes;
@@ -26,7 +26,7 @@
 
 /// Tells the driver that the client is gone, unless it was answered.
 struct Watch<'a> {
-    inbox: &'a Inbox,
+    inbox: &'a RuntimeSender,
     id: RequestId,
     answered: bool,
 }
@@ -36,7 +36,7 @@
         if self.answered {
             return;
         }
-        tell(self.inbox, Input::Gone(self.id));
+        send_event(self.inbox, RuntimeEvent::ClientDisconnected(self.id));
     }
 }
 
@@ -154,11 +154,14 @@
     let forward = ForwardedRequest::new(head.method, uri, headers, body);
     let (reply, mut answer) = oneshot::channel();
     let (class, upload) = (asked.arrival.class, arrived.is_some());
-    let taken =
-        Taken { arrival: Arrival { id, deadline, streaming_body: upload, ..asked.arrival }, forward, reply };
-    let (mut watch, mut state) = (Watch { inbox: &front.inbox, id, answered: false }, front.duty.changes());
+    let taken = NewRequest {
+        arrival: Arrival { id, deadline, streaming_body: upload, ..asked.arrival },
+        forward,
+        reply,
+    };
+    let (mut watch, mut state) = (Watch { inbox: &front.inbox, id, answered: false }, front.duty.subscribe());
     // Without a driver the answer's sender is gone with the request.
-    let _ = front.inbox.send(Input::Taken(Box::new(taken))).await;
+    let _ = front.inbox.send(RuntimeEvent::RequestReceived(Box::new(taken))).await;
     let answer = loop {
         let arriving = async {
             match &mut arrived {
@@ -170,7 +173,7 @@
             biased;
             answer = &mut answer => {
                 watch.answered = true;
-                break answer.unwrap_or(Answer::Failed);
+                break answer.unwrap_or(FinalResponse::Failed);
             }
             how = arriving => {
                 arrived = None;
@@ -178,7 +181,7 @@
                     Ok(RequestBodyResult::Whole) => {
                         ticket = Some(front.figures.request_received(class));
                         let deadline = front.clock.now() + asked.budget;
-                        let _ = front.inbox.send(Input::Uploaded(id, deadline)).await;
+                        let _ = front.inbox.send(RuntimeEvent::RequestBodyEnded { request: id, deadline }).await;
                     }
                     Ok(RequestBodyResult::Broken(error)) => return Err(error.into()),
                     Ok(RequestBodyResult::Left(rest)) => drop(tokio::task::spawn_local(rest.drain())),
@@ -186,7 +189,7 @@
                 }
             }
             // To the driver it is as if the client had left.
-            _ = state.wait_for(|state| state.end == drain::End::Ending) => break Answer::Failed,
+            _ = state.wait_for(|state| state.shutdown == ShutdownPhase::Final) => break FinalResponse::Failed,
         }
     };
     // A client that is answered early may still finish its body, and then reads the answer.
@@ -197,27 +200,27 @@
 }
 
 /// Takes a request that is whole through the driver to its answer.
-pub async fn carried(front: &ProxyContext, arrival: Arrival, forward: ForwardedRequest) -> Answer {
+pub async fn carried(front: &ProxyContext, arrival: Arrival, forward: ForwardedRequest) -> FinalResponse {
     let id = RequestId(front.last.replace(front.last.get() + 1) + 1);
     let (reply, answer) = oneshot::channel();
-    let taken = Taken { arrival: Arrival { id, ..arrival }, forward, reply };
-    let (mut watch, mut state) = (Watch { inbox: &front.inbox, id, answered: false }, front.duty.changes());
+    let taken = NewRequest { arrival: Arrival { id, ..arrival }, forward, reply };
+    let (mut watch, mut state) = (Watch { inbox: &front.inbox, id, answered: false }, front.duty.subscribe());
     // Without a driver the answer's sender is gone with the request.
-    let _ = front.inbox.send(Input::Taken(Box::new(taken))).await;
+    let _ = front.inbox.send(RuntimeEvent::RequestReceived(Box::new(taken))).await;
     tokio::select! {
         biased;
         answer = answer => {
             watch.answered = true;
-            answer.unwrap_or(Answer::Failed)
+            answer.unwrap_or(FinalResponse::Failed)
         }
-        _ = state.wait_for(|state| state.end == drain::End::Ending) => Answer::Failed,
+        _ = state.wait_for(|state| state.shutdown == ShutdownPhase::Final) => FinalResponse::Failed,
     }
 }
 
 /// The answer as its client gets it.
-fn answered(answer: Answer, mut ticket: InFlightRequest) -> Response<Body> {
+fn answered(answer: FinalResponse, mut ticket: InFlightRequest) -> Response<Body> {
     let mut response = match answer {
-        Answer::Served(body) => {
+        FinalResponse::Served(body) => {
             // A long answer is served once its last byte is passed on.
             ticket.set_result(if matches!(body, ResponseBody::Buffered(..)) {
                 RequestResult::Served
@@ -226,14 +229,14 @@
             });
             giving(StatusCode::OK, body)
         }
-        Answer::Refused(wait) => {
+        FinalResponse::Rejected { retry_after: wait } => {
             ticket.set_result(RequestResult::Rejected);
             let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "refused\n");
             let wait = wait.and_then(|w| HeaderValue::from_str(&format!("{:.3}", w.secs())).ok());
             wait.into_iter().for_each(|w| drop(response.headers_mut().insert(header::RETRY_AFTER, w)));
             response
         }
-        Answer::Failed => {
+        FinalResponse::Failed => {
             ticket.set_result(RequestResult::Failed);
             plain(StatusCode::BAD_GATEWAY, "failed\n")
         }
--- a/src/proxy/memory_budget.rs
+++ b/src/proxy/memory_budget.rs
@@ -1,7 +1,7 @@
 //! One budget of memory over all connections.
 
 use crate::proxy::control_plane::config::SocketLimits;
-use crate::proxy::lifecycle::permits::Share;
+use crate::proxy::lifecycle::permits::Permits;
 use tokio::sync::OwnedSemaphorePermit;
 
 /// The part of the machine's memory that buffers of connections may take in all. What neither this nor
@@ -20,7 +20,7 @@
 
 /// The budget.
 pub struct MemoryBudget {
-    messages: Share,
+    messages: Permits,
     buffer_bytes: usize,
 }
 
@@ -32,7 +32,7 @@
         let buffer_bytes = (bytes * BUFFERS_FRACTION) as usize / buffers;
         let permits = (bytes * MESSAGES_FRACTION) as usize / PERMIT_BYTES;
         MemoryBudget {
-            messages: Share::new(permits),
+            messages: Permits::new(permits),
             buffer_bytes: buffer_bytes.clamp(MIN_BUFFER_BYTES, MAX_BUFFER_BYTES),
         }
     }
@@ -44,11 +44,11 @@
 
     /// Reserves memory for a buffered message of so many bytes. None: there is not enough left.
     pub fn hold(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
-        self.messages.try_take_many(bytes.div_ceil(PERMIT_BYTES))
+        self.messages.try_acquire_many(bytes.div_ceil(PERMIT_BYTES))
     }
 
     /// Leaves so many quarters to the other process of this gateway.
     pub fn leave(&self, quarters: usize) {
-        self.messages.leave(self.messages.all() * quarters / 4);
+        self.messages.reserve_for_other_process(self.messages.total() * quarters / 4);
     }
 }
--- a/src/proxy/upstream/pool.rs
+++ b/src/proxy/upstream/pool.rs
@@ -2,7 +2,7 @@
 
 use super::connection::Connection;
 use crate::proxy::admin::metrics::Metrics;
-use crate::proxy::lifecycle::permits::Share;
+use crate::proxy::lifecycle::permits::Permits;
 use crate::proxy::log_rate_limit::LogRateLimiter;
 use crate::proxy::memory_budget::MemoryBudget;
 use std::cell::{Cell, RefCell};
@@ -19,7 +19,7 @@
 /// The connections to all backends.
 pub struct ConnectionPool {
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
-    permits: Share,
+    permits: Permits,
     pub(super) connect_timeout: Duration,
     /// How long a connection may be idle and be used again: `max_idle`, less where connections broke earlier.
     idle_limit: Cell<Duration>,
@@ -43,7 +43,7 @@
         let max_idle = backend_idle_timeout / 2;
         ConnectionPool {
             idle: RefCell::default(),
-            permits: Share::new(connections),
+            permits: Permits::new(connections),
             connect_timeout,
             idle_limit: Cell::new(max_idle),
             max_idle,
@@ -55,7 +55,7 @@
 
     /// A permit for a connection in use; idle connections make room for it. None: as many are in use as may be.
     pub(super) fn try_acquire(&self) -> Option<OwnedSemaphorePermit> {
-        let permit = self.permits.try_take()?;
+        let permit = self.permits.try_acquire()?;
         self.evict_beyond_permits();
         Some(permit)
     }
@@ -105,12 +105,12 @@
 
     /// Leaves so many quarters of the connections to the other process of this gateway.
     pub fn leave(&self, quarters: usize) {
-        self.permits.leave(self.permits.all() * quarters / 4);
+        self.permits.reserve_for_other_process(self.permits.total() * quarters / 4);
         self.evict_beyond_permits();
     }
 
     fn evict_beyond_permits(&self) {
-        while self.idle_count() > self.permits.free() {
+        while self.idle_count() > self.permits.available() {
             self.evict();
         }
     }
--- a/tests/decision_fixtures/module.rs
+++ b/tests/decision_fixtures/module.rs
@@ -66,6 +66,8 @@
             gateways.get_mut(&to).expect("it runs").take_over(read);
             return Vec::new();
         }
+        // Only the simulator's wire carries it.
+        Stimulus::Pong { .. } => return Vec::new(),
         _ => {}
     }
     let Some(gateway) = gateways.get_mut(&number) else { return Vec::new() };
@@ -174,11 +176,6 @@
             Event::RequestBodyEnded { request: RequestId(request), deadline: Micros(deadline) }
         }
         Stimulus::ClientDisconnected { request } => Event::ClientDisconnected { request: RequestId(request) },
-        Stimulus::Pong { endpoint, how, load } => Event::EndpointProbed {
-            endpoint: EndpointId(endpoint),
-            outcome: outcome_of(how),
-            load: report_of(&load),
-        },
         Stimulus::CounterReplied { key, how, total } => {
             Event::CounterReplied { key: CounterKey(key), outcome: outcome_of(how), total }
         }
@@ -188,12 +185,14 @@
         }
         Stimulus::PeerProcessExited => Event::PeerProcessExited,
         Stimulus::QuotaLease { fraction, until, absent } => Event::QuotaLeaseChanged(QuotaLease {
-            fraction: fraction,
+            fraction,
             valid_until: Micros(until),
             absent_gateways: absent,
         }),
         Stimulus::Routing { variant, share } => Event::RoutingChanged(routing_of(variant, share)),
-        Stimulus::Start | Stimulus::Stop | Stimulus::HandOver { .. } => unreachable!("no event of a gateway"),
+        Stimulus::Start | Stimulus::Stop | Stimulus::HandOver { .. } | Stimulus::Pong { .. } => {
+            unreachable!("no event of a gateway")
+        }
     }
 }
 
@@ -285,7 +284,6 @@
         }
         Action::SetTimer { timer, after } => Response::SetTimer { timer: timer.0, after: after.0 },
         Action::Subscribe => Response::Subscribe,
-        Action::ProbeEndpoint { .. } | Action::FetchEndpoints => panic!("{action:?} is never asked for"),
     }
 }
 
@@ -305,7 +303,6 @@
         }
         Action::SetTimer { timer, after } => format!("timer {} after {}", timer.0, after.0),
         Action::Subscribe => "subscribe".into(),
-        Action::ProbeEndpoint { .. } | Action::FetchEndpoints => panic!("{action:?} is never asked for"),
     }
 }
 
@@ -335,8 +332,9 @@
 /// What a gateway says of itself: endpoints known and avoided, those in maintenance, who has new rules.
 fn write_views(trace: &mut String, gateways: &BTreeMap<u32, Gateway>, now: u64) {
     for (number, gateway) in gateways {
-        let (known, avoided) = gateway.fleet(Micros(now));
-        let maintained: Vec<u64> = (0..40).filter(|e| gateway.is_out(EndpointId(*e))).collect();
+        let counts = gateway.endpoint_counts(Micros(now));
+        let (known, avoided) = (counts.known, counts.excluded);
+        let maintained: Vec<u64> = (0..40).filter(|e| gateway.is_in_maintenance(EndpointId(*e))).collect();
         let _ = writeln!(trace, "{number} knows {known} avoids {avoided} maintains {maintained:?}");
     }
     let canary = |c: &u64| has_canary_rules(&routing_of(1, 5_000), CustomerId(*c));
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -1,9 +1,7 @@
 //! The counters of a process, and their lines in `/stats`.
 
-use quota_gateway::decision::{ClassId, Outcome, RejectionReason};
-use quota_gateway::proxy::admin::metrics::{
-    ConnectionCloseReason, EndpointCounts, Metrics, NotSentReason, RequestResult,
-};
+use quota_gateway::decision::{ClassId, EndpointCounts, Outcome, RejectionReason};
+use quota_gateway::proxy::admin::metrics::{ConnectionCloseReason, Metrics, NotSentReason, RequestResult};
 use quota_gateway::proxy::admin::stats::process_lines;
 use quota_gateway::proxy::control_plane::discovery::FailureKind;
 use std::rc::Rc;
