--- a/src/proxy/cluster_transport/abandoned_requests.rs
+++ b/src/proxy/cluster_transport/abandoned_requests.rs
@@ -1,14 +1,14 @@
 //! Requests whose gateway is gone and whose clients did not come again: finished here, as far as their class allows, so
 //! that they ran and their answer is there for whoever asks later.
 
-use crate::cluster::ledger::{Finding, Orphan, RecordId};
+use crate::cluster::ledger::{Finding, Orphan};
 use crate::decision::Arrival;
-use crate::proxy::cluster_transport::ledger_request::{earlier, record_of};
+use crate::proxy::cluster_transport::ledger_request::{prior_attempts, RecordedRequest};
 use crate::proxy::cluster_transport::serialized_request;
 use crate::proxy::cluster_transport::ClusterTransport;
-use crate::proxy::downstream::request::carried;
+use crate::proxy::downstream::context::ProxyContext;
+use crate::proxy::downstream::dispatch::dispatch;
 use crate::proxy::downstream::request_head::RequestHead;
-use crate::proxy::downstream::server::ProxyContext;
 use crate::proxy::runtime::FinalResponse;
 use crate::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
 use std::rc::Rc;
@@ -64,13 +64,14 @@
     let Some((asked, forward)) = serialized_request::request(front, &orphan.request) else {
         return AbandonedOutcome::Refused;
     };
-    let (Some(key), RequestPayload::Buffered(body)) = (asked.key, &forward.body) else {
+    let (Some(key), RequestPayload::Buffered(body)) = (asked.idempotency_key, &forward.body) else {
         return AbandonedOutcome::Refused;
     };
-    let of = record_of(&asked, key, &forward, body);
-    let fits = of == (orphan.id, orphan.digest) && peers.finishes(front.class_name(asked.arrival.class));
+    let record = RecordedRequest::new(&asked, key, &forward, body);
+    let fits = (record.id, record.digest) == (orphan.id, orphan.digest)
+        && peers.finishes(front.rules.class_name(asked.arrival.class));
     match fits {
-        true => go_on(front, peers, of, &asked, &forward).await,
+        true => go_on(front, peers, &record, &asked, &forward).await,
         false => AbandonedOutcome::Refused,
     }
 }
@@ -80,13 +81,15 @@
 pub async fn go_on(
     front: &ProxyContext,
     peers: &Rc<ClusterTransport>,
-    (id, digest): (RecordId, u64),
+    record: &RecordedRequest,
     asked: &RequestHead,
     forward: &ForwardedRequest,
 ) -> AbandonedOutcome {
     for tried in 0..TRIES {
-        let Some(work) = peers.claim(id, digest, None) else { return AbandonedOutcome::Elsewhere };
-        let sent = match work.found().await {
+        let Some(work) = peers.claim(record.id, record.digest, None) else {
+            return AbandonedOutcome::Elsewhere;
+        };
+        let sent = match work.outcome().await {
             Finding::Clear { found: true, sent } => sent,
             Finding::Answered(_) => return AbandonedOutcome::Answered,
             _ => return AbandonedOutcome::Elsewhere,
@@ -95,14 +98,14 @@
         let of_before = Arrival {
             is_retry: true,
             already_counted: true,
-            prior_attempts: earlier(sent),
+            prior_attempts: prior_attempts(sent),
             ..asked.arrival.clone()
         };
         let with = ForwardedRequest { claim: Some(work.clone()), ..forward.duplicate() };
         let answer = tokio::select! {
             biased;
             () = work.lost() => return AbandonedOutcome::Elsewhere,
-            answer = carried(front, Arrival { deadline, ..of_before }, with) => answer,
+            answer = dispatch(front, Arrival { deadline, ..of_before }, with) => answer,
         };
         match answer {
             FinalResponse::Served(_) => return AbandonedOutcome::Finished,
--- a/src/proxy/cluster_transport/ledger_claim.rs
+++ b/src/proxy/cluster_transport/ledger_claim.rs
@@ -73,7 +73,7 @@
     }
 
     /// What the record says. Holders that are slow are as good as none.
-    pub async fn found(&self) -> Finding {
+    pub async fn outcome(&self) -> Finding {
         self.within(LedgerClaim::first).await.unwrap_or_else(|| {
             self.goes_alone();
             Finding::Unheld
@@ -126,7 +126,7 @@
         if self.alone.get() {
             return true;
         }
-        match self.found().await {
+        match self.outcome().await {
             Finding::Clear { .. } => {}
             Finding::Unheld => {
                 self.goes_alone();
@@ -181,7 +181,7 @@
 }
 
 /// How long a request that runs elsewhere is left alone before its record is looked at again.
-pub fn pause(times: u32, left: Micros) -> Duration {
+pub fn retry_pause(times: u32, left: Micros) -> Duration {
     const FIRST: u64 = 20_000;
     const LONGEST: u64 = 200_000;
     let usual = (FIRST << times.min(10)).min(LONGEST);
--- a/src/proxy/cluster_transport/ledger_request.rs
+++ b/src/proxy/cluster_transport/ledger_request.rs
@@ -1,98 +1,164 @@
-//! A request of which the ledger keeps a record: begun here, joined, answered from its record, or taken over.
+//! A request of which the ledger keeps a record: run here, answered from its record, awaited while another gateway runs it,
+//! or taken over from one that is gone.
 
+use super::ledger_claim::{retry_pause, LedgerClaim};
+use super::ClusterTransport;
 use crate::cluster::ledger::{Finding, RecordId};
 use crate::decision::{Arrival, EndpointId, Micros, PriorAttempt};
-use crate::proxy::cluster_transport::ledger_claim::{pause, LedgerClaim};
-use crate::proxy::cluster_transport::ClusterTransport;
-use crate::proxy::downstream::request::carried;
+use crate::proxy::downstream::context::ProxyContext;
+use crate::proxy::downstream::dispatch::dispatch;
+use crate::proxy::downstream::request_error::RequestError;
 use crate::proxy::downstream::request_head::RequestHead;
 use crate::proxy::downstream::response_body::ResponseBody;
-use crate::proxy::downstream::server::{ProxyContext, RequestError};
-use crate::proxy::runtime::FinalResponse;
+use crate::proxy::runtime::{duration, FinalResponse};
 use crate::proxy::upstream::forwarded_request::ForwardedRequest;
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::StatusCode;
 use std::rc::Rc;
 use tokio::time::sleep;
 use xxhash_rust::xxh3::Xxh3;
 
-/// The record of a request, and what stands for what its client sent.
-pub fn record_of(asked: &RequestHead, key: u64, forward: &ForwardedRequest, body: &[u8]) -> (RecordId, u64) {
-    let mut digest = Xxh3::new();
-    digest.update(forward.method.as_str().as_bytes());
-    digest.update(forward.uri.to_string().as_bytes());
-    digest.update(body);
-    (RecordId { customer: asked.arrival.customer.0, key }, digest.digest())
+/// A request as the ledger knows it.
+#[derive(Debug, Clone)]
+pub struct RecordedRequest {
+    /// Its record.
+    pub id: RecordId,
+    /// A hash of what its client sent: two requests under one key must be the same.
+    pub digest: u64,
+    /// The request itself, if it is left with the record's replicas to be finished whoever dies.
+    pub serialized: Option<Vec<u8>>,
 }
 
-/// Attempts of owners before this one, as the module is told of them.
-pub fn earlier(sent: Vec<(u64, Micros)>) -> Vec<PriorAttempt> {
-    sent.into_iter()
-        .map(|(server, sent)| PriorAttempt { endpoint: EndpointId(server), sent_at: sent })
-        .collect()
+impl RecordedRequest {
+    /// The record of a request with this idempotency key.
+    pub fn new(head: &RequestHead, key: u64, forward: &ForwardedRequest, body: &[u8]) -> RecordedRequest {
+        let mut digest = Xxh3::new();
+        digest.update(forward.method.as_str().as_bytes());
+        digest.update(forward.uri.to_string().as_bytes());
+        digest.update(body);
+        let id = RecordId { customer: head.arrival.customer.0, key };
+        RecordedRequest { id, digest: digest.digest(), serialized: None }
+    }
+}
+
+/// Attempts of earlier owners, as the decision module is told of them.
+pub fn prior_attempts(sent: Vec<(u64, Micros)>) -> Vec<PriorAttempt> {
+    let attempt = |(endpoint, sent_at)| PriorAttempt { endpoint: EndpointId(endpoint), sent_at };
+    sent.into_iter().map(attempt).collect()
 }
 
-/// Takes a request through the ledger to its answer, by its deadline. `request`: it is left with its record's holders,
-/// to be finished whoever dies.
-pub async fn recorded(
-    front: &ProxyContext,
-    peers: &Rc<ClusterTransport>,
-    ((id, digest), request): ((RecordId, u64), Option<Vec<u8>>),
+/// What a look at the record led to.
+enum Step {
+    /// The request has its response.
+    Done(FinalResponse),
+    /// The record has to be looked at again.
+    LookAgain,
+}
+
+/// Takes a request through the ledger to its final response, by its deadline.
+///
+/// # Errors
+///
+/// The idempotency key stands for another request.
+pub async fn serve_recorded<F>(
+    context: &ProxyContext,
+    cluster: &Rc<ClusterTransport>,
+    record: &RecordedRequest,
     arrival: Arrival,
-    forward: impl Fn(Option<Rc<LedgerClaim>>) -> ForwardedRequest,
-) -> Result<FinalResponse, RequestError> {
-    // Most come for the first time: they go ahead while the holders are asked.
-    let mut ahead = !arrival.is_retry;
-    let mut looks = 0;
+    forward: F,
+) -> Result<FinalResponse, RequestError>
+where
+    F: Fn(Option<Rc<LedgerClaim>>) -> ForwardedRequest,
+{
+    // Most requests come for the first time: they go ahead while the replicas are asked.
+    let mut goes_ahead = !arrival.is_retry;
+    let mut serving = RecordedServing { context, arrival, forward, looks: 0 };
     loop {
-        let Some(mut work) = peers.claim(id, digest, request.clone()) else {
-            return Ok(carried(front, arrival, forward(None)).await);
-        };
-        let begin = |work: &Rc<LedgerClaim>, earlier: Vec<PriorAttempt>, counted: bool| {
-            let arrival = Arrival { already_counted: counted, prior_attempts: earlier, ..arrival.clone() };
-            carried(front, arrival, forward(Some(work.clone())))
+        let claim = || cluster.claim(record.id, record.digest, record.serialized.clone());
+        let Some(mut work) = claim() else {
+            return Ok(serving.run_unrecorded().await);
         };
-        if std::mem::take(&mut ahead) {
-            tokio::select! {
-                biased;
-                () = work.overtaken() => {}
-                answer = begin(&work, Vec::new(), false) => return Ok(answer),
+        if std::mem::take(&mut goes_ahead) {
+            if let Step::Done(response) = serving.run_ahead(&work).await {
+                return Ok(response);
             }
-            // What went ahead is called back, and may be about to be sent under this claim: only another may write.
-            if matches!(work.found().await, Finding::Clear { .. }) {
-                let Some(other) = peers.claim(id, digest, request.clone()) else { continue };
+            // What went ahead is cancelled, and may be about to be sent under this claim: only another may write.
+            if matches!(work.outcome().await, Finding::Clear { .. }) {
+                let Some(other) = claim() else { continue };
                 work = other;
             }
         }
-        match work.found().await {
+        if let Step::Done(response) = serving.follow_record(&work).await? {
+            return Ok(response);
+        }
+    }
+}
+
+/// A request on its way through the ledger.
+struct RecordedServing<'a, F> {
+    context: &'a ProxyContext,
+    arrival: Arrival,
+    forward: F,
+    /// How often it was found running elsewhere.
+    looks: u32,
+}
+
+impl<F: Fn(Option<Rc<LedgerClaim>>) -> ForwardedRequest> RecordedServing<'_, F> {
+    async fn run_unrecorded(&self) -> FinalResponse {
+        dispatch(self.context, self.arrival.clone(), (self.forward)(None)).await
+    }
+
+    async fn run(
+        &self,
+        work: &Rc<LedgerClaim>,
+        prior_attempts: Vec<PriorAttempt>,
+        already_counted: bool,
+    ) -> FinalResponse {
+        let arrival = Arrival { already_counted, prior_attempts, ..self.arrival.clone() };
+        dispatch(self.context, arrival, (self.forward)(Some(work.clone()))).await
+    }
+
+    /// Runs the request before the record was found, unless it turns out to be another's.
+    async fn run_ahead(&self, work: &Rc<LedgerClaim>) -> Step {
+        tokio::select! {
+            biased;
+            () = work.overtaken() => Step::LookAgain,
+            response = self.run(work, Vec::new(), false) => Step::Done(response),
+        }
+    }
+
+    /// Does what the record says.
+    async fn follow_record(&mut self, work: &Rc<LedgerClaim>) -> Result<Step, RequestError> {
+        Ok(match work.outcome().await {
             Finding::Answered(body) => {
-                return Ok(FinalResponse::Served(ResponseBody::Buffered(Full::new(Bytes::from(body)), None)))
-            }
-            Finding::Mistake => {
-                let problem = "the key stands for another request\n";
-                return Err(RequestError(StatusCode::UNPROCESSABLE_ENTITY, problem));
-            }
-            Finding::Running(left) => {
-                let now = front.clock.now();
-                // As late as the module itself would say so.
-                if now + front.last_moment >= arrival.deadline {
-                    return Ok(FinalResponse::Failed);
-                }
-                let wait = pause(looks, left);
-                looks += 1;
-                sleep(wait.min(crate::proxy::runtime::duration(arrival.deadline - now - front.last_moment)))
-                    .await;
+                let body = ResponseBody::Buffered(Full::new(Bytes::from(body)), None);
+                Step::Done(FinalResponse::Served(body))
             }
-            Finding::Lost | Finding::Confirmed(_) => {}
-            Finding::Unheld => return Ok(begin(&work, Vec::new(), false).await),
+            Finding::Mistake => return Err(RequestError::IdempotencyKeyReused),
+            Finding::Running(left) => self.wait_for_owner(left).await,
+            Finding::Lost | Finding::Confirmed(_) => Step::LookAgain,
+            Finding::Unheld => Step::Done(self.run(work, Vec::new(), false).await),
             Finding::Clear { sent, found } => {
                 tokio::select! {
                     biased;
-                    () = work.lost() => {}
-                    answer = begin(&work, earlier(sent), found) => return Ok(answer),
+                    () = work.lost() => Step::LookAgain,
+                    response = self.run(work, prior_attempts(sent), found) => Step::Done(response),
                 }
             }
+        })
+    }
+
+    /// Waits while another gateway runs the request, whose lease lasts for `left`.
+    async fn wait_for_owner(&mut self, left: Micros) -> Step {
+        let now = self.context.clock.now();
+        // As late as the decision module itself would fail it.
+        if now + self.context.response_margin >= self.arrival.deadline {
+            return Step::Done(FinalResponse::Failed);
         }
+        let pause = retry_pause(self.looks, left);
+        self.looks += 1;
+        let until_deadline = duration(self.arrival.deadline - now - self.context.response_margin);
+        sleep(pause.min(until_deadline)).await;
+        Step::LookAgain
     }
 }
--- a/src/proxy/cluster_transport/serialized_request.rs
+++ b/src/proxy/cluster_transport/serialized_request.rs
@@ -1,8 +1,8 @@
 //! A request as gateways keep it for each other: what a backend is sent, and no more.
 
 use crate::decision::Micros;
+use crate::proxy::downstream::context::ProxyContext;
 use crate::proxy::downstream::request_head::RequestHead;
-use crate::proxy::downstream::server::ProxyContext;
 use crate::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue};
@@ -19,7 +19,7 @@
 }
 
 /// The bytes of a request that is whole.
-pub fn kept(method: &Method, uri: &Uri, headers: &HeaderMap, body: &Bytes) -> Option<Vec<u8>> {
+pub fn serialize(method: &Method, uri: &Uri, headers: &HeaderMap, body: &Bytes) -> Option<Vec<u8>> {
     let kept = Kept {
         method: method.to_string(),
         uri: uri.to_string(),
@@ -37,8 +37,8 @@
         headers.append(HeaderName::from_bytes(name.as_bytes()).ok()?, HeaderValue::from_bytes(value).ok()?);
     }
     let (method, uri): (Method, Uri) = (kept.method.parse().ok()?, kept.uri.parse().ok()?);
-    let mut asked = RequestHead::read(&method, uri.query(), &headers, front).ok()?;
-    asked.budget = front.longest(asked.arrival.class).max(Micros(1));
+    let mut asked = RequestHead::read(&method, uri.query(), &headers, &front.rules).ok()?;
+    asked.budget = front.rules.deadline(asked.arrival.class).max(Micros(1));
     let body = RequestPayload::Buffered(Bytes::from(kept.body));
     Some((asked, ForwardedRequest::new(method, uri, headers, body)))
 }
--- a/src/proxy/cluster_transport/write_queue_sender.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -4,13 +4,13 @@
 use crate::cluster::write_queue::{Dot, End, Fate, State, Status, Write};
 use crate::decision::Arrival;
 use crate::proxy::cluster_transport::abandoned_requests::{go_on, AbandonedOutcome};
-use crate::proxy::cluster_transport::ledger_request::{record_of, recorded};
+use crate::proxy::cluster_transport::ledger_request::{serve_recorded, RecordedRequest};
 use crate::proxy::cluster_transport::outcome_recorder::OutcomeRecorder;
 use crate::proxy::cluster_transport::serialized_request;
 use crate::proxy::cluster_transport::ClusterTransport;
-use crate::proxy::downstream::request::carried;
+use crate::proxy::downstream::context::ProxyContext;
+use crate::proxy::downstream::dispatch::dispatch;
 use crate::proxy::downstream::request_head::RequestHead;
-use crate::proxy::downstream::server::ProxyContext;
 use crate::proxy::runtime::FinalResponse;
 use crate::proxy::upstream::attempt_tracker::AttemptTracker;
 use crate::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
@@ -45,7 +45,7 @@
 
 /// Accepts a request as a write of the branch, where it is cut off or others that it comes after wait. Its name, or
 /// none where it goes its usual way.
-pub async fn accepted(
+pub async fn accept_write(
     peers: &Rc<ClusterTransport>,
     asked: &RequestHead,
     class: &str,
@@ -59,22 +59,22 @@
         return None;
     }
     // One that a gateway has in hand, or had, may have run before the line went down.
-    if let Some(key) = asked.key {
+    if let Some(key) = asked.idempotency_key {
         let id = RecordId { customer, key };
-        let found = peers.claim(id, 0, None)?.found().await;
+        let found = peers.claim(id, 0, None)?.outcome().await;
         let new = matches!(found, Finding::Clear { found: false, .. });
         if !new && (asked.arrival.is_retry || !matches!(found, Finding::Unheld)) {
             return None;
         }
     }
-    let payload = serialized_request::kept(&Method::POST, uri, headers, body)?;
-    let key = asked.key.map_or(0, |key| key ^ xxh3_64(body));
+    let payload = serialized_request::serialize(&Method::POST, uri, headers, body)?;
+    let key = asked.idempotency_key.map_or(0, |key| key ^ xxh3_64(body));
     let of = (customer, object, asked.arrival.class.0.min(usize::from(u16::MAX)) as u16, key);
     timeout(ACCEPT, peers.accept_write(of, payload)).await.ok().flatten()
 }
 
 /// What is told of a write.
-pub fn told(status: Option<Status>) -> (bool, String) {
+pub fn status_text(status: Option<Status>) -> (bool, String) {
     let words = match status {
         Some(Status::Known(State::Waiting(_))) => "waiting".to_string(),
         Some(Status::Known(State::Sent(_))) => "sent".to_string(),
@@ -108,8 +108,10 @@
     let Some((asked, forward)) = serialized_request::request(front, &order.write.payload) else {
         return Fate::Answered(400);
     };
-    let record = match (asked.key, &forward.body) {
-        (Some(key), RequestPayload::Buffered(body)) => Some(record_of(&asked, key, &forward, body)),
+    let record = match (asked.idempotency_key, &forward.body) {
+        (Some(key), RequestPayload::Buffered(body)) => {
+            Some(RecordedRequest::new(&asked, key, &forward, body))
+        }
         _ => None,
     };
     let tries = AttemptTracker::new(order.before);
@@ -118,9 +120,9 @@
         let arrival = Arrival { deadline, ..asked.arrival.clone() };
         let with =
             |work| ForwardedRequest { claim: work, tracker: Some(tries.clone()), ..forward.duplicate() };
-        let answer = match record {
-            Some(record) => recorded(front, peers, (record, None), arrival, with).await,
-            None => Ok(carried(front, arrival, with(None)).await),
+        let answer = match &record {
+            Some(record) => serve_recorded(front, peers, record, arrival, with).await,
+            None => Ok(dispatch(front, arrival, with(None)).await),
         };
         match answer {
             Ok(FinalResponse::Served(_)) => return Fate::Answered(200),
@@ -131,11 +133,11 @@
                 return Fate::Refused
             }
             Ok(_) => {}
-            Err(problem) => return Fate::Answered(problem.0.as_u16()),
+            Err(problem) => return Fate::Answered(problem.status().as_u16()),
         }
     }
     // It may have run: with a record of its attempts its class may yet allow it to be sent again.
-    match record {
+    match &record {
         Some(record) => match go_on(front, peers, record, &asked, &forward).await {
             AbandonedOutcome::Finished | AbandonedOutcome::Answered => Fate::Answered(200),
             AbandonedOutcome::Elsewhere | AbandonedOutcome::Refused => Fate::Lost,
--- a/src/proxy/downstream/accept.rs
+++ b/src/proxy/downstream/accept.rs
@@ -1,4 +1,4 @@
-//! What an accept that failed means: some errors are of one connection alone and say nothing of the next, others last for a
+//! What a failed accept means: some errors concern one connection alone and say nothing of the next, others last for a
 //! while (accept(2), "Error handling").
 
 use crate::proxy::log_rate_limit::LogRateLimiter;
@@ -9,13 +9,13 @@
 use tokio::time::{sleep, Instant};
 use tracing::warn;
 
-/// The pause where the process or the machine is short of something: an accept fails at once for as long as that lasts.
-const SHORTAGE_PAUSE: Duration = Duration::from_millis(20);
+/// The pause where the process or the machine lacks something: an accept fails at once for as long as that lasts.
+const SHORTAGE_BACKOFF: Duration = Duration::from_millis(20);
 /// After so many errors in a row of single connections, accepting pauses as well, so that it never spins.
-const MOST_AT_ONCE: u32 = 64;
+const MAX_ERRORS_IN_A_ROW: u32 = 64;
 
 /// Errors that were pending on the connection that was to be accepted, or that left nothing undone.
-const OF_ONE_CONNECTION: [Errno; 11] = [
+const CONNECTION_ERRORS: [Errno; 11] = [
     Errno::CONNABORTED,
     Errno::INTR,
     Errno::PROTO,
@@ -29,31 +29,32 @@
     Errno::TIMEDOUT,
 ];
 
-/// The accepts of one listener.
+/// The errors of one listener's accepts.
 #[derive(Default)]
 pub struct AcceptBackoff {
-    in_a_row: u32,
+    errors_in_a_row: u32,
     failures: u64,
-    logged: LogRateLimiter,
+    log_limit: LogRateLimiter,
 }
 
 impl AcceptBackoff {
     /// An accept brought a connection.
     pub fn succeeded(&mut self) {
-        self.in_a_row = 0;
+        self.errors_in_a_row = 0;
     }
 
     /// An accept failed; returns when the next may be tried.
     pub async fn failed(&mut self, error: &io::Error) {
-        self.in_a_row = self.in_a_row.saturating_add(1);
+        self.errors_in_a_row = self.errors_in_a_row.saturating_add(1);
         self.failures += 1;
-        if self.logged.allows(Instant::now()) {
+        if self.log_limit.allows(Instant::now()) {
             warn!(%error, failures = self.failures, "accept failed");
         }
-        let of_one = Errno::from_io_error(error).is_some_and(|errno| OF_ONE_CONNECTION.contains(&errno));
-        match of_one && !self.in_a_row.is_multiple_of(MOST_AT_ONCE) {
+        let of_one_connection =
+            Errno::from_io_error(error).is_some_and(|errno| CONNECTION_ERRORS.contains(&errno));
+        match of_one_connection && !self.errors_in_a_row.is_multiple_of(MAX_ERRORS_IN_A_ROW) {
             true => yield_now().await,
-            false => sleep(SHORTAGE_PAUSE).await,
+            false => sleep(SHORTAGE_BACKOFF).await,
         }
     }
 }
--- /dev/null
+++ b/src/proxy/downstream/client_response.rs
@@ -0,0 +1,107 @@
+//! Responses to clients.
+
+use super::idle_connections::OpenRequestGuard;
+use super::request_error::RequestError;
+use super::response_body::ResponseBody;
+use crate::decision::Micros;
+use crate::proxy::admin::metrics::{InFlightRequest, RequestResult};
+use crate::proxy::runtime::FinalResponse;
+use crate::proxy::upstream::streamed_response::ResponseBodyError;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::{Body, Frame, SizeHint};
+use hyper::header::{self, HeaderValue};
+use hyper::{Response, StatusCode};
+use std::pin::Pin;
+use std::task::{Context, Poll};
+
+/// The body of a response. While it lives its request is in flight and its connection is not idle.
+pub struct ClientResponseBody {
+    body: ResponseBody,
+    in_flight: Option<InFlightRequest>,
+    open_request: Option<OpenRequestGuard>,
+}
+
+impl ClientResponseBody {
+    /// Counts the request as in flight for as long as this lives.
+    pub fn count_in_flight(&mut self, request: InFlightRequest) {
+        self.in_flight = Some(request);
+    }
+
+    /// Keeps the connection from counting as idle for as long as this lives.
+    pub fn keep_open(&mut self, request: OpenRequestGuard) {
+        self.open_request = Some(request);
+    }
+}
+
+impl Body for ClientResponseBody {
+    type Data = Bytes;
+    type Error = ResponseBodyError;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
+        let next = Pin::new(&mut self.body).poll_frame(cx);
+        // Until its last byte is passed on, a streamed response may yet fail.
+        if matches!(&self.body, ResponseBody::Streamed(body) if body.is_complete()) {
+            if let Some(request) = &mut self.in_flight {
+                request.set_result(RequestResult::Served);
+            }
+        }
+        next
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.body.is_end_stream()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        self.body.size_hint()
+    }
+}
+
+/// A response of this status.
+pub fn with_body(status: StatusCode, body: ResponseBody) -> Response<ClientResponseBody> {
+    let mut response = Response::new(ClientResponseBody { body, in_flight: None, open_request: None });
+    *response.status_mut() = status;
+    response
+}
+
+/// A short response in plain text.
+pub fn plain_text(status: StatusCode, text: impl Into<Bytes>) -> Response<ClientResponseBody> {
+    with_body(status, ResponseBody::Buffered(Full::new(text.into()), None))
+}
+
+/// The response to a request that is none.
+pub fn of_error(error: RequestError) -> Response<ClientResponseBody> {
+    plain_text(error.status(), format!("{error}\n"))
+}
+
+/// The response to a request that was dispatched.
+pub fn of_final(response: FinalResponse, mut request: InFlightRequest) -> Response<ClientResponseBody> {
+    let (result, mut response) = match response {
+        FinalResponse::Served(body) => {
+            // A streamed response is served once its last byte is passed on.
+            let result = match body {
+                ResponseBody::Buffered(..) => RequestResult::Served,
+                ResponseBody::Streamed(_) => RequestResult::Failed,
+            };
+            (result, with_body(StatusCode::OK, body))
+        }
+        FinalResponse::Rejected { retry_after } => (RequestResult::Rejected, rejected(retry_after)),
+        FinalResponse::Failed => (RequestResult::Failed, plain_text(StatusCode::BAD_GATEWAY, "failed\n")),
+    };
+    request.set_result(result);
+    response.body_mut().count_in_flight(request);
+    response
+}
+
+fn rejected(retry_after: Option<Micros>) -> Response<ClientResponseBody> {
+    let mut response = plain_text(StatusCode::TOO_MANY_REQUESTS, "refused\n");
+    let seconds = retry_after.and_then(|wait| HeaderValue::from_str(&format!("{:.3}", wait.secs())).ok());
+    if let Some(seconds) = seconds {
+        response.headers_mut().insert(header::RETRY_AFTER, seconds);
+    }
+    response
+}
--- a/src/proxy/downstream/request.rs
+++ b/src/proxy/downstream/request.rs
@@ -1,246 +1,294 @@
-//! One request of a client's, from its body to its answer: on its way through the driver, and at the ledger.
+//! One request of a client's, from its head to its response. A write may be accepted by the write queue of a branch that is
+//! cut off; a request with an idempotency key goes through the ledger where one is kept; any other is dispatched at once.
 
+use super::client_response::{of_final, plain_text, ClientResponseBody};
+use super::context::ProxyContext;
+use super::dispatch::{dispatch_as, DisconnectGuard};
+use super::request_body::{
+    slowest_transfer, BodyError, RequestBodyReader, RequestBodyResult, StreamedRequestBody, MAX_REQUEST_BODY,
+};
+use super::request_error::RequestError;
+use super::request_head::RequestHead;
+use crate::cluster::write_queue::Dot;
 use crate::decision::{Arrival, Micros, RequestId};
 use crate::proxy::admin::metrics::{InFlightRequest, RequestResult};
-use crate::proxy::cluster_transport::ledger_request::{record_of, recorded};
-use crate::proxy::cluster_transport::serialized_request::kept;
-use crate::proxy::cluster_transport::write_queue_sender::accepted;
-use crate::proxy::downstream::request_body::{
-    slowest, BodyError, RequestBodyReader, RequestBodyResult, StreamedRequestBody, LONGEST,
-};
-use crate::proxy::downstream::request_head::RequestHead;
-use crate::proxy::downstream::response_body::ResponseBody;
-use crate::proxy::downstream::server::{giving, plain, Body, ProxyContext, RequestError, WRITES};
+use crate::proxy::cluster_transport::ledger_request::{serve_recorded, RecordedRequest};
+use crate::proxy::cluster_transport::serialized_request::serialize;
+use crate::proxy::cluster_transport::write_queue_sender::accept_write;
+use crate::proxy::cluster_transport::ClusterTransport;
 use crate::proxy::lifecycle::drain::ShutdownPhase;
 use crate::proxy::memory_budget::MemoryBudget;
-use crate::proxy::runtime::{send_event, FinalResponse, NewRequest, RuntimeEvent, RuntimeSender};
+use crate::proxy::runtime::{FinalResponse, NewRequest, RuntimeEvent};
 use crate::proxy::upstream::connection::MAX_BODY;
 use crate::proxy::upstream::forwarded_request::{strip_hop_by_hop, ForwardedRequest, RequestPayload};
 use bytes::Bytes;
 use hyper::body::Incoming;
-use hyper::header::{self, HeaderValue};
+use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use std::cell::RefCell;
+use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::{oneshot, OwnedSemaphorePermit};
 
-/// Tells the driver that the client is gone, unless it was answered.
-struct Watch<'a> {
-    inbox: &'a RuntimeSender,
-    id: RequestId,
-    answered: bool,
+/// Where clients ask what became of writes that a branch accepted.
+pub const WRITES_PATH: &str = "/writes/";
+
+/// A body as far as it has been read.
+enum ReceivedBody {
+    /// All of it.
+    Buffered(Bytes),
+    /// The rest is passed on as it comes.
+    Streamed(Box<StreamedRequestBody>, oneshot::Receiver<RequestBodyResult>),
 }
 
-impl Drop for Watch<'_> {
-    fn drop(&mut self) {
-        if self.answered {
-            return;
-        }
-        send_event(self.inbox, RuntimeEvent::ClientDisconnected(self.id));
-    }
+/// A body, and the memory that is reserved for what was read of it.
+struct Received {
+    body: ReceivedBody,
+    memory: Option<OwnedSemaphorePermit>,
 }
 
-impl From<BodyError> for RequestError {
-    fn from(error: BodyError) -> RequestError {
-        match error {
-            BodyError::TooLong => {
-                RequestError(StatusCode::PAYLOAD_TOO_LARGE, "the body is longer than 32 MiB\n")
-            }
-            BodyError::TooSlow => {
-                RequestError(StatusCode::REQUEST_TIMEOUT, "the body did not come in time\n")
-            }
-            BodyError::Broken => RequestError(StatusCode::BAD_REQUEST, "the body broke off\n"),
-        }
+impl Received {
+    fn streamed(read: Bytes, rest: RequestBodyReader, memory: Option<OwnedSemaphorePermit>) -> Received {
+        let (body, end) = StreamedRequestBody::new(read, rest);
+        Received { body: ReceivedBody::Streamed(Box::new(body), end), memory }
     }
 }
 
-/// Reads a short body whole, where there is room for it, and none of any other.
-async fn body(
+/// Reads a short body to its end, if there is memory for it, and nothing of any other.
+async fn receive_body(
     body: Incoming,
-    patience: Duration,
+    wait: Duration,
     memory: &MemoryBudget,
-) -> Result<(Received, Option<OwnedSemaphorePermit>), RequestError> {
-    let mut intake = RequestBodyReader::new(body, patience);
-    let announced = intake.announced();
-    if announced.is_some_and(|length| length > LONGEST) {
+) -> Result<Received, RequestError> {
+    let mut reader = RequestBodyReader::new(body, wait);
+    let length = reader.announced_length();
+    if length.is_some_and(|length| length > MAX_REQUEST_BODY) {
         return Err(BodyError::TooLong.into());
     }
-    let length = announced.unwrap_or(MAX_BODY);
-    let room = if length <= MAX_BODY { memory.hold(length) } else { None };
-    let most = if room.is_some() { MAX_BODY } else { 0 };
-    if room.is_none() && announced.is_some() {
-        let (upload, arrived) = StreamedRequestBody::new(Bytes::new(), intake);
-        return Ok((Received::Begun(Box::new(upload), arrived), None));
+    let reserved = length.unwrap_or(MAX_BODY);
+    let memory = if reserved <= MAX_BODY { memory.hold(reserved) } else { None };
+    if memory.is_none() && length.is_some() {
+        return Ok(Received::streamed(Bytes::new(), reader, None));
     }
-    let (begun, ended) = intake.gather(most).await?;
-    if ended {
-        return Ok((Received::Whole(begun), room));
+    let limit = if memory.is_some() { MAX_BODY } else { 0 };
+    let gathered = reader.gather(limit).await?;
+    if gathered.complete {
+        return Ok(Received { body: ReceivedBody::Buffered(gathered.bytes), memory });
     }
-    let (upload, arrived) = StreamedRequestBody::new(begun, intake);
-    Ok((Received::Begun(Box::new(upload), arrived), room))
+    Ok(Received::streamed(gathered.bytes, reader, memory))
 }
 
-/// A body as far as it has been read.
-enum Received {
-    Whole(Bytes),
-    Begun(Box<StreamedRequestBody>, oneshot::Receiver<RequestBodyResult>),
-}
-
-/// Takes a request and returns its answer. Beside what the length of its body allows, the client may keep the gateway
-/// waiting for the body's end for as long as `patience`.
-pub async fn take(
+/// Takes a request to its response. Beside what the length of its body allows, the client may keep the gateway waiting for
+/// the body's end for as long as `body_wait`.
+///
+/// # Errors
+///
+/// What is wrong with the request.
+pub async fn handle(
     request: Request<Incoming>,
-    patience: Duration,
-    front: &ProxyContext,
-) -> Result<Response<Body>, RequestError> {
-    let (head, incoming) = request.into_parts();
-    let asked = RequestHead::read(&head.method, head.uri.query(), &head.headers, front)?;
-    let (received, _room) = body(incoming, patience, &front.memory).await?;
-    let id = RequestId(front.last.replace(front.last.get() + 1) + 1);
-    let mut ticket = None;
+    body_wait: Duration,
+    context: &ProxyContext,
+) -> Result<Response<ClientResponseBody>, RequestError> {
+    let (parts, incoming) = request.into_parts();
+    let head = RequestHead::read(&parts.method, parts.uri.query(), &parts.headers, &context.rules)?;
+    let received = receive_body(incoming, body_wait, &context.memory).await?;
+    // Held until the response is there.
+    let _memory = received.memory;
+    let id = context.request_ids.next();
     // The request's time runs from its last byte.
-    let mut deadline = front.clock.now() + asked.budget;
-    let (body, mut arrived) = match received {
-        Received::Whole(body) if head.method == Method::GET && !body.is_empty() => {
-            return Err(RequestError(StatusCode::BAD_REQUEST, "a GET carries no body\n"));
-        }
-        Received::Whole(body) => {
-            ticket = Some(front.figures.request_received(asked.arrival.class));
-            (RequestPayload::Buffered(body), None)
-        }
-        Received::Begun(..) if head.method == Method::GET => {
-            return Err(RequestError(StatusCode::BAD_REQUEST, "a GET carries no body\n"));
-        }
-        Received::Begun(upload, arrived) => {
-            deadline = deadline + Micros(slowest(patience, LONGEST).as_micros() as u64);
-            (RequestPayload::Streamed(RefCell::new(Some(upload))), Some(arrived))
-        }
-    };
-    let mut headers = head.headers;
+    let deadline = context.clock.now() + head.budget;
+    let mut headers = parts.headers;
     strip_hop_by_hop(&mut headers);
     // A client may name the whole address; a backend is asked for the path.
-    let path = head.uri.into_parts().path_and_query;
+    let path = parts.uri.into_parts().path_and_query;
     let uri = path.map_or_else(|| Uri::from_static("/"), Uri::from);
-    if let (RequestPayload::Buffered(whole), Some(peers), true) =
-        (&body, &front.peers, head.method == Method::POST)
-    {
-        let class = front.class_name(asked.arrival.class);
-        if let Some(dot) = accepted(peers, &asked, class, &uri, &headers, whole).await {
-            let mut response = plain(StatusCode::ACCEPTED, "accepted\n");
-            let place = HeaderValue::from_str(&format!("{WRITES}{dot}")).ok();
-            place.into_iter().for_each(|at| drop(response.headers_mut().insert(header::LOCATION, at)));
-            let mut ticket = ticket.unwrap_or_else(|| front.figures.request_received(asked.arrival.class));
-            ticket.set_result(RequestResult::Served);
-            response.body_mut().ticket = Some(ticket);
-            return Ok(response);
-        }
+    let request = ClientRequest { context, id, head, method: parts.method, uri, headers, deadline };
+    match received.body {
+        ReceivedBody::Buffered(body) => request.handle_buffered(body).await,
+        ReceivedBody::Streamed(body, end) => request.handle_streamed(body, end, body_wait).await,
     }
-    if let (RequestPayload::Buffered(whole), Some(peers), Some(key)) = (&body, &front.peers, asked.key) {
-        let forward = |work| {
-            let (method, uri, headers) = (head.method.clone(), uri.clone(), headers.clone());
-            ForwardedRequest {
-                claim: work,
-                ..ForwardedRequest::new(method, uri, headers, RequestPayload::Buffered(whole.clone()))
-            }
-        };
-        let of = record_of(&asked, key, &forward(None), whole);
-        let arrival = Arrival { deadline, ..asked.arrival };
-        let class = arrival.class;
-        let wanted = peers.finishes(front.class_name(class));
-        let request = if wanted { kept(&head.method, &uri, &headers, whole) } else { None };
-        let answer = recorded(front, peers, (of, request), arrival, forward).await?;
-        return Ok(answered(answer, ticket.unwrap_or_else(|| front.figures.request_received(class))));
+}
+
+/// A request whose head is in order.
+struct ClientRequest<'a> {
+    context: &'a ProxyContext,
+    id: RequestId,
+    head: RequestHead,
+    method: Method,
+    uri: Uri,
+    headers: HeaderMap,
+    deadline: Micros,
+}
+
+impl ClientRequest<'_> {
+    fn count_in_flight(&self) -> InFlightRequest {
+        self.context.metrics.request_received(self.head.arrival.class)
     }
-    let forward = ForwardedRequest::new(head.method, uri, headers, body);
-    let (reply, mut answer) = oneshot::channel();
-    let (class, upload) = (asked.arrival.class, arrived.is_some());
-    let taken = NewRequest {
-        arrival: Arrival { id, deadline, streaming_body: upload, ..asked.arrival },
-        forward,
-        reply,
-    };
-    let (mut watch, mut state) = (Watch { inbox: &front.inbox, id, answered: false }, front.duty.subscribe());
-    // Without a driver the answer's sender is gone with the request.
-    let _ = front.inbox.send(RuntimeEvent::RequestReceived(Box::new(taken))).await;
-    let answer = loop {
-        let arriving = async {
-            match &mut arrived {
-                Some(arrived) => arrived.await,
-                None => std::future::pending().await,
+
+    async fn handle_buffered(self, body: Bytes) -> Result<Response<ClientResponseBody>, RequestError> {
+        if self.method == Method::GET && !body.is_empty() {
+            return Err(RequestError::BodyOnGet);
+        }
+        let in_flight = self.count_in_flight();
+        if let Some(cluster) = &self.context.cluster {
+            if self.method == Method::POST {
+                if let Some(write) = self.accept_write(cluster, &body).await {
+                    return Ok(accepted(write, in_flight));
+                }
             }
-        };
-        tokio::select! {
-            biased;
-            answer = &mut answer => {
-                watch.answered = true;
-                break answer.unwrap_or(FinalResponse::Failed);
+            if let Some(key) = self.head.idempotency_key {
+                let response = self.serve_recorded(cluster, key, &body).await?;
+                return Ok(of_final(response, in_flight));
             }
-            how = arriving => {
-                arrived = None;
-                match how {
-                    Ok(RequestBodyResult::Whole) => {
-                        ticket = Some(front.figures.request_received(class));
-                        let deadline = front.clock.now() + asked.budget;
-                        let _ = front.inbox.send(RuntimeEvent::RequestBodyEnded { request: id, deadline }).await;
+        }
+        let arrival = Arrival { deadline: self.deadline, ..self.head.arrival };
+        let payload = RequestPayload::Buffered(body);
+        let forward = ForwardedRequest::new(self.method, self.uri, self.headers, payload);
+        let response = dispatch_as(self.id, self.context, arrival, forward).await;
+        Ok(of_final(response, in_flight))
+    }
+
+    /// Offers a write to the write queue of a branch.
+    async fn accept_write(&self, cluster: &Rc<ClusterTransport>, body: &Bytes) -> Option<Dot> {
+        let class = self.context.rules.class_name(self.head.arrival.class);
+        accept_write(cluster, &self.head, class, &self.uri, &self.headers, body).await
+    }
+
+    /// Takes the request through the ledger.
+    async fn serve_recorded(
+        &self,
+        cluster: &Rc<ClusterTransport>,
+        key: u64,
+        body: &Bytes,
+    ) -> Result<FinalResponse, RequestError> {
+        let forward = |claim| {
+            let payload = RequestPayload::Buffered(body.clone());
+            let (method, uri, headers) = (self.method.clone(), self.uri.clone(), self.headers.clone());
+            ForwardedRequest { claim, ..ForwardedRequest::new(method, uri, headers, payload) }
+        };
+        let mut record = RecordedRequest::new(&self.head, key, &forward(None), body);
+        let arrival = Arrival { deadline: self.deadline, ..self.head.arrival.clone() };
+        if cluster.finishes(self.context.rules.class_name(arrival.class)) {
+            record.serialized = serialize(&self.method, &self.uri, &self.headers, body);
+        }
+        serve_recorded(self.context, cluster, &record, arrival, forward).await
+    }
+
+    /// Dispatches a request whose body is still coming.
+    async fn handle_streamed(
+        self,
+        body: Box<StreamedRequestBody>,
+        body_end: oneshot::Receiver<RequestBodyResult>,
+        body_wait: Duration,
+    ) -> Result<Response<ClientResponseBody>, RequestError> {
+        if self.method == Method::GET {
+            return Err(RequestError::BodyOnGet);
+        }
+        let ClientRequest { context, id, head, method, uri, headers, deadline } = self;
+        let class = head.arrival.class;
+        // Until its last byte comes: as late as the slowest client's.
+        let longest = slowest_transfer(body_wait, MAX_REQUEST_BODY);
+        let deadline = deadline + Micros(longest.as_micros() as u64);
+        let payload = RequestPayload::Streamed(RefCell::new(Some(body)));
+        let forward = ForwardedRequest::new(method, uri, headers, payload);
+        let arrival = Arrival { id, deadline, streaming_body: true, ..head.arrival };
+        let streamed = StreamedRequest { context, id, budget: head.budget, body_end: Some(body_end) };
+        let (response, in_flight) = streamed.dispatch(arrival, forward).await?;
+        let in_flight = in_flight.unwrap_or_else(|| context.metrics.request_received(class));
+        Ok(of_final(response, in_flight))
+    }
+}
+
+/// A request whose body is passed on as it comes.
+struct StreamedRequest<'a> {
+    context: &'a ProxyContext,
+    id: RequestId,
+    budget: Micros,
+    /// Until the body has ended, one way or another.
+    body_end: Option<oneshot::Receiver<RequestBodyResult>>,
+}
+
+impl StreamedRequest<'_> {
+    /// Takes the request through the runtime. It counts as in flight from its last byte.
+    async fn dispatch(
+        mut self,
+        arrival: Arrival,
+        forward: ForwardedRequest,
+    ) -> Result<(FinalResponse, Option<InFlightRequest>), RequestError> {
+        let context = self.context;
+        let class = arrival.class;
+        let mut in_flight = None;
+        let (reply, mut response) = oneshot::channel();
+        let request = NewRequest { arrival, forward, reply };
+        let mut guard = DisconnectGuard::new(&context.runtime, self.id);
+        let mut lifecycle = context.lifecycle.subscribe();
+        // Without a runtime the reply's sender is gone with the request.
+        let _ = context.runtime.send(RuntimeEvent::RequestReceived(Box::new(request))).await;
+        let response = loop {
+            tokio::select! {
+                biased;
+                response = &mut response => {
+                    guard.set_answered();
+                    break response.unwrap_or(FinalResponse::Failed);
+                }
+                end = body_end(&mut self.body_end) => {
+                    self.body_end = None;
+                    if is_complete(end)? {
+                        in_flight = Some(context.metrics.request_received(class));
+                        self.notify_body_end().await;
                     }
-                    Ok(RequestBodyResult::Broken(error)) => return Err(error.into()),
-                    Ok(RequestBodyResult::Left(rest)) => drop(tokio::task::spawn_local(rest.drain())),
-                    Err(_) => {}
+                }
+                // To the runtime it is as if the client had disconnected.
+                _ = lifecycle.wait_for(|state| state.shutdown == ShutdownPhase::Final) => {
+                    break FinalResponse::Failed;
                 }
             }
-            // To the driver it is as if the client had left.
-            _ = state.wait_for(|state| state.shutdown == ShutdownPhase::Final) => break FinalResponse::Failed,
+        };
+        // A client that is answered early may still send the rest of its body, and then reads the response.
+        if let Some(Ok(RequestBodyResult::Unread(rest))) = self.body_end.as_mut().map(|end| end.try_recv()) {
+            tokio::task::spawn_local(rest.drain());
         }
-    };
-    // A client that is answered early may still finish its body, and then reads the answer.
-    if let Some(Ok(RequestBodyResult::Left(rest))) = arrived.as_mut().map(|arrived| arrived.try_recv()) {
-        tokio::task::spawn_local(rest.drain());
+        Ok((response, in_flight))
+    }
+
+    async fn notify_body_end(&self) {
+        let deadline = self.context.clock.now() + self.budget;
+        let event = RuntimeEvent::RequestBodyEnded { request: self.id, deadline };
+        // Without a runtime the gateway ends.
+        let _ = self.context.runtime.send(event).await;
     }
-    Ok(answered(answer, ticket.unwrap_or_else(|| front.figures.request_received(class))))
 }
 
-/// Takes a request that is whole through the driver to its answer.
-pub async fn carried(front: &ProxyContext, arrival: Arrival, forward: ForwardedRequest) -> FinalResponse {
-    let id = RequestId(front.last.replace(front.last.get() + 1) + 1);
-    let (reply, answer) = oneshot::channel();
-    let taken = NewRequest { arrival: Arrival { id, ..arrival }, forward, reply };
-    let (mut watch, mut state) = (Watch { inbox: &front.inbox, id, answered: false }, front.duty.subscribe());
-    // Without a driver the answer's sender is gone with the request.
-    let _ = front.inbox.send(RuntimeEvent::RequestReceived(Box::new(taken))).await;
-    tokio::select! {
-        biased;
-        answer = answer => {
-            watch.answered = true;
-            answer.unwrap_or(FinalResponse::Failed)
-        }
-        _ = state.wait_for(|state| state.shutdown == ShutdownPhase::Final) => FinalResponse::Failed,
+/// Waits for the end of a body; for ever where it has ended.
+async fn body_end(
+    end: &mut Option<oneshot::Receiver<RequestBodyResult>>,
+) -> Result<RequestBodyResult, oneshot::error::RecvError> {
+    match end {
+        Some(end) => end.await,
+        None => std::future::pending().await,
     }
 }
 
-/// The answer as its client gets it.
-fn answered(answer: FinalResponse, mut ticket: InFlightRequest) -> Response<Body> {
-    let mut response = match answer {
-        FinalResponse::Served(body) => {
-            // A long answer is served once its last byte is passed on.
-            ticket.set_result(if matches!(body, ResponseBody::Buffered(..)) {
-                RequestResult::Served
-            } else {
-                RequestResult::Failed
-            });
-            giving(StatusCode::OK, body)
-        }
-        FinalResponse::Rejected { retry_after: wait } => {
-            ticket.set_result(RequestResult::Rejected);
-            let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "refused\n");
-            let wait = wait.and_then(|w| HeaderValue::from_str(&format!("{:.3}", w.secs())).ok());
-            wait.into_iter().for_each(|w| drop(response.headers_mut().insert(header::RETRY_AFTER, w)));
-            response
+/// Whether a body has come to its last byte. What nobody reads any more is read here and dropped.
+fn is_complete(end: Result<RequestBodyResult, oneshot::error::RecvError>) -> Result<bool, RequestError> {
+    match end {
+        Ok(RequestBodyResult::Complete) => Ok(true),
+        Ok(RequestBodyResult::Broken(error)) => Err(error.into()),
+        Ok(RequestBodyResult::Unread(rest)) => {
+            tokio::task::spawn_local(rest.drain());
+            Ok(false)
         }
-        FinalResponse::Failed => {
-            ticket.set_result(RequestResult::Failed);
-            plain(StatusCode::BAD_GATEWAY, "failed\n")
-        }
-    };
-    response.body_mut().ticket = Some(ticket);
+        Err(_) => Ok(false),
+    }
+}
+
+/// The response to a write that a branch's write queue accepted.
+fn accepted(write: Dot, mut in_flight: InFlightRequest) -> Response<ClientResponseBody> {
+    let mut response = plain_text(StatusCode::ACCEPTED, "accepted\n");
+    if let Ok(location) = HeaderValue::from_str(&format!("{WRITES_PATH}{write}")) {
+        response.headers_mut().insert(header::LOCATION, location);
+    }
+    in_flight.set_result(RequestResult::Served);
+    response.body_mut().count_in_flight(in_flight);
     response
 }
--- a/src/proxy/downstream/request_body.rs
+++ b/src/proxy/downstream/request_body.rs
@@ -1,5 +1,5 @@
-//! Bodies on their way from clients: read at a pace, kept whole while they are short, passed on as they come
-//! where they are not.
+//! Bodies of clients' requests: read at the pace that clients are promised, buffered while they are short, streamed to the
+//! backend where they are not. Also the body of an outbound call, which may be such a stream.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::Full;
@@ -14,45 +14,37 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// The longest body that a client may send.
-pub const LONGEST: usize = 32 << 20;
-/// What a byte of a body may take: 64 kB a second with a fifth to spare.
-const NANOS_A_BYTE: u64 = 19_500;
+/// The longest body that a client may send, in bytes.
+pub const MAX_REQUEST_BODY: usize = 32 << 20;
+/// How long one byte of a body may take, in nanoseconds: 64 kB a second with a fifth to spare.
+const NANOS_PER_BYTE: u64 = 19_500;
 
 /// Why a body does not come to its end.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
     /// It is longer than any may be.
+    #[error("the body is longer than {MAX_REQUEST_BODY} bytes")]
     TooLong,
     /// It comes too slowly.
+    #[error("the body comes too slowly")]
     TooSlow,
-    /// It broke off, or is no proper body.
+    /// It broke off, or is malformed.
+    #[error("the body broke off")]
     Broken,
 }
 
-impl std::fmt::Display for BodyError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(match self {
-            BodyError::TooLong => "the body is too long",
-            BodyError::TooSlow => "the body comes too slowly",
-            BodyError::Broken => "the body broke off",
-        })
-    }
-}
-impl std::error::Error for BodyError {}
-
-/// How long the slowest client takes for so many bytes, where it may keep the gateway waiting for so long besides.
-pub fn slowest(patience: Duration, bytes: usize) -> Duration {
-    patience + Duration::from_nanos(bytes as u64 * NANOS_A_BYTE)
+/// How long the slowest client takes for so many bytes, where it may keep the gateway waiting for `wait` besides.
+pub fn slowest_transfer(wait: Duration, bytes: usize) -> Duration {
+    wait + Duration::from_nanos(bytes as u64 * NANOS_PER_BYTE)
 }
 
-/// A client's body as it comes.
+/// Reads a client's body as it comes.
 pub struct RequestBodyReader {
     body: Incoming,
     received: usize,
-    /// For how long it may be waited for, beside what its bytes take.
-    patience: Duration,
-    /// For how long it was waited for, before this wait.
+    /// How long it may be waited for, beside what its bytes take.
+    wait: Duration,
+    /// How long it was waited for, before the present wait.
     waited: Duration,
     waiting_since: Option<Instant>,
     timer: Pin<Box<Sleep>>,
@@ -60,13 +52,13 @@
 
 impl RequestBodyReader {
     /// Nothing has been read.
-    pub fn new(body: Incoming, patience: Duration) -> RequestBodyReader {
+    pub fn new(body: Incoming, wait: Duration) -> RequestBodyReader {
         let (waited, timer) = (Duration::ZERO, Box::pin(sleep(Duration::ZERO)));
-        RequestBodyReader { body, received: 0, patience, waited, waiting_since: None, timer }
+        RequestBodyReader { body, received: 0, wait, waited, waiting_since: None, timer }
     }
 
-    /// How long it is, where the client has said.
-    pub fn announced(&self) -> Option<usize> {
+    /// Its length in bytes, if the client has said.
+    pub fn announced_length(&self) -> Option<usize> {
         self.body.size_hint().exact().map(|n| usize::try_from(n).unwrap_or(usize::MAX))
     }
 
@@ -75,7 +67,7 @@
         loop {
             let Poll::Ready(frame) = Pin::new(&mut self.body).poll_frame(cx) else {
                 let since = *self.waiting_since.get_or_insert_with(Instant::now);
-                let due = since + slowest(self.patience, self.received).saturating_sub(self.waited);
+                let due = since + slowest_transfer(self.wait, self.received).saturating_sub(self.waited);
                 if self.timer.deadline() != due {
                     self.timer.as_mut().reset(due);
                 }
@@ -89,7 +81,7 @@
                 return Poll::Ready(Some(Err(BodyError::Broken)));
             };
             self.received += piece.len();
-            if self.received > LONGEST {
+            if self.received > MAX_REQUEST_BODY {
                 return Poll::Ready(Some(Err(BodyError::TooLong)));
             }
             if !piece.is_empty() {
@@ -102,16 +94,20 @@
         std::future::poll_fn(|cx| self.poll_piece(cx)).await
     }
 
-    /// Reads until the end, or until there is more than `most`. Returns what came and whether it is all.
-    pub async fn gather(&mut self, most: usize) -> Result<(Bytes, bool), BodyError> {
+    /// Reads until the end, or until there is more than `limit`.
+    ///
+    /// # Errors
+    ///
+    /// The body does not come to its end.
+    pub async fn gather(&mut self, limit: usize) -> Result<GatheredBody, BodyError> {
         let mut gathered = BytesMut::new();
-        while gathered.len() <= most {
+        while gathered.len() <= limit {
             match self.piece().await {
-                None => return Ok((gathered.freeze(), true)),
+                None => return Ok(GatheredBody { bytes: gathered.freeze(), complete: true }),
                 Some(piece) => gathered.extend_from_slice(&piece?),
             }
         }
-        Ok((gathered.freeze(), false))
+        Ok(GatheredBody { bytes: gathered.freeze(), complete: false })
     }
 
     /// Reads to the end and keeps nothing, so that the client can read its answer.
@@ -120,6 +116,14 @@
     }
 }
 
+/// What was gathered of a body.
+pub struct GatheredBody {
+    /// What has come.
+    pub bytes: Bytes,
+    /// That is all of it.
+    pub complete: bool,
+}
+
 /// How far a body has come that is on its way to a backend.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum BodyProgress {
@@ -132,22 +136,22 @@
     Broken,
 }
 
-/// What became of a body that was passed on as it came.
+/// How a streamed body ended.
 pub enum RequestBodyResult {
     /// Its last byte has come.
-    Whole,
+    Complete,
     /// It does not come to its end.
     Broken(BodyError),
-    /// Nobody reads it any more.
-    Left(RequestBodyReader),
+    /// Its reader was dropped before.
+    Unread(RequestBodyReader),
 }
 
 /// A body that is passed on as it comes. It can be sent once.
 pub struct StreamedRequestBody {
-    begun: Option<Bytes>,
+    read: Option<Bytes>,
     rest: Option<RequestBodyReader>,
-    left: Option<usize>,
-    tell: Option<oneshot::Sender<RequestBodyResult>>,
+    remaining: Option<usize>,
+    on_end: Option<oneshot::Sender<RequestBodyResult>>,
     /// For the connection that it goes out on.
     progress: Rc<Cell<BodyProgress>>,
 }
@@ -155,32 +159,38 @@
 impl StreamedRequestBody {
     /// What has been read, and what is to come.
     pub fn new(
-        begun: Bytes,
+        read: Bytes,
         rest: RequestBodyReader,
     ) -> (StreamedRequestBody, oneshot::Receiver<RequestBodyResult>) {
-        let (tell, told) = oneshot::channel();
+        let (on_end, end) = oneshot::channel();
         // What has not been read yet, as far as the client has said.
-        let left = rest.announced().map(|n| n + begun.len());
-        let begun = Some(begun).filter(|b| !b.is_empty());
+        let remaining = rest.announced_length().map(|n| n + read.len());
+        let read = Some(read).filter(|b| !b.is_empty());
         (
-            StreamedRequestBody { begun, rest: Some(rest), left, tell: Some(tell), progress: Rc::default() },
-            told,
+            StreamedRequestBody {
+                read,
+                rest: Some(rest),
+                remaining,
+                on_end: Some(on_end),
+                progress: Rc::default(),
+            },
+            end,
         )
     }
 
-    fn over(&mut self, how: RequestBodyResult) {
-        if let Some(tell) = self.tell.take() {
-            // Who asked may have had its answer.
-            let _ = tell.send(how);
+    fn end(&mut self, end: RequestBodyResult) {
+        if let Some(on_end) = self.on_end.take() {
+            // The request may have its response already.
+            let _ = on_end.send(end);
         }
     }
 
     fn passed(&mut self, piece: &Bytes) {
-        self.left = self.left.map(|left| left.saturating_sub(piece.len()));
-        if self.left == Some(0) {
+        self.remaining = self.remaining.map(|remaining| remaining.saturating_sub(piece.len()));
+        if self.remaining == Some(0) {
             self.progress.set(BodyProgress::Ended);
             self.rest = None;
-            self.over(RequestBodyResult::Whole);
+            self.end(RequestBodyResult::Complete);
         }
     }
 }
@@ -188,7 +198,7 @@
 impl Drop for StreamedRequestBody {
     fn drop(&mut self) {
         if let Some(rest) = self.rest.take() {
-            self.over(RequestBodyResult::Left(rest));
+            self.end(RequestBodyResult::Unread(rest));
         }
     }
 }
@@ -211,7 +221,7 @@
     pub fn progress(&self) -> Rc<Cell<BodyProgress>> {
         match self {
             OutboundBody::Buffered(_) => Rc::new(Cell::new(BodyProgress::Ended)),
-            OutboundBody::Streamed(upload) => upload.progress.clone(),
+            OutboundBody::Streamed(streamed) => streamed.progress.clone(),
         }
     }
 }
@@ -221,33 +231,33 @@
     type Error = BodyError;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        let upload = match self.get_mut() {
-            OutboundBody::Buffered(whole) => {
+        let streamed = match self.get_mut() {
+            OutboundBody::Buffered(body) => {
                 let never = |e: Infallible| match e {};
-                return Pin::new(whole).poll_frame(cx).map(|f| f.map(|f| f.map_err(never)));
+                return Pin::new(body).poll_frame(cx).map(|f| f.map(|f| f.map_err(never)));
             }
-            OutboundBody::Streamed(upload) => upload,
+            OutboundBody::Streamed(streamed) => streamed,
         };
-        let piece = match (upload.begun.take(), &mut upload.rest) {
-            (Some(begun), _) => Some(Ok(begun)),
+        let piece = match (streamed.read.take(), &mut streamed.rest) {
+            (Some(read), _) => Some(Ok(read)),
             (None, Some(rest)) => ready!(rest.poll_piece(cx)),
             (None, None) => None,
         };
         Poll::Ready(match piece {
             Some(Ok(piece)) => {
-                upload.passed(&piece);
+                streamed.passed(&piece);
                 Some(Ok(Frame::data(piece)))
             }
             Some(Err(error)) => {
-                upload.progress.set(BodyProgress::Broken);
-                upload.rest = None;
-                upload.over(RequestBodyResult::Broken(error));
+                streamed.progress.set(BodyProgress::Broken);
+                streamed.rest = None;
+                streamed.end(RequestBodyResult::Broken(error));
                 Some(Err(error))
             }
             None => {
-                upload.progress.set(BodyProgress::Ended);
-                upload.rest = None;
-                upload.over(RequestBodyResult::Whole);
+                streamed.progress.set(BodyProgress::Ended);
+                streamed.rest = None;
+                streamed.end(RequestBodyResult::Complete);
                 None
             }
         })
@@ -255,16 +265,16 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            OutboundBody::Buffered(whole) => whole.is_end_stream(),
-            OutboundBody::Streamed(upload) => upload.begun.is_none() && upload.rest.is_none(),
+            OutboundBody::Buffered(body) => body.is_end_stream(),
+            OutboundBody::Streamed(streamed) => streamed.read.is_none() && streamed.rest.is_none(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            OutboundBody::Buffered(whole) => whole.size_hint(),
-            OutboundBody::Streamed(upload) => {
-                upload.left.map_or_else(SizeHint::default, |left| SizeHint::with_exact(left as u64))
+            OutboundBody::Buffered(body) => body.size_hint(),
+            OutboundBody::Streamed(streamed) => {
+                streamed.remaining.map_or_else(SizeHint::default, |n| SizeHint::with_exact(n as u64))
             }
         }
     }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -15,13 +15,13 @@
 use cluster_transport::outcome_recorder::OutcomeRecorder;
 use cluster_transport::ClusterTransport;
 use control_plane::config::{Config, ConfigError, ServiceAddresses};
-use downstream::server::ProxyContext;
+use downstream::context::{ProxyContext, RequestIds};
+use downstream::request_head::{ClassRules, RequestRules};
 use lifecycle::drain::{Lifecycle, ShutdownPhase};
 use lifecycle::handover::Succession;
 use lifecycle::permits::Permits;
 use memory_budget::MemoryBudget;
 use runtime::{Clock, Runtime, RuntimeEvent, RuntimeSender};
-use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -108,18 +108,26 @@
     let figures = Rc::new(Metrics::new(names.into_iter().map(|(name, _)| name.clone())));
     let (listen, ops, sockets) = (config.listen, config.ops, config.sockets);
     let (accept_fd, folder) = (config.accept_fd, config.folder.clone());
-    let classes = config.site.classes.iter().map(|(name, &i)| {
+    let class_rules = |(name, &i): (&String, &usize)| {
         let class = &config.site.settings.classes[i];
-        (name.clone(), (crate::decision::ClassId(i), class.idempotency, class.deadline))
-    });
-    let classes = classes.collect();
-    let plans =
-        config.site.plans.iter().map(|(name, &i)| (name.clone(), crate::decision::PlanId(i))).collect();
+        let id = crate::decision::ClassId(i);
+        (name.clone(), ClassRules { id, idempotency: class.idempotency, deadline: class.deadline })
+    };
+    let rules = RequestRules {
+        classes: config.site.classes.iter().map(class_rules).collect(),
+        plans: config
+            .site
+            .plans
+            .iter()
+            .map(|(name, &i)| (name.clone(), crate::decision::PlanId(i)))
+            .collect(),
+        gateways: config.site.settings.gateways,
+        max_units: config.site.settings.max_request_units,
+    };
     let tick = config.site.settings.tick;
     let pace = control_plane::discovery::PollTiming::of(&config.site.settings);
     let known = config.known_revision();
     let last_moment = tick + tick;
-    let (gateways, most_units) = (config.site.settings.gateways, config.site.settings.max_request_units);
     let names = admin::rollout_calls::KnownNames {
         classes: config.site.classes.keys().cloned().collect(),
         plans: config.site.plans.keys().cloned().collect(),
@@ -193,7 +201,6 @@
     });
     tokio::task::spawn_local(follow(services, known, pace, inbox.clone(), figures.clone()));
     let driving = tokio::task::spawn_local(driver.run());
-    let last = Cell::new(0);
     let places = Rc::new(Permits::new(sockets.clients));
     let (elsewhere, left) = watch::channel(0);
     // Only an inherited socket can be shared with the process that takes this one's place.
@@ -203,22 +210,19 @@
         Rc::new(Succession::new(folder, address, orders, duty.clone(), held, elsewhere))
     });
     let front = ProxyContext {
-        inbox,
+        runtime: inbox,
         clock,
-        duty: duty.clone(),
-        figures,
-        places,
+        lifecycle: duty.clone(),
+        metrics: figures,
+        permits: places,
         memory,
-        classes,
-        plans,
-        gateways,
-        most_units,
-        last,
-        last_moment,
-        peers: peers.filter(|peers| peers.keeps_ledger()),
+        rules,
+        request_ids: RequestIds::default(),
+        response_margin: last_moment,
+        cluster: peers.filter(|peers| peers.keeps_ledger()),
     };
     let front = Rc::new(front);
-    if let Some(peers) = front.peers.clone().filter(|_| of_branch) {
+    if let Some(peers) = front.cluster.clone().filter(|_| of_branch) {
         tokio::task::spawn_local(cluster_transport::write_queue_sender::send_on(
             front.clone(),
             peers,
@@ -227,7 +231,7 @@
         looks.watch();
         tokio::task::spawn_local(cluster_transport::write_queue_sender::look_outside(looks));
     }
-    if let Some(peers) = front.peers.clone().filter(|_| finishes) {
+    if let Some(peers) = front.cluster.clone().filter(|_| finishes) {
         tokio::task::spawn_local(cluster_transport::abandoned_requests::finish_all(
             front.clone(),
             peers,
