--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -4,7 +4,7 @@
 //! keys keep the names that operators' tools read.
 
 use crate::cluster::datagram::DatagramError;
-use crate::cluster::ledger::Tallies;
+use crate::cluster::ledger::ClaimCounts;
 use crate::cluster::membership::duplicate_name::DuplicateName;
 use crate::cluster::membership::members::{MemberRecord, MemberState};
 use crate::cluster::quota_lease::agreement::Agreement;
@@ -172,7 +172,7 @@
     /// The view and the shares, where the settings name the seats.
     pub view: Option<ViewReport>,
     /// How claims at the ledger ended, where one is kept.
-    pub ledger: Option<Tallies>,
+    pub ledger: Option<ClaimCounts>,
     /// Gateways that take part, this one among them.
     pub present: usize,
     /// Datagrams that were taken.
@@ -214,7 +214,7 @@
             view: self.quota_leases.as_ref().map(|leases| {
                 ViewReport::new(leases.status(self.now, own_incarnation, self.swim.records()), self.now)
             }),
-            ledger: self.desk.as_ref().map(|desk| desk.tallies.clone()),
+            ledger: self.ledger.as_ref().map(|ledger| ledger.counts.clone()),
             present: self.present(),
             received: TrafficVolume { datagrams: traffic.received, bytes: traffic.received_bytes },
             sent: TrafficVolume { datagrams: traffic.sent, bytes: traffic.sent_bytes },
--- a/src/proxy/admin/rollout_calls.rs
+++ b/src/proxy/admin/rollout_calls.rs
@@ -1,8 +1,8 @@
 //! The operators' calls for rollouts of routing rules, `/rollout`.
 
 use super::reply::{changing, is_reading, AdminCallError, AdminReply};
-use crate::cluster::rollout::{Rules, Start};
-use crate::cluster::Taken;
+use crate::cluster::rollout::{RolloutRequest, RuleSet};
+use crate::cluster::CommandResult;
 use crate::decision::SettingsError;
 use crate::proxy::cluster_transport::rollouts::{RolloutCommand, RolloutStartError};
 use crate::proxy::cluster_transport::ClusterTransport;
@@ -74,7 +74,7 @@
     /// # Errors
     ///
     /// The first name that is unknown, in the order of the rules.
-    pub fn check(&self, rules: &Rules) -> Result<(), UnknownName> {
+    pub fn check(&self, rules: &RuleSet) -> Result<(), UnknownName> {
         for rule in &rules.0 {
             check_name("class", rule.class.as_ref(), &self.classes)?;
             check_name("plan", rule.plan.as_ref(), &self.plans)?;
@@ -171,7 +171,7 @@
     };
     let body: Bytes = body.to_bytes();
     let text = std::str::from_utf8(&body).map_err(|_| StartError::NotText)?;
-    let start = Start::parse(text)?;
+    let start = RolloutRequest::parse(text)?;
     names.check(&start.rules)?;
     match timeout(START_TIMEOUT, cluster.start_rollout(start)).await {
         Ok(started) => {
@@ -182,10 +182,12 @@
     }
 }
 
-fn command_reply(taken: Taken) -> AdminReply {
+fn command_reply(taken: CommandResult) -> AdminReply {
     match taken {
-        Taken::Done => AdminReply::done(),
-        Taken::Conflict => AdminReply::text(StatusCode::CONFLICT, "not while this is so; look at /rollout\n"),
-        Taken::Off => AdminReply::text(StatusCode::NOT_FOUND, "no rollouts here\n"),
+        CommandResult::Done => AdminReply::done(),
+        CommandResult::Conflict => {
+            AdminReply::text(StatusCode::CONFLICT, "not while this is so; look at /rollout\n")
+        }
+        CommandResult::Disabled => AdminReply::text(StatusCode::NOT_FOUND, "no rollouts here\n"),
     }
 }
--- a/src/proxy/admin/stats.rs
+++ b/src/proxy/admin/stats.rs
@@ -3,6 +3,7 @@
 //! One line a figure, `edge_node.KEY=VALUE`, each value a whole number. Dashboards read the keys: they never change.
 
 use super::metrics::{ClassMetrics, CounterSet, DiscoveryMetrics, Metrics};
+use crate::cluster::rollout::RolloutState;
 use crate::cluster::{Agreement, ClusterReport, MemberState, ViewReport};
 use crate::decision::EndpointCounts;
 use crate::proxy::cluster_transport::stats::{
@@ -126,21 +127,21 @@
     lines.line("ledger.records", ledger.records as u64);
     lines.line("ledger.open", ledger.open_claims as u64);
     lines.line("ledger.claims", ledger.claims.claims);
-    lines.line("ledger.clear", ledger.claims.clear);
+    lines.line("ledger.clear", ledger.claims.acquired);
     lines.line("ledger.taken_over", ledger.claims.taken_over);
-    lines.line("ledger.running", ledger.claims.running);
-    lines.line("ledger.answered", ledger.claims.answered);
-    lines.line("ledger.mistakes", ledger.claims.mistakes);
-    lines.line("ledger.unheld", ledger.claims.unheld);
+    lines.line("ledger.running", ledger.claims.in_progress);
+    lines.line("ledger.answered", ledger.claims.completed);
+    lines.line("ledger.mistakes", ledger.claims.key_reused);
+    lines.line("ledger.unheld", ledger.claims.unavailable);
     lines.line("ledger.lost", ledger.claims.lost);
     lines.line("ledger.unprotected", ledger.claims.unprotected);
-    lines.line("ledger.orphans", ledger.claims.orphans);
+    lines.line("ledger.orphans", ledger.claims.abandoned);
     lines.line("ledger.finished", ledger.finished);
     lines.line("ledger.not_finished", ledger.not_finished);
-    lines.line("ledger.refused.mute", ledger.refusals.mute);
-    lines.line("ledger.refused.full", ledger.refusals.full);
-    lines.line("ledger.refused.late", ledger.refusals.late);
-    lines.line("ledger.refused.unfit", ledger.refusals.unfit);
+    lines.line("ledger.refused.mute", ledger.rejections.not_voting);
+    lines.line("ledger.refused.full", ledger.rejections.at_capacity);
+    lines.line("ledger.refused.late", ledger.rejections.late);
+    lines.line("ledger.refused.unfit", ledger.rejections.invalid);
 }
 
 fn write_queue_lines(lines: &mut StatsText, write_queue: &WriteQueueStats) {
@@ -149,20 +150,20 @@
     lines.line("branch.waiting", write_queue.waiting as u64);
     lines.line("branch.out", write_queue.forwarding as u64);
     lines.line("branch.accepted", write_queue.totals.accepted);
-    lines.line("branch.refused", write_queue.totals.refused);
-    lines.line("branch.sent", write_queue.totals.sent);
-    lines.line("branch.done", write_queue.totals.done);
-    lines.line("branch.not_done", write_queue.totals.not_done);
+    lines.line("branch.refused", write_queue.totals.rejected);
+    lines.line("branch.sent", write_queue.totals.forwarded);
+    lines.line("branch.done", write_queue.totals.completed);
+    lines.line("branch.not_done", write_queue.totals.not_completed);
 }
 
 fn rollout_lines(lines: &mut StatsText, rollout: &RolloutStats) {
     let report = rollout.report.as_ref();
     lines.line("rollout.number", report.map_or(0, |r| r.number));
-    lines.line("rollout.stage", report.map_or(0, |r| r.stage.0.into()));
-    lines.flag("rollout.running", report.is_some_and(|r| r.state == "running"));
-    lines.flag("rollout.halted", report.is_some_and(|r| r.state == "halted"));
+    lines.line("rollout.stage", report.map_or(0, |r| r.stage.stage.into()));
+    lines.flag("rollout.running", report.is_some_and(|r| r.state == RolloutState::Running));
+    lines.flag("rollout.halted", report.is_some_and(|r| r.state == RolloutState::Halted));
     lines.flag("rollout.leads", report.is_some_and(|r| r.leads));
-    lines.line("rollout.refused", report.map_or(0, |r| r.refused));
+    lines.line("rollout.refused", report.map_or(0, |r| r.rejected));
     lines.line("rollout.uncounted", rollout.outcomes_dropped);
 }
 
--- a/src/proxy/cluster_transport/ledger_request.rs
+++ b/src/proxy/cluster_transport/ledger_request.rs
@@ -3,7 +3,7 @@
 
 use super::ledger_claim::{retry_pause, LedgerClaim};
 use super::ClusterTransport;
-use crate::cluster::ledger::{Finding, RecordId};
+use crate::cluster::ledger::{ClaimOutcome, RecordId, RecordedAttempt};
 use crate::decision::{Arrival, EndpointId, Micros, PriorAttempt};
 use crate::proxy::downstream::context::ProxyContext;
 use crate::proxy::downstream::dispatch::dispatch;
@@ -42,9 +42,12 @@
 }
 
 /// Attempts of earlier owners, as the decision module is told of them.
-pub fn prior_attempts(sent: Vec<(u64, Micros)>) -> Vec<PriorAttempt> {
-    let attempt = |(endpoint, sent_at)| PriorAttempt { endpoint: EndpointId(endpoint), sent_at };
-    sent.into_iter().map(attempt).collect()
+pub fn prior_attempts(attempts: Vec<RecordedAttempt>) -> Vec<PriorAttempt> {
+    let prior = |attempt: RecordedAttempt| PriorAttempt {
+        endpoint: EndpointId(attempt.endpoint),
+        sent_at: attempt.sent_at,
+    };
+    attempts.into_iter().map(prior).collect()
 }
 
 /// What a look at the record led to.
@@ -83,7 +86,7 @@
                 return Ok(response);
             }
             // What went ahead is cancelled, and may be about to be sent under this claim: only another may write.
-            if matches!(work.outcome().await, Finding::Clear { .. }) {
+            if matches!(work.outcome().await, ClaimOutcome::Acquired { .. }) {
                 let Some(other) = claim() else { continue };
                 work = other;
             }
@@ -130,19 +133,19 @@
     /// Does what the record says.
     async fn follow_record(&mut self, work: &Rc<LedgerClaim>) -> Result<Step, RequestError> {
         Ok(match work.outcome().await {
-            Finding::Answered(body) => {
+            ClaimOutcome::Completed(body) => {
                 let body = ResponseBody::Buffered(Full::new(Bytes::from(body)), None);
                 Step::Done(FinalResponse::Served(body))
             }
-            Finding::Mistake => return Err(RequestError::IdempotencyKeyReused),
-            Finding::Running(left) => self.wait_for_owner(left).await,
-            Finding::Lost | Finding::Confirmed(_) => Step::LookAgain,
-            Finding::Unheld => Step::Done(self.run(work, Vec::new(), false).await),
-            Finding::Clear { sent, found } => {
+            ClaimOutcome::KeyReused => return Err(RequestError::IdempotencyKeyReused),
+            ClaimOutcome::InProgress(left) => self.wait_for_owner(left).await,
+            ClaimOutcome::Lost | ClaimOutcome::Confirmed(_) => Step::LookAgain,
+            ClaimOutcome::Unavailable => Step::Done(self.run(work, Vec::new(), false).await),
+            ClaimOutcome::Acquired { attempts, existed } => {
                 tokio::select! {
                     biased;
                     () = work.lost() => Step::LookAgain,
-                    response = self.run(work, prior_attempts(sent), found) => Step::Done(response),
+                    response = self.run(work, prior_attempts(attempts), existed) => Step::Done(response),
                 }
             }
         })
--- a/src/proxy/cluster_transport/outcome_recorder.rs
+++ b/src/proxy/cluster_transport/outcome_recorder.rs
@@ -1,7 +1,7 @@
 //! What the driver saw and the fleet part counts: how requests ended under the rules of a rollout, and whether attempts
 //! outside are answered.
 
-use crate::cluster::rollout::{Arm, Ended, Key};
+use crate::cluster::rollout::{Arm, RequestOutcome, RolloutKey};
 use crate::decision::{ClassId, Micros};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -11,9 +11,9 @@
 
 /// A request that goes by the rules of a rollout.
 #[derive(Debug, Clone, Copy)]
-pub struct RolloutRequest {
+pub struct RolloutAssignment {
     /// Of which rollout.
-    pub key: Key,
+    pub key: RolloutKey,
     /// Which rules.
     pub arm: Arm,
     /// Its class.
@@ -28,11 +28,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutOutcome {
     /// The request.
-    pub judged: RolloutRequest,
+    pub judged: RolloutAssignment,
     /// When it ended.
     pub at: Micros,
     /// How.
-    pub ended: Ended,
+    pub ended: RequestOutcome,
     /// How much of its aim that took.
     pub part_of_aim: f64,
 }
--- a/src/proxy/cluster_transport/rollouts.rs
+++ b/src/proxy/cluster_transport/rollouts.rs
@@ -1,8 +1,8 @@
 //! Rollouts of routing rules: operators' commands to the cluster, and the outcomes that a rollout is judged by.
 
 use super::ClusterTransport;
-use crate::cluster::rollout::{Key, Start};
-use crate::cluster::Taken;
+use crate::cluster::rollout::{RolloutKey, RolloutRequest};
+use crate::cluster::CommandResult;
 use tokio::sync::oneshot;
 
 /// What an operator may do to the running rollout.
@@ -21,7 +21,7 @@
 pub enum RolloutStartError {
     /// This gateway does not take it.
     #[error("the rollout was not taken: {0:?}")]
-    NotTaken(Taken),
+    NotTaken(CommandResult),
     /// The ledger did not grant the rollout's record to this gateway.
     #[error("another rollout runs, or the ledger has no majority")]
     NoRecord,
@@ -38,30 +38,30 @@
     /// # Errors
     ///
     /// Another rollout runs, there are none here, or the ledger has no majority.
-    pub async fn start_rollout(&self, start: Start) -> Result<Key, RolloutStartError> {
+    pub async fn start_rollout(&self, start: RolloutRequest) -> Result<RolloutKey, RolloutStartError> {
         let (begins, begun) = oneshot::channel();
         *self.begins.borrow_mut() = Some(begins);
         let taken = self.with(self.era.get(), |fleet, now, out| fleet.start_rollout(now, start, out));
-        match taken.unwrap_or(Taken::Off) {
-            Taken::Done => begun.await.ok().flatten().ok_or(RolloutStartError::NoRecord),
+        match taken.unwrap_or(CommandResult::Disabled) {
+            CommandResult::Done => begun.await.ok().flatten().ok_or(RolloutStartError::NoRecord),
             taken => Err(RolloutStartError::NotTaken(taken)),
         }
     }
 
     /// Carries out an operator's command.
-    pub fn command_rollout(&self, command: RolloutCommand) -> Taken {
+    pub fn command_rollout(&self, command: RolloutCommand) -> CommandResult {
         let taken = self.with(self.era.get(), |fleet, now, out| match command {
             RolloutCommand::Abort => fleet.abort_rollout(now, out),
             RolloutCommand::Pause => fleet.pause_rollout(now, true, out),
             RolloutCommand::Resume => fleet.pause_rollout(now, false, out),
         });
-        taken.unwrap_or(Taken::Off)
+        taken.unwrap_or(CommandResult::Disabled)
     }
 
     /// The rollout's report for operators, as JSON. None: there has been no rollout, or another process stands for the
     /// gateway.
     pub fn rollout(&self) -> Option<String> {
-        let report = self.fleet.borrow().as_ref()?.rollout(self.clock.now())?;
+        let report = self.fleet.borrow().as_ref()?.rollout_report(self.clock.now())?;
         serde_json::to_string_pretty(&report).ok()
     }
 
@@ -69,13 +69,13 @@
     pub(super) fn count(&self) {
         for answered in self.arms.answers() {
             if let Some(fleet) = self.fleet.borrow_mut().as_mut() {
-                fleet.saw_outside(self.clock.now(), answered);
+                fleet.record_backend_attempt(self.clock.now(), answered);
             }
         }
         for seen in self.arms.take() {
             let (judged, class) = (seen.judged, seen.judged.class.0.min(usize::from(u16::MAX)) as u16);
             if let Some(fleet) = self.fleet.borrow_mut().as_mut() {
-                fleet.count(seen.at, judged.key, class, judged.arm, seen.ended, seen.part_of_aim);
+                fleet.record_outcome(seen.at, judged.key, class, judged.arm, seen.ended, seen.part_of_aim);
             }
         }
     }
--- a/src/proxy/cluster_transport/stats.rs
+++ b/src/proxy/cluster_transport/stats.rs
@@ -1,9 +1,9 @@
 //! What operators read of the cluster: a report as JSON, and the figures that `/stats` shows.
 
 use super::ClusterTransport;
-use crate::cluster::ledger::{Refusals, Tallies as LedgerTallies};
-use crate::cluster::rollout::Report as RolloutReport;
-use crate::cluster::write_queue::Tallies as WriteQueueTallies;
+use crate::cluster::ledger::{ClaimCounts, RejectionCounts};
+use crate::cluster::rollout::RolloutReport;
+use crate::cluster::write_queue::QueueCounts;
 use crate::cluster::{ClusterNode, ClusterReport};
 
 /// Figures of the cluster as this gateway sees it, at one moment.
@@ -31,13 +31,13 @@
     /// Its own open claims.
     pub open_claims: usize,
     /// How its claims ended.
-    pub claims: LedgerTallies,
+    pub claims: ClaimCounts,
     /// Abandoned requests that were finished here.
     pub finished: u64,
     /// Abandoned requests that could not be finished here.
     pub not_finished: u64,
-    /// What it refused as a replica.
-    pub refusals: Refusals,
+    /// What it rejected as a replica.
+    pub rejections: RejectionCounts,
 }
 
 /// The write queue at this gateway.
@@ -51,7 +51,7 @@
     /// Writes that are being forwarded.
     pub forwarding: usize,
     /// Writes that it accepted or forwarded, by their ends.
-    pub totals: WriteQueueTallies,
+    pub totals: QueueCounts,
 }
 
 /// Rollouts at this gateway.
@@ -86,7 +86,7 @@
             ledger: self.ledger_stats(node),
             write_queue: write_queue_stats(node),
             rollout: self.keeps_rules().then(|| RolloutStats {
-                report: node.rollout(self.clock.now()),
+                report: node.rollout_report(self.clock.now()),
                 outcomes_dropped: self.arms.dropped(),
             }),
             storage: node.disk().map(|(works, waiting)| StorageStats { works, waiting }),
@@ -95,27 +95,27 @@
     }
 
     fn ledger_stats(&self, node: &ClusterNode) -> Option<LedgerStats> {
-        let desk = node.desk()?;
-        let replica = desk.holder();
+        let ledger = node.ledger()?;
+        let replica = ledger.replica();
         Some(LedgerStats {
-            votes: replica.votes(self.clock.now()),
+            votes: replica.has_vote(self.clock.now()),
             records: replica.len(),
-            open_claims: desk.claims(),
-            claims: desk.tallies.clone(),
+            open_claims: ledger.open_claims(),
+            claims: ledger.counts.clone(),
             finished: self.finished.0.get(),
             not_finished: self.finished.1.get(),
-            refusals: replica.refusals.clone(),
+            rejections: replica.rejections.clone(),
         })
     }
 }
 
 fn write_queue_stats(node: &ClusterNode) -> Option<WriteQueueStats> {
-    let replica = node.branch()?.clerk();
+    let replica = node.write_queue()?.replica();
     Some(WriteQueueStats {
-        cut_off: replica.is_cut(),
-        votes: replica.votes(),
-        waiting: replica.shelf().open(),
-        forwarding: replica.out(),
-        totals: replica.tallies.clone(),
+        cut_off: replica.is_isolated(),
+        votes: replica.has_vote(),
+        waiting: replica.log().pending_count(),
+        forwarding: replica.in_flight(),
+        totals: replica.counts.clone(),
     })
 }
