--- a/src/proxy/cluster_transport/abandoned_requests.rs
+++ b/src/proxy/cluster_transport/abandoned_requests.rs
@@ -1,15 +1,15 @@
-//! Requests whose gateway is gone and whose clients did not come again: finished here, as far as their class allows, so
-//! that they ran and their answer is there for whoever asks later.
+//! Requests whose gateway is gone and whose clients did not come again: finished here, as far as their class allows, so that
+//! they have run and their response is there for whoever asks later.
 
+use super::ledger_request::{prior_attempts, RecordedRequest};
+use super::serialized_request::deserialize;
+use super::ClusterTransport;
 use crate::cluster::ledger::{AbandonedRequest, ClaimOutcome};
-use crate::decision::Arrival;
-use crate::proxy::cluster_transport::ledger_request::{prior_attempts, RecordedRequest};
-use crate::proxy::cluster_transport::serialized_request;
-use crate::proxy::cluster_transport::ClusterTransport;
+use crate::decision::{Arrival, PriorAttempt};
 use crate::proxy::downstream::context::ProxyContext;
 use crate::proxy::downstream::dispatch::dispatch;
 use crate::proxy::downstream::request_head::RequestHead;
-use crate::proxy::runtime::FinalResponse;
+use crate::proxy::runtime::{duration, FinalResponse};
 use crate::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -18,109 +18,134 @@
 use tokio::time::sleep;
 use tracing::info;
 
-/// So many are finished at one time; a holder offers what it offered before again.
-const AT_ONCE: usize = 16;
-/// What was refused is tried again, so often at the most, after this, doubled each time.
-const TRIES: u32 = 4;
-const AGAIN: Duration = Duration::from_millis(200);
+/// The most that are finished at one time. What finds no permit is offered again by the replica that holds its record.
+const MAX_CONCURRENT: usize = 16;
+/// The most tries of one request that is rejected.
+const MAX_TRIES: u32 = 4;
+/// The pause after its first rejection; doubled each time.
+const FIRST_BACKOFF: Duration = Duration::from_millis(200);
+/// A longer Retry-After is cut to this.
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(1600);
 
-/// Finishes what is offered, for as long as the gateway lives.
+/// Finishes the requests that the cluster offers, for as long as the gateway lives.
 pub async fn finish_all(
-    front: Rc<ProxyContext>,
-    peers: Rc<ClusterTransport>,
-    mut orphans: mpsc::Receiver<AbandonedRequest>,
+    context: Rc<ProxyContext>,
+    cluster: Rc<ClusterTransport>,
+    mut requests: mpsc::Receiver<AbandonedRequest>,
 ) {
-    let places = Arc::new(Semaphore::new(AT_ONCE));
-    while let Some(orphan) = orphans.recv().await {
-        let Ok(place) = places.clone().try_acquire_owned() else { continue };
-        let (front, peers) = (front.clone(), peers.clone());
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT));
+    while let Some(request) = requests.recv().await {
+        let Ok(permit) = permits.clone().try_acquire_owned() else { continue };
+        let (context, cluster) = (context.clone(), cluster.clone());
         tokio::task::spawn_local(async move {
-            match finish(&front, &peers, &orphan).await {
-                AbandonedOutcome::Answered => {}
-                gone => {
-                    peers.finished(gone == AbandonedOutcome::Finished);
-                    info!(customer = orphan.id.customer, ?gone, "a request whose gateway is gone");
-                }
+            let outcome = finish(&context, &cluster, &request).await;
+            if outcome != AbandonedOutcome::AlreadyAnswered {
+                cluster.count_abandoned(outcome == AbandonedOutcome::Finished);
+                info!(customer = request.id.customer, ?outcome, "an abandoned request");
             }
-            drop(place);
+            drop(permit);
         });
     }
 }
 
-/// What became of work that was begun before.
+/// What became of a request that was begun before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AbandonedOutcome {
-    /// It has its answer, from here.
+    /// It has its response, from here.
     Finished,
     /// It had one already.
-    Answered,
-    /// Another has it in hand, or its record is not to be had: then nobody knows what has run.
-    Elsewhere,
-    /// It may not run again, or was refused for as long as its record let it be tried.
+    AlreadyAnswered,
+    /// Another gateway has it, or its record can't be had: then nobody knows what has run.
+    OwnedElsewhere,
+    /// It may not run again, or was rejected in every try.
     Refused,
 }
 
 async fn finish(
-    front: &ProxyContext,
-    peers: &Rc<ClusterTransport>,
-    orphan: &AbandonedRequest,
+    context: &ProxyContext,
+    cluster: &Rc<ClusterTransport>,
+    request: &AbandonedRequest,
 ) -> AbandonedOutcome {
-    let Some((asked, forward)) = serialized_request::request(front, &orphan.request) else {
+    let Some((head, forward)) = deserialize(context, &request.request) else {
         return AbandonedOutcome::Refused;
     };
-    let (Some(key), RequestPayload::Buffered(body)) = (asked.idempotency_key, &forward.body) else {
+    let (Some(key), RequestPayload::Buffered(body)) = (head.idempotency_key, &forward.body) else {
         return AbandonedOutcome::Refused;
     };
-    let record = RecordedRequest::new(&asked, key, &forward, body);
-    let fits = (record.id, record.digest) == (orphan.id, orphan.request_digest)
-        && peers.finishes(front.rules.class_name(asked.arrival.class));
-    match fits {
-        true => go_on(front, peers, &record, &asked, &forward).await,
-        false => AbandonedOutcome::Refused,
+    let record = RecordedRequest::new(&head, key, &forward, body);
+    let is_the_record = (record.id, record.digest) == (request.id, request.request_digest);
+    if !is_the_record || !cluster.finishes(context.rules.class_name(head.arrival.class)) {
+        return AbandonedOutcome::Refused;
     }
+    resume(context, cluster, &record, &head, &forward).await
+}
+
+/// How one try to resume a request ended.
+enum Resumed {
+    Ended(AbandonedOutcome),
+    Rejected { retry_after: Duration },
 }
 
-/// Goes on with work that was begun before and may have run, here or at a gateway that is gone, as if its client came
+/// Goes on with a request that was begun before and may have run, here or at a gateway that is gone, as if its client came
 /// again: as far as its record and its class allow.
-pub async fn go_on(
-    front: &ProxyContext,
-    peers: &Rc<ClusterTransport>,
+pub async fn resume(
+    context: &ProxyContext,
+    cluster: &Rc<ClusterTransport>,
     record: &RecordedRequest,
-    asked: &RequestHead,
+    head: &RequestHead,
     forward: &ForwardedRequest,
 ) -> AbandonedOutcome {
-    for tried in 0..TRIES {
-        let Some(work) = peers.claim(record.id, record.digest, None) else {
-            return AbandonedOutcome::Elsewhere;
-        };
-        let attempts = match work.outcome().await {
-            ClaimOutcome::Acquired { existed: true, attempts } => attempts,
-            ClaimOutcome::Completed(_) => return AbandonedOutcome::Answered,
-            _ => return AbandonedOutcome::Elsewhere,
-        };
-        let deadline = front.clock.now() + asked.budget;
-        let of_before = Arrival {
-            is_retry: true,
-            already_counted: true,
-            prior_attempts: prior_attempts(attempts),
-            ..asked.arrival.clone()
-        };
-        let with = ForwardedRequest { claim: Some(work.clone()), ..forward.duplicate() };
-        let answer = tokio::select! {
-            biased;
-            () = work.lost() => return AbandonedOutcome::Elsewhere,
-            answer = dispatch(front, Arrival { deadline, ..of_before }, with) => answer,
-        };
-        match answer {
-            FinalResponse::Served(_) => return AbandonedOutcome::Finished,
-            FinalResponse::Rejected { retry_after: wait } => {
-                let told = wait.map_or(Duration::ZERO, crate::proxy::runtime::duration);
-                drop(work);
-                sleep((AGAIN * 2u32.pow(tried)).max(told.min(AGAIN * 8))).await;
+    for tried in 0..MAX_TRIES {
+        match try_to_resume(context, cluster, record, head, forward).await {
+            Resumed::Ended(outcome) => return outcome,
+            Resumed::Rejected { retry_after } => {
+                let backoff = FIRST_BACKOFF * 2u32.pow(tried);
+                sleep(backoff.max(retry_after.min(MAX_RETRY_AFTER))).await;
             }
-            // The module gives it up: it may not run again, or no server is left.
-            FinalResponse::Failed => return AbandonedOutcome::Refused,
         }
     }
     AbandonedOutcome::Refused
 }
+
+async fn try_to_resume(
+    context: &ProxyContext,
+    cluster: &Rc<ClusterTransport>,
+    record: &RecordedRequest,
+    head: &RequestHead,
+    forward: &ForwardedRequest,
+) -> Resumed {
+    let Some(claim) = cluster.claim(record.id, record.digest, None) else {
+        return Resumed::Ended(AbandonedOutcome::OwnedElsewhere);
+    };
+    let attempts = match claim.outcome().await {
+        ClaimOutcome::Acquired { existed: true, attempts } => prior_attempts(attempts),
+        ClaimOutcome::Completed(_) => return Resumed::Ended(AbandonedOutcome::AlreadyAnswered),
+        _ => return Resumed::Ended(AbandonedOutcome::OwnedElsewhere),
+    };
+    let arrival = arrival_again(context, head, attempts);
+    let forward = ForwardedRequest { claim: Some(claim.clone()), ..forward.duplicate() };
+    let response = tokio::select! {
+        biased;
+        () = claim.lost() => return Resumed::Ended(AbandonedOutcome::OwnedElsewhere),
+        response = dispatch(context, arrival, forward) => response,
+    };
+    match response {
+        FinalResponse::Served(_) => Resumed::Ended(AbandonedOutcome::Finished),
+        FinalResponse::Rejected { retry_after } => {
+            Resumed::Rejected { retry_after: retry_after.map_or(Duration::ZERO, duration) }
+        }
+        // The decision module gives it up: it may not run again, or no endpoint is left.
+        FinalResponse::Failed => Resumed::Ended(AbandonedOutcome::Refused),
+    }
+}
+
+/// The request as if its client came again now.
+fn arrival_again(context: &ProxyContext, head: &RequestHead, prior_attempts: Vec<PriorAttempt>) -> Arrival {
+    Arrival {
+        deadline: context.clock.now() + head.budget,
+        is_retry: true,
+        already_counted: true,
+        prior_attempts,
+        ..head.arrival.clone()
+    }
+}
--- a/src/proxy/cluster_transport/claims.rs
+++ b/src/proxy/cluster_transport/claims.rs
@@ -1,29 +1,40 @@
-//! A request's work at the ledger, as whoever carries it calls for it.
+//! Claims at the ledger, as the requests that they protect ask for them.
 
-use super::ledger_claim::{ClaimProgress, LedgerClaim};
+use super::claim_progress::ClaimProgress;
+use super::ledger_claim::LedgerClaim;
 use super::ClusterTransport;
 use crate::cluster::ledger::{ClaimId, RecordChange, RecordId};
 use crate::cluster::{ClusterNode, Effect, Micros};
 use std::rc::Rc;
 
+/// Names a claim of this process.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct ClaimHandle {
+    /// In which of this process's participations it was made; in any other it is void.
+    pub participation: u64,
+    /// The claim.
+    pub id: ClaimId,
+}
+
 impl ClusterTransport {
-    /// Whether a ledger of work is kept.
+    /// Whether a ledger is kept.
     pub fn keeps_ledger(&self) -> bool {
         self.config.settings.ledger.is_some()
     }
 
-    /// Whether requests of this class are finished by others where their gateway dies and no client comes again.
+    /// Whether requests of this class are finished by others if their gateway dies and no client comes again.
     pub fn finishes(&self, class: &str) -> bool {
         self.config.finish_classes.iter().any(|name| name == class)
     }
-    /// A request of a gateway that is gone was finished, or can't be.
-    pub fn finished(&self, done: bool) {
-        let count = if done { &self.finished.0 } else { &self.finished.1 };
+
+    /// Counts an abandoned request that was finished here, or could not be.
+    pub fn count_abandoned(&self, finished: bool) {
+        let count = if finished { &self.abandoned_finished } else { &self.abandoned_not_finished };
         count.set(count.get() + 1);
     }
 
-    /// Claims a request's record; none where this process takes no part, or too much is claimed. The request is left
-    /// with the record's holders.
+    /// Claims a request's record; `request` is left with the record's replicas. None: this process takes no part, or has
+    /// as many claims open as it may.
     pub fn claim(
         self: &Rc<ClusterTransport>,
         id: RecordId,
@@ -31,62 +42,86 @@
         request: Option<Vec<u8>>,
     ) -> Option<Rc<LedgerClaim>> {
         let mut effects = Vec::new();
-        let claim = {
-            let mut fleet = self.fleet.borrow_mut();
-            let fleet = fleet.as_mut()?;
-            let claim = fleet.open_claim(self.clock.now(), id, digest, &mut effects)?;
-            request.into_iter().for_each(|request| fleet.attach_request(claim, request));
-            claim
-        };
-        let slot = Rc::new(ClaimProgress::default());
-        self.slots.borrow_mut().insert(claim, slot.clone());
+        let claim = self.open_claim(id, digest, request, &mut effects)?;
+        let progress = Rc::new(ClaimProgress::default());
+        self.claims.borrow_mut().insert(claim, progress.clone());
         self.perform(effects);
-        Some(Rc::new(LedgerClaim::new(self.clone(), claim, self.era.get(), slot, self.config.ledger_timeout)))
+        let handle = ClaimHandle { participation: self.participation.get(), id: claim };
+        Some(Rc::new(LedgerClaim::new(self.clone(), handle, progress, self.config.ledger_timeout)))
+    }
+
+    fn open_claim(
+        &self,
+        id: RecordId,
+        digest: u64,
+        request: Option<Vec<u8>>,
+        effects: &mut Vec<Effect>,
+    ) -> Option<ClaimId> {
+        let mut node = self.node.borrow_mut();
+        let node = node.as_mut()?;
+        let claim = node.open_claim(self.clock.now(), id, digest, effects)?;
+        if let Some(request) = request {
+            node.attach_request(claim, request);
+        }
+        Some(claim)
     }
 
-    /// Does something with a claim, if it is of the part that this process takes now.
-    pub(super) fn with<T>(
+    /// Does something with the node, if it is that of this participation still.
+    pub(super) fn with_node<T>(
         &self,
-        era: u64,
+        participation: u64,
         act: impl FnOnce(&mut ClusterNode, Micros, &mut Vec<Effect>) -> T,
     ) -> Option<T> {
         let mut effects = Vec::new();
-        let done = match self.fleet.borrow_mut().as_mut() {
-            Some(fleet) if era == self.era.get() => Some(act(fleet, self.clock.now(), &mut effects)),
+        let done = match self.node.borrow_mut().as_mut() {
+            Some(node) if participation == self.participation.get() => {
+                Some(act(node, self.clock.now(), &mut effects))
+            }
             _ => None,
         };
         self.perform(effects);
         done
     }
 
-    /// Writes a claim's record; the number of the write, or none where it may not.
-    pub fn change(&self, era: u64, claim: ClaimId, change: RecordChange) -> Option<u32> {
-        self.with(era, |fleet, now, out| fleet.write_claim(now, claim, change, out)).flatten()
+    /// Writes a claim's record. Returns the number of the write; none: it may not be written.
+    pub(super) fn write_claim(&self, claim: ClaimHandle, change: RecordChange) -> Option<u32> {
+        let write =
+            |node: &mut ClusterNode, now, out: &mut Vec<Effect>| node.write_claim(now, claim.id, change, out);
+        self.with_node(claim.participation, write).flatten()
     }
-    /// The holders that a claim asked are slow.
-    pub fn hurry(&self, era: u64, claim: ClaimId) {
-        self.with(era, |fleet, now, out| fleet.contact_all_replicas(now, claim, out));
+
+    /// The replicas that a claim has asked are slow: asks all others.
+    pub(super) fn contact_all_replicas(&self, claim: ClaimHandle) {
+        self.with_node(claim.participation, |node, now, out| node.contact_all_replicas(now, claim.id, out));
     }
+
     /// Whether the owner of a claim's record may act now.
-    pub fn may_act(&self, era: u64, claim: ClaimId) -> bool {
-        self.with(era, |fleet, now, _| fleet.may_act(now, claim)).unwrap_or(false)
+    pub(super) fn may_act(&self, claim: ClaimHandle) -> bool {
+        self.with_node(claim.participation, |node, now, _| node.may_act(now, claim.id)).unwrap_or(false)
     }
-    /// An attempt of a claim's work surely never ran.
-    pub fn never_ran(&self, era: u64, claim: ClaimId, server: u64) {
-        self.with(era, |fleet, _, _| fleet.remove_attempt(claim, server));
+
+    /// An attempt of a claim's request certainly never ran at this endpoint.
+    pub(super) fn attempt_never_ran(&self, claim: ClaimHandle, endpoint: u64) {
+        self.with_node(claim.participation, |node, _, _| node.remove_attempt(claim.id, endpoint));
     }
-    /// A claim's work is over here.
-    pub fn let_go(&self, era: u64, claim: ClaimId, answer: Option<Vec<u8>>) {
-        self.with(era, |fleet, now, out| fleet.release_claim(now, claim, answer, out));
+
+    /// A claim's request has ended here, with this response if it has one.
+    pub(super) fn release_claim(&self, claim: ClaimHandle, response: Option<Vec<u8>>) {
+        let release = |node: &mut ClusterNode, now, out: &mut Vec<Effect>| {
+            node.release_claim(now, claim.id, response, out);
+        };
+        self.with_node(claim.participation, release);
     }
+
     /// Nobody waits for a claim any more.
-    pub fn forget(&self, era: u64, claim: ClaimId) {
-        if era == self.era.get() {
-            self.slots.borrow_mut().remove(&claim);
+    pub(super) fn forget_claim(&self, claim: ClaimHandle) {
+        if claim.participation == self.participation.get() {
+            self.claims.borrow_mut().remove(&claim.id);
         }
     }
-    /// Work goes on without a record.
-    pub fn unprotected(&self, era: u64) {
-        self.with(era, |fleet, _, _| fleet.count_unprotected());
+
+    /// Counts a request that goes on without a record.
+    pub(super) fn count_unprotected(&self, claim: ClaimHandle) {
+        self.with_node(claim.participation, |node, _, _| node.count_unprotected());
     }
 }
--- /dev/null
+++ b/src/proxy/cluster_transport/participation.rs
@@ -0,0 +1,216 @@
+//! The loop in which this process takes part in the cluster, from joining it to the hand-over or the end.
+
+use super::disk::{self, Disk, DiskEvent};
+use super::ClusterTransport;
+use crate::cluster::{
+    ClusterNode, Event, Micros, Settings, LEDGER_TICK_INTERVAL, MAX_DATAGRAM_BYTES, TICK_INTERVAL,
+};
+use crate::decision::SettingsError;
+use crate::proxy::lifecycle::drain::ShutdownPhase;
+use crate::proxy::runtime::{send_event, RuntimeEvent};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tokio::net::UdpSocket;
+use tokio::sync::{mpsc, watch};
+use tokio::time::{sleep_until, Instant};
+use tracing::{info, warn};
+
+/// The most datagrams that are read in one `BUDGET_INTERVAL`, 20,000 a second. What a flood sends beyond that the kernel
+/// drops.
+const DATAGRAM_BUDGET: u32 = 200;
+const BUDGET_INTERVAL: Duration = Duration::from_millis(10);
+/// The least time between two lines of the log about datagrams that were dropped.
+const DROPPED_LOG_INTERVAL: Duration = Duration::from_secs(10);
+
+/// How many datagrams may still be read now.
+struct ReceiveBudget {
+    left: u32,
+    refill_at: Instant,
+}
+
+impl ReceiveBudget {
+    fn refill_if_due(&mut self) {
+        if Instant::now() >= self.refill_at {
+            self.left = DATAGRAM_BUDGET;
+            self.refill_at = Instant::now() + BUDGET_INTERVAL;
+        }
+    }
+}
+
+/// What the log has said of dropped datagrams.
+struct DroppedLog {
+    /// How many there were at the last look.
+    count: u64,
+    looked_at: Instant,
+}
+
+/// Taking part.
+struct Participation<'a> {
+    transport: &'a ClusterTransport,
+    socket: &'a UdpSocket,
+    buffer: Vec<u8>,
+    budget: ReceiveBudget,
+    next_tick: Instant,
+    /// None: no ledger is kept.
+    next_ledger_tick: Option<Instant>,
+    dropped_log: DroppedLog,
+    leaving: bool,
+}
+
+impl ClusterTransport {
+    /// Takes part until another process stands for the gateway.
+    pub(super) async fn take_part(
+        &self,
+        socket: &UdpSocket,
+        addresses: &mut watch::Receiver<BTreeMap<String, SocketAddr>>,
+    ) {
+        let joined = self.join(addresses.borrow_and_update().clone());
+        // The settings were checked at the start.
+        if let Err(error) = joined {
+            return warn!(%error, "this gateway can't join its cluster");
+        }
+        let mut disk_events = self.open_disk();
+        let now = Instant::now();
+        let participation = Participation {
+            transport: self,
+            socket,
+            buffer: vec![0; MAX_DATAGRAM_BYTES + 1],
+            budget: ReceiveBudget { left: DATAGRAM_BUDGET, refill_at: now },
+            next_tick: now,
+            next_ledger_tick: self.keeps_ledger().then_some(now),
+            dropped_log: DroppedLog { count: 0, looked_at: now },
+            leaving: false,
+        };
+        participation.run(&mut disk_events, addresses).await;
+    }
+
+    /// Makes the node of this participation.
+    fn join(&self, addresses: BTreeMap<String, SocketAddr>) -> Result<(), SettingsError> {
+        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = Micros(unix.as_micros().min(u128::from(u64::MAX)) as u64);
+        let settings = Settings {
+            peers: addresses,
+            disk: self.config.storage_dir.as_ref().map(|_| disk::machine_id()),
+            ..self.config.settings.clone()
+        };
+        let node = ClusterNode::new(settings, self.clock.now(), unix, fastrand::u64(..))?;
+        info!(name = %node.own().name, incarnation = node.own().incarnation, "joining the fleet");
+        if let Some(in_force) = node.routing_in_force().filter(|f| !f.baseline.0.is_empty()) {
+            send_event(&self.runtime, RuntimeEvent::RoutingChanged(Box::new(in_force)));
+        }
+        *self.node.borrow_mut() = Some(node);
+        self.participation.set(self.participation.get() + 1);
+        Ok(())
+    }
+
+    /// Opens the disk, where the gateway has one.
+    fn open_disk(&self) -> Option<mpsc::Receiver<DiskEvent>> {
+        let folder = self.config.storage_dir.as_ref()?;
+        let (disk, events) = Disk::open(folder);
+        *self.disk.borrow_mut() = Some(disk);
+        Some(events)
+    }
+}
+
+impl Participation<'_> {
+    async fn run(
+        mut self,
+        disk_events: &mut Option<mpsc::Receiver<DiskEvent>>,
+        addresses: &mut watch::Receiver<BTreeMap<String, SocketAddr>>,
+    ) {
+        let transport = self.transport;
+        let mut lifecycle = transport.lifecycle.subscribe();
+        loop {
+            // Before time goes by for the node: after a pause the datagrams that wait count first.
+            self.receive();
+            self.tick_if_due();
+            let state = transport.lifecycle.state();
+            if state.replaced {
+                return;
+            }
+            if state.shutdown >= ShutdownPhase::Stopping && !self.leaving {
+                self.leaving = true;
+                transport.handle(Event::Leave);
+            }
+            let may_receive = self.budget.left > 0;
+            let ledger_tick_at = self.next_ledger_tick.unwrap_or(self.next_tick);
+            tokio::select! {
+                _ = self.socket.readable(), if may_receive => {}
+                () = sleep_until(self.budget.refill_at), if !may_receive => {}
+                () = sleep_until(self.next_tick) => {}
+                () = sleep_until(ledger_tick_at), if self.next_ledger_tick.is_some() => {}
+                event = next_disk_event(disk_events) => handle_disk_event(transport, event),
+                // The lifecycle outlives this.
+                _ = lifecycle.changed() => {}
+                changed = addresses.changed() => match changed {
+                    Ok(()) => {
+                        let addresses = addresses.borrow_and_update().clone();
+                        transport.handle(Event::PeerAddressesChanged { addresses });
+                    }
+                    Err(_) => return,
+                },
+            }
+        }
+    }
+
+    /// Reads the datagrams that wait, as far as the budget allows.
+    fn receive(&mut self) {
+        self.budget.refill_if_due();
+        while self.budget.left > 0 {
+            let Ok((length, from)) = self.socket.try_recv_from(&mut self.buffer) else { return };
+            self.budget.left -= 1;
+            self.transport.handle(Event::Datagram { from, bytes: &self.buffer[..length] });
+        }
+    }
+
+    fn tick_if_due(&mut self) {
+        if self.next_ledger_tick.is_some_and(|at| Instant::now() >= at) {
+            self.next_ledger_tick = Some(Instant::now() + Duration::from_micros(LEDGER_TICK_INTERVAL.0));
+            self.transport.pass_on_outcomes();
+            self.transport.handle(Event::LedgerTick);
+        }
+        if Instant::now() >= self.next_tick {
+            self.next_tick = Instant::now() + Duration::from_micros(TICK_INTERVAL.0);
+            self.transport.handle(Event::Tick);
+            self.log_dropped_if_due();
+        }
+    }
+
+    /// Logs datagrams that were dropped since the last look.
+    fn log_dropped_if_due(&mut self) {
+        if self.dropped_log.looked_at.elapsed() < DROPPED_LOG_INTERVAL {
+            return;
+        }
+        self.dropped_log.looked_at = Instant::now();
+        let node = self.transport.node.borrow();
+        let Some(dropped) = node.as_ref().map(|node| &node.traffic().dropped) else { return };
+        let count = dropped.values().sum();
+        if count > self.dropped_log.count {
+            let reasons: Vec<String> = dropped.iter().map(|(s, n)| format!("{} {n}", s.key())).collect();
+            let since_last = count - self.dropped_log.count;
+            warn!(since_last, all = reasons.join(", "), "datagrams of strangers dropped");
+        }
+        self.dropped_log.count = count;
+    }
+}
+
+fn handle_disk_event(transport: &ClusterTransport, event: DiskEvent) {
+    transport.handle(match event {
+        DiskEvent::Loaded(writes) => Event::StorageLoaded { writes },
+        DiskEvent::Synced(batch) => Event::StorageSynced { batch },
+        DiskEvent::Failed => Event::StorageFailed,
+    });
+}
+
+/// The disk's next event; one whose thread is gone has failed.
+async fn next_disk_event(events: &mut Option<mpsc::Receiver<DiskEvent>>) -> DiskEvent {
+    let Some(receiver) = events else { return std::future::pending().await };
+    match receiver.recv().await {
+        Some(event) => event,
+        None => {
+            *events = None;
+            DiskEvent::Failed
+        }
+    }
+}
--- a/src/proxy/cluster_transport/rollouts.rs
+++ b/src/proxy/cluster_transport/rollouts.rs
@@ -39,21 +39,22 @@
     ///
     /// Another rollout runs, there are none here, or the ledger has no majority.
     pub async fn start_rollout(&self, start: RolloutRequest) -> Result<RolloutKey, RolloutStartError> {
-        let (begins, begun) = oneshot::channel();
-        *self.begins.borrow_mut() = Some(begins);
-        let taken = self.with(self.era.get(), |fleet, now, out| fleet.start_rollout(now, start, out));
+        let (started, start_result) = oneshot::channel();
+        *self.rollout_start.borrow_mut() = Some(started);
+        let taken =
+            self.with_node(self.participation.get(), |node, now, out| node.start_rollout(now, start, out));
         match taken.unwrap_or(CommandResult::Disabled) {
-            CommandResult::Done => begun.await.ok().flatten().ok_or(RolloutStartError::NoRecord),
+            CommandResult::Done => start_result.await.ok().flatten().ok_or(RolloutStartError::NoRecord),
             taken => Err(RolloutStartError::NotTaken(taken)),
         }
     }
 
     /// Carries out an operator's command.
     pub fn command_rollout(&self, command: RolloutCommand) -> CommandResult {
-        let taken = self.with(self.era.get(), |fleet, now, out| match command {
-            RolloutCommand::Abort => fleet.abort_rollout(now, out),
-            RolloutCommand::Pause => fleet.pause_rollout(now, true, out),
-            RolloutCommand::Resume => fleet.pause_rollout(now, false, out),
+        let taken = self.with_node(self.participation.get(), |node, now, out| match command {
+            RolloutCommand::Abort => node.abort_rollout(now, out),
+            RolloutCommand::Pause => node.pause_rollout(now, true, out),
+            RolloutCommand::Resume => node.pause_rollout(now, false, out),
         });
         taken.unwrap_or(CommandResult::Disabled)
     }
@@ -61,21 +62,29 @@
     /// The rollout's report for operators, as JSON. None: there has been no rollout, or another process stands for the
     /// gateway.
     pub fn rollout(&self) -> Option<String> {
-        let report = self.fleet.borrow().as_ref()?.rollout_report(self.clock.now())?;
+        let report = self.node.borrow().as_ref()?.rollout_report(self.clock.now())?;
         serde_json::to_string_pretty(&report).ok()
     }
 
-    /// Passes what the runtime has recorded since the last call to the cluster's part.
-    pub(super) fn count(&self) {
-        for answered in self.arms.answers() {
-            if let Some(fleet) = self.fleet.borrow_mut().as_mut() {
-                fleet.record_backend_attempt(self.clock.now(), answered);
+    /// Passes what the runtime has recorded since the last call to the node.
+    pub(super) fn pass_on_outcomes(&self) {
+        for answered in self.outcomes.answers() {
+            if let Some(node) = self.node.borrow_mut().as_mut() {
+                node.record_backend_attempt(self.clock.now(), answered);
             }
         }
-        for seen in self.arms.take() {
-            let (judged, class) = (seen.judged, seen.judged.class.0.min(usize::from(u16::MAX)) as u16);
-            if let Some(fleet) = self.fleet.borrow_mut().as_mut() {
-                fleet.record_outcome(seen.at, judged.key, class, judged.arm, seen.ended, seen.part_of_aim);
+        for outcome in self.outcomes.take() {
+            let request = outcome.judged;
+            let class = request.class.0.min(usize::from(u16::MAX)) as u16;
+            if let Some(node) = self.node.borrow_mut().as_mut() {
+                node.record_outcome(
+                    outcome.at,
+                    request.key,
+                    class,
+                    request.arm,
+                    outcome.ended,
+                    outcome.part_of_aim,
+                );
             }
         }
     }
--- a/src/proxy/cluster_transport/stats.rs
+++ b/src/proxy/cluster_transport/stats.rs
@@ -73,24 +73,24 @@
 impl ClusterTransport {
     /// The report for operators, as JSON. None: another process stands for the gateway.
     pub fn report(&self) -> Option<String> {
-        let report: ClusterReport = self.fleet.borrow().as_ref()?.report();
+        let report: ClusterReport = self.node.borrow().as_ref()?.report();
         serde_json::to_string_pretty(&report).ok()
     }
 
     /// The figures for `/stats`. None: another process stands for the gateway.
     pub fn stats(&self) -> Option<ClusterStats> {
-        let fleet = self.fleet.borrow();
-        let node = fleet.as_ref()?;
+        let node = self.node.borrow();
+        let node = node.as_ref()?;
         Some(ClusterStats {
             report: node.report(),
             ledger: self.ledger_stats(node),
             write_queue: write_queue_stats(node),
             rollout: self.keeps_rules().then(|| RolloutStats {
                 report: node.rollout_report(self.clock.now()),
-                outcomes_dropped: self.arms.dropped(),
+                outcomes_dropped: self.outcomes.dropped(),
             }),
             storage: node.disk().map(|(works, waiting)| StorageStats { works, waiting }),
-            datagrams_not_sent: self.unsent.get(),
+            datagrams_not_sent: self.datagrams_not_sent.get(),
         })
     }
 
@@ -102,8 +102,8 @@
             records: replica.len(),
             open_claims: ledger.open_claims(),
             claims: ledger.counts.clone(),
-            finished: self.finished.0.get(),
-            not_finished: self.finished.1.get(),
+            finished: self.abandoned_finished.get(),
+            not_finished: self.abandoned_not_finished.get(),
             rejections: replica.rejections.clone(),
         })
     }
--- a/src/proxy/cluster_transport/tests.rs
+++ b/src/proxy/cluster_transport/tests.rs
@@ -1,6 +1,6 @@
 //! The cluster's lines of `/stats` as `tests/fixtures/stats-gauges.txt` holds them.
 
-use super::ClusterTransport;
+use super::{ClusterTransport, RequestSenders};
 use crate::cluster::ClusterNode;
 use crate::proxy::admin::stats::cluster_lines;
 use crate::proxy::cluster_transport::outcome_recorder::OutcomeRecorder;
@@ -18,14 +18,15 @@
 fn every_cluster_gauge_has_its_key_place_and_value_in_the_stats() {
     let config = ClusterConfig::parse(FILE, "a").expect("sound");
     let (inbox, _inputs) = mpsc::channel(1);
-    let ((writes, _w), (orphans, _o)) = (mpsc::channel(1), mpsc::channel(1));
+    let ((queued_writes, _w), (abandoned_requests, _a)) = (mpsc::channel(1), mpsc::channel(1));
+    let senders = RequestSenders { queued_writes, abandoned_requests };
     let (duty, arms) = (Rc::new(Lifecycle::default()), Rc::new(OutcomeRecorder::default()));
-    let peers = ClusterTransport::new(config, Clock::start(), duty, inbox, arms, (writes, orphans));
+    let peers = ClusterTransport::new(config, Clock::start(), duty, inbox, arms, senders);
     assert!(peers.stats().is_none(), "nothing while another process stands for the gateway");
-    *peers.fleet.borrow_mut() = Some(ClusterNode::with_distinct_counts());
-    peers.unsent.set(61);
-    peers.finished.0.set(62);
-    peers.finished.1.set(63);
+    *peers.node.borrow_mut() = Some(ClusterNode::with_distinct_counts());
+    peers.datagrams_not_sent.set(61);
+    peers.abandoned_finished.set(62);
+    peers.abandoned_not_finished.set(63);
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/stats-gauges.txt");
     let text = cluster_lines(&peers.stats().expect("it takes part"));
     if std::env::var_os("WRITE_NEW_FIXTURES").is_some() && !path.exists() {
--- a/src/proxy/cluster_transport/write_queue_sender.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -1,23 +1,24 @@
-//! Writes of a branch that is cut off: taken from clients, told of to whoever asks, and sent on when the fleet part says so.
+//! Writes of a branch that is cut off: offered by clients, asked for by them later, and forwarded once the write queue says
+//! so.
 
+use super::abandoned_requests::{resume, AbandonedOutcome};
+use super::ledger_request::{serve_recorded, RecordedRequest};
+use super::outcome_recorder::OutcomeRecorder;
+use super::queued_write::QueuedWrite;
+use super::serialized_request::{deserialize, serialize};
+use super::ClusterTransport;
 use crate::cluster::ledger::{ClaimOutcome, RecordId};
-use crate::cluster::write_queue::{
-    Dot, ForwardOutcome, Write, WriteOutcome, WriteRequest, WriteState, WriteStatus,
-};
+use crate::cluster::write_queue::{Dot, ForwardOutcome, WriteOutcome, WriteRequest, WriteState, WriteStatus};
 use crate::decision::Arrival;
-use crate::proxy::cluster_transport::abandoned_requests::{go_on, AbandonedOutcome};
-use crate::proxy::cluster_transport::ledger_request::{serve_recorded, RecordedRequest};
-use crate::proxy::cluster_transport::outcome_recorder::OutcomeRecorder;
-use crate::proxy::cluster_transport::serialized_request;
-use crate::proxy::cluster_transport::ClusterTransport;
 use crate::proxy::downstream::context::ProxyContext;
 use crate::proxy::downstream::dispatch::dispatch;
+use crate::proxy::downstream::request_error::RequestError;
 use crate::proxy::downstream::request_head::RequestHead;
 use crate::proxy::runtime::FinalResponse;
 use crate::proxy::upstream::attempt_tracker::AttemptTracker;
 use crate::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
 use bytes::Bytes;
-use hyper::{HeaderMap, Method, Uri};
+use hyper::{HeaderMap, Method, StatusCode, Uri};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -26,142 +27,170 @@
 use tracing::debug;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Between two looks outside while the branch is cut off.
-const LOOK: Duration = Duration::from_millis(300);
-/// The longest wait for a connection then.
-const DIAL: Duration = Duration::from_millis(250);
-/// An attempt that is called off has ended by then.
-const CALLED_OFF: Duration = Duration::from_millis(500);
-/// A write has so long for its votes; the fleet part gives up somewhat earlier.
-const ACCEPT: Duration = Duration::from_millis(600);
+/// Between two checks of the uplink while the branch is cut off.
+const UPLINK_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// The longest wait for a connection in such a check.
+const UPLINK_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// An attempt that is cancelled has ended by then.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
+/// The longest wait for the votes on a write; the write queue gives up somewhat earlier.
+const ACCEPT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A write that is to be sent on.
-pub struct QueuedWrite {
-    /// The write.
-    pub write: Box<Write>,
-    /// Which try.
-    pub tries: u16,
-    /// An owner before this one may have sent it.
-    pub before: bool,
-}
-
-/// Accepts a request as a write of the branch, where it is cut off or others that it comes after wait. Its name, or
-/// none where it goes its usual way.
+/// Offers a request to the branch's write queue, which takes it while the branch is cut off, or behind earlier writes that
+/// wait. Returns the write's name; none: the request goes its usual way.
 pub async fn accept_write(
-    peers: &Rc<ClusterTransport>,
-    asked: &RequestHead,
+    cluster: &Rc<ClusterTransport>,
+    head: &RequestHead,
     class: &str,
     uri: &Uri,
     headers: &HeaderMap,
     body: &Bytes,
 ) -> Option<Dot> {
     let object = xxh3_64(uri.path_and_query().map_or("/", |p| p.as_str()).as_bytes());
-    let customer = asked.arrival.customer.0;
-    if !peers.takes_writes(class, customer, object) {
+    let customer = head.arrival.customer.0;
+    if !cluster.takes_writes(class, customer, object) {
         return None;
     }
-    // One that a gateway has in hand, or had, may have run before the line went down.
-    if let Some(key) = asked.idempotency_key {
+    if let Some(key) = head.idempotency_key {
         let id = RecordId { customer, key };
-        let found = peers.claim(id, 0, None)?.outcome().await;
-        let new = matches!(found, ClaimOutcome::Acquired { existed: false, .. });
-        if !new && (asked.arrival.is_retry || !matches!(found, ClaimOutcome::Unavailable)) {
+        let outcome = cluster.claim(id, 0, None)?.outcome().await;
+        if may_have_run_before(&outcome, head.arrival.is_retry) {
             return None;
         }
     }
-    let payload = serialized_request::serialize(&Method::POST, uri, headers, body)?;
-    let key = asked.idempotency_key.map_or(0, |key| key ^ xxh3_64(body));
-    let class = asked.arrival.class.0.min(usize::from(u16::MAX)) as u16;
+    let payload = serialize(&Method::POST, uri, headers, body)?;
+    let key = head.idempotency_key.map_or(0, |key| key ^ xxh3_64(body));
+    let class = head.arrival.class.0.min(usize::from(u16::MAX)) as u16;
     let request = WriteRequest { customer, object, class, key, payload };
-    timeout(ACCEPT, peers.accept_write(request)).await.ok().flatten()
+    timeout(ACCEPT_TIMEOUT, cluster.accept_write(request)).await.ok().flatten()
 }
 
-/// What is told of a write.
-pub fn status_text(status: Option<WriteStatus>) -> (bool, String) {
-    let words = match status {
-        Some(WriteStatus::Known(WriteState::Pending(_))) => "waiting".to_string(),
-        Some(WriteStatus::Known(WriteState::Sent(_))) => "sent".to_string(),
-        Some(WriteStatus::Known(WriteState::Ended(WriteOutcome::Completed(status)))) => {
-            format!("done {status}")
-        }
-        Some(WriteStatus::Known(WriteState::Ended(WriteOutcome::Superseded(by)))) => {
-            format!("superseded by {by}")
-        }
-        Some(WriteStatus::Known(WriteState::Ended(WriteOutcome::Blocked(by)))) => format!("stopped by {by}"),
-        Some(WriteStatus::Known(WriteState::Ended(WriteOutcome::Expired))) => "expired".to_string(),
-        Some(WriteStatus::Known(WriteState::Ended(WriteOutcome::Unknown))) => {
-            "unknown: it may have run".to_string()
-        }
+/// Guards against queueing a request that runs at another gateway, or ran there before the uplink failed.
+fn may_have_run_before(outcome: &ClaimOutcome, is_retry: bool) -> bool {
+    match outcome {
+        ClaimOutcome::Acquired { existed: false, .. } => false,
+        ClaimOutcome::Unavailable => is_retry,
+        _ => true,
+    }
+}
+
+/// What clients are told of a write.
+pub struct WriteStatusText {
+    /// The write is known here.
+    pub is_known: bool,
+    /// One line.
+    pub text: String,
+}
+
+/// What clients are told of a write: a wire form.
+pub fn status_text(status: Option<WriteStatus>) -> WriteStatusText {
+    let text = match &status {
+        Some(WriteStatus::Known(state)) => state_text(state),
         Some(WriteStatus::Lost) | None => "lost, or never accepted".to_string(),
     };
-    (matches!(status, Some(WriteStatus::Known(_))), words + "\n")
+    WriteStatusText { is_known: matches!(status, Some(WriteStatus::Known(_))), text: text + "\n" }
+}
+
+fn state_text(state: &WriteState) -> String {
+    match state {
+        WriteState::Pending(_) => "waiting".to_string(),
+        WriteState::Sent(_) => "sent".to_string(),
+        WriteState::Ended(WriteOutcome::Completed(status)) => format!("done {status}"),
+        WriteState::Ended(WriteOutcome::Superseded(by)) => format!("superseded by {by}"),
+        WriteState::Ended(WriteOutcome::Blocked(by)) => format!("stopped by {by}"),
+        WriteState::Ended(WriteOutcome::Expired) => "expired".to_string(),
+        WriteState::Ended(WriteOutcome::Unknown) => "unknown: it may have run".to_string(),
+    }
 }
 
-/// Sends writes on for as long as the gateway lives.
-pub async fn send_on(
-    front: Rc<ProxyContext>,
-    peers: Rc<ClusterTransport>,
-    mut orders: mpsc::Receiver<QueuedWrite>,
+/// Forwards writes for as long as the gateway lives.
+pub async fn forward_writes(
+    context: Rc<ProxyContext>,
+    cluster: Rc<ClusterTransport>,
+    mut writes: mpsc::Receiver<QueuedWrite>,
 ) {
-    while let Some(order) = orders.recv().await {
-        let (front, peers) = (front.clone(), peers.clone());
+    while let Some(queued) = writes.recv().await {
+        let (context, cluster) = (context.clone(), cluster.clone());
         tokio::task::spawn_local(async move {
-            let (dot, tries) = (order.write.dot, order.tries);
-            let fate = sent(&front, &peers, &order).await;
-            peers.write_ended(dot, tries, fate);
+            let outcome = forward(&context, &cluster, &queued).await;
+            cluster.write_ended(queued.write.dot, queued.attempt, outcome);
         });
     }
 }
 
-async fn sent(front: &ProxyContext, peers: &Rc<ClusterTransport>, order: &QueuedWrite) -> ForwardOutcome {
-    let Some((asked, forward)) = serialized_request::request(front, &order.write.payload) else {
-        return ForwardOutcome::Answered(400);
+async fn forward(
+    context: &ProxyContext,
+    cluster: &Rc<ClusterTransport>,
+    queued: &QueuedWrite,
+) -> ForwardOutcome {
+    let Some((head, forward)) = deserialize(context, &queued.write.payload) else {
+        return ForwardOutcome::Answered(StatusCode::BAD_REQUEST.as_u16());
     };
-    let record = match (asked.idempotency_key, &forward.body) {
-        (Some(key), RequestPayload::Buffered(body)) => {
-            Some(RecordedRequest::new(&asked, key, &forward, body))
-        }
+    let record = match (head.idempotency_key, &forward.body) {
+        (Some(key), RequestPayload::Buffered(body)) => Some(RecordedRequest::new(&head, key, &forward, body)),
         _ => None,
     };
-    let tries = AttemptTracker::new(order.before);
-    if !order.before {
-        let deadline = front.clock.now() + asked.budget;
-        let arrival = Arrival { deadline, ..asked.arrival.clone() };
-        let with =
-            |work| ForwardedRequest { claim: work, tracker: Some(tries.clone()), ..forward.duplicate() };
-        let answer = match &record {
-            Some(record) => serve_recorded(front, peers, record, arrival, with).await,
-            None => Ok(dispatch(front, arrival, with(None)).await),
-        };
-        match answer {
-            Ok(FinalResponse::Served(_)) => return ForwardOutcome::Answered(200),
-            // Whether trying again is harmless for a client that comes at once says nothing of later.
-            Ok(FinalResponse::Rejected { .. } | FinalResponse::Failed)
-                if !tries.may_have_run(CALLED_OFF).await =>
-            {
-                return ForwardOutcome::NotExecuted
-            }
-            Ok(_) => {}
-            Err(problem) => return ForwardOutcome::Answered(problem.status().as_u16()),
+    if !queued.may_have_run {
+        let tracker = AttemptTracker::new(false);
+        let response = run(context, cluster, record.as_ref(), &head, &forward, &tracker).await;
+        if let Some(outcome) = certain_outcome(response, &tracker).await {
+            return outcome;
         }
     }
     // It may have run: with a record of its attempts its class may yet allow it to be sent again.
-    match &record {
-        Some(record) => match go_on(front, peers, record, &asked, &forward).await {
-            AbandonedOutcome::Finished | AbandonedOutcome::Answered => ForwardOutcome::Answered(200),
-            AbandonedOutcome::Elsewhere | AbandonedOutcome::Refused => ForwardOutcome::Unknown,
-        },
-        None => ForwardOutcome::Unknown,
+    let Some(record) = &record else { return ForwardOutcome::Unknown };
+    match resume(context, cluster, record, &head, &forward).await {
+        AbandonedOutcome::Finished | AbandonedOutcome::AlreadyAnswered => {
+            ForwardOutcome::Answered(StatusCode::OK.as_u16())
+        }
+        AbandonedOutcome::OwnedElsewhere | AbandonedOutcome::Refused => ForwardOutcome::Unknown,
+    }
+}
+
+/// Runs a write that has not run before.
+async fn run(
+    context: &ProxyContext,
+    cluster: &Rc<ClusterTransport>,
+    record: Option<&RecordedRequest>,
+    head: &RequestHead,
+    forward: &ForwardedRequest,
+    tracker: &Rc<AttemptTracker>,
+) -> Result<FinalResponse, RequestError> {
+    let deadline = context.clock.now() + head.budget;
+    let arrival = Arrival { deadline, ..head.arrival.clone() };
+    let tracked = |claim| ForwardedRequest { claim, tracker: Some(tracker.clone()), ..forward.duplicate() };
+    match record {
+        Some(record) => serve_recorded(context, cluster, record, arrival, tracked).await,
+        None => Ok(dispatch(context, arrival, tracked(None)).await),
+    }
+}
+
+/// What a response proves of a write. None: it may have run.
+async fn certain_outcome(
+    response: Result<FinalResponse, RequestError>,
+    tracker: &AttemptTracker,
+) -> Option<ForwardOutcome> {
+    match response {
+        Ok(FinalResponse::Served(_)) => Some(ForwardOutcome::Answered(StatusCode::OK.as_u16())),
+        // That a retry is harmless for a client that comes at once says nothing of a later one.
+        Ok(FinalResponse::Rejected { .. } | FinalResponse::Failed) => {
+            match tracker.may_have_run(CANCEL_TIMEOUT).await {
+                true => None,
+                false => Some(ForwardOutcome::NotExecuted),
+            }
+        }
+        Err(error) => Some(ForwardOutcome::Answered(error.status().as_u16())),
     }
 }
 
-/// Looks outside while the branch is cut off: no request does.
-pub async fn look_outside(arms: Rc<OutcomeRecorder>) {
+/// Checks the uplink while the branch is cut off: no request does.
+pub async fn check_uplink(outcomes: Rc<OutcomeRecorder>) {
     loop {
-        sleep(LOOK).await;
-        let Some(address) = arms.outside().filter(|_| arms.is_cut()) else { continue };
-        let answered = matches!(timeout(DIAL, TcpStream::connect(address)).await, Ok(Ok(_)));
-        debug!(%address, answered, "a look outside");
-        arms.saw(answered);
+        sleep(UPLINK_CHECK_INTERVAL).await;
+        let Some(address) = outcomes.outside().filter(|_| outcomes.is_cut()) else { continue };
+        let connected = timeout(UPLINK_CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+        let answered = matches!(connected, Ok(Ok(_)));
+        debug!(%address, answered, "checked the uplink");
+        outcomes.saw(answered);
     }
 }
--- a/src/proxy/cluster_transport/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -1,79 +1,91 @@
-//! Writes of a branch, as whoever takes and sends requests calls for them.
+//! Writes of a branch, as the requests that they come from ask for them.
 
-use super::write_queue_sender::QueuedWrite;
+use super::queued_write::QueuedWrite;
 use super::ClusterTransport;
 use crate::cluster::write_queue::{Dot, ForwardOutcome, WriteRequest, WriteStatus};
-use crate::cluster::{ClusterNode, WriteQueueEffect};
+use crate::cluster::{ClusterNode, Micros, WriteQueueEffect};
 use tokio::sync::oneshot;
 use tracing::{info, warn};
 
 impl ClusterTransport {
-    /// Whether this gateway is of a branch that accepts writes.
+    /// Whether this gateway belongs to a branch that accepts writes.
     pub fn is_of_branch(&self) -> bool {
         self.config.settings.branch.is_some()
     }
 
-    /// Whether a write of this class is the branch's to accept now.
+    /// Whether the branch's write queue takes a write of this class now.
     pub fn takes_writes(&self, class: &str, customer: u64, object: u64) -> bool {
-        let fleet = self.fleet.borrow();
-        let replica = fleet.as_ref().and_then(ClusterNode::write_queue).map(|queue| queue.replica());
+        let node = self.node.borrow();
+        let replica = node.as_ref().and_then(ClusterNode::write_queue).map(|queue| queue.replica());
         let named = || self.config.write_queue_classes.iter().any(|name| name == class);
         replica.is_some_and(|replica| replica.should_queue(customer, object) && named())
     }
 
-    /// Accepts a write; its name, or none where it is not accepted.
+    /// Puts a write into the queue. Returns its name; none: it is not accepted.
     pub async fn accept_write(&self, request: WriteRequest) -> Option<Dot> {
-        let (accepts, accepted) = oneshot::channel();
+        let (decide, decision) = oneshot::channel();
         let mut effects = Vec::new();
         let now = self.clock.now();
-        let dot = self.fleet.borrow_mut().as_mut()?.accept_write(now, request, &mut effects)?;
-        self.accepts.borrow_mut().entry(dot).or_default().push(accepts);
+        let dot = self.node.borrow_mut().as_mut()?.accept_write(now, request, &mut effects)?;
+        self.write_decisions.borrow_mut().entry(dot).or_default().push(decide);
         self.perform(effects);
-        accepted.await.ok().filter(|yes| *yes).map(|_| dot)
+        match decision.await {
+            Ok(true) => Some(dot),
+            Ok(false) | Err(_) => None,
+        }
     }
 
     /// What became of a write.
     pub fn write_status(&self, dot: Dot) -> Option<WriteStatus> {
-        self.fleet.borrow().as_ref()?.write_status(dot)
+        self.node.borrow().as_ref()?.write_status(dot)
     }
 
-    /// A write that was to be sent on was.
-    pub fn write_ended(&self, dot: Dot, tries: u16, fate: ForwardOutcome) {
-        self.with(self.era.get(), |fleet, now, out| fleet.on_write_forwarded(now, dot, tries, fate, out));
+    /// A write was forwarded, with this outcome.
+    pub fn write_ended(&self, dot: Dot, attempt: u16, outcome: ForwardOutcome) {
+        self.with_node(self.participation.get(), |node, now, out| {
+            node.on_write_forwarded(now, dot, attempt, outcome, out);
+        });
     }
 
-    pub(super) fn run_errand(&self, errand: WriteQueueEffect) {
-        match errand {
-            WriteQueueEffect::Decided { dot, accepted: yes } => {
-                for waits in self.accepts.borrow_mut().remove(&dot).into_iter().flatten() {
-                    // A client that has gone may ask for it by its key.
-                    let _ = waits.send(yes);
-                }
-            }
-            WriteQueueEffect::Forward { write, attempt: tries, may_have_run: before } => {
-                let dot = write.dot;
-                if self.writes.try_send(QueuedWrite { write, tries, before }).is_err() {
-                    warn!(%dot, "no room for a write that is to be sent on");
-                    self.write_ended(dot, tries, ForwardOutcome::NotExecuted);
-                }
+    pub(super) fn perform_write_queue(&self, effect: WriteQueueEffect) {
+        match effect {
+            WriteQueueEffect::Decided { dot, accepted } => self.resolve_write(dot, accepted),
+            WriteQueueEffect::Forward { write, attempt, may_have_run } => {
+                self.queue_forward(QueuedWrite { write, attempt, may_have_run });
             }
-            WriteQueueEffect::NotCompleted { dot, outcome: end } => {
-                warn!(%dot, ?end, "a write of the branch was not done")
+            WriteQueueEffect::NotCompleted { dot, outcome } => {
+                warn!(%dot, end = ?outcome, "a write of the branch was not done");
             }
-            WriteQueueEffect::IsolationChanged { isolated: cut, since_response: last } => {
-                self.arms.cut(cut);
-                let waits = self
-                    .fleet
-                    .borrow()
-                    .as_ref()
-                    .and_then(ClusterNode::write_queue)
-                    .map(|b| b.replica().log().pending_count());
-                let (last_ms, waits) = (last.0 / 1000, waits.unwrap_or(0));
-                match cut {
-                    true => warn!(last_ms, waits, "the branch is cut off: writes are accepted here"),
-                    false => info!(waits, "the branch's line is up: writes are sent on"),
-                }
+            WriteQueueEffect::IsolationChanged { isolated, since_response } => {
+                self.outcomes.cut(isolated);
+                self.log_isolation(isolated, since_response);
             }
         }
     }
+
+    fn resolve_write(&self, dot: Dot, accepted: bool) {
+        for decide in self.write_decisions.borrow_mut().remove(&dot).into_iter().flatten() {
+            // A client that has gone may ask for the write by its key.
+            let _ = decide.send(accepted);
+        }
+    }
+
+    fn queue_forward(&self, queued: QueuedWrite) {
+        let (dot, attempt) = (queued.write.dot, queued.attempt);
+        if self.senders.queued_writes.try_send(queued).is_err() {
+            warn!(%dot, "no room for a write that is to be forwarded");
+            self.write_ended(dot, attempt, ForwardOutcome::NotExecuted);
+        }
+    }
+
+    fn log_isolation(&self, isolated: bool, since_response: Micros) {
+        let node = self.node.borrow();
+        let queue = node.as_ref().and_then(ClusterNode::write_queue);
+        let waits = queue.map_or(0, |queue| queue.replica().log().pending_count());
+        let last_ms = since_response.0 / 1000;
+        match isolated {
+            true => warn!(last_ms, waits, "the branch is cut off: writes are accepted here"),
+            false => info!(waits, "the branch's line is up: writes are sent on"),
+        }
+    }
 }
--- a/src/proxy/downstream/connection.rs
+++ b/src/proxy/downstream/connection.rs
@@ -6,7 +6,7 @@
 use super::idle_connections::{IdleConnections, OpenRequestGuard};
 use super::request::{handle, WRITES_PATH};
 use crate::proxy::admin::metrics::ConnectionCloseReason;
-use crate::proxy::cluster_transport::write_queue_sender::status_text;
+use crate::proxy::cluster_transport::write_queue_sender::{status_text, WriteStatusText};
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
 use hyper::server::conn::http1;
@@ -97,8 +97,8 @@
     }
     let write = path.strip_prefix(WRITES_PATH).and_then(|name| name.parse().ok());
     let Some(write) = write else { return plain_text(StatusCode::NOT_FOUND, "no such path\n") };
-    let (known, text) = status_text(cluster.write_status(write));
-    let status = if known { StatusCode::OK } else { StatusCode::NOT_FOUND };
+    let WriteStatusText { is_known, text } = status_text(cluster.write_status(write));
+    let status = if is_known { StatusCode::OK } else { StatusCode::NOT_FOUND };
     plain_text(status, text)
 }
 
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -13,7 +13,7 @@
 use admin::call::AdminContext;
 use admin::metrics::Metrics;
 use cluster_transport::outcome_recorder::OutcomeRecorder;
-use cluster_transport::ClusterTransport;
+use cluster_transport::{ClusterTransport, RequestSenders};
 use control_plane::config::{Config, ConfigError, ServiceAddresses};
 use downstream::context::{ProxyContext, RequestIds};
 use downstream::request_head::{ClassRules, RequestRules};
@@ -164,11 +164,11 @@
     let of_branch = fleet.as_ref().is_some_and(|fleet| fleet.settings.branch.is_some());
     let (writes, orders_to_send) = tokio::sync::mpsc::channel(MOST_SENT_ON);
     let (orphans, orphans_to_finish) = tokio::sync::mpsc::channel(MOST_ORPHANS);
+    let senders = RequestSenders { queued_writes: writes, abandoned_requests: orphans };
     let finishes = fleet.as_ref().is_some_and(|fleet| !fleet.finish_classes.is_empty());
     let looks = arms.clone();
-    let peers = fleet.map(|fleet| {
-        ClusterTransport::new(fleet, clock, duty.clone(), inbox.clone(), arms, (writes, orphans))
-    });
+    let peers =
+        fleet.map(|fleet| ClusterTransport::new(fleet, clock, duty.clone(), inbox.clone(), arms, senders));
     let listener = match accept_fd {
         Some(number) => lifecycle::inherited_listener::listener(number).and_then(TcpListener::from_std),
         None => TcpListener::bind(listen).await,
@@ -224,13 +224,13 @@
     };
     let front = Rc::new(front);
     if let Some(peers) = front.cluster.clone().filter(|_| of_branch) {
-        tokio::task::spawn_local(cluster_transport::write_queue_sender::send_on(
+        tokio::task::spawn_local(cluster_transport::write_queue_sender::forward_writes(
             front.clone(),
             peers,
             orders_to_send,
         ));
         looks.watch();
-        tokio::task::spawn_local(cluster_transport::write_queue_sender::look_outside(looks));
+        tokio::task::spawn_local(cluster_transport::write_queue_sender::check_uplink(looks));
     }
     if let Some(peers) = front.cluster.clone().filter(|_| finishes) {
         tokio::task::spawn_local(cluster_transport::abandoned_requests::finish_all(
