--- a/src/proxy/admin/call.rs
+++ b/src/proxy/admin/call.rs
@@ -8,7 +8,7 @@
 use super::stats;
 use crate::proxy::cluster_transport::ClusterTransport;
 use crate::proxy::lifecycle::drain::Lifecycle;
-use crate::proxy::runtime::{AdminCommand, AdminSender};
+use crate::proxy::runtime::messages::{AdminCommand, AdminSender};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use std::rc::Rc;
@@ -23,13 +23,13 @@
 /// What the calls need.
 pub struct AdminContext {
     /// Commands to the runtime, which wait behind no request.
-    pub orders: AdminSender,
+    pub commands: AdminSender,
     /// The counters of this process.
-    pub figures: Rc<Metrics>,
+    pub metrics: Rc<Metrics>,
     /// Whether the gateway serves, drains or ends.
-    pub duty: Rc<Lifecycle>,
+    pub lifecycle: Rc<Lifecycle>,
     /// The cluster, where the gateway is part of one.
-    pub peers: Option<Rc<ClusterTransport>>,
+    pub cluster: Option<Rc<ClusterTransport>>,
     /// The names that routing rules may use.
     pub names: KnownNames,
 }
@@ -37,8 +37,8 @@
 impl AdminContext {
     fn available_calls(&self) -> AvailableCalls {
         AvailableCalls {
-            cluster: self.peers.is_some(),
-            rollouts: self.peers.as_ref().is_some_and(|cluster| cluster.keeps_rules()),
+            cluster: self.cluster.is_some(),
+            rollouts: self.cluster.as_ref().is_some_and(|cluster| cluster.keeps_rules()),
         }
     }
 }
@@ -119,7 +119,7 @@
         AdminCall::Readiness => readiness(context),
         AdminCall::SetDraining(draining) => {
             info!(draining, "an operator sets draining");
-            context.duty.set_draining(draining);
+            context.lifecycle.set_draining(draining);
             AdminReply::done()
         }
         AdminCall::Stats => stats_reply(context).await,
@@ -128,7 +128,7 @@
             info!(id = endpoint, in_maintenance, "an operator sets an endpoint's maintenance");
             set_maintenance(endpoint, in_maintenance, context).await
         }
-        AdminCall::Rollout(call) => match &context.peers {
+        AdminCall::Rollout(call) => match &context.cluster {
             Some(cluster) => rollout_calls::perform(call, cluster, &context.names, body).await,
             None => AdminCallError::UnknownPath.into(),
         },
@@ -136,7 +136,7 @@
 }
 
 fn readiness(context: &AdminContext) -> AdminReply {
-    match context.duty.is_ready() {
+    match context.lifecycle.is_ready() {
         true => AdminReply::text(StatusCode::OK, "ready\n"),
         false => AdminReply::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
     }
@@ -146,15 +146,15 @@
     let Some(endpoints) = ask_runtime(context, AdminCommand::CountEndpoints).await else {
         return AdminReply::runtime_timeout();
     };
-    let mut text = stats::process_lines(&context.figures, endpoints);
-    if let Some(cluster) = context.peers.as_ref().and_then(|cluster| cluster.stats()) {
+    let mut text = stats::process_lines(&context.metrics, endpoints);
+    if let Some(cluster) = context.cluster.as_ref().and_then(|cluster| cluster.stats()) {
         text.push_str(&stats::cluster_lines(&cluster));
     }
     AdminReply::text(StatusCode::OK, text)
 }
 
 fn cluster_report(context: &AdminContext) -> AdminReply {
-    match context.peers.as_ref().and_then(|cluster| cluster.report()) {
+    match context.cluster.as_ref().and_then(|cluster| cluster.report()) {
         Some(report) => AdminReply::json(report),
         None => AdminReply::text(StatusCode::SERVICE_UNAVAILABLE, "not in the fleet now\n"),
     }
@@ -176,7 +176,7 @@
 ) -> Option<T> {
     let (reply, answer) = oneshot::channel();
     let asking = async {
-        context.orders.send(command(reply)).await.ok()?;
+        context.commands.send(command(reply)).await.ok()?;
         answer.await.ok()
     };
     timeout(RUNTIME_TIMEOUT, asking).await.ok().flatten()
--- a/src/proxy/admin/metrics.rs
+++ b/src/proxy/admin/metrics.rs
@@ -4,7 +4,7 @@
 //! `strum(serialize)` names: a wire form, which never changes.
 
 use crate::decision::{ClassId, Outcome, RejectionReason};
-use crate::proxy::control_plane::discovery::FailureKind;
+use crate::proxy::control_plane::discovery::call::FailureKind;
 use std::cell::Cell;
 use std::marker::PhantomData;
 use std::rc::Rc;
--- a/src/proxy/admin/server.rs
+++ b/src/proxy/admin/server.rs
@@ -2,6 +2,7 @@
 //! waiting.
 
 use super::call::{answer, AdminContext};
+use crate::proxy::control_plane::config::socket_limits::MAX_OPERATOR_CONNECTIONS;
 use crate::proxy::downstream::accept::AcceptBackoff;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -15,8 +16,6 @@
 use tokio::time::timeout;
 use tracing::debug;
 
-/// The most connections at once; one more closes the oldest.
-pub const MAX_CONNECTIONS: usize = 8;
 /// The longest time from the accept to the end of a call's head; its response must be written within twice as long.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(800);
 /// The longest head of a call, in bytes.
@@ -35,7 +34,7 @@
 
     fn make_room(&mut self) {
         self.0.retain(|connection| !connection.is_finished());
-        if self.0.len() >= MAX_CONNECTIONS {
+        if self.0.len() >= MAX_OPERATOR_CONNECTIONS {
             if let Some(oldest) = self.0.pop_front() {
                 oldest.abort();
             }
--- a/src/proxy/cluster_transport/participation.rs
+++ b/src/proxy/cluster_transport/participation.rs
@@ -7,7 +7,7 @@
 };
 use crate::decision::SettingsError;
 use crate::proxy::lifecycle::drain::ShutdownPhase;
-use crate::proxy::runtime::{send_event, RuntimeEvent};
+use crate::proxy::runtime::messages::{send_event, RuntimeEvent};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/src/proxy/cluster_transport/tests.rs
+++ b/src/proxy/cluster_transport/tests.rs
@@ -6,7 +6,7 @@
 use crate::proxy::cluster_transport::outcome_recorder::OutcomeRecorder;
 use crate::proxy::control_plane::config::ClusterConfig;
 use crate::proxy::lifecycle::drain::Lifecycle;
-use crate::proxy::runtime::Clock;
+use crate::proxy::runtime::clock::Clock;
 use std::path::Path;
 use std::rc::Rc;
 use tokio::sync::mpsc;
--- a/src/proxy/cluster_transport/write_queue_sender.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -14,7 +14,7 @@
 use crate::proxy::downstream::dispatch::dispatch;
 use crate::proxy::downstream::request_error::RequestError;
 use crate::proxy::downstream::request_head::RequestHead;
-use crate::proxy::runtime::FinalResponse;
+use crate::proxy::runtime::messages::FinalResponse;
 use crate::proxy::upstream::attempt_tracker::AttemptTracker;
 use crate::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
 use bytes::Bytes;
--- a/src/proxy/downstream/client_response.rs
+++ b/src/proxy/downstream/client_response.rs
@@ -5,7 +5,7 @@
 use super::response_body::ResponseBody;
 use crate::decision::Micros;
 use crate::proxy::admin::metrics::{InFlightRequest, RequestResult};
-use crate::proxy::runtime::FinalResponse;
+use crate::proxy::runtime::messages::FinalResponse;
 use crate::proxy::upstream::streamed_response::ResponseBodyError;
 use bytes::Bytes;
 use http_body_util::Full;
--- a/src/proxy/downstream/connection/tests.rs
+++ b/src/proxy/downstream/connection/tests.rs
@@ -2,14 +2,14 @@
 
 use super::serve_connection;
 use crate::decision::Micros;
-use crate::proxy::control_plane::config::SocketLimits;
+use crate::proxy::control_plane::config::socket_limits::SocketLimits;
 use crate::proxy::downstream::context::{ProxyContext, RequestIds};
 use crate::proxy::downstream::idle_connections::IdleConnections;
 use crate::proxy::downstream::request_head::RequestRules;
 use crate::proxy::lifecycle::drain::Lifecycle;
 use crate::proxy::lifecycle::permits::Permits;
 use crate::proxy::memory_budget::MemoryBudget;
-use crate::proxy::runtime::Clock;
+use crate::proxy::runtime::clock::Clock;
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
 use std::rc::Rc;
--- a/src/proxy/downstream/context.rs
+++ b/src/proxy/downstream/context.rs
@@ -7,7 +7,8 @@
 use crate::proxy::lifecycle::drain::Lifecycle;
 use crate::proxy::lifecycle::permits::Permits;
 use crate::proxy::memory_budget::MemoryBudget;
-use crate::proxy::runtime::{Clock, RuntimeSender};
+use crate::proxy::runtime::clock::Clock;
+use crate::proxy::runtime::messages::RuntimeSender;
 use std::cell::Cell;
 use std::rc::Rc;
 
--- a/src/proxy/downstream/dispatch.rs
+++ b/src/proxy/downstream/dispatch.rs
@@ -3,7 +3,7 @@
 use super::context::ProxyContext;
 use crate::decision::{Arrival, RequestId};
 use crate::proxy::lifecycle::drain::ShutdownPhase;
-use crate::proxy::runtime::{send_event, FinalResponse, NewRequest, RuntimeEvent, RuntimeSender};
+use crate::proxy::runtime::messages::{send_event, FinalResponse, NewRequest, RuntimeEvent, RuntimeSender};
 use crate::proxy::upstream::forwarded_request::ForwardedRequest;
 use tokio::sync::oneshot;
 
--- a/src/proxy/downstream/request.rs
+++ b/src/proxy/downstream/request.rs
@@ -18,7 +18,7 @@
 use crate::proxy::cluster_transport::ClusterTransport;
 use crate::proxy::lifecycle::drain::ShutdownPhase;
 use crate::proxy::memory_budget::MemoryBudget;
-use crate::proxy::runtime::{FinalResponse, NewRequest, RuntimeEvent};
+use crate::proxy::runtime::messages::{FinalResponse, NewRequest, RuntimeEvent};
 use crate::proxy::upstream::connection::MAX_BODY;
 use crate::proxy::upstream::forwarded_request::{strip_hop_by_hop, ForwardedRequest, RequestPayload};
 use bytes::Bytes;
--- a/src/proxy/downstream/request_head.rs
+++ b/src/proxy/downstream/request_head.rs
@@ -24,7 +24,7 @@
 }
 
 /// What heads of requests are checked against.
-#[derive(Debug, Default)]
+#[derive(Debug, Clone, Default)]
 pub struct RequestRules {
     /// Classes by name.
     pub classes: HashMap<String, ClassRules>,
--- a/src/proxy/downstream/server.rs
+++ b/src/proxy/downstream/server.rs
@@ -5,7 +5,7 @@
 use super::context::ProxyContext;
 use super::idle_connections::{IdleConnections, SWEEP_INTERVAL};
 use crate::proxy::lifecycle::drain::ShutdownPhase;
-use crate::proxy::runtime::duration;
+use crate::proxy::runtime::clock::duration;
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
