--- a/src/cluster/membership/swim.rs
+++ b/src/cluster/membership/swim.rs
@@ -63,8 +63,9 @@
     has_left: bool,
 }
 
-fn micros(span: Duration) -> Micros {
-    Micros(span.as_micros().min(u128::from(u64::MAX)) as u64)
+/// A span in microseconds.
+pub fn micros(span: Duration) -> Micros {
+    Micros(u64::try_from(span.as_micros()).unwrap_or(u64::MAX))
 }
 
 impl Swim {
@@ -256,7 +257,7 @@
         self.change_identity(self.own().above(other), out);
     }
 
-    /// Tells that this member leaves on purpose. It answers nobody from now on.
+    /// Announces that this member leaves on purpose. It answers nobody from now on.
     pub fn leave(&mut self, out: &mut Vec<OutgoingMessage>) {
         if std::mem::replace(&mut self.has_left, true) {
             return;
--- a/src/cluster/node.rs
+++ b/src/cluster/node.rs
@@ -25,7 +25,7 @@
     /// What stands for the cluster's name in datagrams.
     pub(super) cluster_tag: u32,
     pub(super) rng: fastrand::Rng,
-    /// The latest time that this node was told.
+    /// The latest time that was passed in.
     pub(super) now: Micros,
     pub(super) traffic: TrafficCounters,
     pub(super) swim: Swim,
@@ -40,7 +40,7 @@
     pub(super) left: bool,
     /// How often it still has to repeat that.
     pub(super) leave_repeats: u32,
-    /// The members' states as people were told them last.
+    /// The members' states as they were last notified.
     pub(super) notified_states: BTreeMap<Rc<str>, MemberState>,
     /// The seats, where the settings name them.
     pub(super) quota_leases: Option<QuotaLeases>,
@@ -185,11 +185,6 @@
         1 + self.records().filter(|record| record.state.is_present()).count()
     }
 
-    /// Whether its storage works, and how many effects wait for it; none where it has no storage.
-    pub fn disk(&self) -> Option<(bool, usize)> {
-        self.persistence.as_ref().map(|persistence| (persistence.is_working(), persistence.waiting()))
-    }
-
     /// Datagrams, bytes and what was dropped.
     pub fn traffic(&self) -> &TrafficCounters {
         &self.traffic
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -3,38 +3,17 @@
 use super::datagram::{DatagramError, Payload};
 use super::event::{Effect, RoutingInForce};
 use super::ledger::{ClaimId, ClaimOutcome};
-use super::ledger_node::LeaseProgress;
+use super::ledger_node::{LeaseProgress, OwnSeat};
 use super::membership::identity::CAPABILITY_ROLLOUT;
 use super::node::ClusterNode;
 use super::rollout::{
-    Arm, ControllerEffect, RequestOutcome, RolloutCommand, RolloutController, RolloutKey, RolloutMessage,
-    RolloutReport, RolloutRequest, RuleSet, ROLLOUT_RECORD, TICK_INTERVAL,
+    Arm, CommandResult, ControllerEffect, RequestOutcome, RolloutCommand, RolloutController, RolloutKey,
+    RolloutMessage, RolloutReport, RolloutRequest, RuleSet, ROLLOUT_RECORD, TICK_INTERVAL,
 };
 use crate::decision::Micros;
 
-/// What became of an operator's command.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CommandResult {
-    /// It is done, or begun.
-    Done,
-    /// It can't be: another rollout runs, or none does.
-    Conflict,
-    /// There is no rollout without a ledger.
-    Disabled,
-}
-
-impl CommandResult {
-    fn done_if(done: Option<bool>) -> CommandResult {
-        match done {
-            Some(true) => CommandResult::Done,
-            Some(false) => CommandResult::Conflict,
-            None => CommandResult::Disabled,
-        }
-    }
-}
-
 impl ClusterNode {
-    /// An operator wants a rollout. What becomes of it is told by `Effect::RolloutStarted`.
+    /// An operator wants a rollout. What becomes of it follows as `Effect::RolloutStarted`.
     pub fn start_rollout(
         &mut self,
         now: Micros,
@@ -189,7 +168,7 @@
         });
     }
 
-    /// What was stored of a rollout is in force again, as far as nothing newer was heard.
+    /// What was stored of a rollout is in force again, as far as nothing newer was received.
     pub(super) fn restore_rollout(&mut self, command: Option<RolloutCommand>, out: &mut Vec<Effect>) {
         let Some(command) = command.filter(RolloutCommand::is_valid) else { return };
         let now = self.now;
@@ -234,7 +213,7 @@
         for effect in effects {
             match effect {
                 ControllerEffect::Send { to, message } => {
-                    let Some((seat_list, seat)) = self.own_seat() else { continue };
+                    let Some(OwnSeat { seat_list, seat }) = self.own_seat() else { continue };
                     self.send_to_seat(to, &Payload::Rollout { seat_list, seat, message }, out);
                 }
                 ControllerEffect::Claim => {
--- a/src/cluster/write_queue/queue.rs
+++ b/src/cluster/write_queue/queue.rs
@@ -1,41 +1,60 @@
-//! One gateway's replica of the write queue, with its claim of the record whose owner forwards the writes.
+//! The write queue as one gateway has it, with its claim of the branch's record.
 
+use super::replica::QueueReplica;
 use crate::cluster::ledger::ClaimId;
-use crate::cluster::write_queue::replica::QueueReplica;
 use crate::decision::Micros;
 
-/// The write queue as one gateway has it, with its claim of the branch's record.
+/// A gateway that does not own the branch's record claims it again after this, and up to as long again.
+pub const CLAIM_INTERVAL: Micros = Micros(1_000_000);
+
+/// The write queue as one gateway has it.
 pub struct WriteQueue {
-    pub(in crate::cluster) replica: QueueReplica,
-    /// Its claim of the branch's record, while it has one.
-    pub(in crate::cluster) claim: Option<ClaimId>,
-    /// When it claims that next, where it has none.
-    pub(in crate::cluster) next_claim: Micros,
+    replica: QueueReplica,
+    claim: Option<ClaimId>,
+    next_claim: Micros,
 }
 
 impl WriteQueue {
-    pub(in crate::cluster) fn new(replica: QueueReplica, now: Micros) -> WriteQueue {
+    /// With this part in the branch, and without a claim.
+    pub fn new(replica: QueueReplica, now: Micros) -> WriteQueue {
         WriteQueue { replica, claim: None, next_claim: now }
     }
 
-    /// This gateway's part in it.
+    /// This gateway's part in the branch.
     pub fn replica(&self) -> &QueueReplica {
         &self.replica
     }
 
-    pub(in crate::cluster) fn replica_mut(&mut self) -> &mut QueueReplica {
+    /// The same, to be driven.
+    pub fn replica_mut(&mut self) -> &mut QueueReplica {
         &mut self.replica
     }
 
+    /// The claim of the branch's record.
+    pub fn claim(&self) -> Option<ClaimId> {
+        self.claim
+    }
+
+    /// The record is claimed, if it could be; it is not claimed again before this time.
+    pub fn set_claim(&mut self, claim: Option<ClaimId>, next_claim: Micros) {
+        self.claim = claim;
+        self.next_claim = next_claim;
+    }
+
+    /// The claim is given up; when the record is claimed again stays as it was.
+    pub fn drop_claim(&mut self) {
+        self.claim = None;
+    }
+
     /// Whether this gateway should claim the branch's record: pending writes wait for somebody to forward them.
-    pub(in crate::cluster) fn wants_claim(&self, now: Micros) -> bool {
+    pub fn wants_claim(&self, now: Micros) -> bool {
         let has_work = self.replica.log().pending_count() > 0;
         let may_forward = self.replica.has_vote() && !self.replica.is_isolated();
         self.claim.is_none() && now >= self.next_claim && has_work && may_forward
     }
 
     /// Whether it holds the record without a use: nothing is pending, or it may not forward as its storage failed.
-    pub(in crate::cluster) fn is_idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.replica.log().pending_count() == 0 || !self.replica.has_vote()
     }
 }
--- a/src/proxy/admin/stats.rs
+++ b/src/proxy/admin/stats.rs
@@ -4,11 +4,9 @@
 
 use super::metrics::{ClassMetrics, CounterSet, DiscoveryMetrics, Metrics};
 use crate::cluster::rollout::RolloutState;
-use crate::cluster::{Agreement, ClusterReport, MemberState, ViewReport};
+use crate::cluster::{Agreement, ClusterReport, MemberState, StorageStatus, ViewReport};
 use crate::decision::EndpointCounts;
-use crate::proxy::cluster_transport::stats::{
-    ClusterStats, LedgerStats, RolloutStats, StorageStats, WriteQueueStats,
-};
+use crate::proxy::cluster_transport::stats::{ClusterStats, LedgerStats, RolloutStats, WriteQueueStats};
 use strum::VariantArray;
 
 /// What every key begins with.
@@ -116,7 +114,7 @@
 fn view_lines(lines: &mut StatsText, view: &ViewReport) {
     lines.line("view.number", view.number);
     lines.line("view.holding", view.support.stating as u64);
-    lines.line("view.heard", view.support.heard as u64);
+    lines.line("view.heard", view.support.reporting as u64);
     lines.flag("view.agreed", view.agreement == Agreement::Agreed);
     lines.line("share.for_ms", view.share_for_ms);
     lines.line("share.away", view.free_seats.len() as u64);
@@ -167,8 +165,8 @@
     lines.line("rollout.uncounted", rollout.outcomes_dropped);
 }
 
-fn storage_lines(lines: &mut StatsText, storage: &StorageStats) {
-    lines.flag("disk.works", storage.works);
+fn storage_lines(lines: &mut StatsText, storage: &StorageStatus) {
+    lines.flag("disk.works", storage.is_working);
     lines.line("disk.waits", storage.waiting as u64);
 }
 
--- a/src/proxy/cluster_transport/stats.rs
+++ b/src/proxy/cluster_transport/stats.rs
@@ -4,7 +4,7 @@
 use crate::cluster::ledger::{ClaimCounts, RejectionCounts};
 use crate::cluster::rollout::RolloutReport;
 use crate::cluster::write_queue::QueueCounts;
-use crate::cluster::{ClusterNode, ClusterReport};
+use crate::cluster::{ClusterNode, ClusterReport, StorageStatus};
 
 /// Figures of the cluster as this gateway sees it, at one moment.
 pub struct ClusterStats {
@@ -17,7 +17,7 @@
     /// Rollouts of routing rules, where there may be any.
     pub rollout: Option<RolloutStats>,
     /// The disk, where the gateway has one.
-    pub storage: Option<StorageStats>,
+    pub storage: Option<StorageStatus>,
     /// Datagrams that the kernel did not take.
     pub datagrams_not_sent: u64,
 }
@@ -62,14 +62,6 @@
     pub outcomes_dropped: u64,
 }
 
-/// The gateway's disk.
-pub struct StorageStats {
-    /// What it is given is stored.
-    pub works: bool,
-    /// Messages that wait for their state to be stored.
-    pub waiting: usize,
-}
-
 impl ClusterTransport {
     /// The report for operators, as JSON. None: another process stands for the gateway.
     pub fn report(&self) -> Option<String> {
@@ -89,7 +81,7 @@
                 report: node.rollout_report(self.clock.now()),
                 outcomes_dropped: self.outcomes.dropped(),
             }),
-            storage: node.disk().map(|(works, waiting)| StorageStats { works, waiting }),
+            storage: node.storage_status(),
             datagrams_not_sent: self.datagrams_not_sent.get(),
         })
     }
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -45,7 +45,7 @@
 
     /// Applies one entry of a list.
     fn apply_endpoint(&mut self, entry: DiscoveredEndpoint) -> EndpointUpdate {
-        let endpoint = self.site.server(&entry.name);
+        let endpoint = self.site.endpoint_id(&entry.name);
         self.log_change(endpoint, &entry);
         let backend = Backend {
             address: entry.address,
