--- a/src/proxy/runtime/requests.rs
+++ b/src/proxy/runtime/requests.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{AttemptId, FinalResponse};
 use crate::decision::RequestId;
-use crate::proxy::cluster_transport::outcome_recorder::RolloutRequest;
+use crate::proxy::cluster_transport::outcome_recorder::RolloutAssignment;
 use crate::proxy::upstream::forwarded_request::ForwardedRequest;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -14,7 +14,7 @@
     pub forwarded: Rc<ForwardedRequest>,
     attempts: Vec<OpenAttempt>,
     /// How it ends is counted for a rollout.
-    pub rollout: Option<RolloutRequest>,
+    pub rollout: Option<RolloutAssignment>,
 }
 
 /// An attempt of an open request.
@@ -30,7 +30,7 @@
         forwarded: ForwardedRequest,
         reply: oneshot::Sender<FinalResponse>,
         prior_attempts: usize,
-        rollout: Option<RolloutRequest>,
+        rollout: Option<RolloutAssignment>,
     ) -> OpenRequest {
         let attempts = (0..prior_attempts).map(|_| OpenAttempt::default()).collect();
         OpenRequest { reply: Some(reply), forwarded: Rc::new(forwarded), attempts, rollout }
--- a/src/proxy/runtime/routing.rs
+++ b/src/proxy/runtime/routing.rs
@@ -7,7 +7,7 @@
 use crate::decision::{
     has_canary_rules, Arrival, ClassId, CustomerId, Event, PlanId, RouteRule, RoutingRules,
 };
-use crate::proxy::cluster_transport::outcome_recorder::RolloutRequest;
+use crate::proxy::cluster_transport::outcome_recorder::RolloutAssignment;
 use crate::site_settings::Site;
 use std::rc::Rc;
 
@@ -45,9 +45,9 @@
     }
 
     /// What is noted of a request whose outcome counts for a rollout.
-    pub(super) fn rollout_request(&self, arrival: &Arrival) -> Option<RolloutRequest> {
+    pub(super) fn rollout_request(&self, arrival: &Arrival) -> Option<RolloutAssignment> {
         let rollout = self.rollout.as_ref()?;
-        Some(RolloutRequest {
+        Some(RolloutAssignment {
             key: rollout.key,
             arm: rollout.arm_of(arrival.customer),
             class: arrival.class,
