--- a/lab/tests/disk/main.rs
+++ b/lab/tests/disk/main.rs
@@ -147,7 +147,8 @@
     simulation.check().expect("what was promised");
 }
 
-/// A gateway of a branch on a new disk ends before the others have told it anything: it has no vote in its next process either.
+/// A gateway of a branch on a new disk ends before it has received anything from the others: its next process has no vote
+/// either.
 #[test]
 fn process_without_a_vote_leaves_none_to_the_next() {
     let mut simulation = cut_with_writes(4, true);
