--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -244,7 +244,7 @@
         let bytes = datagram::encode(self.cluster_tag, payload, &[]);
         self.traffic.unaddressed += u64::from(address.is_none());
         if let (Some(address), Some(bytes)) = (address, bytes) {
-            self.send_frame(address, bytes, out);
+            self.send_datagram(address, bytes, out);
         }
     }
 
