--- a/src/cluster/membership/swim.rs
+++ b/src/cluster/membership/swim.rs
@@ -150,7 +150,7 @@
     pub fn tick(&mut self, now: Micros, out: &mut Vec<OutgoingMessage>) {
         self.advance_clock(now);
         // An empty update makes the protocol look at its connection. Without it a process that rejoined probes nobody
-        // until it next hears a member; if all died meanwhile, it would take them for alive for ever.
+        // until it next receives a message; if all died meanwhile, it would take them for alive for ever.
         let _ = self.foca.apply_many(std::iter::empty(), false, &mut self.runtime);
         self.drain_runtime(out);
         while let Some(timer) = self.timers.pop_due(self.awake) {
