--- a/src/proxy/cluster_transport/abandoned_requests.rs
+++ b/src/proxy/cluster_transport/abandoned_requests.rs
@@ -42,7 +42,7 @@
             let outcome = finish(&context, &cluster, &request).await;
             if outcome != AbandonedOutcome::AlreadyAnswered {
                 cluster.count_abandoned(outcome == AbandonedOutcome::Finished);
-                info!(customer = request.id.customer, ?outcome, "an abandoned request");
+                info!(customer = request.id.customer, ?outcome, "abandoned request");
             }
             drop(permit);
         });
--- a/src/proxy/cluster_transport/disk.rs
+++ b/src/proxy/cluster_transport/disk.rs
@@ -62,7 +62,7 @@
         let path = folder.join(FILE);
         let spawned = thread::Builder::new().name("disk".into()).spawn(move || {
             if let Err(error) = run(&path, &batch_receiver, &event_sender) {
-                warn!(%error, path = %path.display(), "the disk has failed");
+                warn!(%error, path = %path.display(), "disk failed");
                 // Nobody may listen any more.
                 let _ = event_sender.blocking_send(DiskEvent::Failed);
             }
@@ -138,7 +138,7 @@
 fn set_aside(path: &Path, why: &str) -> Result<(), Error> {
     let mut aside = PathBuf::from(path);
     aside.set_extension("redb.bad");
-    warn!(why, aside = %aside.display(), "the disk's file is not sound: it is set aside, and a new one begun");
+    warn!(why, aside = %aside.display(), "the storage file is corrupt: set aside, starting with an empty one");
     std::fs::rename(path, aside).map_err(Error::Io)
 }
 
--- a/src/proxy/cluster_transport/notices.rs
+++ b/src/proxy/cluster_transport/notices.rs
@@ -1,20 +1,22 @@
-//! Lines of the log about the fleet.
+//! Log lines about the cluster.
 
 use crate::cluster::rollout::{HaltReason, RolloutEnd, RolloutNotice};
 use crate::cluster::ClusterNotice;
 use tracing::{info, warn};
 
-/// What becomes of a rollout.
-pub(super) fn log_rollout(told: &RolloutNotice) {
-    let number = told.number();
-    match told {
-        RolloutNotice::StageChanged { stage, paused, .. } => info!(number, stage, paused, "rollout of rules"),
-        RolloutNotice::Leading { .. } => info!(number, "leading the rollout of rules"),
+/// Logs a step of a rollout.
+pub(super) fn log_rollout(notice: &RolloutNotice) {
+    let number = notice.number();
+    match notice {
+        RolloutNotice::StageChanged { stage, paused, .. } => {
+            info!(number, stage, paused, "rollout stage changed")
+        }
+        RolloutNotice::Leading { .. } => info!(number, "leading the rollout"),
         RolloutNotice::Ended { end: RolloutEnd::Completed, .. } => {
-            info!(number, "the new rules hold for all")
+            info!(number, "rollout completed: the new rules are in force for all customers")
         }
         RolloutNotice::Ended { end: RolloutEnd::Aborted, .. } => {
-            warn!(number, "rollout called off; the rules before hold")
+            warn!(number, "rollout aborted; the baseline rules are in force")
         }
         RolloutNotice::Ended { end: RolloutEnd::Halted { seat, reason }, .. } => match reason {
             HaltReason::CanaryWorse { scope: place, log_evidence: log_bet, log_threshold: log_bound } => {
@@ -24,34 +26,39 @@
                     place,
                     log_bet,
                     log_bound,
-                    "rollout halted: the new rules are worse; those before hold"
+                    "rollout halted: the canary is worse; the baseline rules are in force"
                 )
             }
             HaltReason::Undecided => {
-                warn!(number, seat, "rollout halted: a stage took too long; the rules before hold")
+                warn!(number, seat, "rollout halted: a stage took too long; the baseline rules are in force")
             }
         },
     }
 }
 
-/// What people should hear of the fleet.
+/// Logs what operators should know of the cluster.
 pub(super) fn log(notice: &ClusterNotice) {
     match notice {
         ClusterNotice::SeatYielded { own, other } => {
             warn!(
                 own,
-                other, "a younger process lives under this name; this one yields its seat and serves on"
+                other, "a newer process has this name; this one gives up its seat and continues to serve"
             );
         }
         ClusterNotice::DuplicateName { name, older, newer } => {
-            warn!(name, older, newer, "two processes send under one name");
+            warn!(name, older, newer, "two processes send under the same name");
         }
         ClusterNotice::MemberStateChanged { name, state, reason } => {
             info!(name, standing = ?state, why = reason, "member");
         }
         ClusterNotice::StorageLoaded { writes, records, votes: (branch, ledger) } => {
-            info!(writes, records, branch, ledger, "read the disk; true: a vote at once");
+            info!(
+                writes,
+                records, branch, ledger, "storage loaded; the flags say whether this gateway votes at once"
+            );
+        }
+        ClusterNotice::StorageLost => {
+            warn!("storage failed: this gateway has no vote and continues to serve")
         }
-        ClusterNotice::StorageLost => warn!("without its disk this gateway has no vote; it serves on"),
     }
 }
--- a/src/proxy/cluster_transport/participation.rs
+++ b/src/proxy/cluster_transport/participation.rs
@@ -95,7 +95,7 @@
             ..self.config.settings.clone()
         };
         let node = ClusterNode::new(settings, self.clock.now(), unix, fastrand::u64(..))?;
-        info!(name = %node.own().name, incarnation = node.own().incarnation, "joining the fleet");
+        info!(name = %node.own().name, incarnation = node.own().incarnation, "joining the cluster");
         if let Some(in_force) = node.routing_in_force().filter(|f| !f.baseline.0.is_empty()) {
             send_event(&self.runtime, RuntimeEvent::RoutingChanged(Box::new(in_force)));
         }
@@ -189,7 +189,7 @@
         if count > self.dropped_log.count {
             let reasons: Vec<String> = dropped.iter().map(|(s, n)| format!("{} {n}", s.key())).collect();
             let since_last = count - self.dropped_log.count;
-            warn!(since_last, all = reasons.join(", "), "datagrams of strangers dropped");
+            warn!(since_last, all = reasons.join(", "), "invalid datagrams dropped");
         }
         self.dropped_log.count = count;
     }
--- a/src/proxy/cluster_transport/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -54,7 +54,7 @@
                 self.queue_forward(QueuedWrite { write, attempt, may_have_run });
             }
             WriteQueueEffect::NotCompleted { dot, outcome } => {
-                warn!(%dot, end = ?outcome, "a write of the branch was not done");
+                warn!(%dot, end = ?outcome, "a queued write was not completed");
             }
             WriteQueueEffect::IsolationChanged { isolated, since_response } => {
                 self.outcomes.cut(isolated);
@@ -73,7 +73,7 @@
     fn queue_forward(&self, queued: QueuedWrite) {
         let (dot, attempt) = (queued.write.dot, queued.attempt);
         if self.senders.queued_writes.try_send(queued).is_err() {
-            warn!(%dot, "no room for a write that is to be forwarded");
+            warn!(%dot, "no room for a queued write that is to be forwarded");
             self.write_ended(dot, attempt, ForwardOutcome::NotExecuted);
         }
     }
@@ -84,8 +84,8 @@
         let waits = queue.map_or(0, |queue| queue.replica().log().pending_count());
         let last_ms = since_response.0 / 1000;
         match isolated {
-            true => warn!(last_ms, waits, "the branch is cut off: writes are accepted here"),
-            false => info!(waits, "the branch's line is up: writes are sent on"),
+            true => warn!(last_ms, waits, "uplink lost: writes are queued here"),
+            false => info!(waits, "uplink restored: queued writes are forwarded"),
         }
     }
 }
--- a/src/proxy/upstream/response.rs
+++ b/src/proxy/upstream/response.rs
@@ -86,7 +86,7 @@
     let outcome = outcome_of(&response);
     let parsed = load_report::parse(response.headers());
     if parsed.malformed && reading.pool.malformed_report_log.allows(Instant::now()) {
-        warn!(address = %reading.address, "a load report makes no sense; what can't be read of it is ignored");
+        warn!(address = %reading.address, "invalid load report; its unreadable figures are ignored");
     }
     match outcome {
         Outcome::Success => read_body(reading, response.into_body(), parsed.report).await,
