--- a/src/proxy/cluster_transport/outcome_recorder.rs
+++ b/src/proxy/cluster_transport/outcome_recorder.rs
@@ -1,105 +1,113 @@
-//! What the driver saw and the fleet part counts: how requests ended under the rules of a rollout, and whether attempts
-//! outside are answered.
+//! What the runtime records for the cluster's node: how requests ended under a rollout, and whether backends can be reached.
 
 use crate::cluster::rollout::{Arm, RequestOutcome, RolloutKey};
 use crate::decision::{ClassId, Micros};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 
-/// The most ends that wait to be counted; the fleet part takes them every 20 ms.
-const MOST: usize = 20_000;
+/// The most records of a kind that wait for the node, which takes them with each ledger tick.
+const MAX_WAITING: usize = 20_000;
 
-/// A request that goes by the rules of a rollout.
+/// A request that is routed by the rules of a rollout.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutAssignment {
-    /// Of which rollout.
+    /// Which rollout.
     pub key: RolloutKey,
-    /// Which rules.
+    /// Which of its two sets of rules.
     pub arm: Arm,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// When it came.
-    pub came: Micros,
-    /// Attempts of gateways that had it before.
-    pub before: usize,
+    /// When it arrived.
+    pub arrived_at: Micros,
+    /// How many attempts other gateways made of it before.
+    pub prior_attempts: usize,
 }
 
-/// One end.
+/// How a request ended under a rollout.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutOutcome {
     /// The request.
-    pub judged: RolloutAssignment,
+    pub assignment: RolloutAssignment,
     /// When it ended.
-    pub at: Micros,
+    pub ended_at: Micros,
     /// How.
-    pub ended: RequestOutcome,
-    /// How much of its aim that took.
-    pub part_of_aim: f64,
+    pub outcome: RequestOutcome,
+    /// How long it took, as a fraction of its class's latency objective; 0 where it was not served.
+    pub objective_fraction: f64,
 }
 
-/// The ends that wait.
+/// Records that wait for the node.
 #[derive(Default)]
 pub struct OutcomeRecorder {
-    seen: RefCell<Vec<RolloutOutcome>>,
+    outcomes: RefCell<Vec<RolloutOutcome>>,
     dropped: Cell<u64>,
-    /// The last attempts, oldest first: answered or not.
-    answers: RefCell<Vec<bool>>,
+    /// Whether backends answered the last attempts, oldest first.
+    reachability: RefCell<Vec<bool>>,
     /// Where backends are.
-    outside: RefCell<Vec<SocketAddr>>,
-    cut: Cell<bool>,
-    /// Somebody counts what is seen outside.
-    watched: Cell<bool>,
+    backends: RefCell<Vec<SocketAddr>>,
+    is_isolated: Cell<bool>,
+    records_reachability: Cell<bool>,
 }
 
 impl OutcomeRecorder {
-    /// A request ended.
-    pub fn note(&self, seen: RolloutOutcome) {
-        let mut waiting = self.seen.borrow_mut();
-        match waiting.len() < MOST {
-            true => waiting.push(seen),
+    /// A request ended under a rollout.
+    pub fn record(&self, outcome: RolloutOutcome) {
+        let mut outcomes = self.outcomes.borrow_mut();
+        match outcomes.len() < MAX_WAITING {
+            true => outcomes.push(outcome),
             false => self.dropped.set(self.dropped.get() + 1),
         }
     }
-    /// An attempt outside was answered, whatever the answer, or not.
-    pub fn saw(&self, answered: bool) {
-        let mut answers = self.answers.borrow_mut();
-        if self.watched.get() && answers.len() < MOST {
-            answers.push(answered);
+
+    /// A backend answered an attempt, whatever it answered, or could not be reached.
+    pub fn record_reachability(&self, answered: bool) {
+        let mut reachability = self.reachability.borrow_mut();
+        if self.records_reachability.get() && reachability.len() < MAX_WAITING {
+            reachability.push(answered);
         }
     }
-    /// Attempts outside are counted from now on.
-    pub fn watch(&self) {
-        self.watched.set(true);
+
+    /// Records reachability from now on: the gateway belongs to a branch.
+    pub fn start_recording_reachability(&self) {
+        self.records_reachability.set(true);
     }
-    /// Whether somebody counts them.
-    pub fn is_watched(&self) -> bool {
-        self.watched.get()
+
+    /// Whether reachability is recorded.
+    pub fn records_reachability(&self) -> bool {
+        self.records_reachability.get()
     }
-    /// Takes what was seen of attempts.
-    pub fn answers(&self) -> Vec<bool> {
-        std::mem::take(&mut *self.answers.borrow_mut())
+
+    /// Takes what was recorded of reachability.
+    pub fn take_reachability(&self) -> Vec<bool> {
+        std::mem::take(&mut *self.reachability.borrow_mut())
     }
+
     /// Backends are there now.
-    pub fn backends(&self, at: Vec<SocketAddr>) {
-        *self.outside.borrow_mut() = at;
+    pub fn set_backends(&self, addresses: Vec<SocketAddr>) {
+        *self.backends.borrow_mut() = addresses;
     }
-    /// One of them.
-    pub fn outside(&self) -> Option<SocketAddr> {
-        fastrand::choice(self.outside.borrow().iter().copied())
+
+    /// A backend by chance, if there is any.
+    pub fn random_backend(&self) -> Option<SocketAddr> {
+        fastrand::choice(self.backends.borrow().iter().copied())
     }
+
     /// Whether the branch is cut off.
-    pub fn is_cut(&self) -> bool {
-        self.cut.get()
+    pub fn is_isolated(&self) -> bool {
+        self.is_isolated.get()
     }
-    /// It is, or no longer.
-    pub fn cut(&self, cut: bool) {
-        self.cut.set(cut);
+
+    /// The branch is cut off from now on, or no longer.
+    pub fn set_isolated(&self, is_isolated: bool) {
+        self.is_isolated.set(is_isolated);
     }
-    /// Takes all that wait.
-    pub fn take(&self) -> Vec<RolloutOutcome> {
-        std::mem::take(&mut *self.seen.borrow_mut())
+
+    /// Takes all outcomes that wait.
+    pub fn take_outcomes(&self) -> Vec<RolloutOutcome> {
+        std::mem::take(&mut *self.outcomes.borrow_mut())
     }
-    /// How many found no room.
+
+    /// How many outcomes found no room.
     pub fn dropped(&self) -> u64 {
         self.dropped.get()
     }
--- a/src/proxy/cluster_transport/rollouts.rs
+++ b/src/proxy/cluster_transport/rollouts.rs
@@ -68,22 +68,22 @@
 
     /// Passes what the runtime has recorded since the last call to the node.
     pub(super) fn pass_on_outcomes(&self) {
-        for answered in self.outcomes.answers() {
+        for answered in self.outcomes.take_reachability() {
             if let Some(node) = self.node.borrow_mut().as_mut() {
                 node.record_backend_attempt(self.clock.now(), answered);
             }
         }
-        for outcome in self.outcomes.take() {
-            let request = outcome.judged;
+        for outcome in self.outcomes.take_outcomes() {
+            let request = outcome.assignment;
             let class = request.class.0.min(usize::from(u16::MAX)) as u16;
             if let Some(node) = self.node.borrow_mut().as_mut() {
                 node.record_outcome(
-                    outcome.at,
+                    outcome.ended_at,
                     request.key,
                     class,
                     request.arm,
-                    outcome.ended,
-                    outcome.part_of_aim,
+                    outcome.outcome,
+                    outcome.objective_fraction,
                 );
             }
         }
--- a/src/proxy/cluster_transport/write_queue_sender.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -187,10 +187,10 @@
 pub async fn check_uplink(outcomes: Rc<OutcomeRecorder>) {
     loop {
         sleep(UPLINK_CHECK_INTERVAL).await;
-        let Some(address) = outcomes.outside().filter(|_| outcomes.is_cut()) else { continue };
+        let Some(address) = outcomes.random_backend().filter(|_| outcomes.is_isolated()) else { continue };
         let connected = timeout(UPLINK_CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let answered = matches!(connected, Ok(Ok(_)));
         debug!(%address, answered, "checked the uplink");
-        outcomes.saw(answered);
+        outcomes.record_reachability(answered);
     }
 }
--- a/src/proxy/cluster_transport/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -57,7 +57,7 @@
                 warn!(%dot, end = ?outcome, "a write of the branch was not done");
             }
             WriteQueueEffect::IsolationChanged { isolated, since_response } => {
-                self.outcomes.cut(isolated);
+                self.outcomes.set_isolated(isolated);
                 self.log_isolation(isolated, since_response);
             }
         }
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -65,9 +65,14 @@
     fn record_unserved(&self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         let Some(rollout) = request.rollout else { return };
-        let was_sent = request.attempt_count() > rollout.before;
+        let was_sent = request.attempt_count() > rollout.prior_attempts;
         let ended = if was_sent { RequestOutcome::Failed } else { RequestOutcome::Rejected };
-        self.outcomes.note(RolloutOutcome { judged: rollout, at: self.clock.now(), ended, part_of_aim: 0.0 });
+        self.outcomes.record(RolloutOutcome {
+            assignment: rollout,
+            ended_at: self.clock.now(),
+            outcome: ended,
+            objective_fraction: 0.0,
+        });
     }
 
     /// Counts a request that a backend answered for its rollout.
@@ -75,9 +80,15 @@
         let at = self.clock.now();
         let class = self.site.settings.classes.get(rollout.class.0);
         let objective = class.map_or(Micros(1), |class| class.latency_objective);
-        let part_of_aim = (at - rollout.came).secs() / objective.secs().max(MIN_OBJECTIVE_SECONDS);
-        let ended = if part_of_aim <= 1.0 { RequestOutcome::OnTime } else { RequestOutcome::Late };
-        self.outcomes.note(RolloutOutcome { judged: rollout, at, ended, part_of_aim });
+        let objective_fraction =
+            (at - rollout.arrived_at).secs() / objective.secs().max(MIN_OBJECTIVE_SECONDS);
+        let ended = if objective_fraction <= 1.0 { RequestOutcome::OnTime } else { RequestOutcome::Late };
+        self.outcomes.record(RolloutOutcome {
+            assignment: rollout,
+            ended_at: at,
+            outcome: ended,
+            objective_fraction,
+        });
     }
 
     /// Tells the decision module of an attempt's end with the next batch.
@@ -228,8 +239,10 @@
     /// Notes whether a backend could be reached, where the outcome says so.
     fn record_reachability(&self, outcome: Outcome) {
         match outcome {
-            Outcome::Success | Outcome::ServerError | Outcome::Rejected => self.outcomes.saw(true),
-            Outcome::ConnectFailed | Outcome::Timeout => self.outcomes.saw(false),
+            Outcome::Success | Outcome::ServerError | Outcome::Rejected => {
+                self.outcomes.record_reachability(true)
+            }
+            Outcome::ConnectFailed | Outcome::Timeout => self.outcomes.record_reachability(false),
             Outcome::ConnectionReset | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -100,9 +100,9 @@
 
     /// Says which backends may be asked whether the network is up, where somebody wants to know.
     fn report_open_backends(&self) {
-        if self.outcomes.is_watched() {
+        if self.outcomes.records_reachability() {
             let open = self.backends.values().filter(|backend| backend.open.get());
-            self.outcomes.backends(open.map(|backend| backend.address).collect());
+            self.outcomes.set_backends(open.map(|backend| backend.address).collect());
         }
     }
 
--- a/src/proxy/runtime/routing.rs
+++ b/src/proxy/runtime/routing.rs
@@ -51,8 +51,8 @@
             key: rollout.key,
             arm: rollout.arm_of(arrival.customer),
             class: arrival.class,
-            came: self.clock.now(),
-            before: arrival.prior_attempts.len(),
+            arrived_at: self.clock.now(),
+            prior_attempts: arrival.prior_attempts.len(),
         })
     }
 }
--- a/src/proxy/startup.rs
+++ b/src/proxy/startup.rs
@@ -108,7 +108,7 @@
     if let Some(ledger) = ledger {
         if plan.queues_writes() {
             spawn_local(forward_writes(context.clone(), ledger.clone(), writes_to_send));
-            parts.outcomes.watch();
+            parts.outcomes.start_recording_reachability();
             spawn_local(check_uplink(parts.outcomes.clone()));
         }
         if plan.finishes_requests() {
