--- a/src/proxy/startup.rs
+++ b/src/proxy/startup.rs
@@ -73,22 +73,13 @@
     stopping: watch::Receiver<bool>,
 ) -> Result<(), RunError> {
     let plan = StartPlan::of(&config)?;
-    let parts = SharedParts {
-        clock: Clock::start(),
-        lifecycle: Rc::new(Lifecycle::default()),
-        metrics: Rc::new(Metrics::new(class_names(&config.site))),
-        memory: Rc::new(MemoryBudget::new(config.memory_mb, config.sockets)),
-        outcomes: Rc::new(OutcomeRecorder::default()),
-    };
+    let parts = shared_parts(&config);
     let (runtime, commands) = Runtime::new(config, parts.clone())?;
     let sender = runtime.sender();
     let (queued_writes, writes_to_send) = mpsc::channel(MAX_QUEUED_WRITES);
     let (abandoned, requests_to_finish) = mpsc::channel(MAX_ABANDONED_REQUESTS);
-    let transport = plan.cluster.clone().map(|cluster| {
-        let (clock, lifecycle, outcomes) = (parts.clock, parts.lifecycle.clone(), parts.outcomes.clone());
-        let senders = RequestSenders { queued_writes, abandoned_requests: abandoned };
-        ClusterTransport::new(cluster, clock, lifecycle, sender.clone(), outcomes, senders)
-    });
+    let senders = RequestSenders { queued_writes, abandoned_requests: abandoned };
+    let transport = plan.cluster_transport(&parts, &sender, senders);
     let listener = plan.listen().await?;
     let address = listener.local_addr().map_err(cannot_listen(plan.listen))?;
     if let Some(transport) = &transport {
@@ -129,6 +120,17 @@
     }
 }
 
+/// What the runtime shares with the rest of the process.
+fn shared_parts(config: &Config) -> SharedParts {
+    SharedParts {
+        clock: Clock::start(),
+        lifecycle: Rc::new(Lifecycle::default()),
+        metrics: Rc::new(Metrics::new(class_names(&config.site))),
+        memory: Rc::new(MemoryBudget::new(config.memory_mb, config.sockets)),
+        outcomes: Rc::new(OutcomeRecorder::default()),
+    }
+}
+
 /// What of the configuration the start needs beside the runtime's.
 struct StartPlan {
     name: String,
@@ -218,6 +220,18 @@
         self.cluster.as_ref().is_some_and(|cluster| !cluster.finish_classes.is_empty())
     }
 
+    /// The gateway's place in its cluster, where it has one.
+    fn cluster_transport(
+        &self,
+        parts: &SharedParts,
+        runtime: &RuntimeSender,
+        senders: RequestSenders,
+    ) -> Option<Rc<ClusterTransport>> {
+        let cluster = self.cluster.clone()?;
+        let (clock, lifecycle, outcomes) = (parts.clock, parts.lifecycle.clone(), parts.outcomes.clone());
+        Some(ClusterTransport::new(cluster, clock, lifecycle, runtime.clone(), outcomes, senders))
+    }
+
     /// The clients' listening socket, inherited or its own.
     async fn listen(&self) -> Result<TcpListener, RunError> {
         let listener = match self.accept_descriptor {
@@ -288,7 +302,7 @@
     classes.into_iter().map(|(name, _)| name.clone()).collect()
 }
 
-/// Goes towards the end once the process is told to stop.
+/// Begins the shutdown once the process is to stop.
 async fn begin_shutdown(mut stopping: watch::Receiver<bool>, lifecycle: Rc<Lifecycle>) {
     if stopping.wait_for(|stop| *stop).await.is_ok() {
         lifecycle.advance_shutdown(ShutdownPhase::Stopping);
