--- a/src/proxy/cluster_transport/disk/fixture_tests/scenario.rs
+++ b/src/proxy/cluster_transport/disk/fixture_tests/scenario.rs
@@ -147,9 +147,8 @@
     ]
 }
 
-/// Drives a gateway on an empty disk through all that the fixture holds. Returns it with what its disk held after each
-/// command.
-pub fn run_scenario() -> (Driver, Vec<(&'static str, Vec<u8>)>) {
+/// A gateway on an empty disk, once it has its votes.
+fn driver_with_votes() -> Driver {
     let mut driver = Driver::start(MachineId { boot: BOOT, uptime: UPTIME }, BEGAN, &Stored::new());
     driver.run_until(BEGAN + LEDGER_TICK_INTERVAL);
     driver.answer_pages();
@@ -161,6 +160,11 @@
         votes && driver.fleet.write_queue().is_some_and(|queue| queue.replica().has_vote()),
         "it has its votes"
     );
+    driver
+}
+
+/// The branch's writes, one in each state.
+fn receive_writes(driver: &mut Driver) {
     for (number, state) in (1..).zip(states()) {
         let sent_ago = matches!(
             state,
@@ -170,11 +174,15 @@
         let age = Micros(700_000 + u64::from(number));
         driver.receive(OF_BRANCH, 0, &replicate(number, state, age, sent_ago));
     }
+}
+
+/// The ledger's records, one at each point of their life.
+fn receive_records(driver: &mut Driver) {
     for which in [OWNED, OFFERED, ANSWERED, RELEASED] {
         let promise = driver.prepare(id(which), ballot(1));
         assert_eq!(promise, LedgerMessage::Promise { id: id(which), ballot: ballot(1), held: None });
     }
-    accept_write(&mut driver, OWNED, 1, Micros(0), record(1, true, 5_000, attempts()[..1].to_vec(), None));
+    accept_write(driver, OWNED, 1, Micros(0), record(1, true, 5_000, attempts()[..1].to_vec(), None));
     for which in [OFFERED, RELEASED] {
         driver.receive(
             OF_LEDGER,
@@ -182,13 +190,21 @@
             &LedgerMessage::StoreRequest { id: id(which), ballot: ballot(1), request: b"a request".to_vec() },
         );
     }
-    accept_write(&mut driver, OFFERED, 1, Micros(20_000), record(2, true, 300, attempts(), None));
-    accept_write(&mut driver, ANSWERED, 1, Micros(2_000), record(1, true, 2_000, attempts(), None));
-    accept_write(&mut driver, RELEASED, 1, Micros(3_000), record(3, false, 2_000, Vec::new(), None));
+    accept_write(driver, OFFERED, 1, Micros(20_000), record(2, true, 300, attempts(), None));
+    accept_write(driver, ANSWERED, 1, Micros(2_000), record(1, true, 2_000, attempts(), None));
+    accept_write(driver, RELEASED, 1, Micros(3_000), record(3, false, 2_000, Vec::new(), None));
     driver.run_until(driver.now + Micros(400_000));
-    accept_write(&mut driver, OWNED, 2, Micros(400_000), record(1, true, 5_000, attempts(), None));
+    accept_write(driver, OWNED, 2, Micros(400_000), record(1, true, 5_000, attempts(), None));
     let answer = Some(b"200 and an answer".to_vec());
-    accept_write(&mut driver, ANSWERED, 2, Micros(402_000), record(1, true, 2_000, attempts(), answer));
+    accept_write(driver, ANSWERED, 2, Micros(402_000), record(1, true, 2_000, attempts(), answer));
+}
+
+/// Drives a gateway on an empty disk through all that the fixture holds. Returns it with what its disk held after each
+/// command.
+pub fn run_scenario() -> (Driver, Vec<(&'static str, Vec<u8>)>) {
+    let mut driver = driver_with_votes();
+    receive_writes(&mut driver);
+    receive_records(&mut driver);
     // A write ends later than it was heard of, and was first sent earlier than was known.
     let (age, sent_ago) = (Micros(1_100_003), Some(Micros(900_000)));
     let done = WriteState::Ended(WriteOutcome::Completed(500));
