--- a/src/cluster/ledger/replica/vote.rs
+++ b/src/cluster/ledger/replica/vote.rs
@@ -64,7 +64,7 @@
         &mut self,
         now: Micros,
         id: RecordId,
-        mut write: AcceptedWrite,
+        write: AcceptedWrite,
         since_promise: Micros,
         age: Micros,
     ) -> Option<LedgerMessage> {
@@ -73,7 +73,7 @@
             return None;
         }
         let (ballot, sequence) = (write.ballot, write.sequence);
-        let Some(entry) = self.entries.get_mut(&id) else {
+        let Some(entry) = self.entries.get(&id) else {
             self.rejections.invalid += 1;
             return None;
         };
@@ -95,6 +95,13 @@
                 return None;
             }
         }
+        self.hold(id, write)
+    }
+
+    /// Holds a write in place of the last one, if there is capacity.
+    fn hold(&mut self, id: RecordId, mut write: AcceptedWrite) -> Option<LedgerMessage> {
+        let (ballot, sequence) = (write.ballot, write.sequence);
+        let entry = self.entries.get_mut(&id)?;
         if let Some(last) = entry.last_by(ballot) {
             // A later write that was delayed must not make the record younger.
             write.record_began = write.record_began.min(last.record_began);
