--- a/src/proxy/control_plane/counter.rs
+++ b/src/proxy/control_plane/counter.rs
@@ -114,7 +114,7 @@
                         return reply;
                     }
                     Err(problem) => {
-                        if self.protocol_error_log.speaks(Instant::now()) {
+                        if self.protocol_error_log.allows(Instant::now()) {
                             warn!(status = %response.status(), %problem, "call to the counter failed");
                         }
                         // Guards against taking what is left of a broken response for the next call's: the connection
@@ -124,7 +124,9 @@
                 },
                 Err(CallError::NotSent) if reused => was_written.set(false),
                 Err(CallError::NotSent) => return Outcome::ConnectFailed.into(),
-                Err(CallError::Broken | CallError::Cut) => return Outcome::ConnectionReset.into(),
+                Err(CallError::Broken | CallError::RequestBodyAborted) => {
+                    return Outcome::ConnectionReset.into()
+                }
             }
         }
     }
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -9,11 +9,14 @@
     RequestId,
 };
 use crate::proxy::admin::metrics::NotSentReason;
-use crate::proxy::cluster_transport::outcome_recorder::{OutcomeRecorder, RolloutOutcome, RolloutRequest};
+use crate::proxy::cluster_transport::outcome_recorder::{OutcomeRecorder, RolloutAssignment, RolloutOutcome};
 use crate::proxy::control_plane::counter::Increment;
-use crate::proxy::downstream::response_body::{ResponseBody, UpstreamResponseBody};
-use crate::proxy::upstream::backend::{AttemptResult, Backend, ConnectionPool};
+use crate::proxy::downstream::response_body::ResponseBody;
+use crate::proxy::upstream::attempt::AttemptResult;
+use crate::proxy::upstream::backend::Backend;
 use crate::proxy::upstream::forwarded_request::ForwardedRequest;
+use crate::proxy::upstream::pool::ConnectionPool;
+use crate::proxy::upstream::response::UpstreamResponseBody;
 use http_body_util::Full;
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -50,7 +53,7 @@
     fn answer_without_backend(&mut self, id: RequestId, response: FinalResponse, reason: RejectionReason) {
         let rejected = matches!(response, FinalResponse::Rejected { .. });
         debug!(request = id.0, rejected, ?reason, "answered without a backend");
-        self.metrics.refusals.raise(reason);
+        self.metrics.rejections.increment(reason);
         let Some(reply) = self.requests.take_reply(id) else { return };
         self.record_unserved(id);
         // A client that has just gone needs no answer.
@@ -68,7 +71,7 @@
     }
 
     /// Counts a request that a backend answered for its rollout.
-    fn record_served(&self, rollout: RolloutRequest) {
+    fn record_served(&self, rollout: RolloutAssignment) {
         let at = self.clock.now();
         let class = self.site.settings.classes.get(rollout.class.0);
         let objective = class.map_or(Micros(1), |class| class.latency_objective);
@@ -77,7 +80,7 @@
         self.outcomes.note(RolloutOutcome { judged: rollout, at, ended, part_of_aim });
     }
 
-    /// Tells the decision module of an attempt's end with the next batch.
+    /// Reports an attempt's end to the decision module with the next batch.
     fn report_attempt_end(
         &mut self,
         attempt: AttemptId,
@@ -104,7 +107,7 @@
         let attempt = AttemptId { request: id, number: request.attempt_count(), endpoint };
         let backend = self.backends.get(&endpoint).filter(|_| !request.is_answered()).cloned();
         let Some(backend) = backend else {
-            // The client went, or the list changed, after the decision module was told last.
+            // The client disconnected, or the list changed, after the decision module's last turn.
             request.add_unsent_attempt();
             return self.report_attempt_end(attempt, Outcome::NotSent, Micros(0), LoadReport::default());
         };
@@ -120,9 +123,9 @@
             sent_at: now,
             give_up_at: self.clock.instant(give_up_at),
         };
-        if let Some(tracker) = &task.request.tries {
+        if let Some(tracker) = &task.request.tracker {
             // Before its request can be answered: whoever asks then has to hear of it.
-            tracker.begins();
+            tracker.attempt_started();
         }
         let runtime = self.sender.clone();
         tokio::task::spawn_local(async move {
@@ -136,9 +139,9 @@
     pub(super) fn attempt_ended(&mut self, attempt: AttemptId, result: AttemptResult, elapsed: Micros) {
         let Some(request) = self.requests.get_mut(attempt.request) else { return };
         let (id, number) = (attempt.request, attempt.number);
-        let AttemptResult { outcome, body, report, unsent, .. } = result;
-        debug!(request = id.0, attempt = number, ?outcome, ?unsent, took_us = elapsed.0, "attempt ends");
-        self.metrics.outcomes.raise(outcome);
+        let AttemptResult { outcome, body, report, not_sent, .. } = result;
+        debug!(request = id.0, attempt = number, ?outcome, ?not_sent, took_us = elapsed.0, "attempt ends");
+        self.metrics.attempt_outcomes.increment(outcome);
         let forwarded = request.forwarded.clone();
         let rollout = request.rollout.filter(|_| body.is_some() && !request.is_answered());
         let reply = if body.is_some() { request.take_reply() } else { None };
@@ -148,7 +151,7 @@
         match (body, reply) {
             (Some(UpstreamResponseBody::Streamed(mut body)), Some(reply)) => {
                 let runtime = self.sender.clone();
-                body.tells(move |complete| {
+                body.on_end(move |complete| {
                     send_event(&runtime, RuntimeEvent::ResponseBodyEnded { attempt, complete });
                 });
                 self.pending_events.push(Event::ResponseStarted { request: id, attempt: number, elapsed });
@@ -157,8 +160,8 @@
                 return;
             }
             (Some(UpstreamResponseBody::Buffered(bytes, permit)), Some(reply)) => {
-                if let Some(claim) = &forwarded.work {
-                    claim.answered(&bytes);
+                if let Some(claim) = &forwarded.claim {
+                    claim.complete(&bytes);
                 }
                 let body = ResponseBody::Buffered(Full::new(bytes), permit);
                 let _ = reply.send(FinalResponse::Served(body));
@@ -205,15 +208,17 @@
     /// Makes the attempt and returns its end.
     async fn run(self, cancelled: oneshot::Receiver<()>) -> RuntimeEvent {
         let endpoint = self.attempt.endpoint.0;
-        let result = match &self.request.work {
-            Some(claim) if !claim.before_send(endpoint).await => self.pool.unsent(NotSentReason::NotOwner),
+        let result = match &self.request.claim {
+            Some(claim) if !claim.record_attempt(endpoint).await => {
+                self.pool.not_sent(NotSentReason::NotOwner)
+            }
             _ => self.pool.attempt(&self.backend, &self.request, self.give_up_at, cancelled).await,
         };
-        if let Some(claim) = &self.request.work {
-            claim.ended(endpoint, result.outcome);
+        if let Some(claim) = &self.request.claim {
+            claim.attempt_ended(endpoint, result.outcome);
         }
-        if let Some(tracker) = &self.request.tries {
-            tracker.ended(result.outcome);
+        if let Some(tracker) = &self.request.tracker {
+            tracker.attempt_ended(result.outcome);
         }
         self.record_reachability(result.outcome);
         let elapsed = self.elapsed(&result);
@@ -231,8 +236,8 @@
 
     /// From the last byte of the request, which for a streamed body comes after the send, to the first of its response.
     fn elapsed(&self, result: &AttemptResult) -> Micros {
-        let since = result.whole_at.map_or(self.sent_at, |at| self.clock.at(at).max(self.sent_at));
-        let until = result.begun_at.map_or(self.clock.now(), |at| self.clock.at(at));
+        let since = result.request_sent_at.map_or(self.sent_at, |at| self.clock.at(at).max(self.sent_at));
+        let until = result.response_started_at.map_or(self.clock.now(), |at| self.clock.at(at));
         until - since
     }
 }
--- a/src/proxy/startup.rs
+++ b/src/proxy/startup.rs
@@ -1,15 +1,17 @@
 //! Starts the parts of a gateway in their order, and serves until the end.
 
+use super::admin::call::AdminContext;
 use super::admin::metrics::Metrics;
 use super::admin::rollout_calls::KnownNames;
-use super::admin::{self, AdminContext};
 use super::cluster_transport::outcome_recorder::OutcomeRecorder;
-use super::cluster_transport::write_queue_sender::{self, look_outside};
-use super::cluster_transport::{abandoned_requests, ClusterTransport};
+use super::cluster_transport::write_queue_sender::{check_uplink, forward_writes};
+use super::cluster_transport::{abandoned_requests, ClusterTransport, RequestSenders};
 use super::control_plane::config::{ClusterConfig, Config, ConfigError, ServiceAddresses};
 use super::control_plane::discovery::PollTiming;
 use super::control_plane::service_watch::{follow_peers, follow_services};
-use super::downstream::server::{self, ProxyContext};
+use super::downstream::context::{ProxyContext, RequestIds};
+use super::downstream::request_head::{ClassRules, RequestRules};
+use super::downstream::server;
 use super::lifecycle::drain::{Lifecycle, ShutdownPhase};
 use super::lifecycle::handover::Handover;
 use super::lifecycle::inherited_listener;
@@ -18,10 +20,8 @@
 use super::runtime::clock::Clock;
 use super::runtime::messages::{AdminSender, RuntimeSender};
 use super::runtime::{Runtime, SharedParts};
-use crate::decision::{ClassId, Idempotency, Micros, PlanId};
+use crate::decision::{ClassId, Micros, PlanId};
 use crate::site_settings::Site;
-use std::cell::Cell;
-use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::RawFd;
@@ -73,21 +73,13 @@
     stopping: watch::Receiver<bool>,
 ) -> Result<(), RunError> {
     let plan = StartPlan::of(&config)?;
-    let parts = SharedParts {
-        clock: Clock::start(),
-        lifecycle: Rc::new(Lifecycle::default()),
-        metrics: Rc::new(Metrics::new(class_names(&config.site))),
-        memory: Rc::new(MemoryBudget::new(config.memory_mb, config.sockets)),
-        outcomes: Rc::new(OutcomeRecorder::default()),
-    };
+    let parts = shared_parts(&config);
     let (runtime, commands) = Runtime::new(config, parts.clone())?;
     let sender = runtime.sender();
     let (queued_writes, writes_to_send) = mpsc::channel(MAX_QUEUED_WRITES);
     let (abandoned, requests_to_finish) = mpsc::channel(MAX_ABANDONED_REQUESTS);
-    let transport = plan.cluster.clone().map(|cluster| {
-        let (clock, lifecycle, outcomes) = (parts.clock, parts.lifecycle.clone(), parts.outcomes.clone());
-        ClusterTransport::new(cluster, clock, lifecycle, sender.clone(), outcomes, (queued_writes, abandoned))
-    });
+    let senders = RequestSenders { queued_writes, abandoned_requests: abandoned };
+    let transport = plan.cluster_transport(&parts, &sender, senders);
     let listener = plan.listen().await?;
     let address = listener.local_addr().map_err(cannot_listen(plan.listen))?;
     if let Some(transport) = &transport {
@@ -106,9 +98,9 @@
     let context = Rc::new(plan.proxy_context(&parts, sender, permits, ledger.clone()));
     if let Some(ledger) = ledger {
         if plan.queues_writes() {
-            spawn_local(write_queue_sender::send_on(context.clone(), ledger.clone(), writes_to_send));
+            spawn_local(forward_writes(context.clone(), ledger.clone(), writes_to_send));
             parts.outcomes.watch();
-            spawn_local(look_outside(parts.outcomes.clone()));
+            spawn_local(check_uplink(parts.outcomes.clone()));
         }
         if plan.finishes_requests() {
             spawn_local(abandoned_requests::finish_all(context.clone(), ledger, requests_to_finish));
@@ -128,6 +120,17 @@
     }
 }
 
+/// What the runtime shares with the rest of the process.
+fn shared_parts(config: &Config) -> SharedParts {
+    SharedParts {
+        clock: Clock::start(),
+        lifecycle: Rc::new(Lifecycle::default()),
+        metrics: Rc::new(Metrics::new(class_names(&config.site))),
+        memory: Rc::new(MemoryBudget::new(config.memory_mb, config.sockets)),
+        outcomes: Rc::new(OutcomeRecorder::default()),
+    }
+}
+
 /// What of the configuration the start needs beside the runtime's.
 struct StartPlan {
     name: String,
@@ -138,10 +141,7 @@
     max_client_connections: usize,
     known_revision: Option<u64>,
     timing: PollTiming,
-    classes: HashMap<String, (ClassId, Idempotency, Micros)>,
-    plans: HashMap<String, PlanId>,
-    gateways: u32,
-    max_request_units: f64,
+    rules: RequestRules,
     tick: Micros,
     cluster: Option<ClusterConfig>,
 }
@@ -152,7 +152,8 @@
         let (site, settings) = (&config.site, &config.site.settings);
         let class = |(name, number): (&String, &usize)| {
             let class = &settings.classes[*number];
-            (name.clone(), (ClassId(*number), class.idempotency, class.deadline))
+            let (id, idempotency, deadline) = (ClassId(*number), class.idempotency, class.deadline);
+            (name.clone(), ClassRules { id, idempotency, deadline })
         };
         let plan = StartPlan {
             name: config.name.clone(),
@@ -163,10 +164,12 @@
             max_client_connections: config.sockets.clients,
             known_revision: config.known_revision(),
             timing: PollTiming::of(settings),
-            classes: site.classes.iter().map(class).collect(),
-            plans: site.plans.iter().map(|(name, number)| (name.clone(), PlanId(*number))).collect(),
-            gateways: settings.gateways,
-            max_request_units: settings.max_request_units,
+            rules: RequestRules {
+                classes: site.classes.iter().map(class).collect(),
+                plans: site.plans.iter().map(|(name, number)| (name.clone(), PlanId(*number))).collect(),
+                gateways: settings.gateways,
+                max_units: settings.max_request_units,
+            },
             tick: settings.tick,
             cluster: config.cluster.clone(),
         };
@@ -179,8 +182,8 @@
     /// The names that routing rules may use.
     fn known_names(&self) -> KnownNames {
         KnownNames {
-            classes: self.classes.keys().cloned().collect(),
-            plans: self.plans.keys().cloned().collect(),
+            classes: self.rules.classes.keys().cloned().collect(),
+            plans: self.rules.plans.keys().cloned().collect(),
         }
     }
 
@@ -193,20 +196,17 @@
         ledger: Option<Rc<ClusterTransport>>,
     ) -> ProxyContext {
         ProxyContext {
-            inbox: runtime,
+            runtime,
             clock: parts.clock,
-            duty: parts.lifecycle.clone(),
-            figures: parts.metrics.clone(),
-            places: permits,
+            lifecycle: parts.lifecycle.clone(),
+            metrics: parts.metrics.clone(),
+            permits,
             memory: parts.memory.clone(),
-            classes: self.classes.clone(),
-            plans: self.plans.clone(),
-            gateways: self.gateways,
-            most_units: self.max_request_units,
-            last: Cell::new(0),
+            rules: self.rules.clone(),
+            request_ids: RequestIds::default(),
             // The runtime's turns at the begin and at the end of a request.
-            last_moment: self.tick + self.tick,
-            peers: ledger,
+            response_margin: self.tick + self.tick,
+            cluster: ledger,
         }
     }
 
@@ -220,6 +220,18 @@
         self.cluster.as_ref().is_some_and(|cluster| !cluster.finish_classes.is_empty())
     }
 
+    /// The gateway's place in its cluster, where it has one.
+    fn cluster_transport(
+        &self,
+        parts: &SharedParts,
+        runtime: &RuntimeSender,
+        senders: RequestSenders,
+    ) -> Option<Rc<ClusterTransport>> {
+        let cluster = self.cluster.clone()?;
+        let (clock, lifecycle, outcomes) = (parts.clock, parts.lifecycle.clone(), parts.outcomes.clone());
+        Some(ClusterTransport::new(cluster, clock, lifecycle, runtime.clone(), outcomes, senders))
+    }
+
     /// The clients' listening socket, inherited or its own.
     async fn listen(&self) -> Result<TcpListener, RunError> {
         let listener = match self.accept_descriptor {
@@ -258,13 +270,13 @@
         let ops = listener.local_addr().map_err(cannot_listen(operators))?;
         info!(%ops, "operators");
         let context = AdminContext {
-            orders: commands.clone(),
-            figures: parts.metrics.clone(),
-            duty: parts.lifecycle.clone(),
-            peers: transport,
+            commands: commands.clone(),
+            metrics: parts.metrics.clone(),
+            lifecycle: parts.lifecycle.clone(),
+            cluster: transport,
             names: self.known_names(),
         };
-        spawn_local(admin::serve(listener, Rc::new(context)));
+        spawn_local(super::admin::server::serve(listener, Rc::new(context)));
         Ok(())
     }
 
@@ -290,7 +302,7 @@
     classes.into_iter().map(|(name, _)| name.clone()).collect()
 }
 
-/// Goes towards the end once the process is told to stop.
+/// Begins the shutdown once the process is to stop.
 async fn begin_shutdown(mut stopping: watch::Receiver<bool>, lifecycle: Rc<Lifecycle>) {
     if stopping.wait_for(|stop| *stop).await.is_ok() {
         lifecycle.advance_shutdown(ShutdownPhase::Stopping);
