--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -244,7 +244,7 @@
         let bytes = datagram::encode(self.cluster_tag, payload, &[]);
         self.traffic.unaddressed += u64::from(address.is_none());
         if let (Some(address), Some(bytes)) = (address, bytes) {
-            self.send_frame(address, bytes, out);
+            self.send_datagram(address, bytes, out);
         }
     }
 
@@ -257,7 +257,7 @@
     pub(super) fn own_seat(&self) -> Option<OwnSeat> {
         self.quota_leases
             .as_ref()
-            .map(|leases| OwnSeat { seat_list: leases.seat_list(), seat: leases.seat().0 as u16 })
+            .map(|leases| OwnSeat { seat_list: leases.seat_list(), seat: leases.own_seat() })
     }
 }
 
