--- a/src/proxy/control_plane/config/cluster.rs
+++ b/src/proxy/control_plane/config/cluster.rs
@@ -64,7 +64,8 @@
             return Err(unknown("branch", name));
         }
         if let Some(settings) = &mut self.settings.branch {
-            let number = |name: &String| site.classes.get(name).map(|number| *number as u16);
+            let number =
+                |name: &String| site.classes.get(name).and_then(|number| u16::try_from(*number).ok());
             settings.send_timeout = longest_write(site);
             settings.blocking_classes = self.write_queue_stop_classes.iter().filter_map(number).collect();
         }
--- a/src/proxy/control_plane/config/cluster_file.rs
+++ b/src/proxy/control_plane/config/cluster_file.rs
@@ -119,7 +119,8 @@
     /// The write queue's settings; its gateways have to be seats of the cluster.
     fn settings(&self, seats: &[String]) -> Result<write_queue::WriteQueueSettings, ConfigError> {
         let seat_number = |name: &String| match seats.iter().position(|seat| seat == name) {
-            Some(number) => Ok(number as u16),
+            // More seats than that are an error of their own.
+            Some(number) => Ok(u16::try_from(number).unwrap_or(u16::MAX)),
             None => Err(ConfigError::UnknownName { key: "branch.seats", kind: "seat", name: name.clone() }),
         };
         Ok(write_queue::WriteQueueSettings {
--- a/src/proxy/runtime/clock.rs
+++ b/src/proxy/runtime/clock.rs
@@ -25,7 +25,7 @@
     /// The time on this clock.
     pub fn at(&self, instant: Instant) -> Micros {
         let elapsed = instant.saturating_duration_since(self.start);
-        self.unix_at_start + Micros(elapsed.as_micros() as u64)
+        self.unix_at_start + micros(elapsed)
     }
 
     /// How long ago a moment of the wall clock was. That clock may have stepped since this process read it, and all
@@ -43,7 +43,12 @@
 
 fn wall_time() -> Micros {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    Micros(unix.as_micros() as u64)
+    micros(unix)
+}
+
+/// A span as the decision module has it.
+fn micros(span: Duration) -> Micros {
+    Micros(u64::try_from(span.as_micros()).unwrap_or(u64::MAX))
 }
 
 /// A span as the standard library has it.
