--- a/src/proxy/cluster_transport/outcome_recorder.rs
+++ b/src/proxy/cluster_transport/outcome_recorder.rs
@@ -11,7 +11,7 @@
 
 /// A request that goes by the rules of a rollout.
 #[derive(Debug, Clone, Copy)]
-pub struct RolloutRequest {
+pub struct RolloutAssignment {
     /// Of which rollout.
     pub key: RolloutKey,
     /// Which rules.
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutOutcome {
     /// The request.
-    pub judged: RolloutRequest,
+    pub judged: RolloutAssignment,
     /// When it ended.
     pub at: Micros,
     /// How.
--- a/src/proxy/control_plane/config/error.rs
+++ b/src/proxy/control_plane/config/error.rs
@@ -1,6 +1,7 @@
 //! Why a configuration can't be used. Each error is one plain line that names the place.
 
 use crate::decision::SettingsError;
+use crate::proxy::admin::rollout_calls::UnknownName;
 use crate::site_settings::FieldError;
 use std::fmt::Display;
 use std::io;
@@ -80,8 +81,8 @@
     #[error("{0}")]
     ClusterSettings(SettingsError),
     /// Routing rules that name what the site does not have.
-    #[error("{0}")]
-    RoutingRules(String),
+    #[error(transparent)]
+    RoutingRules(#[from] UnknownName),
 }
 
 impl ConfigError {
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -1,5 +1,11 @@
 //! The one owner of the decision module: events in, actions out, timers. It translates and never chooses; its request
 //! table sees to it that every request gets exactly one final answer.
+#![warn(
+    clippy::cast_possible_wrap,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    clippy::wildcard_imports
+)]
 
 mod admin_commands;
 mod attempts;
@@ -24,7 +30,8 @@
 use crate::proxy::lifecycle::drain::Lifecycle;
 use crate::proxy::lifecycle::handover::HandoverMessage;
 use crate::proxy::memory_budget::MemoryBudget;
-use crate::proxy::upstream::backend::{Backend, ConnectionPool};
+use crate::proxy::upstream::backend::Backend;
+use crate::proxy::upstream::pool::ConnectionPool;
 use crate::site_settings::Site;
 use endpoints::EndpointStart;
 use requests::{OpenRequest, RequestTable};
