--- a/tests/sockets/backends.rs
+++ b/tests/sockets/backends.rs
@@ -5,7 +5,7 @@
 use std::io::{Read, Write};
 
 #[test]
-fn a_resting_connection_on_which_something_came_is_not_used_again() {
+fn an_idle_connection_with_unexpected_bytes_is_not_reused() {
     let unasked = [
         "HTTP/1.1 2",
         "rubbish\r\n\r\n",
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_reset_is_no_end_of_an_answer_without_a_length() {
+fn a_reset_does_not_complete_a_response_without_length() {
     for class in ["look", "buy", "once"] {
         let (listener, _discovery, _counter, node) = before_hand(128);
         let mut client = node.client();
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_a_client_sends_goes_on_unchanged_and_the_body_comes_back() {
+fn requests_are_forwarded_unchanged_and_the_response_body_is_returned() {
     let (backend, _discovery, counter, node) = before(|_| http("200 OK", "the answer"));
     let mut client = node.client();
     for class in ["look", "buy", "once"] {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn only_the_header_makes_an_error_a_turn_away() {
+fn only_the_header_makes_an_error_a_rejection() {
     // An unsafe request may be refused only if it certainly never ran.
     for (reply, wanted, attempts) in [
         ("HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", 429, 3),
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back_and_comes_at_once() {
+fn a_rejection_comes_at_once_with_retry_after() {
     let (_backend, _discovery, _counter, node) = before(|_| http("200 OK", ""));
     let start = Instant::now();
     let statuses: Vec<Message> = (0..6)
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn an_answer_that_breaks_off_may_have_run_and_is_never_served() {
+fn a_response_that_breaks_off_may_have_run_and_is_never_served() {
     for broken in ["", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", "no HTTP at all\r\n\r\n"] {
         let (backend, _discovery, _counter, node) = before(move |_| Reply::RawThenClose(broken.to_string()));
         let answer = node.client().ask(&request("once", 1500));
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_safe_request_whose_connection_broke_is_tried_elsewhere() {
+fn an_idempotent_request_whose_connection_broke_is_retried_elsewhere() {
     let broken = Stub::start(|_| Reply::RawThenClose(String::new()));
     let sound = Stub::start(|_| http("200 OK", "ok"));
     let members = [member("s-1", broken.address, "ready"), member("s-2", sound.address, "ready")].join(",");
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn malformed_requests_are_told_so_and_reach_no_backend() {
+fn malformed_requests_get_4xx_and_reach_no_backend() {
     let (backend, _discovery, counter, node) = before(|_| http("200 OK", "ok"));
     let good = request("buy", 2000);
     let bad = [
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_peer_that_sends_nothing_or_half_a_request_is_not_waited_for() {
+fn a_client_that_sends_nothing_or_half_a_request_times_out() {
     let (backend, _discovery, counter, node) = before(|_| http("200 OK", "ok"));
     let good = request("buy", 2000);
     let mut used = node.client();
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_head_without_measure_is_not_read_to_its_end() {
+fn an_oversized_head_is_not_read_to_its_end() {
     let (backend, _discovery, _counter, node) = before(|_| http("200 OK", "ok"));
     let pad = format!("X-Pad: {}\r\nX-Plan", "p".repeat(48 * 1024));
     let mut peer = node.client();
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_along() {
+fn an_attempt_is_cancelled_when_its_client_disconnects() {
     let (backend, _discovery, _counter, node) = before(|_| Reply::Silence);
     let mut client = node.client();
     client.send(&request("look", 4000));
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn silence_is_answered_before_the_clients_time_is_up() {
+fn a_silent_backend_is_answered_for_before_the_clients_deadline() {
     let (backend, _discovery, _counter, node) = before(|_| Reply::Silence);
     let start = Instant::now();
     assert_eq!(node.client().ask(&request("once", 600)).status(), 502);
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_connection_that_was_given_up_is_closed_before_the_next_attempt() {
+fn the_connection_of_a_timed_out_attempt_is_closed_before_the_retry() {
     // With one backend the next attempt goes to it as well.
     let (backend, _discovery, _counter, node) = before(|_| Reply::Silence);
     let answer = node.client().ask(&request("look", 2500));
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_drain_is_heard() {
+fn a_draining_backend_gets_no_further_requests() {
     let (old, new) = (Stub::start(|_| http("200 OK", "old")), Stub::start(|_| http("200 OK", "new")));
     let both = [member("s-1", old.address, "ready"), member("s-2", new.address, "ready")].join(",");
     let (discovery, counter) = (Discovery::start(&both), counter());
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_backend_that_moved_is_found_at_its_new_address() {
+fn a_backend_that_moved_is_reached_at_its_new_address() {
     let (backend, discovery, _counter, node) = before(|_| http("200 OK", "here"));
     assert_eq!(node.client().ask(&request("once", 3000)).body, "here");
     let moved = Stub::start(|_| http("200 OK", "there"));
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn what_discovery_garbles_or_tells_late_changes_nothing() {
+fn malformed_or_outdated_lists_change_nothing() {
     let (backend, discovery, _counter, node) = before(|_| http("200 OK", "ok"));
     discovery.say(42, "{\"revision\":42,\"members\":7}");
     discovery.stub.wait_for("the watch made again", |log| log.requests.len() >= 4);
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn it_is_ready_only_with_a_list_in_hand() {
+fn a_gateway_is_ready_only_with_an_endpoint_list() {
     let silent = Stub::start(|_| Reply::Silence);
     let counter = counter();
     let empty = Node::spawn(program(&config(silent.address, counter.address)));
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn it_lives_on_when_descriptors_run_out() {
+fn a_gateway_survives_running_out_of_descriptors() {
     let backend = Stub::start(|_| http("200 OK", "ok"));
     let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
     let counter = counter();
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn a_counter_connection_that_answered_without_a_number_is_done_with() {
+fn a_counter_connection_that_answered_without_a_number_is_closed() {
     let backend = Stub::start(|_| http("200 OK", "ok"));
     let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
     let counter = Stub::start(|_| http("200 OK", "plenty"));
--- a/tests/sockets/operators.rs
+++ b/tests/sockets/operators.rs
@@ -7,7 +7,7 @@
 const HEALTH: &str = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n";
 
 #[test]
-fn figures_count_what_ended_from_zero() {
+fn stats_count_requests_by_result_from_zero() {
     let (backend, _discovery, _counter, node) = before(|request| match request.line.starts_with("GET") {
         true => http("200 OK", "ok"),
         false => Reply::Silence,
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn callers_that_say_nothing_keep_no_operator_waiting() {
+fn idle_callers_keep_no_operator_waiting() {
     let (_backend, _discovery, _counter, node) = before(|_| http("200 OK", "ok"));
     let start = Instant::now();
     let silent: Vec<Client> = (0..100)
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_backend_taken_out_gets_nothing_until_it_is_put_back() {
+fn a_backend_in_maintenance_gets_no_requests_until_it_is_ready_again() {
     let (first, second) = (Stub::start(|_| http("200 OK", "1")), Stub::start(|_| http("200 OK", "2")));
     let both = [member("s-1", first.address, "ready"), member("s-2", second.address, "ready")].join(",");
     let (discovery, counter) = (Discovery::start(&both), counter());
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_drain_lets_connections_go_and_is_undone() {
+fn draining_closes_connections_and_can_be_undone() {
     let (_backend, _discovery, _counter, node) = before(|_| http("200 OK", "ok"));
     let (mut kept, mut idle) = (node.client(), node.client());
     assert_eq!(idle.ask(HEALTH).status(), 200);
--- a/tests/sockets/size.rs
+++ b/tests/sockets/size.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_long_answer_goes_on_as_it_comes() {
+fn a_long_response_is_streamed() {
     let (listener, _discovery, _counter, node) = before_hand(128);
     let (first, rest) = (text(128 * 1024), text(2 << 20));
     for chunked in [false, true] {
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_long_answer_that_breaks_off_is_told_from_a_whole_one() {
+fn a_long_response_that_breaks_off_is_distinguished_from_a_complete_one() {
     let (listener, _discovery, _counter, node) = before_hand(128);
     let mut client = node.client();
     client.send(&request("look", 3000));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_long_body_goes_on_as_it_comes() {
+fn a_long_request_body_is_streamed() {
     let (listener, _discovery, _counter, node) = before_hand(128);
     let (first, rest) = (text(96 * 1024), text(1 << 20));
     for chunked in [false, true] {
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_long_body_that_stops_is_given_up_and_its_attempt_never_ran() {
+fn a_stalled_request_body_times_out_and_its_attempt_never_ran() {
     let (listener, _discovery, _counter, node) = before_hand(128);
     let mut client = node.client();
     client.send(&head("Content-Length: 1000000"));
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_body_that_nobody_wants_is_read_to_its_end_so_that_the_answer_is() {
+fn an_unwanted_request_body_is_read_to_its_end_so_that_the_response_arrives() {
     let (_backend, _discovery, _counter, node) = before(|_| http("200 OK", "ok"));
     let mut client = node.client();
     let over = head("Content-Length: 3000000").replace("X-Plan: team", "X-Plan: small");
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn every_form_of_a_short_message_is_understood() {
+fn every_framing_of_a_short_message_is_accepted() {
     let (listener, _discovery, _counter, node) = before_hand(128);
     let mut client = node.client();
     // Two requests one behind the other, the first in chunks with a trailer, the second with a whole address.
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_head_may_take_two_seconds_also_on_a_connection_that_stood_idle() {
+fn a_head_may_take_two_seconds_also_on_an_idle_connection() {
     let (_backend, _discovery, _counter, node) = before(|_| http("200 OK", "ok"));
     let mut client = node.client();
     assert_eq!(client.ask(&request("look", 3000)).status(), 200);
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_crowd_that_says_nothing_leaves_room_for_clients() {
+fn many_silent_connections_leave_permits_for_clients() {
     // Places for 24 clients or so.
     let (listener, _discovery, _counter, node) = before_hand(64);
     let crowd: Vec<Client> = (0..120)
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn clients_that_leave_their_connections_idle_keep_no_others_out() {
+fn idle_connections_keep_no_other_clients_out() {
     // Places for 22 clients.
     let (listener, _discovery, _counter, node) = before_hand(64);
     let mut left = Vec::new();
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn a_long_answer_goes_on_after_sigterm() {
+fn a_streamed_response_goes_on_after_sigterm() {
     let (listener, _discovery, _counter, mut node) = before_hand(128);
     let mut client = node.client();
     client.send(&request("look", 3000));
--- a/tests/sockets/system_calls.rs
+++ b/tests/sockets/system_calls.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_connection_that_was_aborted_holds_up_no_other() {
+fn an_aborted_connection_delays_no_other() {
     for error in ["ECONNABORTED", "EINTR", "ENETUNREACH"] {
         let (_backend, _discovery, _counter, faulty, node) =
             under(&format!("accept4={error}@0.9"), || http("200 OK", "ok"));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn clients_are_served_while_descriptors_are_short_now_and_then() {
+fn clients_are_served_while_accept_fails_now_and_then() {
     for error in ["EMFILE", "ENFILE", "ENOBUFS"] {
         let (_backend, _discovery, _counter, faulty, node) =
             under(&format!("accept4={error}@0.3"), || http("200 OK", "ok"));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_shortage_of_this_machine_is_not_held_against_a_backend() {
+fn a_local_shortage_is_not_held_against_a_backend() {
     for error in ["EADDRNOTAVAIL", "EMFILE", "ENOBUFS"] {
         // Each answer ends its connection, so that each attempt needs a new one.
         let ends = || Reply::RawThenClose("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".into());
--- a/tests/sockets/takeover.rs
+++ b/tests/sockets/takeover.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn work_of_a_killed_gateway_is_joined_taken_over_once_and_told_again() {
+fn a_request_of_a_killed_gateway_is_joined_taken_over_once_and_answered_again() {
     let came = AtomicUsize::new(0);
     let backend = Stub::start(move |_| match came.fetch_add(1, Ordering::SeqCst) {
         0 => Reply::Silence,
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_gateway_whose_fellow_holders_are_gone_serves_on_and_counts_what_is_unprotected() {
+fn a_gateway_without_other_replicas_serves_on_and_counts_unprotected_requests() {
     let backend = Stub::start(|_| http("200 OK", "done"));
     let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
     let (counter, files) = (counter(), files());
@@ -158,19 +158,19 @@
 const FINISH: &str = "finish = [\"buy\", \"once\"]\n";
 
 #[test]
-fn work_whose_client_does_not_come_again_is_finished_where_its_class_is_to_be() {
+fn an_abandoned_request_is_finished_where_its_class_says_so() {
     let finished = left_alone(FINISH, &request("buy", 8000));
     assert_eq!(finished, (2, 2, [1, 0], 200), "finished once, and told from its record");
 }
 
 #[test]
-fn else_it_is_left_until_its_client_comes() {
+fn an_abandoned_request_of_another_class_waits_for_its_client() {
     let left = left_alone("", &request("buy", 8000));
     assert_eq!(left, (1, 2, [0, 0], 200), "taken over by whom the client asks");
 }
 
 #[test]
-fn what_may_not_run_twice_and_may_have_run_is_sent_by_nobody() {
+fn a_request_that_must_not_run_twice_and_may_have_run_is_not_sent_again() {
     let once = request("once", 4000).replace("X-Quota", "Idempotency-Key: k-18\r\nX-Quota");
     assert_eq!(left_alone(FINISH, &once), (1, 1, [0, 1], 502));
 }
