--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -11,6 +11,7 @@
 )]
 
 pub(crate) mod abandoned_requests;
+mod claim_handle;
 mod claim_progress;
 mod claims;
 pub(crate) mod disk;
--- a/src/proxy/upstream/mod.rs
+++ b/src/proxy/upstream/mod.rs
@@ -1,6 +1,6 @@
 //! Backends: connections to them, attempts, and their load reports.
 //!
-//! [`pool`] holds the connections, [`attempt`] makes one attempt over one of them and says how it ended, [`response`] reads
+//! [`pool`] holds the connections, [`attempt`] makes one attempt over one of them, [`attempt_result`] says how it ended, [`response`] reads
 //! the response, [`streamed_response`] passes a long one on, [`forwarded_request`] is what attempts send.
 #![warn(
     clippy::cast_possible_wrap,
@@ -10,6 +10,7 @@
 )]
 
 pub mod attempt;
+pub mod attempt_result;
 pub mod attempt_tracker;
 pub mod backend;
 pub mod connection;
