--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -39,7 +39,7 @@
 
 /// How a lease stands, by the ledger.
 #[derive(Default)]
-pub(super) struct LeaseStatus {
+pub(super) struct RecordLeaseStatus {
     /// It runs.
     pub(super) is_held: bool,
     /// It still runs when others learn of what is begun now.
@@ -221,13 +221,13 @@
     }
 
     /// How the lease of this claim stands.
-    pub(super) fn lease_status(&self, claim: Option<ClaimId>) -> LeaseStatus {
-        let Some(claim) = claim else { return LeaseStatus::default() };
+    pub(super) fn lease_status(&self, claim: Option<ClaimId>) -> RecordLeaseStatus {
+        let Some(claim) = claim else { return RecordLeaseStatus::default() };
         let Some(client) = self.ledger.as_ref().and_then(|ledger| ledger.claim(claim)) else {
-            return LeaseStatus { is_gone: true, ..LeaseStatus::default() };
+            return RecordLeaseStatus { is_gone: true, ..RecordLeaseStatus::default() };
         };
         let has_lapsed = client.is_owner() && !client.may_act(self.now);
-        LeaseStatus {
+        RecordLeaseStatus {
             is_held: client.has_lease(self.now),
             is_held_with_margin: client.has_lease(self.now + self.settings.lease_margin()),
             lapsed: has_lapsed.then_some(claim),
--- a/src/cluster/quota_lease/agreement.rs
+++ b/src/cluster/quota_lease/agreement.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 /// Members that are down count as missing, not as on their way back, from one in so many on.
-const MISSING_PART: usize = 5;
+const MISSING_DIVISOR: usize = 5;
 
 /// Whether the cluster agrees.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -46,7 +46,7 @@
             Agreement::Minority
         } else if self.reporting * 2 == expected {
             Agreement::Even
-        } else if self.down * MISSING_PART >= expected {
+        } else if self.down * MISSING_DIVISOR >= expected {
             Agreement::Majority
         } else if self.stating_own_view * 2 > self.total && self.stating_own_view >= self.held {
             Agreement::Agreed
--- a/src/cluster/quota_lease/mod.rs
+++ b/src/cluster/quota_lease/mod.rs
@@ -49,7 +49,7 @@
 
 /// The state of the quota leases, for people.
 #[derive(Debug, Clone)]
-pub struct LeaseStatus {
+pub struct QuotaLeaseStatus {
     /// The view's number.
     pub number: u64,
     /// Its digest.
@@ -182,10 +182,10 @@
     }
 
     /// The state, for people.
-    pub fn status(&self, now: Micros, own_incarnation: u64, records: &MemberRecords) -> LeaseStatus {
+    pub fn status(&self, now: Micros, own_incarnation: u64, records: &MemberRecords) -> QuotaLeaseStatus {
         let view = self.leases.view();
         let counts = self.counts(now, records);
-        LeaseStatus {
+        QuotaLeaseStatus {
             number: view.number,
             digest: view.digest(),
             agreement: counts.agreement(),
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -9,7 +9,7 @@
 use crate::cluster::membership::members::{MemberRecord, MemberState};
 use crate::cluster::node::ClusterNode;
 use crate::cluster::quota_lease::agreement::Agreement;
-use crate::cluster::quota_lease::LeaseStatus;
+use crate::cluster::quota_lease::QuotaLeaseStatus;
 use crate::decision::Micros;
 use serde::{Serialize, Serializer};
 use std::collections::BTreeMap;
@@ -131,7 +131,7 @@
 }
 
 impl ViewReport {
-    fn new(status: LeaseStatus, now: Micros) -> ViewReport {
+    fn new(status: QuotaLeaseStatus, now: Micros) -> ViewReport {
         let counts = status.counts;
         ViewReport {
             number: status.number,
--- a/src/cluster/rollout/outcome_counts.rs
+++ b/src/cluster/rollout/outcome_counts.rs
@@ -1,5 +1,8 @@
 //! One gateway's counts of how requests ended, by arm and class, and its bets that the canary is worse.
 //!
+//! They halt a rollout if the canary fails significantly more often; a false halt has at most the set probability, whenever
+//! and however often the counts are looked at.
+//!
 //! Requests of one class that end at one gateway within about a second are a slice. If the arms are alike, then each
 //! failure of a slice falls to the canary by its fraction `p` of the requests. A bet that pays `exp(t)` for each that does,
 //! at the price `(1 - p + p exp(t))` for each failure at all, then gains nothing on average (Hoeffding 1963 for draws
--- a/src/cluster/settings.rs
+++ b/src/cluster/settings.rs
@@ -20,7 +20,7 @@
 /// The longest safety margin of a lease, in microseconds.
 const MAX_LEASE_MARGIN: u64 = 200_000;
 /// The part of a lease that its safety margin is at most.
-const LEASE_MARGIN_PARTS: u64 = 4;
+const LEASE_MARGIN_DIVISOR: u64 = 4;
 
 /// A cluster node's settings.
 #[derive(Debug, Clone)]
@@ -51,7 +51,7 @@
 impl Settings {
     /// The safety margin of a lease: what is begun under it is known to the others within this time.
     pub(super) fn lease_margin(&self) -> Micros {
-        let part_of_lease = self.ledger.map(|settings| settings.lease.0 / LEASE_MARGIN_PARTS);
+        let part_of_lease = self.ledger.map(|settings| settings.lease.0 / LEASE_MARGIN_DIVISOR);
         Micros(part_of_lease.map_or(MAX_LEASE_MARGIN, |part| MAX_LEASE_MARGIN.min(part)))
     }
 
--- a/src/decision/admission/call_fraction.rs
+++ b/src/decision/admission/call_fraction.rs
@@ -1,7 +1,7 @@
 //! The fraction of requests that call the counter service.
 
 /// What a failed call leaves of the fraction, and what a successful one multiplies it by.
-const CUT_BY_FAILURE: f64 = 0.8;
+const FACTOR_AFTER_FAILURE: f64 = 0.8;
 const GROWTH_BY_SUCCESS: f64 = 1.02;
 /// The fraction never falls below this.
 pub(crate) const LEAST_CALL_FRACTION: f64 = 0.05;
@@ -29,7 +29,7 @@
 
     /// A call failed.
     pub(crate) fn call_failed(&mut self) {
-        self.0 = (self.0 * CUT_BY_FAILURE).max(LEAST_CALL_FRACTION);
+        self.0 = (self.0 * FACTOR_AFTER_FAILURE).max(LEAST_CALL_FRACTION);
     }
 
     /// A call succeeded.
--- a/src/decision/admission/customer.rs
+++ b/src/decision/admission/customer.rs
@@ -13,7 +13,7 @@
 pub(crate) const CUSTOMER_IDLE_TIMEOUT: Micros = Micros(120_000_000);
 /// How long after a rejection a request like the rejected one counts as its retry.
 const RETRY_DETECTION_WINDOW: Micros = Micros(1_000_000);
-/// What each window leaves of the figures of earlier windows is one less this.
+/// Fraction of the earlier windows' figures that each new window drops.
 const OBSERVED_TRAFFIC_DECAY: f64 = 0.3;
 
 /// The last rejected request, by which a retry is recognized.
@@ -54,7 +54,7 @@
     /// What may be forwarded beyond the quota, or without the counter, under a ceiling.
     pub(crate) ceiling_bucket: TokenBucket,
     pub(crate) breaker: CircuitBreaker,
-    /// Own attempts in flight, where the plan has a quota of them.
+    /// Own requests that are admitted and not over, where the plan has a concurrency quota.
     pub(crate) in_flight: f64,
     pub(crate) last_used: Micros,
 }
--- a/src/decision/admission/load_shedding.rs
+++ b/src/decision/admission/load_shedding.rs
@@ -1,14 +1,15 @@
 //! Priority load shedding: under overload some requests are rejected before they are sent, those of little weight
 //! first. See "Handling Overload" in the Google SRE book on adaptive throttling.
 
-/// What a late response leaves of the pass fraction, and what another adds to it.
-const CUT_BY_LATE: f64 = 0.85;
+/// The pass fraction is multiplied by this after a late response.
+const FACTOR_AFTER_LATE: f64 = 0.85;
+/// What any other response adds to it.
 const GROWTH_BY_OTHER: f64 = 0.01;
 /// The pass fraction never falls below this.
 pub(crate) const LEAST_PASS_FRACTION: f64 = 0.05;
 /// Weight of the newest sample in the average weight of requests.
 const WEIGHT_SMOOTHING: f64 = 0.1 / 3.0;
-/// A request of half the average weight has the average's pass fraction to this power squared.
+/// The pass fraction is raised to (average weight / weight) to this power.
 const WEIGHT_EXPONENT: i32 = 2;
 
 /// Guards against overload where a gateway has too few attempts in flight at each endpoint for concurrency limits to
@@ -41,8 +42,11 @@
 
     /// Notes whether an attempt ended so late, or was rejected, that it speaks for overload.
     pub(crate) fn attempt_ended(&mut self, overloaded: bool) {
-        let next =
-            if overloaded { self.pass_fraction * CUT_BY_LATE } else { self.pass_fraction + GROWTH_BY_OTHER };
+        let next = if overloaded {
+            self.pass_fraction * FACTOR_AFTER_LATE
+        } else {
+            self.pass_fraction + GROWTH_BY_OTHER
+        };
         self.pass_fraction = next.clamp(LEAST_PASS_FRACTION, 1.0);
     }
 }
--- a/src/decision/endpoint.rs
+++ b/src/decision/endpoint.rs
@@ -5,6 +5,8 @@
 use serde::{Deserialize, Serialize};
 
 /// Whether an endpoint takes new work, by the endpoint list.
+///
+/// A wire form: the names of the variants travel in the hand-over state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointStatus {
     /// It takes new work.
--- a/src/decision/gateway/attempts.rs
+++ b/src/decision/gateway/attempts.rs
@@ -4,7 +4,7 @@
 use crate::decision::action::{Action, RejectionReason};
 use crate::decision::event::{AttemptEnded, Outcome};
 use crate::decision::ids::{EndpointId, RequestId};
-use crate::decision::load_balancing::AttemptResult;
+use crate::decision::load_balancing::AttemptVerdict;
 use crate::decision::request::Attempt;
 use crate::decision::retry::{self, AttemptGuard};
 use crate::decision::time::Micros;
@@ -90,7 +90,7 @@
         attempt.holds_slot = false;
         let endpoint = attempt.endpoint;
         let outcome = Outcome::Success;
-        self.note_result(endpoint, AttemptResult { outcome, elapsed, latency_objective });
+        self.note_result(endpoint, AttemptVerdict { outcome, elapsed, latency_objective });
         self.serve_queue_if_any();
     }
 
@@ -117,7 +117,7 @@
         self.balancer.load_reported(end.endpoint, end.load, self.context.now);
         if held_slot || !streaming {
             let AttemptEnded { outcome, elapsed, .. } = *end;
-            self.note_result(end.endpoint, AttemptResult { outcome, elapsed, latency_objective });
+            self.note_result(end.endpoint, AttemptVerdict { outcome, elapsed, latency_objective });
         }
         self.continue_request(end.request, is_in_time);
         self.serve_queue_if_any();
@@ -133,7 +133,7 @@
         }
     }
 
-    fn note_result(&mut self, endpoint: EndpointId, result: AttemptResult) {
+    fn note_result(&mut self, endpoint: EndpointId, result: AttemptVerdict) {
         if self.balancer.attempt_ended(&self.context, &mut self.rng, endpoint, result) {
             self.shedding.attempt_ended(result.indicates_overload());
         }
--- a/src/decision/gateway/counter.rs
+++ b/src/decision/gateway/counter.rs
@@ -37,6 +37,7 @@
         let customer_id = request.arrival.customer;
         if request.plan(&self.context.settings).concurrency_quota <= 0.0 {
             self.admit(id);
+            // The concurrency quota calls as seldom as retries do while calls fail.
         } else if self.counter.draws_call(&mut self.rng, true) && self.try_start_call(customer_id) {
             self.call_counter(CounterPurpose::Concurrency, customer_id, Some(id), 1.0);
         } else {
--- a/src/decision/gateway/handover.rs
+++ b/src/decision/gateway/handover.rs
@@ -50,8 +50,8 @@
     pub fn take_over(&mut self, state: HandoverState) {
         let endpoints = state.endpoints.into_iter().map(|(id, form)| {
             let theirs = EndpointState::from(form);
-            let ejections = theirs.ejections.min(MAX_EJECTION_DOUBLINGS);
-            (id, EndpointState { ejections, ..theirs })
+            let ejection_doublings = theirs.ejection_doublings.min(MAX_EJECTION_DOUBLINGS);
+            (id, EndpointState { ejection_doublings, ..theirs })
         });
         self.balancer.take_over(endpoints.collect());
         let plans = self.context.settings.plans.len();
--- a/src/decision/gateway/queue.rs
+++ b/src/decision/gateway/queue.rs
@@ -18,8 +18,8 @@
 impl Gateway {
     /// Queues a request, unless it is queued.
     pub(super) fn enqueue(&mut self, id: RequestId) {
-        let is_queued = |request: &&mut Request| request.queued_since.is_none();
-        if let Some(request) = self.requests.get_mut(&id).filter(is_queued) {
+        let is_unqueued = |request: &&mut Request| request.queued_since.is_none();
+        if let Some(request) = self.requests.get_mut(&id).filter(is_unqueued) {
             request.queued_since = Some(self.context.now);
             self.queue.waiting.push(id);
         }
--- a/src/decision/handover_state.rs
+++ b/src/decision/handover_state.rs
@@ -1,5 +1,5 @@
 //! What the process that takes a gateway over must know, in the form in which it is sent: the only place that knows
-//! the names of its fields. Processes of other versions read and write it, so the names stay as they are.
+//! the names of its fields, but for the variants of [`EndpointStatus`]. Processes of other versions read and write it, so the names stay as they are.
 
 use super::admission::{Customer, ObservedTraffic, RecentRejection, SharedCount};
 use super::circuit_breaker::CircuitBreaker;
@@ -220,8 +220,10 @@
     concurrency_limit: f64,
     #[serde(rename = "fail_share")]
     failure_fraction: f64,
-    ejected_until: Micros,
-    ejections: u32,
+    #[serde(rename = "ejected_until")]
+    excluded_until: Micros,
+    #[serde(rename = "ejections")]
+    ejection_doublings: u32,
     #[serde(rename = "trial")]
     on_trial: bool,
     #[serde(rename = "unreached_since")]
@@ -243,8 +245,8 @@
             latency_us: endpoint.latency_us,
             concurrency_limit: endpoint.concurrency_limit,
             failure_fraction: endpoint.failure_fraction,
-            ejected_until: endpoint.ejected_until,
-            ejections: endpoint.ejections,
+            excluded_until: endpoint.excluded_until,
+            ejection_doublings: endpoint.ejection_doublings,
             on_trial: endpoint.on_trial,
             unreachable_since: endpoint.unreachable_since,
             slow_start_since: endpoint.slow_start_since,
@@ -264,8 +266,8 @@
             latency_us: form.latency_us,
             concurrency_limit: form.concurrency_limit,
             failure_fraction: form.failure_fraction,
-            ejected_until: form.ejected_until,
-            ejections: form.ejections,
+            excluded_until: form.excluded_until,
+            ejection_doublings: form.ejection_doublings,
             on_trial: form.on_trial,
             unreachable_since: form.unreachable_since,
             slow_start_since: form.slow_start_since,
--- a/src/decision/load_balancing/attempt_result.rs
+++ b/src/decision/load_balancing/attempt_verdict.rs
@@ -8,14 +8,14 @@
 
 /// How an attempt ended, as far as its endpoint is judged by it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AttemptResult {
+pub(crate) struct AttemptVerdict {
     pub(crate) outcome: Outcome,
     pub(crate) elapsed: Micros,
     /// The latency objective of the request's class.
     pub(crate) latency_objective: Micros,
 }
 
-impl AttemptResult {
+impl AttemptVerdict {
     /// The endpoint did not take it, or did not respond.
     pub(crate) fn was_rejected_or_timed_out(&self) -> bool {
         matches!(self.outcome, Outcome::Rejected | Outcome::Timeout)
--- a/src/decision/load_balancing/concurrency_limit.rs
+++ b/src/decision/load_balancing/concurrency_limit.rs
@@ -1,6 +1,6 @@
 //! The adaptive concurrency limit of an endpoint: additive increase, multiplicative decrease, by latency.
 
-use super::attempt_result::AttemptResult;
+use super::attempt_verdict::AttemptVerdict;
 use crate::decision::context::ProcessRole;
 use crate::decision::event::Outcome;
 use crate::decision::time::Micros;
@@ -13,7 +13,7 @@
 /// The least limit.
 const LEAST_LIMIT: f64 = 0.1;
 /// What an overload leaves of the limit.
-const CUT_BY_OVERLOAD: f64 = 0.7;
+const FACTOR_AFTER_OVERLOAD: f64 = 0.7;
 /// What an early response adds to the limit.
 const GROWTH_BY_EARLY: f64 = 0.03;
 /// A response faster than this fraction of the latency objective says that the endpoint could hold more.
@@ -42,7 +42,7 @@
 /// fault of their own: the limit gives way fast and comes back slowly. `in_flight` counts the attempt no more.
 pub(super) fn adjusted(
     limit: f64,
-    attempt: &AttemptResult,
+    attempt: &AttemptVerdict,
     latency_us: f64,
     in_flight: f64,
     part: f64,
@@ -51,7 +51,7 @@
     let with_usual_time = attempt.elapsed + Micros(2 * latency_us as u64);
     let was_in_use = in_flight + 1.0 >= (limit * part).floor();
     if attempt.was_rejected_or_timed_out() || attempt.is_late(with_usual_time) {
-        (limit * CUT_BY_OVERLOAD).max(LEAST_LIMIT)
+        (limit * FACTOR_AFTER_OVERLOAD).max(LEAST_LIMIT)
     } else if attempt.outcome == Outcome::Success
         && was_in_use
         && attempt.elapsed < attempt.latency_objective.times(EARLY_FRACTION)
--- a/src/decision/load_balancing/endpoint_state.rs
+++ b/src/decision/load_balancing/endpoint_state.rs
@@ -23,13 +23,14 @@
     pub(crate) in_flight: f64,
     /// Smoothed time of a successful response, in microseconds.
     pub(crate) latency_us: f64,
-    /// The most attempts in flight of all gateways of an average subset; see `concurrency_limit`.
+    /// This gateway's limit on attempts in flight, before `part_of_limits` scales it; see `concurrency_limit`.
     pub(crate) concurrency_limit: f64,
     /// Smoothed fraction of attempts that failed.
     pub(crate) failure_fraction: f64,
-    pub(crate) ejected_until: Micros,
+    /// It gets no attempts until then: ejected as an outlier, or after it rejected a request.
+    pub(crate) excluded_until: Micros,
     /// How often the next ejection is doubled.
-    pub(crate) ejections: u32,
+    pub(crate) ejection_doublings: u32,
     /// It was ejected and has not succeeded since: it gets one attempt at a time.
     pub(crate) on_trial: bool,
     pub(crate) unreachable_since: Option<Micros>,
@@ -68,7 +69,7 @@
 
     /// It is ejected.
     pub(crate) fn is_ejected(&self, now: Micros) -> bool {
-        now < self.ejected_until
+        now < self.excluded_until
     }
 
     /// It is not ejected, nor on trial with an attempt in flight.
--- a/src/decision/load_balancing/mod.rs
+++ b/src/decision/load_balancing/mod.rs
@@ -5,7 +5,7 @@
 //! limit ([`concurrency_limit`]), the latency, the failures and the ejection of outliers ([`outlier_ejection`]).
 //! Endpoints that have just started receive less ([`slow_start`]).
 
-mod attempt_result;
+mod attempt_verdict;
 mod balancer;
 mod concurrency_limit;
 mod endpoint_state;
@@ -19,7 +19,7 @@
 mod smoothing;
 mod subsetting;
 
-pub(crate) use attempt_result::AttemptResult;
+pub(crate) use attempt_verdict::AttemptVerdict;
 pub(crate) use balancer::{EndpointAverages, LoadBalancer};
 pub(crate) use endpoint_state::EndpointState;
 pub(crate) use outlier_ejection::{MAX_EJECTION_DOUBLINGS, SUSPECT_FAILURE_FRACTION};
--- a/src/decision/load_balancing/outcome.rs
+++ b/src/decision/load_balancing/outcome.rs
@@ -1,11 +1,11 @@
 //! What the end of an attempt says of its endpoint, and of all of them.
 
-use super::attempt_result::AttemptResult;
+use super::attempt_verdict::AttemptVerdict;
 use super::balancer::LoadBalancer;
 use super::concurrency_limit;
 use super::outlier_ejection;
 use super::reported_load::ReportedLoad;
-use super::smoothing::{move_or_start, move_towards, FLEET_SAMPLE_WEIGHT, SAMPLE_WEIGHT};
+use super::smoothing::{move_or_start, move_towards, ALL_ENDPOINTS_SAMPLE_WEIGHT, SAMPLE_WEIGHT};
 use crate::decision::context::Context;
 use crate::decision::endpoint::LoadReport;
 use crate::decision::event::Outcome;
@@ -28,7 +28,7 @@
         context: &Context,
         rng: &mut fastrand::Rng,
         id: EndpointId,
-        attempt: AttemptResult,
+        attempt: AttemptVerdict,
     ) -> bool {
         let now = context.now;
         let jitter = outlier_ejection::draw_jitter(rng);
@@ -39,7 +39,7 @@
         self.release_slot(id);
         self.adjust_limit(id, &attempt, part);
         let bad = if attempt.is_bad() { 1.0 } else { 0.0 };
-        move_towards(&mut self.averages.failure_fraction, bad, FLEET_SAMPLE_WEIGHT);
+        move_towards(&mut self.averages.failure_fraction, bad, ALL_ENDPOINTS_SAMPLE_WEIGHT);
         if attempt.outcome == Outcome::Success {
             self.note_latency(id, attempt.elapsed);
             self.note_success(id, now);
@@ -50,7 +50,7 @@
         true
     }
 
-    fn adjust_limit(&mut self, id: EndpointId, attempt: &AttemptResult, part: f64) {
+    fn adjust_limit(&mut self, id: EndpointId, attempt: &AttemptVerdict, part: f64) {
         if let Some(endpoint) = self.endpoints.get_mut(&id) {
             endpoint.concurrency_limit = concurrency_limit::adjusted(
                 endpoint.concurrency_limit,
--- a/src/decision/load_balancing/outlier_ejection.rs
+++ b/src/decision/load_balancing/outlier_ejection.rs
@@ -11,12 +11,13 @@
 /// An endpoint is an outlier only if it fails this many times as often as all do: overload would eject the endpoints
 /// one by one.
 const OUTLIER_MULTIPLE: f64 = 2.0;
-/// The time of the first ejection, and how often it doubles.
+/// The time of the first ejection, 1 s.
 const FIRST_EJECTION: Micros = Micros(1_000_000);
+/// How often that time is doubled at the most.
 pub(crate) const MAX_EJECTION_DOUBLINGS: u32 = 3;
-/// The time of an ejection is multiplied by a random number from this one
+/// The least factor that the time of an ejection is multiplied by at random.
 const LEAST_JITTER: f64 = 0.75;
-/// up to this much more.
+/// How much greater than the least that factor may be.
 const JITTER_RANGE: f64 = 0.5;
 /// An endpoint that rejected a request gets none for this time.
 const PAUSE_AFTER_REJECTION: Micros = Micros(100_000);
@@ -37,7 +38,7 @@
         endpoint.on_trial = false;
         endpoint.failure_fraction = 0.0;
     } else {
-        endpoint.ejections = 0;
+        endpoint.ejection_doublings = 0;
     }
 }
 
@@ -54,9 +55,9 @@
     endpoint.unreachable_since.take().is_some_and(|since| now - since > RESTART_AFTER_UNREACHABLE)
 }
 
-/// Leaves an endpoint alone that rejected a request.
+/// Excludes an endpoint that rejected a request for a moment. That is no ejection, but ends by the same time.
 pub(super) fn pause(endpoint: &mut EndpointState, now: Micros) {
-    endpoint.ejected_until = endpoint.ejected_until.max(now + PAUSE_AFTER_REJECTION);
+    endpoint.excluded_until = endpoint.excluded_until.max(now + PAUSE_AFTER_REJECTION);
 }
 
 /// Ejects an endpoint that failed and is an outlier or on trial. Guards against endpoints that fail fast, are silent
@@ -64,17 +65,17 @@
 pub(super) fn eject_outlier(
     endpoint: &mut EndpointState,
     outcome: Outcome,
-    fleet_failure_fraction: f64,
+    average_failure_fraction: f64,
     jitter: f64,
     now: Micros,
 ) {
-    let threshold = OUTLIER_FAILURE_FRACTION.max(OUTLIER_MULTIPLE * fleet_failure_fraction);
+    let threshold = OUTLIER_FAILURE_FRACTION.max(OUTLIER_MULTIPLE * average_failure_fraction);
     let is_outlier = outcome == Outcome::ConnectFailed || endpoint.failure_fraction > threshold;
     if endpoint.is_ejected(now) || !(is_outlier || endpoint.on_trial) {
         return;
     }
-    let doublings = f64::from(1 << endpoint.ejections);
-    endpoint.ejected_until = now + FIRST_EJECTION.times(doublings * jitter);
-    endpoint.ejections = (endpoint.ejections + 1).min(MAX_EJECTION_DOUBLINGS);
+    let doublings = f64::from(1 << endpoint.ejection_doublings);
+    endpoint.excluded_until = now + FIRST_EJECTION.times(doublings * jitter);
+    endpoint.ejection_doublings = (endpoint.ejection_doublings + 1).min(MAX_EJECTION_DOUBLINGS);
     endpoint.on_trial = true;
 }
--- a/src/decision/load_balancing/slow_start.rs
+++ b/src/decision/load_balancing/slow_start.rs
@@ -13,7 +13,7 @@
 use crate::decision::time::Micros;
 
 /// All endpoints are looked at for slow start at most once in this time for each of them: at every tick up to some
-/// hundreds, and seldom enough in a large fleet that requests there cost no more.
+/// hundreds, and seldom enough with thousands of endpoints that requests there cost no more.
 const REFRESH_INTERVAL_PER_ENDPOINT: Micros = Micros(10);
 /// An endpoint in slow start is sent this part of what would overload it, at the most.
 const PART_OF_OVERLOAD: f64 = 0.5;
--- a/src/decision/retry/attempt_timeout.rs
+++ b/src/decision/retry/attempt_timeout.rs
@@ -23,14 +23,14 @@
     context: &Context,
     request: &Request,
     endpoint: Option<&EndpointState>,
-    fleet_failure_fraction: f64,
+    average_failure_fraction: f64,
 ) -> Micros {
     let objective = request.class(&context.settings).latency_objective;
     let fraction = request.route.give_up_fraction.unwrap_or(1.0 - RETRY_FRACTION);
     let early = request.arrived_at + objective.times(fraction);
     let leaves_enough = early > context.now + objective.times(RETRY_FRACTION);
     let is_suspect = endpoint.is_some_and(is_suspect);
-    let is_calm = fleet_failure_fraction < CALM_FAILURE_FRACTION;
+    let is_calm = average_failure_fraction < CALM_FAILURE_FRACTION;
     let deadline = request.arrival.deadline;
     if can_be_retried(context, request) && is_calm && is_suspect && leaves_enough {
         early.min(deadline)
--- a/src/decision/retry/policy.rs
+++ b/src/decision/retry/policy.rs
@@ -1,4 +1,5 @@
-//! Whether a request may be sent, sent again, or rejected. Every attempt and every rejection passes here.
+//! Whether a request may be sent, sent again, or rejected. Every attempt passes here, and every rejection but
+//! that of an unknown class or plan.
 
 use crate::decision::context::{Context, ProcessRole};
 use crate::decision::ids::{CellId, EndpointId, ZoneId};
--- a/src/proxy/admin/call.rs
+++ b/src/proxy/admin/call.rs
@@ -119,7 +119,7 @@
         AdminCall::Readiness => readiness(context),
         AdminCall::SetDraining(draining) => {
             info!(draining, "an operator sets draining");
-            context.lifecycle.set_draining(draining);
+            context.lifecycle.set_operator_drain(draining);
             AdminReply::done()
         }
         AdminCall::Stats => stats_reply(context).await,
--- a/src/proxy/admin/metrics.rs
+++ b/src/proxy/admin/metrics.rs
@@ -57,7 +57,7 @@
     /// It broke, or what came over it was not HTTP.
     #[strum(serialize = "broken")]
     Broken,
-    /// It was idle for too long, or its permit was needed.
+    /// It was idle for too long, its head came too slowly, or its permit was needed.
     #[strum(serialize = "quiet")]
     Idle,
     /// The client had closed its side.
--- a/src/proxy/admin/stats.rs
+++ b/src/proxy/admin/stats.rs
@@ -1,4 +1,5 @@
-//! The text of `/stats`, and the only place that knows its keys.
+//! The text of `/stats`, and the only place that knows its keys, but for the last part of those by reason or outcome: that
+//! is the name that the variant's `strum` attribute gives.
 //!
 //! One line a figure, `edge_node.KEY=VALUE`, each value a whole number. Dashboards read the keys: they never change.
 
--- a/src/proxy/cluster_transport/disk.rs
+++ b/src/proxy/cluster_transport/disk.rs
@@ -16,6 +16,7 @@
 use tracing::warn;
 use xxhash_rust::xxh3::xxh3_64;
 
+/// Names of the stored file and its table. Stored forms: they never change.
 const FILE: &str = "fleet.redb";
 const TABLE: TableDefinition<&[u8], &[u8]> = TableDefinition::new("kept");
 /// Pages that are cached, in bytes.
--- a/src/proxy/cluster_transport/tests.rs
+++ b/src/proxy/cluster_transport/tests.rs
@@ -12,23 +12,23 @@
 use tokio::sync::mpsc;
 
 const FILE: &str = "fleet = \"norte\"\nname = \"a\"\nlisten = \"127.0.0.1:1\"\nseats = [\"a\", \"b\", \"c\"]\n\
-    [ledger]\nholders = 3\n[rollout]\n[branch]\nseats = [\"a\", \"b\", \"c\"]\nclasses = [\"buy\"]\n[peers]\nb = \"127.0.0.1:2\"\n";
+    [ledger]\nholders = 3\n[rollout]\n[branch]\nseats = [\"a\", \"b\", \"c\"]\nclasses = [\"buy\"]\n[transport]\nb = \"127.0.0.1:2\"\n";
 
 #[test]
 fn every_cluster_gauge_has_its_key_place_and_value_in_the_stats() {
     let config = ClusterConfig::parse(FILE, "a").expect("sound");
-    let (inbox, _inputs) = mpsc::channel(1);
+    let (runtime, _inputs) = mpsc::channel(1);
     let ((queued_writes, _w), (abandoned_requests, _a)) = (mpsc::channel(1), mpsc::channel(1));
     let senders = RequestSenders { queued_writes, abandoned_requests };
-    let (duty, arms) = (Rc::new(Lifecycle::default()), Rc::new(OutcomeRecorder::default()));
-    let peers = ClusterTransport::new(config, Clock::start(), duty, inbox, arms, senders);
-    assert!(peers.stats().is_none(), "nothing while another process stands for the gateway");
-    *peers.node.borrow_mut() = Some(ClusterNode::with_distinct_counts());
-    peers.datagrams_not_sent.set(61);
-    peers.abandoned_finished.set(62);
-    peers.abandoned_not_finished.set(63);
+    let (lifecycle, outcomes) = (Rc::new(Lifecycle::default()), Rc::new(OutcomeRecorder::default()));
+    let transport = ClusterTransport::new(config, Clock::start(), lifecycle, runtime, outcomes, senders);
+    assert!(transport.stats().is_none(), "nothing while another process stands for the gateway");
+    *transport.node.borrow_mut() = Some(ClusterNode::with_distinct_counts());
+    transport.datagrams_not_sent.set(61);
+    transport.abandoned_finished.set(62);
+    transport.abandoned_not_finished.set(63);
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/stats-gauges.txt");
-    let text = cluster_lines(&peers.stats().expect("it takes part"));
+    let text = cluster_lines(&transport.stats().expect("it takes part"));
     if std::env::var_os("WRITE_NEW_FIXTURES").is_some() && !path.exists() {
         std::fs::write(&path, &text).expect("written");
     }
--- a/src/proxy/control_plane/discovery/mod.rs
+++ b/src/proxy/control_plane/discovery/mod.rs
@@ -90,7 +90,7 @@
     held_revision: Option<u64>,
     timing: PollTiming,
     runtime: RuntimeSender,
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
 ) {
     let mut watch = EndpointWatch {
         address,
@@ -100,7 +100,7 @@
         failing: None,
         failures: 0,
         log_limit: LogRateLimiter::default(),
-        figures,
+        metrics,
     };
     let mut idle = None;
     loop {
@@ -113,7 +113,7 @@
         }
         watch.answered = true;
         watch.revision = Some(list.revision);
-        watch.figures.discovery.list_applied(list.revision, length);
+        watch.metrics.discovery.list_applied(list.revision, length);
         if runtime.send(RuntimeEvent::EndpointsChanged(list)).await.is_err() {
             return;
         }
@@ -133,7 +133,7 @@
     /// Failures since the last list.
     failures: u32,
     log_limit: LogRateLimiter,
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
 }
 
 impl EndpointWatch {
@@ -153,7 +153,7 @@
             held = self.revision,
             "endpoint list does not follow the one that is held; asking for the complete list"
         );
-        self.figures.discovery.call_failed(FailureKind::OutOfOrder);
+        self.metrics.discovery.call_failed(FailureKind::OutOfOrder);
         self.revision = None;
     }
 
@@ -177,7 +177,7 @@
         let hold = self.hold();
         // Dropped with the response, which ends the other calls and closes their connections.
         let mut calls = CallsInFlight::default();
-        self.figures.discovery.call_started();
+        self.metrics.discovery.call_started();
         calls.start(Call { hold, ..self.prompt_call() }, idle, self.timing.patience);
         let mut interval = self.timing.silence;
         let mut next_call = Instant::now() + hold + interval;
@@ -204,7 +204,7 @@
                         continue;
                     }
                     if calls.have_room() {
-                        self.figures.discovery.call_started();
+                        self.metrics.discovery.call_started();
                         calls.start(self.prompt_call(), None, self.timing.patience);
                     }
                     next_call = now + interval;
@@ -227,7 +227,7 @@
 
     fn note_failure(&mut self, failure: &CallFailure) {
         let kind = failure.kind();
-        self.figures.discovery.call_failed(kind);
+        self.metrics.discovery.call_failed(kind);
         self.failures += 1;
         let is_new = self.failing.replace(kind) != Some(kind);
         if self.log_limit.allows(Instant::now()) || is_new {
--- a/src/proxy/downstream/close.rs
+++ b/src/proxy/downstream/close.rs
@@ -36,11 +36,11 @@
     // A connection that is gone needs no close.
     if shutdown(stream, Shutdown::Write).is_ok() {
         // Past the limit it is closed whatever still comes.
-        let _ = timeout(LINGER_TIMEOUT, drain(stream)).await;
+        let _ = timeout(LINGER_TIMEOUT, discard_input(stream)).await;
     }
 }
 
-async fn drain(stream: &TcpStream) {
+async fn discard_input(stream: &TcpStream) {
     let mut piece = [0; READ_BUFFER_BYTES];
     let mut drained = 0;
     while drained < MAX_DRAINED_BYTES && stream.readable().await.is_ok() {
--- a/src/proxy/downstream/connection.rs
+++ b/src/proxy/downstream/connection.rs
@@ -46,7 +46,7 @@
                 ConnectionCloseReason::Broken
             }
         },
-        () = connection.closed() => ConnectionCloseReason::Idle,
+        () = connection.close_requested() => ConnectionCloseReason::Idle,
         () = closed_by_client(&stream) => ConnectionCloseReason::ClosedByClient,
     };
     debug!(?reason, client = ?stream.peer_addr().ok(), "a client's connection is closed");
--- a/src/proxy/downstream/idle_connections.rs
+++ b/src/proxy/downstream/idle_connections.rs
@@ -66,7 +66,7 @@
 
 impl ClientConnection {
     /// Returns when the connection is to be closed.
-    pub async fn closed(&self) {
+    pub async fn close_requested(&self) {
         // Guards against closing one on which a request came in between.
         while !self.closing.get() {
             self.close.notified().await;
@@ -85,7 +85,7 @@
 
 /// All connections without an open request, those that were quiet for longest first.
 pub struct IdleConnections {
-    duty: Rc<Lifecycle>,
+    lifecycle: Rc<Lifecycle>,
     last: Cell<u64>,
     silent: RefCell<ByQuietTime>,
     heads: RefCell<ByQuietTime>,
@@ -94,9 +94,9 @@
 
 impl IdleConnections {
     /// No connection yet.
-    pub fn new(duty: Rc<Lifecycle>) -> IdleConnections {
+    pub fn new(lifecycle: Rc<Lifecycle>) -> IdleConnections {
         let (silent, heads, idle) = Default::default();
-        IdleConnections { duty, last: Cell::new(0), silent, heads, idle }
+        IdleConnections { lifecycle, last: Cell::new(0), silent, heads, idle }
     }
 
     /// Adds a connection that was accepted.
@@ -165,7 +165,7 @@
 
     /// Closes the connections whose time is up.
     pub fn sweep(&self) {
-        let (now, longest) = (Instant::now(), self.duty.idle_timeout());
+        let (now, longest) = (Instant::now(), self.lifecycle.idle_timeout());
         for heads in [&self.silent, &self.heads] {
             heads.borrow().values().filter(|p| now >= p.head_due.get()).for_each(|p| p.close_soon());
         }
--- a/src/proxy/downstream/request.rs
+++ b/src/proxy/downstream/request.rs
@@ -5,7 +5,8 @@
 use super::context::ProxyContext;
 use super::dispatch::{dispatch_as, DisconnectGuard};
 use super::request_body::{
-    slowest_transfer, BodyError, RequestBodyReader, RequestBodyResult, StreamedRequestBody, MAX_REQUEST_BODY,
+    slowest_transfer, BodyError, RequestBodyReader, RequestBodyResult, StreamedRequestBody,
+    MAX_REQUEST_BODY_BYTES,
 };
 use super::request_error::RequestError;
 use super::request_head::RequestHead;
@@ -19,7 +20,7 @@
 use crate::proxy::lifecycle::drain::ShutdownPhase;
 use crate::proxy::memory_budget::MemoryBudget;
 use crate::proxy::runtime::messages::{FinalResponse, NewRequest, RuntimeEvent};
-use crate::proxy::upstream::connection::MAX_BODY;
+use crate::proxy::upstream::connection::MAX_BUFFERED_BODY_BYTES;
 use crate::proxy::upstream::forwarded_request::{strip_hop_by_hop, ForwardedRequest, RequestPayload};
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -62,15 +63,15 @@
 ) -> Result<Received, RequestError> {
     let mut reader = RequestBodyReader::new(body, wait);
     let length = reader.announced_length();
-    if length.is_some_and(|length| length > MAX_REQUEST_BODY) {
+    if length.is_some_and(|length| length > MAX_REQUEST_BODY_BYTES) {
         return Err(BodyError::TooLong.into());
     }
-    let reserved = length.unwrap_or(MAX_BODY);
-    let memory = if reserved <= MAX_BODY { memory.hold(reserved) } else { None };
+    let reserved = length.unwrap_or(MAX_BUFFERED_BODY_BYTES);
+    let memory = if reserved <= MAX_BUFFERED_BODY_BYTES { memory.hold(reserved) } else { None };
     if memory.is_none() && length.is_some() {
         return Ok(Received::streamed(Bytes::new(), reader, None));
     }
-    let limit = if memory.is_some() { MAX_BODY } else { 0 };
+    let limit = if memory.is_some() { MAX_BUFFERED_BODY_BYTES } else { 0 };
     let gathered = reader.gather(limit).await?;
     if gathered.complete {
         return Ok(Received { body: ReceivedBody::Buffered(gathered.bytes), memory });
@@ -187,7 +188,7 @@
         let ClientRequest { context, id, head, method, uri, headers, deadline } = self;
         let class = head.arrival.class;
         // Until its last byte comes: as late as the slowest client's.
-        let longest = slowest_transfer(body_wait, MAX_REQUEST_BODY);
+        let longest = slowest_transfer(body_wait, MAX_REQUEST_BODY_BYTES);
         let deadline = deadline + Micros(longest.as_micros() as u64);
         let payload = RequestPayload::Streamed(RefCell::new(Some(body)));
         let forward = ForwardedRequest::new(method, uri, headers, payload);
@@ -246,7 +247,7 @@
         };
         // A client that is answered early may still send the rest of its body, and then reads the response.
         if let Some(Ok(RequestBodyResult::Unread(rest))) = self.body_end.as_mut().map(|end| end.try_recv()) {
-            tokio::task::spawn_local(rest.drain());
+            tokio::task::spawn_local(rest.discard());
         }
         Ok((response, in_flight))
     }
@@ -275,7 +276,7 @@
         Ok(RequestBodyResult::Complete) => Ok(true),
         Ok(RequestBodyResult::Broken(error)) => Err(error.into()),
         Ok(RequestBodyResult::Unread(rest)) => {
-            tokio::task::spawn_local(rest.drain());
+            tokio::task::spawn_local(rest.discard());
             Ok(false)
         }
         Err(_) => Ok(false),
--- a/src/proxy/downstream/request_body.rs
+++ b/src/proxy/downstream/request_body.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, Instant, Sleep};
 
 /// The longest body that a client may send, in bytes.
-pub const MAX_REQUEST_BODY: usize = 32 << 20;
+pub const MAX_REQUEST_BODY_BYTES: usize = 32 << 20;
 /// How long one byte of a body may take, in nanoseconds: 64 kB a second with a fifth to spare.
 const NANOS_PER_BYTE: u64 = 19_500;
 
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
     /// It is longer than any may be.
-    #[error("the body is longer than {MAX_REQUEST_BODY} bytes")]
+    #[error("the body is longer than {MAX_REQUEST_BODY_BYTES} bytes")]
     TooLong,
     /// It comes too slowly.
     #[error("the body comes too slowly")]
@@ -81,7 +81,7 @@
                 return Poll::Ready(Some(Err(BodyError::Broken)));
             };
             self.received += piece.len();
-            if self.received > MAX_REQUEST_BODY {
+            if self.received > MAX_REQUEST_BODY_BYTES {
                 return Poll::Ready(Some(Err(BodyError::TooLong)));
             }
             if !piece.is_empty() {
@@ -111,7 +111,7 @@
     }
 
     /// Reads to the end and keeps nothing, so that the client can read its answer.
-    pub async fn drain(mut self) {
+    pub async fn discard(mut self) {
         while let Some(Ok(_)) = self.piece().await {}
     }
 }
--- a/src/proxy/downstream/request_error.rs
+++ b/src/proxy/downstream/request_error.rs
@@ -36,7 +36,7 @@
     /// A GET with a body.
     #[error("a GET carries no body")]
     BodyOnGet,
-    /// The body is longer than `MAX_REQUEST_BODY`.
+    /// The body is longer than `MAX_REQUEST_BODY_BYTES`.
     #[error("the body is longer than 32 MiB")]
     BodyTooLong,
     /// The body came more slowly than clients are promised.
--- a/src/proxy/downstream/server.rs
+++ b/src/proxy/downstream/server.rs
@@ -35,12 +35,12 @@
 impl Shutdown {
     fn new(context: Rc<ProxyContext>) -> Shutdown {
         let mut shutdown = Shutdown { context, began_at: None };
-        shutdown.look();
+        shutdown.note_begin();
         shutdown
     }
 
     /// Notes the time if shutdown has begun.
-    fn look(&mut self) {
+    fn note_begin(&mut self) {
         let stopping = self.context.lifecycle.state().shutdown > ShutdownPhase::Running;
         if self.began_at.is_none() && stopping {
             self.began_at = Some(Instant::now());
@@ -133,7 +133,7 @@
                 }
                 Ok(()) = lifecycle.changed() => {
                     self.idle.sweep();
-                    self.shutdown.look();
+                    self.shutdown.note_begin();
                 }
                 () = sleep_until(self.shutdown.final_at()), if stopping && !self.shutdown.is_final() => {
                     self.shutdown.set_final();
@@ -157,7 +157,7 @@
     /// Returns when all connections are closed, or the time for that is over.
     async fn finish_connections(&mut self) {
         let mut all_closed = pin!(self.context.permits.wait_until_unused());
-        self.shutdown.began_at = Some(self.shutdown.after(Duration::ZERO));
+        self.shutdown.began_at.get_or_insert_with(Instant::now);
         loop {
             tokio::select! {
                 () = &mut all_closed => return,
--- a/src/proxy/lifecycle/drain.rs
+++ b/src/proxy/lifecycle/drain.rs
@@ -29,8 +29,9 @@
     pub endpoints_known: bool,
     /// It may serve: its predecessor, if there was one, has handed over.
     pub serving: bool,
-    /// An operator drains the gateway: what comes is still served, and connections are closed.
-    pub draining: bool,
+    /// An operator drains the gateway: requests are still served, and connections are closed. After SIGTERM it is
+    /// `shutdown` that tells.
+    pub operator_drain: bool,
     /// Another process accepts the new connections.
     pub replaced: bool,
     /// How near the end is.
@@ -39,7 +40,7 @@
 
 impl LifecycleState {
     fn may_serve(&self) -> bool {
-        self.endpoints_known && self.serving && !self.draining
+        self.endpoints_known && self.serving && !self.operator_drain
     }
 
     /// Whether this process is ready to serve.
@@ -55,7 +56,7 @@
 
     /// Whether a response is the last on its connection.
     fn closes_connections(&self) -> bool {
-        self.draining || self.replaced || self.shutdown > ShutdownPhase::Running
+        self.operator_drain || self.replaced || self.shutdown > ShutdownPhase::Running
     }
 
     /// How long a client's connection may be idle. At the end new connections are still accepted, so a request that
@@ -65,7 +66,7 @@
         match self {
             LifecycleState { replaced: true, .. } => IDLE_TIMEOUT,
             LifecycleState { shutdown: ShutdownPhase::Stopping | ShutdownPhase::Final, .. } => Duration::ZERO,
-            LifecycleState { draining: true, .. } => DRAINING_IDLE_TIMEOUT,
+            LifecycleState { operator_drain: true, .. } => DRAINING_IDLE_TIMEOUT,
             _ => IDLE_TIMEOUT,
         }
     }
@@ -96,8 +97,8 @@
         self.update(|state| state.serving = true);
     }
     /// An operator drains the gateway, or puts it back into service.
-    pub fn set_draining(&self, draining: bool) {
-        self.update(|state| state.draining = draining);
+    pub fn set_operator_drain(&self, operator_drain: bool) {
+        self.update(|state| state.operator_drain = operator_drain);
     }
     /// Another process has taken over, or is gone again.
     pub fn set_replaced(&self, replaced: bool) {
--- a/src/proxy/lifecycle/drain/tests.rs
+++ b/src/proxy/lifecycle/drain/tests.rs
@@ -9,9 +9,9 @@
     assert!(!lifecycle.is_ready(), "not before it may serve");
     lifecycle.start_serving();
     assert!(lifecycle.is_ready() && lifecycle.is_healthy() && !lifecycle.closes_connections());
-    lifecycle.set_draining(true);
+    lifecycle.set_operator_drain(true);
     assert!(!lifecycle.is_ready() && !lifecycle.is_healthy() && lifecycle.closes_connections());
-    lifecycle.set_draining(false);
+    lifecycle.set_operator_drain(false);
     assert!(lifecycle.is_ready() && !lifecycle.closes_connections());
     lifecycle.advance_shutdown(ShutdownPhase::Final);
     lifecycle.advance_shutdown(ShutdownPhase::Stopping);
--- a/src/proxy/lifecycle/permits.rs
+++ b/src/proxy/lifecycle/permits.rs
@@ -5,7 +5,7 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 /// While another process has permits, this one keeps at least one of so many.
-const MIN_KEPT_FRACTION: usize = 8;
+const MIN_KEPT_DIVISOR: usize = 8;
 
 /// A fixed number of permits, some of which may be the other process's.
 pub struct Permits {
@@ -58,7 +58,7 @@
 
     /// So many permits are the other process's from now on, as far as they are available here and an eighth stays.
     pub fn reserve_for_other_process(&self, permits: usize) {
-        let permits = permits.min(self.total - self.total.div_ceil(MIN_KEPT_FRACTION));
+        let permits = permits.min(self.total - self.total.div_ceil(MIN_KEPT_DIVISOR));
         let reserved = self.reserved.get();
         if permits > reserved {
             self.reserved.set(reserved + self.available.forget_permits(permits - reserved));
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -60,7 +60,7 @@
 pub struct SharedParts {
     /// The decision module's clock.
     pub clock: Clock,
-    /// Notified once the endpoint list is known.
+    /// Whether the process serves, drains or ends.
     pub lifecycle: Rc<Lifecycle>,
     /// Counts what happens, for operators.
     pub metrics: Rc<Metrics>,
@@ -95,7 +95,7 @@
     timers: Timers,
     /// Events for the decision module, which it handles at the next turn.
     pending_events: Vec<Event>,
-    /// Kept between turns for its room.
+    /// Reused by each turn, to save the allocation.
     actions: Vec<Action>,
     lifecycle: Rc<Lifecycle>,
     metrics: Rc<Metrics>,
@@ -188,7 +188,7 @@
             let next_turn = self.next_turn(last_turn);
             tokio::select! {
                 biased;
-                Some(command) = self.commands.recv() => self.obey(command),
+                Some(command) = self.commands.recv() => self.run_command(command),
                 () = sleep_until(next_turn.unwrap_or_else(Instant::now)), if next_turn.is_some() => {
                     last_turn = Instant::now();
                     self.turn();
@@ -297,7 +297,7 @@
     }
 }
 
-/// The request that may be forgotten once the decision module has heard of this event.
+/// The request that may be forgotten once the decision module has handled this event.
 fn request_that_may_be_finished(event: &Event) -> Option<RequestId> {
     match event {
         Event::ClientDisconnected { request } => Some(*request),
--- a/src/proxy/runtime/admin_commands.rs
+++ b/src/proxy/runtime/admin_commands.rs
@@ -15,7 +15,7 @@
 
 impl Runtime {
     /// Carries out a command. Who asked and has left needs no reply.
-    pub(super) fn obey(&mut self, command: AdminCommand) {
+    pub(super) fn run_command(&mut self, command: AdminCommand) {
         match command {
             AdminCommand::CountEndpoints(reply) => {
                 let _ = reply.send(self.gateway.endpoint_counts(self.clock.now()));
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -107,6 +107,7 @@
             outcome,
             elapsed,
             request_finished,
+            // Backends do not report units; only the simulator settles them afterwards.
             settled_units: None,
             load,
         }));
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -49,7 +49,7 @@
         self.log_change(endpoint, &entry);
         let backend = Backend {
             address: entry.address,
-            up_since_ms: entry.started_at_unix_ms,
+            started_at_unix_ms: entry.started_at_unix_ms,
             open: Cell::new(entry.status == EndpointStatus::InService),
         };
         self.close_previous_backend(endpoint, &backend);
@@ -77,7 +77,8 @@
     /// still wait for one.
     fn close_previous_backend(&self, endpoint: EndpointId, next: &Backend) {
         let Some(previous) = self.backends.get(&endpoint) else { return };
-        let is_same = previous.address == next.address && previous.up_since_ms == next.up_since_ms;
+        let is_same =
+            previous.address == next.address && previous.started_at_unix_ms == next.started_at_unix_ms;
         if !is_same || !next.open.get() {
             self.pool.forget(previous.address);
             previous.open.set(false);
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 
 /// The longest body that is buffered, in bytes.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 
 /// Why a call has no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -209,10 +209,10 @@
     ///
     /// # Errors
     ///
-    /// As `begin`; `Broken` also where the response is longer than `MAX_BODY`.
+    /// As `begin`; `Broken` also where the response is longer than `MAX_BUFFERED_BODY_BYTES`.
     pub async fn call(&mut self, request: Request<OutboundBody>) -> Result<Response<Bytes>, CallError> {
         let (head, body) = self.begin(request, || {}).await?.into_parts();
-        let body = self.drive(Limited::new(body, MAX_BODY).collect()).await;
+        let body = self.drive(Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect()).await;
         let body = body.and_then(Result::ok).ok_or(CallError::Broken)?.to_bytes();
         Ok(Response::from_parts(head, body))
     }
--- a/src/proxy/upstream/response.rs
+++ b/src/proxy/upstream/response.rs
@@ -2,7 +2,7 @@
 //! streamed otherwise.
 
 use super::attempt_result::{AttemptResult, UpstreamResponseBody};
-use super::connection::{Connection, MAX_BODY};
+use super::connection::{Connection, MAX_BUFFERED_BODY_BYTES};
 use super::load_report;
 use super::pool::ConnectionPool;
 use super::streamed_response::StreamedResponseBody;
@@ -91,7 +91,7 @@
 
 /// Reads the body of an error, so that the connection can be used again.
 async fn skip_body(mut reading: ResponseReading<'_>, body: Incoming) {
-    let read = reading.connection.drive(Limited::new(body, MAX_BODY).collect()).await;
+    let read = reading.connection.drive(Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect()).await;
     if matches!(read, Some(Ok(_))) {
         reading.pool.give_back(reading.address, reading.connection);
     }
@@ -100,8 +100,8 @@
 async fn read_body(reading: ResponseReading<'_>, mut body: Incoming, report: LoadReport) -> AttemptResult {
     let ResponseReading { pool, address, mut connection, permit } = reading;
     let length = body.size_hint().exact().map(|n| usize::try_from(n).unwrap_or(usize::MAX));
-    let reserved = length.unwrap_or(MAX_BODY);
-    let memory = if reserved <= MAX_BODY { pool.memory.hold(reserved) } else { None };
+    let reserved = length.unwrap_or(MAX_BUFFERED_BODY_BYTES);
+    let memory = if reserved <= MAX_BUFFERED_BODY_BYTES { pool.memory.hold(reserved) } else { None };
     let limits = GatherLimits { has_memory: memory.is_some(), length_known: length.is_some() };
     let mut gathered = Gathered::default();
     match gather(&mut connection, &mut body, limits, &mut gathered).await {
@@ -152,7 +152,7 @@
             Some(None) => return GatherEnd::Complete,
             Some(Some(Err(_))) | None => return GatherEnd::Broken,
         }
-        if gathered.bytes > 0 && (!limits.has_memory || gathered.bytes > MAX_BODY) {
+        if gathered.bytes > 0 && (!limits.has_memory || gathered.bytes > MAX_BUFFERED_BODY_BYTES) {
             return GatherEnd::Started;
         }
     }
--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -19,7 +19,7 @@
 const LONG: Duration = Duration::from_secs(5);
 
 fn backend(stub: &Stub) -> Backend {
-    Backend { address: stub.address, up_since_ms: 0, open: Cell::new(true) }
+    Backend { address: stub.address, started_at_unix_ms: 0, open: Cell::new(true) }
 }
 
 fn pool(connections: usize, idle: Duration) -> Rc<ConnectionPool> {
@@ -110,7 +110,7 @@
 fn an_unreachable_backend_never_ran_anything() {
     let refusing = Refusing::start();
     let gone = refusing.address();
-    let backend = Backend { address: gone, up_since_ms: 0, open: Cell::new(true) };
+    let backend = Backend { address: gone, started_at_unix_ms: 0, open: Cell::new(true) };
     let pool = pool(8, LONG);
     assert_eq!(on_runtime(attempt(&pool, &backend, LONG)).outcome, Outcome::ConnectFailed);
 }
