--- a/src/proxy/admin/call.rs
+++ b/src/proxy/admin/call.rs
@@ -2,9 +2,10 @@
 //!
 //! Paths, methods, statuses and bodies are a wire form that scripts depend on: they never change.
 
+use super::known_names::KnownNames;
 use super::metrics::Metrics;
 use super::reply::{changing, reading, AdminCallError, AdminReply};
-use super::rollout_calls::{self, KnownNames, RolloutCall};
+use super::rollout_calls::{self, RolloutCall};
 use super::stats;
 use crate::proxy::cluster_transport::ClusterTransport;
 use crate::proxy::lifecycle::drain::Lifecycle;
--- /dev/null
+++ b/src/proxy/admin/known_names.rs
@@ -0,0 +1,47 @@
+//! The names of this site that routing rules may use.
+
+use crate::cluster::rollout::RuleSet;
+use std::collections::BTreeSet;
+
+/// The names that routing rules may use.
+#[derive(Debug, Default)]
+pub struct KnownNames {
+    /// Classes of requests.
+    pub classes: BTreeSet<String>,
+    /// Plans of customers.
+    pub plans: BTreeSet<String>,
+}
+
+/// A rule names something that this site does not have.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[error("rule: {what}: there is no '{name}' here")]
+pub struct UnknownName {
+    what: &'static str,
+    name: String,
+}
+
+impl KnownNames {
+    /// Checks that the rules name only classes and plans of this site.
+    ///
+    /// # Errors
+    ///
+    /// The first name that is unknown, in the order of the rules.
+    pub fn check(&self, rules: &RuleSet) -> Result<(), UnknownName> {
+        for rule in &rules.0 {
+            check_name("class", rule.class.as_ref(), &self.classes)?;
+            check_name("plan", rule.plan.as_ref(), &self.plans)?;
+        }
+        Ok(())
+    }
+}
+
+fn check_name(
+    what: &'static str,
+    name: Option<&String>,
+    known: &BTreeSet<String>,
+) -> Result<(), UnknownName> {
+    match name {
+        Some(name) if !known.contains(name) => Err(UnknownName { what, name: name.clone() }),
+        _ => Ok(()),
+    }
+}
--- a/src/proxy/admin/mod.rs
+++ b/src/proxy/admin/mod.rs
@@ -5,6 +5,7 @@
 //! answers calls for rollouts, [`metrics`] holds the counters and [`stats`] writes them as text.
 
 pub mod call;
+pub mod known_names;
 pub mod metrics;
 pub mod reply;
 pub mod rollout_calls;
--- a/src/proxy/admin/rollout_calls.rs
+++ b/src/proxy/admin/rollout_calls.rs
@@ -1,7 +1,8 @@
 //! The operators' calls for rollouts of routing rules, `/rollout`.
 
+use super::known_names::{KnownNames, UnknownName};
 use super::reply::{changing, is_reading, AdminCallError, AdminReply};
-use crate::cluster::rollout::{RolloutRequest, RuleSet};
+use crate::cluster::rollout::RolloutRequest;
 use crate::cluster::CommandResult;
 use crate::decision::SettingsError;
 use crate::proxy::cluster_transport::rollouts::{RolloutCommand, RolloutStartError};
@@ -10,7 +11,6 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, StatusCode};
-use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -51,49 +51,6 @@
     }
 }
 
-/// The names that routing rules may use.
-#[derive(Debug, Default)]
-pub struct KnownNames {
-    /// Classes of requests.
-    pub classes: BTreeSet<String>,
-    /// Plans of customers.
-    pub plans: BTreeSet<String>,
-}
-
-/// A rule names something that this site does not have.
-#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("rule: {what}: there is no '{name}' here")]
-pub struct UnknownName {
-    what: &'static str,
-    name: String,
-}
-
-impl KnownNames {
-    /// Checks that the rules name only classes and plans of this site.
-    ///
-    /// # Errors
-    ///
-    /// The first name that is unknown, in the order of the rules.
-    pub fn check(&self, rules: &RuleSet) -> Result<(), UnknownName> {
-        for rule in &rules.0 {
-            check_name("class", rule.class.as_ref(), &self.classes)?;
-            check_name("plan", rule.plan.as_ref(), &self.plans)?;
-        }
-        Ok(())
-    }
-}
-
-fn check_name(
-    what: &'static str,
-    name: Option<&String>,
-    known: &BTreeSet<String>,
-) -> Result<(), UnknownName> {
-    match name {
-        Some(name) if !known.contains(name) => Err(UnknownName { what, name: name.clone() }),
-        _ => Ok(()),
-    }
-}
-
 /// Why a rollout was not started.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
--- a/src/proxy/control_plane/config/error.rs
+++ b/src/proxy/control_plane/config/error.rs
@@ -1,7 +1,7 @@
 //! Why a configuration can't be used. Each error is one plain line that names the place.
 
 use crate::decision::SettingsError;
-use crate::proxy::admin::rollout_calls::UnknownName;
+use crate::proxy::admin::known_names::UnknownName;
 use crate::site_settings::FieldError;
 use std::fmt::Display;
 use std::io;
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -6,7 +6,7 @@
 use crate::proxy::control_plane::discovery::endpoint_list::EndpointList;
 use crate::proxy::downstream::response_body::ResponseBody;
 use crate::proxy::lifecycle::handover::message::{HandoverMessage, HandoverSnapshot};
-use crate::proxy::upstream::attempt::AttemptResult;
+use crate::proxy::upstream::attempt_result::AttemptResult;
 use crate::proxy::upstream::forwarded_request::ForwardedRequest;
 use std::net::SocketAddr;
 use tokio::sync::{mpsc, oneshot};
--- a/src/proxy/startup.rs
+++ b/src/proxy/startup.rs
@@ -1,8 +1,8 @@
 //! Starts the parts of a gateway in their order, and serves until the end.
 
 use super::admin::call::AdminContext;
+use super::admin::known_names::KnownNames;
 use super::admin::metrics::Metrics;
-use super::admin::rollout_calls::KnownNames;
 use super::cluster_transport::outcome_recorder::OutcomeRecorder;
 use super::cluster_transport::write_queue_sender::{check_uplink, forward_writes};
 use super::cluster_transport::{abandoned_requests, ClusterTransport, RequestSenders};
--- a/src/proxy/upstream/attempt.rs
+++ b/src/proxy/upstream/attempt.rs
@@ -1,12 +1,13 @@
 //! One attempt at a backend. Its outcome says whether the request may have run there: it may have from the first byte that
 //! was written, for all that a caller who stops waiting can know.
 
+use super::attempt_result::AttemptResult;
 use super::backend::Backend;
 use super::connection::{CallError, Connection};
 use super::forwarded_request::{ForwardedRequest, RequestPayload};
 use super::pool::ConnectionPool;
-use super::response::{read_response, ResponseReading, UpstreamResponseBody};
-use crate::decision::{LoadReport, Outcome};
+use super::response::{read_response, ResponseReading};
+use crate::decision::Outcome;
 use crate::proxy::admin::metrics::NotSentReason;
 use rustix::io::Errno;
 use std::cell::Cell;
@@ -15,35 +16,6 @@
 use tokio::sync::{oneshot, OwnedSemaphorePermit};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// How an attempt ended, or that its response has started.
-pub struct AttemptResult {
-    /// The outcome.
-    pub outcome: Outcome,
-    /// The body of a 200.
-    pub body: Option<UpstreamResponseBody>,
-    /// When the last byte of the request was written, if it was.
-    pub request_sent_at: Option<Instant>,
-    /// When the first bytes of a streamed response came.
-    pub response_started_at: Option<Instant>,
-    /// What the backend said of its load.
-    pub report: LoadReport,
-    /// Why nothing was written, where the gateway itself decided so.
-    pub not_sent: Option<NotSentReason>,
-}
-
-impl From<Outcome> for AttemptResult {
-    fn from(outcome: Outcome) -> AttemptResult {
-        AttemptResult {
-            outcome,
-            body: None,
-            request_sent_at: None,
-            response_started_at: None,
-            report: LoadReport::default(),
-            not_sent: None,
-        }
-    }
-}
-
 /// A connection to make an attempt over.
 struct AttemptConnection {
     connection: Connection,
--- a/src/proxy/upstream/mod.rs
+++ b/src/proxy/upstream/mod.rs
@@ -4,6 +4,7 @@
 //! the response, [`streamed_response`] passes a long one on, [`forwarded_request`] is what attempts send.
 
 pub mod attempt;
+pub mod attempt_result;
 pub mod attempt_tracker;
 pub mod backend;
 pub mod connection;
--- a/src/proxy/upstream/response.rs
+++ b/src/proxy/upstream/response.rs
@@ -1,11 +1,11 @@
 //! Reads a backend's response: buffered while it is short and there is memory for it, so that a broken one can be retried;
 //! streamed otherwise.
 
-use super::attempt::AttemptResult;
+use super::attempt_result::AttemptResult;
 use super::connection::{Connection, MAX_BODY};
 use super::load_report;
 use super::pool::ConnectionPool;
-use super::streamed_response::StreamedResponseBody;
+use super::streamed_response::{StreamedResponseBody, UpstreamResponseBody};
 use crate::decision::{LoadReport, Outcome};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -25,14 +25,6 @@
 /// A response of unknown length is streamed after this, from its first bytes, if it has not come to its end.
 const MAX_GATHER_TIME: Duration = Duration::from_millis(20);
 
-/// The body of a 200.
-pub enum UpstreamResponseBody {
-    /// All of it, and the memory reserved for it.
-    Buffered(Bytes, Option<OwnedSemaphorePermit>),
-    /// Its beginning, and the rest as it comes.
-    Streamed(Box<StreamedResponseBody>),
-}
-
 /// What a response is read from and with.
 pub(super) struct ResponseReading<'a> {
     pub pool: &'a Rc<ConnectionPool>,
--- a/src/proxy/upstream/streamed_response.rs
+++ b/src/proxy/upstream/streamed_response.rs
@@ -1,4 +1,4 @@
-//! A backend's response that is too long to buffer, on its way to the client.
+//! The body of a backend's response: buffered, or, where it is too long for that, on its way to the client.
 
 use super::connection::Connection;
 use super::pool::ConnectionPool;
@@ -17,6 +17,14 @@
 /// A backend that sends nothing more of a response for so long is taken for dead.
 const STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// The body of a 200.
+pub enum UpstreamResponseBody {
+    /// All of it, and the memory reserved for it.
+    Buffered(Bytes, Option<OwnedSemaphorePermit>),
+    /// Its beginning, and the rest as it comes.
+    Streamed(Box<StreamedResponseBody>),
+}
+
 /// A backend's response broke off after its first bytes had gone to the client.
 #[derive(Debug, thiserror::Error)]
 #[error("the response of backend {backend} broke off")]
--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -5,7 +5,7 @@
 use quota_gateway::decision::Outcome;
 use quota_gateway::proxy::control_plane::config::SocketLimits;
 use quota_gateway::proxy::memory_budget::MemoryBudget;
-use quota_gateway::proxy::upstream::attempt::AttemptResult;
+use quota_gateway::proxy::upstream::attempt_result::AttemptResult;
 use quota_gateway::proxy::upstream::backend::Backend;
 use quota_gateway::proxy::upstream::forwarded_request::{ForwardedRequest, RequestPayload};
 use quota_gateway::proxy::upstream::pool::ConnectionPool;
