--- a/src/proxy/cluster_transport/claim_progress.rs
+++ b/src/proxy/cluster_transport/claim_progress.rs
@@ -1,9 +1,18 @@
 //! What is known so far of one claim at the ledger.
 
-use crate::cluster::ledger::ClaimOutcome;
+use crate::cluster::ledger::{ClaimId, ClaimOutcome};
 use std::cell::{Cell, RefCell};
 use tokio::sync::Notify;
 
+/// Names a claim of this process.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct ClaimHandle {
+    /// In which of this process's participations it was made; in any other it is void.
+    pub participation: u64,
+    /// The claim.
+    pub id: ClaimId,
+}
+
 /// What is known so far of one claim.
 #[derive(Default)]
 pub struct ClaimProgress {
--- a/src/proxy/cluster_transport/claims.rs
+++ b/src/proxy/cluster_transport/claims.rs
@@ -1,21 +1,12 @@
 //! Claims at the ledger, as the requests that they protect ask for them.
 
-use super::claim_progress::ClaimProgress;
+use super::claim_progress::{ClaimHandle, ClaimProgress};
 use super::ledger_claim::LedgerClaim;
 use super::ClusterTransport;
 use crate::cluster::ledger::{ClaimId, RecordChange, RecordId};
 use crate::cluster::{ClusterNode, Effect, Micros};
 use std::rc::Rc;
 
-/// Names a claim of this process.
-#[derive(Debug, Clone, Copy)]
-pub(super) struct ClaimHandle {
-    /// In which of this process's participations it was made; in any other it is void.
-    pub participation: u64,
-    /// The claim.
-    pub id: ClaimId,
-}
-
 impl ClusterTransport {
     /// Whether a ledger is kept.
     pub fn keeps_ledger(&self) -> bool {
--- a/src/proxy/cluster_transport/ledger_claim.rs
+++ b/src/proxy/cluster_transport/ledger_claim.rs
@@ -1,7 +1,6 @@
 //! One request's claim at the ledger, from its opening to its end. The ledger decides; this waits for it, within bounds.
 
-use super::claim_progress::ClaimProgress;
-use super::claims::ClaimHandle;
+use super::claim_progress::{ClaimHandle, ClaimProgress};
 use super::ClusterTransport;
 use crate::cluster::ledger::{ClaimOutcome, RecordChange, ROUND_TRIP_LIMIT};
 use crate::decision::{Micros, Outcome};
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -25,12 +25,11 @@
 use crate::cluster::ledger::{AbandonedRequest, ClaimId, ClaimOutcome};
 use crate::cluster::rollout::RolloutKey;
 use crate::cluster::write_queue::Dot;
-use crate::cluster::{ClusterNode, Effect, Event, QuotaShares, StorageWrite};
+use crate::cluster::{ClusterNode, Effect, Event, QuotaShares, RoutingInForce, StorageWrite};
 use crate::decision::QuotaLease;
 use crate::proxy::control_plane::config::ClusterConfig;
 use crate::proxy::lifecycle::drain::Lifecycle;
 use crate::proxy::runtime::clock::Clock;
-use crate::proxy::runtime::messages::{send_event, RuntimeEvent, RuntimeSender};
 use claim_progress::ClaimProgress;
 use disk::Disk;
 use outcome_recorder::OutcomeRecorder;
@@ -49,6 +48,17 @@
 /// The pause before a socket that could not be opened is tried again.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
+/// What the cluster changes for the requests of this gateway.
+pub enum ClusterUpdate {
+    /// Other gateways leave more or less of their quota shares to this one.
+    QuotaLease(QuotaLease),
+    /// Other routing rules are in force.
+    Routing(Box<RoutingInForce>),
+}
+
+/// Tells the runtime of an update, without waiting.
+pub type UpdateListener = Box<dyn Fn(ClusterUpdate)>;
+
 /// Where the transport sends requests that are to run here.
 pub struct RequestSenders {
     /// Writes of the branch that are to be forwarded.
@@ -62,7 +72,7 @@
     config: ClusterConfig,
     clock: Clock,
     lifecycle: Rc<Lifecycle>,
-    runtime: RuntimeSender,
+    notify_runtime: UpdateListener,
     /// The node, while this process takes part.
     node: RefCell<Option<ClusterNode>>,
     /// How often this process has begun to take part.
@@ -93,7 +103,7 @@
         config: ClusterConfig,
         clock: Clock,
         lifecycle: Rc<Lifecycle>,
-        runtime: RuntimeSender,
+        notify_runtime: UpdateListener,
         outcomes: Rc<OutcomeRecorder>,
         senders: RequestSenders,
     ) -> Rc<ClusterTransport> {
@@ -101,7 +111,7 @@
             config,
             clock,
             lifecycle,
-            runtime,
+            notify_runtime,
             node: RefCell::new(None),
             participation: Cell::new(0),
             socket: RefCell::new(None),
@@ -191,7 +201,7 @@
                 Effect::PersistBatch { batch, writes } => self.persist(batch, writes),
                 Effect::QuotaSharesChanged(shares) => self.pass_on_quota(shares),
                 Effect::RoutingChanged(in_force) => {
-                    send_event(&self.runtime, RuntimeEvent::RoutingChanged(in_force));
+                    (self.notify_runtime)(ClusterUpdate::Routing(in_force));
                 }
                 Effect::WriteQueue(effect) => self.perform_write_queue(effect),
                 // Where there is no room it is offered again, here or elsewhere.
@@ -227,7 +237,7 @@
         if self.config.lendable_part > 0.0 {
             let fraction = self.config.lendable_part;
             let lease = QuotaLease { fraction, valid_until: until, absent_gateways: free_seats };
-            send_event(&self.runtime, RuntimeEvent::QuotaLeaseChanged(lease));
+            (self.notify_runtime)(ClusterUpdate::QuotaLease(lease));
         }
     }
 
--- a/src/proxy/cluster_transport/participation.rs
+++ b/src/proxy/cluster_transport/participation.rs
@@ -1,13 +1,12 @@
 //! The loop in which this process takes part in the cluster, from joining it to the hand-over or the end.
 
 use super::disk::{self, Disk, DiskEvent};
-use super::ClusterTransport;
+use super::{ClusterTransport, ClusterUpdate};
 use crate::cluster::{
     ClusterNode, Event, Micros, Settings, LEDGER_TICK_INTERVAL, MAX_DATAGRAM_BYTES, TICK_INTERVAL,
 };
 use crate::decision::SettingsError;
 use crate::proxy::lifecycle::drain::ShutdownPhase;
-use crate::proxy::runtime::messages::{send_event, RuntimeEvent};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -97,7 +96,7 @@
         let node = ClusterNode::new(settings, self.clock.now(), unix, fastrand::u64(..))?;
         info!(name = %node.own().name, incarnation = node.own().incarnation, "joining the cluster");
         if let Some(in_force) = node.routing_in_force().filter(|f| !f.baseline.0.is_empty()) {
-            send_event(&self.runtime, RuntimeEvent::RoutingChanged(Box::new(in_force)));
+            (self.notify_runtime)(ClusterUpdate::Routing(Box::new(in_force)));
         }
         *self.node.borrow_mut() = Some(node);
         self.participation.set(self.participation.get() + 1);
--- a/src/proxy/cluster_transport/tests.rs
+++ b/src/proxy/cluster_transport/tests.rs
@@ -17,11 +17,10 @@
 #[test]
 fn every_cluster_gauge_has_its_key_place_and_value_in_the_stats() {
     let config = ClusterConfig::parse(FILE, "a").expect("sound");
-    let (inbox, _inputs) = mpsc::channel(1);
     let ((queued_writes, _w), (abandoned_requests, _a)) = (mpsc::channel(1), mpsc::channel(1));
     let senders = RequestSenders { queued_writes, abandoned_requests };
     let (duty, arms) = (Rc::new(Lifecycle::default()), Rc::new(OutcomeRecorder::default()));
-    let peers = ClusterTransport::new(config, Clock::start(), duty, inbox, arms, senders);
+    let peers = ClusterTransport::new(config, Clock::start(), duty, Box::new(|_| {}), arms, senders);
     assert!(peers.stats().is_none(), "nothing while another process stands for the gateway");
     *peers.node.borrow_mut() = Some(ClusterNode::with_distinct_counts());
     peers.datagrams_not_sent.set(61);
--- a/src/proxy/startup.rs
+++ b/src/proxy/startup.rs
@@ -5,7 +5,9 @@
 use super::admin::metrics::Metrics;
 use super::cluster_transport::outcome_recorder::OutcomeRecorder;
 use super::cluster_transport::write_queue_sender::{check_uplink, forward_writes};
-use super::cluster_transport::{abandoned_requests, ClusterTransport, RequestSenders};
+use super::cluster_transport::{
+    abandoned_requests, ClusterTransport, ClusterUpdate, RequestSenders, UpdateListener,
+};
 use super::control_plane::config::{ClusterConfig, Config, ConfigError, ServiceAddresses};
 use super::control_plane::discovery::PollTiming;
 use super::control_plane::service_watch::{follow_peers, follow_services};
@@ -18,7 +20,7 @@
 use super::lifecycle::permits::Permits;
 use super::memory_budget::MemoryBudget;
 use super::runtime::clock::Clock;
-use super::runtime::messages::{AdminSender, RuntimeSender};
+use super::runtime::messages::{send_event, AdminSender, RuntimeEvent, RuntimeSender};
 use super::runtime::{Runtime, SharedParts};
 use crate::decision::{ClassId, Micros, PlanId};
 use crate::site_settings::Site;
@@ -229,7 +231,14 @@
     ) -> Option<Rc<ClusterTransport>> {
         let cluster = self.cluster.clone()?;
         let (clock, lifecycle, outcomes) = (parts.clock, parts.lifecycle.clone(), parts.outcomes.clone());
-        Some(ClusterTransport::new(cluster, clock, lifecycle, runtime.clone(), outcomes, senders))
+        Some(ClusterTransport::new(
+            cluster,
+            clock,
+            lifecycle,
+            update_listener(runtime.clone()),
+            outcomes,
+            senders,
+        ))
     }
 
     /// The clients' listening socket, inherited or its own.
@@ -295,6 +304,17 @@
     }
 }
 
+/// Passes what the cluster changes on to the runtime.
+fn update_listener(runtime: RuntimeSender) -> UpdateListener {
+    Box::new(move |update| {
+        let event = match update {
+            ClusterUpdate::QuotaLease(lease) => RuntimeEvent::QuotaLeaseChanged(lease),
+            ClusterUpdate::Routing(in_force) => RuntimeEvent::RoutingChanged(in_force),
+        };
+        send_event(&runtime, event);
+    })
+}
+
 /// The names of the classes in the order of their numbers.
 fn class_names(site: &Site) -> Vec<String> {
     let mut classes: Vec<(&String, &usize)> = site.classes.iter().collect();
