--- a/src/proxy/cluster_transport/claims.rs
+++ b/src/proxy/cluster_transport/claims.rs
@@ -1,6 +1,7 @@
 //! Claims at the ledger, as the requests that they protect ask for them.
 
-use super::claim_progress::{ClaimHandle, ClaimProgress};
+use super::claim_handle::ClaimHandle;
+use super::claim_progress::ClaimProgress;
 use super::ledger_claim::LedgerClaim;
 use super::ClusterTransport;
 use crate::cluster::ledger::{ClaimId, RecordChange, RecordId};
--- a/src/proxy/upstream/attempt_result.rs
+++ b/src/proxy/upstream/attempt_result.rs
@@ -1,8 +1,10 @@
-//! How an attempt ended.
+//! How an attempt at a backend ended.
 
-use super::streamed_response::UpstreamResponseBody;
+use super::streamed_response::StreamedResponseBody;
 use crate::decision::{LoadReport, Outcome};
 use crate::proxy::admin::metrics::NotSentReason;
+use bytes::Bytes;
+use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
 /// How an attempt ended, or that its response has started.
@@ -33,3 +35,11 @@
         }
     }
 }
+
+/// The body of a 200.
+pub enum UpstreamResponseBody {
+    /// All of it, and the memory reserved for it.
+    Buffered(Bytes, Option<OwnedSemaphorePermit>),
+    /// Its beginning, and the rest as it comes.
+    Streamed(Box<StreamedResponseBody>),
+}
--- a/src/proxy/upstream/response.rs
+++ b/src/proxy/upstream/response.rs
@@ -1,11 +1,11 @@
 //! Reads a backend's response: buffered while it is short and there is memory for it, so that a broken one can be retried;
 //! streamed otherwise.
 
-use super::attempt_result::AttemptResult;
+use super::attempt_result::{AttemptResult, UpstreamResponseBody};
 use super::connection::{Connection, MAX_BODY};
 use super::load_report;
 use super::pool::ConnectionPool;
-use super::streamed_response::{StreamedResponseBody, UpstreamResponseBody};
+use super::streamed_response::StreamedResponseBody;
 use crate::decision::{LoadReport, Outcome};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
