--- a/src/proxy/admin/mod.rs
+++ b/src/proxy/admin/mod.rs
@@ -11,6 +11,7 @@
 )]
 
 pub mod call;
+pub mod known_names;
 pub mod metrics;
 pub mod reply;
 pub mod rollout_calls;
--- a/src/proxy/cluster_transport/tests.rs
+++ b/src/proxy/cluster_transport/tests.rs
@@ -12,16 +12,16 @@
 use tokio::sync::mpsc;
 
 const FILE: &str = "fleet = \"norte\"\nname = \"a\"\nlisten = \"127.0.0.1:1\"\nseats = [\"a\", \"b\", \"c\"]\n\
-    [ledger]\nholders = 3\n[rollout]\n[branch]\nseats = [\"a\", \"b\", \"c\"]\nclasses = [\"buy\"]\n[transport]\nb = \"127.0.0.1:2\"\n";
+    [ledger]\nholders = 3\n[rollout]\n[branch]\nseats = [\"a\", \"b\", \"c\"]\nclasses = [\"buy\"]\n[peers]\nb = \"127.0.0.1:2\"\n";
 
 #[test]
 fn every_cluster_gauge_has_its_key_place_and_value_in_the_stats() {
     let config = ClusterConfig::parse(FILE, "a").expect("sound");
-    let (runtime, _inputs) = mpsc::channel(1);
     let ((queued_writes, _w), (abandoned_requests, _a)) = (mpsc::channel(1), mpsc::channel(1));
     let senders = RequestSenders { queued_writes, abandoned_requests };
     let (lifecycle, outcomes) = (Rc::new(Lifecycle::default()), Rc::new(OutcomeRecorder::default()));
-    let transport = ClusterTransport::new(config, Clock::start(), lifecycle, runtime, outcomes, senders);
+    let transport =
+        ClusterTransport::new(config, Clock::start(), lifecycle, Box::new(|_| {}), outcomes, senders);
     assert!(transport.stats().is_none(), "nothing while another process stands for the gateway");
     *transport.node.borrow_mut() = Some(ClusterNode::with_distinct_counts());
     transport.datagrams_not_sent.set(61);
