--- a/lab/src/checker/metrics.rs
+++ b/lab/src/checker/metrics.rs
@@ -1,148 +1,161 @@
-//! The figures of a run: worth served inside quotas, and what it cost.
+//! The figures of a run: the priority weight served inside quotas, and what it cost.
 
 use super::earned_weight::{earned_weights, rows, served_fraction, EarnedWeight, Row};
 use super::histogram::histogram;
-use super::quota_replay::quota_use;
+use super::quota_replay::{quota_use, QuotaUse};
 use super::timeline::{timeline, worst, Timeline};
-use crate::plan::{Microseconds, Plan};
+use crate::plan::{us, Microseconds, Plan};
 use crate::record::{Attempt, End, Record, Try};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
-/// The figures of a run. Shares are of 1; times in milliseconds.
+/// The figures of a run. Fractions are from 0 to 1. Their names are the keys of `[expect]` and of reports.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Metrics {
-    /// Requests asked for, retries apart.
+    /// Requests, without retries of clients.
     pub requests: usize,
-    /// Tries of clients.
+    /// Attempts of clients: requests and their retries.
     pub tries: usize,
-    /// Worth answered in time inside quotas, over worth asked for inside quotas.
+    /// Priority weight answered in time inside quotas, over the weight asked for inside quotas.
     pub served: f64,
-    /// The same over the worst 10 s.
+    /// `served` over the worst 10 s.
     pub worst_10s: f64,
-    /// The same of the worst plan.
+    /// `served` of the worst plan.
     pub worst_plan: f64,
-    /// Tries refused, of all.
+    /// Fraction of the clients' attempts that were rejected.
     pub refused: f64,
-    /// Tries refused while half of the customer's quota or more was unused, of all.
+    /// Fraction of the clients' attempts that were rejected while half of the customer's quota or more was unused.
     pub refused_with_room: f64,
-    /// Units sent on beyond quotas, of all units sent on.
+    /// Units forwarded beyond quotas, over all forwarded units.
     pub beyond: f64,
-    /// What those cost by their plans' prices, over the worth asked for inside quotas.
+    /// What the units beyond quotas cost by their plans' prices, over the weight asked for inside quotas.
     pub over_cost: f64,
     /// The goal of the published site: 0.55 served + 0.2 worst_10s + 0.25 worst_plan - over_cost - 0.01 counter_calls
     /// - 0.01 attempts that crossed zones a request. Prices of waste and of late failures are not in it.
     pub goal: f64,
-    /// Attempts at backends a request.
+    /// Attempts at backends per request.
     pub attempts: f64,
-    /// Attempts that crossed zones, of all.
+    /// Fraction of the attempts at backends that crossed zones.
     pub cross_zone: f64,
-    /// Calls to the counter a request.
+    /// Calls to the counter per request.
     pub counter_calls: f64,
-    /// Of those calls, turned away.
+    /// Fraction of the calls to the counter that it rejected.
     pub counter_full: f64,
-    /// New connections at backends a request.
+    /// New connections at backends per request.
     pub connections: f64,
-    /// Processor time of gateways a try, in microseconds.
+    /// Processor time of gateways per attempt of a client, in microseconds.
     pub cpu_us: f64,
-    /// Processor time of the lab itself a try, in microseconds.
+    /// Processor time of the lab itself per attempt of a client, in microseconds.
     pub lab_cpu_us: f64,
-    /// Answers 200: half came within this.
+    /// Median time to an answer 200.
     pub p50_ms: f64,
-    /// 99 in 100.
+    /// 99th percentile of the time to an answer 200.
     pub p99_ms: f64,
-    /// 999 in 1,000.
+    /// 99.9th percentile of the time to an answer 200.
     pub p999_ms: f64,
-    /// Cold backends that fell over, whoever is to blame.
+    /// Backends that failed under load while warming up, whichever gateway sent it.
     pub cold_fallen: f64,
-    /// The most memory of a gateway, in millions of bytes.
+    /// The highest resident memory of a gateway, in millions of bytes.
     pub memory_mb: f64,
-    /// The most descriptors of a gateway.
+    /// The highest number of open descriptors of a gateway.
     pub descriptors: usize,
-    /// Of the gateways that ran at the end, the part that held exactly each other to be present (0: nobody talks).
+    /// Fraction of the gateways running at the end whose view held exactly each other (0: nobody gossips).
     pub fleet_one: f64,
-    /// Seconds from the last fault's end or process's start until the last look that saw a gateway wrong.
+    /// Seconds from the last fault's end or process start until the last poll that saw a wrong view.
     pub fleet_wrong_s: f64,
-    /// Of the gateways that ran at the end, the part that said that all agree.
+    /// Fraction of the gateways running at the end that reported agreement of all.
     pub fleet_agreed: f64,
-    /// Looks at which a gateway in good order was held down, well after every fault.
+    /// Polls at which a working gateway was held to be down, well after every fault.
     pub fleet_false_downs: f64,
-    /// Pairs of looks at one time at two agreed views by one number.
+    /// Pairs of polls at one time that saw two different agreed views under one number.
     pub fleet_two_views: f64,
-    /// Requests with a key, or such that must not run twice, that a gateway had whole when it was killed, stopped or
-    /// cut off: how many ...
+    /// Orphans: requests with an idempotency key, or such that must not run twice, that a gateway had received
+    /// completely when it was killed, stopped or cut off.
     pub orphans: f64,
-    /// ... the part of them whose client got its answer 200 in its time ...
+    /// Fraction of the orphans whose client got an answer 200 in time.
     pub orphans_served: f64,
-    /// ... that a backend served, whether or not their clients came again ...
+    /// Fraction of the orphans that a backend served, whether or not their clients retried.
     pub orphans_ran: f64,
-    /// ... and how long after the loss half of those answers came, and 99 in 100.
+    /// Median time from the loss to the answer of an orphan.
     pub orphan_p50_ms: f64,
-    /// 99 in 100.
+    /// 99th percentile of that time.
     pub orphan_p99_ms: f64,
-    /// What the gateways said of their ledger: claims ...
+    /// Claims of the gateways at their ledger.
     pub ledger_claims: f64,
-    /// ... of them, work that went on without a record ...
+    /// Fraction of the claims whose request went on without a record.
     pub ledger_alone: f64,
-    /// ... that was taken over, found in work elsewhere, found answered, and lost to another.
+    /// Claims that took a request over from another gateway.
     pub ledger_taken: f64,
-    /// Found in work elsewhere.
+    /// Claims that found the request running at another gateway.
     pub ledger_joined: f64,
-    /// Found answered.
+    /// Claims that found the request answered.
     pub ledger_told: f64,
-    /// Lost to another owner.
+    /// Claims lost to another owner.
     pub ledger_lost: f64,
-    /// Writes that a branch accepted with 202 ...
+    /// Writes that a branch accepted with 202.
     pub accepted: f64,
-    /// ... those of them that did not run and have no other end that their clients were told ...
+    /// Accepted writes that did not run and have no other end that their clients were notified of.
     pub accepted_lost: f64,
-    /// ... that did not run, as another stands in their place; were given up or may have run; wait still ...
+    /// Accepted writes that did not run as a newer one replaced them.
     pub accepted_superseded: f64,
-    /// Given up, or may have run.
+    /// Accepted writes that were given up or may have run.
     pub accepted_not_done: f64,
-    /// Wait still.
+    /// Accepted writes that still wait.
     pub accepted_open: f64,
-    /// ... of which what their clients were told was not true ...
+    /// Accepted writes whose reported status was not true.
     pub accepted_untrue: f64,
-    /// ... pairs of one customer's that ran the other way round than they were accepted ...
+    /// Pairs of accepted writes of one customer that ran in the reverse order.
     pub accepted_disorder: f64,
-    /// ... and seconds from the last fault's end to the last that ran.
+    /// Seconds from the last fault's end to the last accepted write that ran.
     pub drained_s: f64,
-    /// The highest stage of the last rollout of rules that a gateway went by.
+    /// The highest stage of the last rollout that a gateway applied.
     pub rollout_stage: f64,
-    /// Of the gateways' last words on it, the part that said done ...
+    /// Fraction of the gateways' last reports on the rollout that said done.
     pub rollout_done: f64,
-    /// ... and halted.
+    /// Fraction of those reports that said halted.
     pub rollout_halted: f64,
-    /// Seconds from its first stage until somebody said that it was halted ...
+    /// Seconds from the rollout's first stage until the first report that it was halted.
     pub halt_after_s: f64,
-    /// ... and from then until the last gateway that still went by it.
+    /// Seconds from that report until the last gateway that still applied it.
     pub halt_spread_s: f64,
-    /// How many processes led it.
+    /// How many processes led the rollout.
     pub rollout_leaders: f64,
     /// Requests with a key that ran more than once within the time in which repeats are dropped, or that must not run
     /// twice and did.
     pub doubled: f64,
-    /// How late the generator was with first tries: at the middle ...
+    /// Median delay of the load generator with first attempts.
     pub late_p50_ms: f64,
-    /// ... and at the 99th percentile.
+    /// 99th percentile of the load generator's delay.
     pub late_p99_ms: f64,
-    /// Served share by plan.
+    /// `served` by plan.
     pub plans: Vec<Row>,
-    /// Served share by class.
+    /// `served` by class.
     pub classes: Vec<Row>,
-    /// Served share by zone of the gateway that served or was asked first.
+    /// `served` by the zone of the gateway that was asked first.
     pub zones: Vec<Row>,
 }
 
 impl Metrics {
     /// The figure of a name that `[expect]` may bound.
     pub fn get(&self, name: &str) -> Option<f64> {
-        self.named().into_iter().find(|(n, _)| *n == name).map(|(_, value)| value)
+        self.named().into_iter().find(|(known, _)| *known == name).map(|(_, value)| value)
     }
-    /// The figures that can be compared and bounded.
+
+    /// The figures that can be compared and bounded, by name.
     pub fn named(&self) -> Vec<(&'static str, f64)> {
+        let groups = [
+            self.service_figures(),
+            self.membership_figures(),
+            self.accepted_write_figures(),
+            self.rollout_figures(),
+            self.ledger_figures(),
+        ];
+        groups.concat()
+    }
+
+    /// Figures of requests, quotas and cost.
+    fn service_figures(&self) -> Vec<(&'static str, f64)> {
         vec![
             ("served", self.served),
             ("worst_10s", self.worst_10s),
@@ -163,6 +176,12 @@
             ("p99_ms", self.p99_ms),
             ("p999_ms", self.p999_ms),
             ("cold_fallen", self.cold_fallen),
+        ]
+    }
+
+    /// Figures of the gateways' membership views and of requests that a gateway lost.
+    fn membership_figures(&self) -> Vec<(&'static str, f64)> {
+        vec![
             ("fleet_one", self.fleet_one),
             ("fleet_wrong_s", self.fleet_wrong_s),
             ("fleet_agreed", self.fleet_agreed),
@@ -174,6 +193,12 @@
             ("orphan_p50_ms", self.orphan_p50_ms),
             ("orphan_p99_ms", self.orphan_p99_ms),
             ("doubled", self.doubled),
+        ]
+    }
+
+    /// Figures of writes that a branch accepted with 202.
+    fn accepted_write_figures(&self) -> Vec<(&'static str, f64)> {
+        vec![
             ("accepted", self.accepted),
             ("accepted_lost", self.accepted_lost),
             ("accepted_superseded", self.accepted_superseded),
@@ -182,12 +207,24 @@
             ("accepted_untrue", self.accepted_untrue),
             ("accepted_disorder", self.accepted_disorder),
             ("drained_s", self.drained_s),
+        ]
+    }
+
+    /// Figures of the last rollout.
+    fn rollout_figures(&self) -> Vec<(&'static str, f64)> {
+        vec![
             ("rollout_stage", self.rollout_stage),
             ("rollout_done", self.rollout_done),
             ("rollout_halted", self.rollout_halted),
             ("halt_after_s", self.halt_after_s),
             ("halt_spread_s", self.halt_spread_s),
             ("rollout_leaders", self.rollout_leaders),
+        ]
+    }
+
+    /// Figures of the ledger's claims.
+    fn ledger_figures(&self) -> Vec<(&'static str, f64)> {
+        vec![
             ("ledger_claims", self.ledger_claims),
             ("ledger_alone", self.ledger_alone),
             ("ledger_taken", self.ledger_taken),
@@ -198,114 +235,195 @@
     }
 }
 
+/// Measures a run. Figures count from the end of the warm-up, but for those of whole processes.
 pub(super) fn measure(plan: &Plan, record: &Record) -> (Metrics, Timeline) {
-    let from = crate::plan::us(plan.scenario.warm_up_s);
+    let from = us(plan.scenario.warm_up_s);
+    let quotas = quota_use(plan, record, &first_attempts(record), from);
+    let weights = earned_weights(plan, record, &quotas);
+    let timeline = timeline(plan, record, &weights);
+    let mut metrics = Metrics::default();
+    metrics.set_counts(plan, record, from);
+    metrics.set_served(plan, &weights, from);
+    metrics.worst_10s = worst(&timeline, from);
+    metrics.set_quotas(plan, &quotas, &weights, from);
+    metrics.set_backend_and_counter_use(plan, record, from);
+    metrics.set_process_use(record);
+    metrics.set_latencies(record, from);
+    metrics.set_membership(plan, record);
+    metrics.set_lost_requests(plan, record);
+    metrics.set_ledger(record);
+    metrics.set_accepted_writes(plan, record);
+    metrics.set_rollout(record);
+    metrics.set_goal();
+    (metrics, timeline)
+}
+
+impl Metrics {
+    fn set_counts(&mut self, plan: &Plan, record: &Record, from: Microseconds) {
+        self.requests = plan.arrivals.iter().filter(|arrival| arrival.at >= from).count();
+        self.tries = record.tries.iter().filter(|one| one.due >= from).count();
+    }
+
+    fn set_served(&mut self, plan: &Plan, weights: &[EarnedWeight], from: Microseconds) {
+        let scenario = &plan.scenario;
+        let zone_count = scenario.zones();
+        let counted = |number: usize| plan.arrivals[number].at >= from;
+        let earned = counted_sum(plan, weights, from, |weight| weight.earned);
+        let offered = counted_sum(plan, weights, from, |weight| weight.offered);
+        self.served = served_fraction(earned, offered);
+        let plan_names: Vec<String> = scenario.plans.iter().map(|plan| plan.name.clone()).collect();
+        self.plans = rows(weights, &plan_names, |number| {
+            counted(number).then(|| plan.customers[plan.arrivals[number].customer].plan)
+        });
+        self.worst_plan = self.plans.iter().map(|row| row.served).fold(1.0, f64::min);
+        let class_names: Vec<String> = scenario.classes.iter().map(|class| class.name.clone()).collect();
+        self.classes =
+            rows(weights, &class_names, |number| counted(number).then(|| plan.arrivals[number].class));
+        self.zones = rows(weights, &scenario.net.zones, |number| {
+            counted(number).then(|| plan.arrivals[number].gateways[0] % zone_count)
+        });
+    }
+
+    /// Needs `tries`.
+    fn set_quotas(&mut self, plan: &Plan, quotas: &QuotaUse, weights: &[EarnedWeight], from: Microseconds) {
+        let tries = self.tries.max(1) as f64;
+        let offered = counted_sum(plan, weights, from, |weight| weight.offered);
+        self.refused = quotas.refused as f64 / tries;
+        self.refused_with_room = quotas.refused_with_room as f64 / tries;
+        self.beyond = quotas.beyond_units / quotas.sent_units.max(1.0);
+        self.over_cost = quotas.beyond_cost / offered.max(1e-9);
+    }
+
+    /// Needs `requests`.
+    fn set_backend_and_counter_use(&mut self, plan: &Plan, record: &Record, from: Microseconds) {
+        let zone_count = plan.scenario.zones();
+        let requests = self.requests.max(1) as f64;
+        let attempts: Vec<&Attempt> =
+            record.attempts.iter().filter(|attempt| attempt.first >= from).collect();
+        let crossed_zones = |attempt: &&&Attempt| {
+            let backend = plan.backends.get(attempt.backend);
+            backend.is_some_and(|backend| backend.zone != attempt.gateway % zone_count)
+        };
+        let crossings = attempts.iter().filter(crossed_zones).count();
+        let counted_calls = record.calls.iter().filter(|call| call.at >= from).count();
+        let rejected_calls = record.calls.iter().filter(|call| call.status != 200).count();
+        self.attempts = attempts.len() as f64 / requests;
+        self.cross_zone = crossings as f64 / attempts.len().max(1) as f64;
+        self.counter_calls = counted_calls as f64 / requests;
+        self.counter_full = rejected_calls as f64 / record.calls.len().max(1) as f64;
+        self.connections = record.connections as f64 / plan.arrivals.len().max(1) as f64;
+        self.cold_fallen = record.falls.len() as f64;
+    }
+
+    fn set_process_use(&mut self, record: &Record) {
+        let tries = record.tries.len().max(1) as f64;
+        let most_memory = record.usage.iter().map(|usage| usage.memory).max().unwrap_or(0);
+        self.cpu_us = cpu_us(record) as f64 / tries;
+        self.lab_cpu_us = record.lab_cpu_us as f64 / tries;
+        self.memory_mb = most_memory as f64 / 1e6;
+        self.descriptors = record.usage.iter().map(|usage| usage.descriptors).max().unwrap_or(0);
+    }
+
+    fn set_latencies(&mut self, record: &Record, from: Microseconds) {
+        let counted = || record.tries.iter().filter(|one| one.due >= from);
+        let is_success = |one: &&Try| matches!(one.end, End::Answer { status: 200, .. });
+        let answers = histogram(counted().filter(is_success).map(|one| one.ended - one.due));
+        let first_tries = counted().filter(|one| one.nth == 0);
+        let lateness = histogram(first_tries.map(|one| one.began.saturating_sub(one.due)));
+        self.p50_ms = quantile_ms(&answers, 0.5);
+        self.p99_ms = quantile_ms(&answers, 0.99);
+        self.p999_ms = quantile_ms(&answers, 0.999);
+        self.late_p50_ms = quantile_ms(&lateness, 0.5);
+        self.late_p99_ms = quantile_ms(&lateness, 0.99);
+    }
+
+    fn set_membership(&mut self, plan: &Plan, record: &Record) {
+        let views = super::cluster::words(plan, record);
+        self.fleet_one = views.one;
+        self.fleet_wrong_s = views.wrong_for_s;
+        self.fleet_agreed = views.agreed;
+        self.fleet_false_downs = views.false_downs as f64;
+        self.fleet_two_views = views.two_views as f64;
+    }
+
+    fn set_lost_requests(&mut self, plan: &Plan, record: &Record) {
+        let orphans = super::abandoned_requests::measure(plan, record);
+        self.orphans = orphans.count as f64;
+        self.orphans_served = orphans.served;
+        self.orphans_ran = orphans.ran;
+        self.orphan_p50_ms = orphans.p50_ms;
+        self.orphan_p99_ms = orphans.p99_ms;
+        self.doubled = orphans.doubled as f64;
+    }
+
+    fn set_ledger(&mut self, record: &Record) {
+        let ledger = super::abandoned_requests::ledger(record);
+        let claims = ledger.claims as f64;
+        self.ledger_claims = claims;
+        self.ledger_alone = ledger.unprotected as f64 / claims.max(1.0);
+        self.ledger_taken = ledger.taken_over as f64;
+        self.ledger_joined = ledger.running as f64;
+        self.ledger_told = ledger.answered as f64;
+        self.ledger_lost = ledger.lost as f64;
+    }
+
+    fn set_accepted_writes(&mut self, plan: &Plan, record: &Record) {
+        let accepted = super::accepted_writes::measure(plan, record);
+        self.accepted = accepted.count as f64;
+        self.accepted_lost = accepted.lost.len() as f64;
+        self.accepted_superseded = accepted.superseded as f64;
+        self.accepted_not_done = accepted.not_done as f64;
+        self.accepted_open = accepted.open as f64;
+        self.accepted_untrue = accepted.untrue as f64;
+        self.accepted_disorder = accepted.disorder as f64;
+        self.drained_s = accepted.drained_s;
+    }
+
+    fn set_rollout(&mut self, record: &Record) {
+        let rollout = super::rollout::staged(record);
+        self.rollout_stage = rollout.stage;
+        self.rollout_done = rollout.done;
+        self.rollout_halted = rollout.halted;
+        self.halt_after_s = rollout.after_s;
+        self.halt_spread_s = rollout.spread_s;
+        self.rollout_leaders = rollout.leaders;
+    }
+
+    /// Needs all other figures of `goal`'s sum.
+    fn set_goal(&mut self) {
+        let crossings = self.cross_zone * self.attempts;
+        let prices = self.over_cost + 0.01 * self.counter_calls + 0.01 * crossings;
+        self.goal = 0.55 * self.served + 0.2 * self.worst_10s + 0.25 * self.worst_plan - prices;
+    }
+}
+
+/// When the first attempt of each request id reached a backend.
+fn first_attempts(record: &Record) -> HashMap<u64, Microseconds> {
     let mut first: HashMap<u64, Microseconds> = HashMap::new();
     for attempt in &record.attempts {
         let at = first.entry(attempt.id).or_insert(attempt.first);
         *at = (*at).min(attempt.first);
     }
-    let quotas = quota_use(plan, record, &first, from);
-    let worths = earned_weights(plan, record, &quotas);
-    let counted = |number: usize| plan.arrivals[number].at >= from;
-    let sum = |pick: fn(&EarnedWeight) -> f64| {
-        worths.iter().enumerate().filter(|(n, _)| counted(*n)).map(|(_, w)| pick(w)).sum::<f64>()
-    };
-    let timeline = timeline(plan, record, &worths);
-    let tries: Vec<&Try> = record.tries.iter().filter(|t| t.due >= from).collect();
-    let attempts: Vec<&Attempt> = record.attempts.iter().filter(|a| a.first >= from).collect();
-    let requests = plan.arrivals.iter().filter(|a| a.at >= from).count();
-    let each = |count: usize| count as f64 / requests.max(1) as f64;
-    let zone = |gateway: usize| gateway % plan.scenario.zones();
-    let crossed =
-        attempts.iter().filter(|a| plan.backends.get(a.backend).is_some_and(|b| b.zone != zone(a.gateway)));
-    let names = |list: Vec<&String>| list.into_iter().cloned().collect::<Vec<String>>();
-    let plans = rows(&worths, &names(plan.scenario.plans.iter().map(|p| &p.name).collect()), |n| {
-        counted(n).then(|| plan.customers[plan.arrivals[n].customer].plan)
-    });
-    let times = histogram(
-        tries.iter().filter(|t| matches!(t.end, End::Answer { status: 200, .. })).map(|t| t.ended - t.due),
-    );
-    let late = histogram(tries.iter().filter(|t| t.nth == 0).map(|t| t.began.saturating_sub(t.due)));
-    let at = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1000.0;
-    let fleet = super::cluster::words(plan, record);
-    let orphans = super::abandoned_requests::measure(plan, record);
-    let ledger = super::abandoned_requests::ledger(record);
-    let staged = super::rollout::staged(record);
-    let accepted = super::accepted_writes::measure(plan, record);
-    let mut figures = Metrics {
-        fleet_one: fleet.one,
-        fleet_wrong_s: fleet.wrong_for_s,
-        fleet_agreed: fleet.agreed,
-        fleet_false_downs: fleet.false_downs as f64,
-        fleet_two_views: fleet.two_views as f64,
-        orphans: orphans.count as f64,
-        orphans_served: orphans.served,
-        orphans_ran: orphans.ran,
-        orphan_p50_ms: orphans.p50_ms,
-        orphan_p99_ms: orphans.p99_ms,
-        doubled: orphans.doubled as f64,
-        accepted: accepted.count as f64,
-        accepted_lost: accepted.lost.len() as f64,
-        accepted_superseded: accepted.superseded as f64,
-        accepted_not_done: accepted.not_done as f64,
-        accepted_open: accepted.open as f64,
-        accepted_untrue: accepted.untrue as f64,
-        accepted_disorder: accepted.disorder as f64,
-        drained_s: accepted.drained_s,
-        rollout_stage: staged.stage,
-        rollout_done: staged.done,
-        rollout_halted: staged.halted,
-        halt_after_s: staged.after_s,
-        halt_spread_s: staged.spread_s,
-        rollout_leaders: staged.leaders,
-        ledger_claims: ledger.claims as f64,
-        ledger_alone: ledger.unprotected as f64 / (ledger.claims as f64).max(1.0),
-        ledger_taken: ledger.taken_over as f64,
-        ledger_joined: ledger.running as f64,
-        ledger_told: ledger.answered as f64,
-        ledger_lost: ledger.lost as f64,
-        requests,
-        tries: tries.len(),
-        served: served_fraction(sum(|w| w.earned), sum(|w| w.offered)),
-        worst_10s: worst(&timeline, from),
-        worst_plan: plans.iter().map(|row| row.served).fold(1.0, f64::min),
-        refused: quotas.refused as f64 / tries.len().max(1) as f64,
-        refused_with_room: quotas.refused_with_room as f64 / tries.len().max(1) as f64,
-        beyond: quotas.beyond_units / quotas.sent_units.max(1.0),
-        over_cost: quotas.beyond_cost / sum(|w| w.offered).max(1e-9),
-        goal: 0.0,
-        lab_cpu_us: record.lab_cpu_us as f64 / record.tries.len().max(1) as f64,
-        attempts: each(attempts.len()),
-        cross_zone: crossed.count() as f64 / attempts.len().max(1) as f64,
-        counter_calls: each(record.calls.iter().filter(|c| c.at >= from).count()),
-        counter_full: record.calls.iter().filter(|c| c.status != 200).count() as f64
-            / record.calls.len().max(1) as f64,
-        connections: record.connections as f64 / plan.arrivals.len().max(1) as f64,
-        cpu_us: cpu_us(record) as f64 / record.tries.len().max(1) as f64,
-        p50_ms: at(&times, 0.5),
-        p99_ms: at(&times, 0.99),
-        p999_ms: at(&times, 0.999),
-        cold_fallen: record.falls.len() as f64,
-        memory_mb: record.usage.iter().map(|u| u.memory).max().unwrap_or(0) as f64 / 1e6,
-        descriptors: record.usage.iter().map(|u| u.descriptors).max().unwrap_or(0),
-        late_p50_ms: at(&late, 0.5),
-        late_p99_ms: at(&late, 0.99),
-        classes: rows(&worths, &names(plan.scenario.classes.iter().map(|c| &c.name).collect()), |n| {
-            counted(n).then(|| plan.arrivals[n].class)
-        }),
-        zones: rows(&worths, &plan.scenario.net.zones, |n| {
-            counted(n).then(|| zone(plan.arrivals[n].gateways[0]))
-        }),
-        plans,
-    };
-    let crossings = figures.cross_zone * figures.attempts;
-    let prices = figures.over_cost + 0.01 * figures.counter_calls + 0.01 * crossings;
-    figures.goal = 0.55 * figures.served + 0.2 * figures.worst_10s + 0.25 * figures.worst_plan - prices;
-    (figures, timeline)
+    first
+}
+
+/// The sum of a part of the weights over the arrivals after the warm-up.
+fn counted_sum(
+    plan: &Plan,
+    weights: &[EarnedWeight],
+    from: Microseconds,
+    part: impl Fn(&EarnedWeight) -> f64,
+) -> f64 {
+    let arrivals = plan.arrivals.iter().zip(weights);
+    arrivals.filter(|(arrival, _)| arrival.at >= from).map(|(_, weight)| part(weight)).sum()
+}
+
+/// A quantile of times in microseconds, in milliseconds.
+fn quantile_ms(times: &Histogram<u64>, quantile: f64) -> f64 {
+    times.value_at_quantile(quantile) as f64 / 1000.0
 }
 
-/// Processor time of all processes, each at its last sample.
+/// Processor time of all gateway processes in microseconds, each by its last sample.
 fn cpu_us(record: &Record) -> u64 {
     let mut last: BTreeMap<(usize, usize), u64> = BTreeMap::new();
     for usage in &record.usage {
--- a/lab/src/plan/mod.rs
+++ b/lab/src/plan/mod.rs
@@ -3,6 +3,7 @@
 
 mod arrivals;
 mod draw;
+mod fault_expansion;
 mod faults;
 
 pub use arrivals::{Arrival, Customer};
