--- a/lab/src/checker/timeline.rs
+++ b/lab/src/checker/timeline.rs
@@ -6,32 +6,37 @@
 use crate::record::{End, Outcome, Record};
 use serde::Serialize;
 
-/// Second by second.
+/// The length of the span that `worst` looks for, in seconds.
+const WORST_SPAN_S: usize = 10;
+/// The served fraction of a second in which a gateway was asked for nothing.
+const NOTHING_OFFERED: f64 = -1.0;
+
+/// The figures of a run, one value for each second.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Timeline {
-    /// Worth asked for inside quotas.
+    /// Priority weight asked for inside quotas.
     pub offered: Vec<f64>,
-    /// Of it, answered in time.
+    /// Priority weight answered in time, of that.
     pub served: Vec<f64>,
-    /// Tries refused.
+    /// Attempts of clients that were rejected.
     pub refused: Vec<f64>,
-    /// Tries that failed or had no answer.
+    /// Attempts of clients that failed or had no answer.
     pub failed: Vec<f64>,
-    /// Attempts.
+    /// Attempts at backends.
     pub attempts: Vec<f64>,
     /// 99th percentile of the time of answers 200, in milliseconds.
     pub p99_ms: Vec<f64>,
-    /// Served share by zone.
+    /// Served fraction by the zone of the gateway asked first.
     pub zones: Vec<(String, Vec<f64>)>,
-    /// Served share by the gateway asked first; below 0: nothing was asked.
+    /// Served fraction by the gateway asked first; below 0 where nothing was asked.
     pub gateways: Vec<Vec<f64>>,
 }
 
-/// The least served share over 10 s, or over the whole of a shorter run.
+/// The least served fraction over 10 s, or over the whole of a shorter run.
 pub(super) fn worst(timeline: &Timeline, from: Microseconds) -> f64 {
     let from = (from / 1_000_000) as usize;
     let seconds = timeline.offered.len();
-    let width = 10.min(seconds.saturating_sub(from)).max(1);
+    let width = WORST_SPAN_S.min(seconds.saturating_sub(from)).max(1);
     let over = |at: usize| {
         let sum = |values: &[f64]| values.iter().skip(at).take(width).sum::<f64>();
         served_fraction(sum(&timeline.served), sum(&timeline.offered))
@@ -39,59 +44,105 @@
     (from..=seconds.saturating_sub(width).max(from)).map(over).fold(1.0, f64::min)
 }
 
-/// The timeline of a run.
-pub(super) fn timeline(plan: &Plan, record: &Record, worths: &[EarnedWeight]) -> Timeline {
+/// The timeline of a run; `weights` are those of the plan's arrivals.
+pub(super) fn timeline(plan: &Plan, record: &Record, weights: &[EarnedWeight]) -> Timeline {
     let seconds = (plan.scenario.length_s.ceil() as usize).max(1);
-    let zones = &plan.scenario.net.zones;
-    let flat = || vec![0.0; seconds];
-    let second = |at: Microseconds| ((at / 1_000_000) as usize).min(seconds - 1);
-    let mut all = Timeline {
-        offered: flat(),
-        served: flat(),
-        refused: flat(),
-        failed: flat(),
-        attempts: flat(),
-        p99_ms: flat(),
+    let mut timeline = Timeline {
+        offered: vec![0.0; seconds],
+        served: vec![0.0; seconds],
+        refused: vec![0.0; seconds],
+        failed: vec![0.0; seconds],
+        attempts: vec![0.0; seconds],
+        p99_ms: vec![0.0; seconds],
         zones: Vec::new(),
-        gateways: vec![vec![-1.0; seconds]; plan.scenario.gateways.count],
+        gateways: Vec::new(),
     };
-    let mut by_gateway = vec![vec![(0.0, 0.0); seconds]; plan.scenario.gateways.count];
-    let mut by_zone = vec![vec![(0.0, 0.0); seconds]; zones.len()];
-    for (arrival, worth) in plan.arrivals.iter().zip(worths) {
-        let at = second(arrival.at);
-        all.offered[at] += worth.offered;
-        all.served[at] += worth.earned;
-        let zone = &mut by_zone[arrival.gateways[0] % zones.len()][at];
-        zone.0 += worth.earned;
-        zone.1 += worth.offered;
-        let gateway = &mut by_gateway[arrival.gateways[0]][at];
-        gateway.0 += worth.earned;
-        gateway.1 += worth.offered;
+    timeline.add_weights(plan, weights);
+    timeline.add_tries(record);
+    timeline.add_attempts(record);
+    timeline
+}
+
+/// The weight offered and earned in each second.
+type WeightBySecond = Vec<WeightSum>;
+
+/// The weight offered and earned in a second.
+#[derive(Debug, Clone, Copy, Default)]
+struct WeightSum {
+    offered: f64,
+    earned: f64,
+}
+
+impl WeightSum {
+    fn add(&mut self, weight: &EarnedWeight) {
+        self.offered += weight.offered;
+        self.earned += weight.earned;
     }
-    let of = |(name, sums): (&String, Vec<(f64, f64)>)| {
-        (name.clone(), sums.into_iter().map(|(earned, offered)| served_fraction(earned, offered)).collect())
-    };
-    all.zones = zones.iter().zip(by_zone).map(of).collect();
-    let mut times: Vec<Vec<u64>> = vec![Vec::new(); seconds];
-    for one in &record.tries {
-        let at = second(one.due);
-        match one.end {
-            End::Answer { status: 200, .. } => times[at].push(one.ended - one.due),
-            End::Answer { status: 429 | 503, .. } => all.refused[at] += 1.0,
-            _ => all.failed[at] += 1.0,
+
+    fn served_fraction(&self) -> f64 {
+        served_fraction(self.earned, self.offered)
+    }
+
+    /// The served fraction, or `NOTHING_OFFERED`.
+    fn served_fraction_if_offered(&self) -> f64 {
+        if self.offered > 0.0 {
+            self.served_fraction()
+        } else {
+            NOTHING_OFFERED
         }
     }
-    for (at, times) in times.into_iter().enumerate() {
-        all.p99_ms[at] = histogram(times.into_iter()).value_at_quantile(0.99) as f64 / 1000.0;
+}
+
+impl Timeline {
+    /// The second of a time; times after the end count in the last one.
+    fn second(&self, at: Microseconds) -> usize {
+        ((at / 1_000_000) as usize).min(self.offered.len() - 1)
+    }
+
+    fn add_weights(&mut self, plan: &Plan, weights: &[EarnedWeight]) {
+        let seconds = self.offered.len();
+        let zones = &plan.scenario.net.zones;
+        let mut by_zone: Vec<WeightBySecond> = vec![vec![WeightSum::default(); seconds]; zones.len()];
+        let mut by_gateway: Vec<WeightBySecond> =
+            vec![vec![WeightSum::default(); seconds]; plan.scenario.gateways.count];
+        for (arrival, weight) in plan.arrivals.iter().zip(weights) {
+            let second = self.second(arrival.at);
+            let gateway = arrival.gateways[0];
+            self.offered[second] += weight.offered;
+            self.served[second] += weight.earned;
+            by_zone[gateway % zones.len()][second].add(weight);
+            by_gateway[gateway][second].add(weight);
+        }
+        for (name, sums) in zones.iter().zip(by_zone) {
+            let served = sums.iter().map(WeightSum::served_fraction).collect();
+            self.zones.push((name.clone(), served));
+        }
+        for sums in by_gateway {
+            let served = sums.iter().map(WeightSum::served_fraction_if_offered).collect();
+            self.gateways.push(served);
+        }
     }
-    for (gateway, sums) in by_gateway.into_iter().enumerate() {
-        for (at, (earned, offered)) in sums.into_iter().enumerate().filter(|(_, (_, offered))| *offered > 0.0)
-        {
-            all.gateways[gateway][at] = served_fraction(earned, offered);
+
+    fn add_tries(&mut self, record: &Record) {
+        let mut times_us: Vec<Vec<u64>> = vec![Vec::new(); self.offered.len()];
+        for one in &record.tries {
+            let second = self.second(one.due);
+            match one.end {
+                End::Answer { status: 200, .. } => times_us[second].push(one.ended - one.due),
+                End::Answer { status: 429 | 503, .. } => self.refused[second] += 1.0,
+                _ => self.failed[second] += 1.0,
+            }
+        }
+        for (second, times_us) in times_us.into_iter().enumerate() {
+            let p99_us = histogram(times_us.into_iter()).value_at_quantile(0.99);
+            self.p99_ms[second] = p99_us as f64 / 1000.0;
         }
     }
-    for attempt in record.attempts.iter().filter(|a| a.outcome != Outcome::Open) {
-        all.attempts[second(attempt.first)] += 1.0;
+
+    fn add_attempts(&mut self, record: &Record) {
+        for attempt in record.attempts.iter().filter(|attempt| attempt.outcome != Outcome::Open) {
+            let second = self.second(attempt.first);
+            self.attempts[second] += 1.0;
+        }
     }
-    all
 }
--- a/lab/src/scenario/check.rs
+++ b/lab/src/scenario/check.rs
@@ -73,7 +73,9 @@
         Some((name, rest)) => (name, rest.trim_end_matches(']').parse().ok()?),
         None => (table, 0),
     };
-    let (mut at, mut seen, mut inside) = (None, 0, name.is_empty());
+    let mut at = None;
+    let mut seen = 0;
+    let mut inside = name.is_empty();
     for (i, line) in text.lines().enumerate() {
         let line = line.trim();
         if line.starts_with('[') {
@@ -108,7 +110,9 @@
         }
     }
     fn some(&mut self, key: &str, value: Option<f64>, least: f64, most: f64) {
-        value.into_iter().for_each(|value| self.within(key, value, least, most));
+        if let Some(value) = value {
+            self.within(key, value, least, most);
+        }
     }
 }
 
@@ -124,11 +128,22 @@
     c.within("length_s", s.length_s, 1.0, 3600.0);
     c.within("gateways.branches", s.gateways.branches as f64, 1.0, s.gateways.count as f64);
     c.within("warm_up_s", s.warm_up_s, 0.0, s.length_s.max(0.0));
-    parts(s, &mut c);
+    load(s, &mut c);
+    gateways(s, &mut c);
+    backends(s, &mut c);
+    counter_and_discovery(s, &mut c);
+    network(s, &mut c);
+    class_and_plan_counts(s, &mut c);
     classes(s, &mut c);
-    for (i, fault) in s.faults.iter().enumerate() {
-        faults(s, i, fault, &mut c);
+    plans(s, &mut c);
+    for (number, fault) in s.faults.iter().enumerate() {
+        check_fault(s, number, fault, &mut c);
     }
+    expectations(s, &mut c);
+    c.0
+}
+
+fn expectations(s: &Scenario, c: &mut Checker) {
     for (key, value) in &s.expect.0 {
         let figure = key.strip_suffix("_min").or_else(|| key.strip_suffix("_max"));
         if !figure.is_some_and(|figure| FIGURES_WITH_BOUNDS.contains(&figure)) {
@@ -139,10 +154,9 @@
             c.say(format!("expect.{key}"), "expected a finite number");
         }
     }
-    c.0
 }
 
-fn parts(s: &Scenario, c: &mut Checker) {
+fn load(s: &Scenario, c: &mut Checker) {
     let l = &s.load;
     c.within("load.per_s", l.per_s, 0.1, 20_000.0);
     c.within("load.per_s", l.per_s * s.length_s, 1.0, 2_000_000.0);
@@ -166,12 +180,19 @@
     c.within("load.body_bytes", l.body_bytes as f64, 0.0, 65_536.0);
     let spread = [l.spread[0] as f64, l.spread[1] as f64];
     c.range("load.spread", spread, 1.0, s.gateways.count as f64);
+}
+
+fn gateways(s: &Scenario, c: &mut Checker) {
     c.within("gateways.count", s.gateways.count as f64, 1.0, 200.0);
     c.within("gateways.memory_mb", s.gateways.memory_mb, 4.0, 4096.0);
     c.within("gateways.sockets", s.gateways.sockets as f64, 32.0, 65_536.0);
-    for (i, number) in s.gateways.second.iter().enumerate().filter(|(_, n)| **n >= s.gateways.count) {
-        c.say("gateways.second", format!("item {i}: there is no gateway {number}"));
+    let second = s.gateways.second.iter().enumerate();
+    for (item, number) in second.filter(|(_, number)| **number >= s.gateways.count) {
+        c.say("gateways.second", format!("item {item}: there is no gateway {number}"));
     }
+}
+
+fn backends(s: &Scenario, c: &mut Checker) {
     let b = &s.backends;
     c.within("backends.count", b.count as f64, 1.0, 3200.0);
     c.within("gateways.count", (b.count * s.gateways.count) as f64, 1.0, 8000.0);
@@ -188,12 +209,18 @@
     c.within("backends.handshake_us", b.handshake_us, 0.0, 100_000.0);
     c.within("backends.idle_s", b.idle_s, 0.5, 600.0);
     c.within("backends.report_ms", b.report_ms, 1.0, 60_000.0);
+}
+
+fn counter_and_discovery(s: &Scenario, c: &mut Checker) {
     c.within("counter.per_s", s.counter.per_s, 0.0, 1_000_000.0);
     c.within("counter.latency_ms", s.counter.latency_ms, 0.0, 10_000.0);
     c.within("counter.queue_ms", s.counter.queue_ms, 0.0, 10_000.0);
     c.within("counter.timeout_ms", s.counter.timeout_ms, 1.0, 10_000.0);
     c.range("discovery.notice_s", s.discovery.notice_s, 0.0, 60.0);
     c.range("discovery.add_s", s.discovery.add_s, 0.0, 60.0);
+}
+
+fn network(s: &Scenario, c: &mut Checker) {
     if s.net.zones.is_empty() || s.net.zones.len() > 16 {
         c.say("net.zones", "expected 1 to 16 names");
     }
@@ -205,13 +232,16 @@
     c.within("net.jitter", s.net.jitter, 0.0, 10.0);
 }
 
-fn classes(s: &Scenario, c: &mut Checker) {
+fn class_and_plan_counts(s: &Scenario, c: &mut Checker) {
     if s.classes.is_empty() || s.classes.len() > 64 {
         c.say("class", "expected 1 to 64 classes");
     }
     if s.plans.is_empty() || s.plans.len() > 64 {
         c.say("plan", "expected 1 to 64 plans");
     }
+}
+
+fn classes(s: &Scenario, c: &mut Checker) {
     for (i, class) in s.classes.iter().enumerate() {
         let key = |name: &str| format!("class[{i}].{name}");
         c.within(&key("share"), class.share, 0.0, 1.0);
@@ -223,6 +253,9 @@
         c.within(&key("late_worth"), class.late_worth, 0.0, 1.0);
         c.within(&key("window_ms"), class.window_ms, 0.0, 600_000.0);
     }
+}
+
+fn plans(s: &Scenario, c: &mut Checker) {
     for (i, plan) in s.plans.iter().enumerate() {
         let key = |name: &str| format!("plan[{i}].{name}");
         c.within(&key("share"), plan.share, 0.0, 1.0);
@@ -236,8 +269,20 @@
     }
 }
 
-fn faults(s: &Scenario, i: usize, fault: &Fault, c: &mut Checker) {
-    let key = |name: &str| format!("fault[{i}].{name}");
+fn check_fault(s: &Scenario, number: usize, fault: &Fault, c: &mut Checker) {
+    check_fault_keys(number, fault, c);
+    check_fault_values(s, number, fault, c);
+    check_fault_targets(s, number, fault, c);
+}
+
+/// The dotted key of a fault's value.
+fn fault_key(number: usize, name: &str) -> String {
+    format!("fault[{number}].{name}")
+}
+
+/// Each kind of fault needs some keys, takes some further ones, and no others.
+fn check_fault_keys(number: usize, fault: &Fault, c: &mut Checker) {
+    let key = |name: &str| fault_key(number, name);
     let (needed, further) = fault.kind.keys();
     let set = fault.set_keys();
     for name in needed.iter().filter(|name| !set.contains(name)) {
@@ -247,6 +292,10 @@
         let takes = [needed, further].concat().join(", ");
         c.say(key(name), format!("kind '{}' takes {takes} and not this", fault.kind.name()));
     }
+}
+
+fn check_fault_values(s: &Scenario, number: usize, fault: &Fault, c: &mut Checker) {
+    let key = |name: &str| fault_key(number, name);
     c.within(&key("at_s"), fault.at_s, 0.0, s.length_s);
     c.some(&key("for_s"), fault.for_s, 0.05, 3600.0);
     for (name, range) in [("flap_s", fault.flap_s), ("back_s", fault.back_s)] {
@@ -272,6 +321,10 @@
     c.some(&key("every_s"), fault.every_s, 0.05, 3600.0);
     c.some(&key("drain_s"), fault.drain_s, 0.0, 600.0);
     c.some(&key("factor"), fault.factor, 0.001, 1000.0);
+}
+
+fn check_fault_targets(s: &Scenario, number: usize, fault: &Fault, c: &mut Checker) {
+    let key = |name: &str| fault_key(number, name);
     for (name, list) in [("who", &fault.who), ("with", &fault.with)] {
         for text in list {
             if let Err(what) = Target::read(text, s) {
--- a/lab/src/table.rs
+++ b/lab/src/table.rs
@@ -1,9 +1,12 @@
 //! Plain tables and the text of a run's result.
 
-use crate::checker::Word;
+use crate::checker::{Metrics, Verdict, Word};
 use crate::runner::RunResult;
 use std::fmt::Write;
 
+/// Digits of the plan's digest that the text shows.
+const DIGEST_DIGITS: usize = 16;
+
 /// Lines of cells, columns as wide as their widest cell; the first column to the left, others to the right.
 pub fn table(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
@@ -29,23 +32,37 @@
 
 /// The result of a run as a person reads it.
 pub fn result(result: &RunResult) -> String {
+    let mut text = heading(result);
+    text.push_str(&figures(&result.verdict.figures));
+    text.push('\n');
+    text.push_str(&verdict(&result.verdict));
+    text
+}
+
+/// The scenario, its sizes and its faults.
+fn heading(result: &RunResult) -> String {
     let mut text = String::new();
-    let verdict = &result.verdict;
     let [gateways, backends, customers] = result.sizes;
-    // Writing to a string fails never.
+    // Writing to a string never fails; the same holds below.
     let _ = writeln!(text, "{}, seed {}: {}", result.scenario, result.seed, result.about.trim());
     let _ = writeln!(
         text,
         "{gateways} gateways, {backends} backends, {customers} customers, {} s; plan {}",
         result.length_s,
-        &result.digest[..16]
+        &result.digest[..DIGEST_DIGITS]
     );
     for band in &result.faults {
         let _ = writeln!(text, "  {:6.1} to {:5.1} s  {}", band.from_s, band.to_s, band.name);
     }
-    let figures = &verdict.figures;
+    text
+}
+
+/// The figures as a table, and the served fractions by plan, class and zone.
+fn figures(figures: &Metrics) -> String {
+    let mut text = String::new();
+    let named = figures.named().into_iter();
     let mut rows: Vec<Vec<String>> =
-        figures.named().into_iter().map(|(name, value)| vec![name.to_string(), number(value)]).collect();
+        named.map(|(name, value)| vec![name.to_string(), number(value)]).collect();
     rows.push(vec!["memory_mb (most)".into(), number(figures.memory_mb)]);
     rows.push(vec!["descriptors (most)".into(), figures.descriptors.to_string()]);
     rows.push(vec![
@@ -53,11 +70,17 @@
         format!("{:.2}, {:.2}", figures.late_p50_ms, figures.late_p99_ms),
     ]);
     let _ = write!(text, "\n{} requests, {} tries\n{}", figures.requests, figures.tries, table(&rows));
-    for (what, rows) in [("plan", &figures.plans), ("class", &figures.classes), ("zone", &figures.zones)] {
-        let shares: Vec<String> = rows.iter().map(|row| format!("{} {:.3}", row.name, row.served)).collect();
-        let _ = writeln!(text, "served by {what}: {}", shares.join(", "));
+    let groups = [("plan", &figures.plans), ("class", &figures.classes), ("zone", &figures.zones)];
+    for (what, rows) in groups {
+        let served: Vec<String> = rows.iter().map(|row| format!("{} {:.3}", row.name, row.served)).collect();
+        let _ = writeln!(text, "served by {what}: {}", served.join(", "));
     }
-    text.push('\n');
+    text
+}
+
+/// Broken rules, missed bounds, stories and doubts, then the verdict.
+fn verdict(verdict: &Verdict) -> String {
+    let mut text = String::new();
     for broken in &verdict.broken {
         let _ = writeln!(text, "RULE BROKEN {:?}, {} times", broken.rule, broken.count);
         for case in &broken.cases {
