--- a/lab/src/backend.rs
+++ b/lab/src/backend.rs
@@ -22,20 +22,29 @@
 const REJECTED: HeaderName = HeaderName::from_static("x-rejected");
 const REPORT: HeaderName = HeaderName::from_static("x-load-report");
 /// The longest body of a request.
-const LONGEST: usize = 64 * 1024;
+const LONGEST_BODY_BYTES: usize = 64 * 1024;
 /// Work of a repeat that is dropped, and of a probe, in microseconds.
-const SMALL_WORK: f64 = 250.0;
+const SMALL_WORK_US: f64 = 250.0;
 
 struct State {
     machine: Machine,
     waiting: HashMap<Job, oneshot::Sender<()>>,
     next: Job,
-    ills: Vec<BackendFault>,
+    faults: Vec<BackendFault>,
     connections: usize,
     report: (Microseconds, String),
     draining: bool,
 }
 
+/// A request that was offered to the machine.
+struct OfferedJob {
+    offer: Offer,
+    /// Fires when the job is done; closed when the process dies.
+    done: oneshot::Receiver<()>,
+    /// The faults that were on at that time.
+    faults: Vec<BackendFault>,
+}
+
 /// One backend, over all of its processes.
 pub struct Backend {
     /// Its number.
@@ -65,7 +74,7 @@
             machine: Machine::new(spec, speed, since),
             waiting: HashMap::new(),
             next: 0,
-            ills: Vec::new(),
+            faults: Vec::new(),
             connections: 0,
             report: (0, String::new()),
             draining: false,
@@ -118,17 +127,14 @@
         lock(&self.state).draining = true;
     }
 
-    /// Falls ill, or gets well.
-    pub fn ill(&self, ill: BackendFault, on: bool) {
+    /// Begins a fault, or ends it.
+    pub fn set_fault(&self, fault: BackendFault, on: bool) {
         let now = self.context.clock.now();
         let mut state = lock(&self.state);
-        match on {
-            true => state.ills.push(ill),
-            false => {
-                if let Some(place) = state.ills.iter().position(|i| *i == ill) {
-                    state.ills.remove(place);
-                }
-            }
+        if on {
+            state.faults.push(fault);
+        } else if let Some(place) = state.faults.iter().position(|known| *known == fault) {
+            state.faults.remove(place);
         }
         let done = slow_down(&mut state, now);
         finish(&mut state, done);
@@ -193,13 +199,13 @@
         match request.uri().path() {
             "/ping" => return answer(StatusCode::OK, ""),
             "/_load" => {
-                lock(&self.state).machine.burden(self.context.clock.now(), SMALL_WORK);
+                lock(&self.state).machine.burden(self.context.clock.now(), SMALL_WORK_US);
                 return answer(StatusCode::OK, self.report());
             }
             _ => {}
         }
         let id = id_of(request.headers());
-        let body = Limited::new(request.into_body(), LONGEST).collect().await;
+        let body = Limited::new(request.into_body(), LONGEST_BODY_BYTES).collect().await;
         let Ok(_) = body else { return answer(StatusCode::BAD_REQUEST, "") };
         let came = self.context.clock.now();
         let arrival = id.and_then(|id| self.context.arrival(id));
@@ -228,6 +234,39 @@
         self.run(id, arrival, gateway, came, open).await
     }
 
+    /// Offers a request to the machine. The attempt is noted as run if it was taken and is no repeat.
+    fn offer(&self, arrival: usize, gateway: usize, now: Microseconds, open: &mut Open<'_>) -> OfferedJob {
+        let arrival_spec = &self.context.plan.arrivals[arrival];
+        let class = &self.context.plan.scenario.classes[arrival_spec.class];
+        let window = (class.window_ms * 1000.0) as Microseconds;
+        let keyed = self.context.plan.keyed(arrival_spec.class);
+        let mut state = lock(&self.state);
+        let ended = state.machine.advance(now);
+        finish(&mut state, ended);
+        let repeated = keyed && self.context.repeated(arrival, window, now);
+        let work_us = if repeated { SMALL_WORK_US } else { arrival_spec.work_us };
+        let knowing = self.context.knows(gateway, self.number, self.started());
+        let job = state.next;
+        state.next += 1;
+        let offer =
+            if state.draining { Offer::Full } else { state.machine.offer(now, job, work_us, knowing) };
+        let (done_sender, done) = oneshot::channel();
+        if offer == Offer::Taken {
+            state.waiting.insert(job, done_sender);
+            open.job = Some(job);
+            open.change(|attempt| {
+                attempt.ran = !repeated;
+                attempt.work_us = work_us;
+            });
+        }
+        if offer == Offer::Fell {
+            let fall = Fall { backend: self.number, at: now, knowing: state.machine.knowing() };
+            self.context.note(|record| record.falls.push(fall));
+        }
+        OfferedJob { offer, done, faults: state.faults.clone() }
+    }
+
+    /// Runs a request to its answer; one that gets none ends with its connection.
     async fn run(
         &self,
         id: u64,
@@ -236,37 +275,7 @@
         now: Microseconds,
         mut open: Open<'_>,
     ) -> Answer {
-        let arrival_spec = &self.context.plan.arrivals[arrival];
-        let class = &self.context.plan.scenario.classes[arrival_spec.class];
-        let window = (class.window_ms * 1000.0) as Microseconds;
-        let keyed = self.context.plan.keyed(arrival_spec.class);
-        let (offer, done, ills) = {
-            let mut state = lock(&self.state);
-            let ended = state.machine.advance(now);
-            finish(&mut state, ended);
-            let repeated = keyed && self.context.repeated(arrival, window, now);
-            let work = if repeated { SMALL_WORK } else { arrival_spec.work_us };
-            let knowing = self.context.knows(gateway, self.number, self.started());
-            let job = state.next;
-            state.next += 1;
-            let offer = match state.draining {
-                true => Offer::Full,
-                false => state.machine.offer(now, job, work, knowing),
-            };
-            let (tell, done) = oneshot::channel();
-            if offer == Offer::Taken {
-                state.waiting.insert(job, tell);
-                open.job = Some(job);
-                let ran = !repeated;
-                open.change(|attempt| (attempt.ran, attempt.work_us) = (ran, work));
-            }
-            let knowing = state.machine.knowing();
-            if offer == Offer::Fell {
-                let fall = Fall { backend: self.number, at: now, knowing };
-                self.context.note(|record| record.falls.push(fall));
-            }
-            (offer, done, state.ills.clone())
-        };
+        let OfferedJob { offer, done, faults } = self.offer(arrival, gateway, now, &mut open);
         match offer {
             Offer::Fell => {
                 self.die();
@@ -275,12 +284,12 @@
             }
             Offer::Full => {
                 open.end(Outcome::TurnedAway);
-                return self.turned_away();
+                return self.rejection();
             }
             Offer::Taken => self.changed.notify_one(),
         }
         let died = done.await.is_err();
-        if died || ills.contains(&BackendFault::Silent) {
+        if died || faults.contains(&BackendFault::Silent) {
             if died {
                 open.end(Outcome::Died);
             }
@@ -288,14 +297,15 @@
             return std::future::pending().await;
         }
         open.job = None;
-        self.reply(id, &ills, open)
+        self.reply(id, &faults, open)
     }
 
     /// The answer of a job that is done.
-    fn reply(&self, id: u64, ills: &[BackendFault], mut open: Open<'_>) -> Answer {
-        let rate = |pick: fn(&BackendFault) -> Option<f64>| ills.iter().filter_map(pick).fold(0.0, f64::max);
-        let errors = rate(|ill| if let BackendFault::Errors(rate) = ill { Some(*rate) } else { None });
-        let halves = rate(|ill| if let BackendFault::Half(rate) = ill { Some(*rate) } else { None });
+    fn reply(&self, id: u64, faults: &[BackendFault], mut open: Open<'_>) -> Answer {
+        let rate =
+            |pick: fn(&BackendFault) -> Option<f64>| faults.iter().filter_map(pick).fold(0.0, f64::max);
+        let errors = rate(|fault| if let BackendFault::Errors(rate) = fault { Some(*rate) } else { None });
+        let halves = rate(|fault| if let BackendFault::Half(rate) = fault { Some(*rate) } else { None });
         let errors = errors.max(self.context.plan.scenario.backends.error_rate);
         let mark = self.context.mark(id, self.number);
         // The same request fares alike when it comes again to this backend.
@@ -313,7 +323,7 @@
         self.with_report(answer(StatusCode::OK, body))
     }
 
-    fn turned_away(&self) -> Answer {
+    fn rejection(&self) -> Answer {
         let mut answer = answer(StatusCode::SERVICE_UNAVAILABLE, "");
         answer.headers_mut().insert(REJECTED, HeaderValue::from_static("1"));
         self.with_report(answer)
@@ -340,7 +350,8 @@
 
 fn slow_down(state: &mut State, now: Microseconds) -> Vec<Job> {
     let done = state.machine.advance(now);
-    let slower = state.ills.iter().map(|ill| if let BackendFault::Slow(times) = ill { *times } else { 1.0 });
+    let slower =
+        state.faults.iter().map(|fault| if let BackendFault::Slow(times) = fault { *times } else { 1.0 });
     let slower = slower.product();
     state.machine.slow(now, slower);
     done
@@ -367,6 +378,7 @@
             change(attempt);
         }
     }
+
     fn end(&mut self, outcome: Outcome) {
         let ended = self.context.clock.now();
         if let Some(attempt) = self.attempt.take() {
--- a/lab/src/client.rs
+++ b/lab/src/client.rs
@@ -107,7 +107,7 @@
         let mut due = spec.at;
         for nth in 0..=load.retries {
             let until = (due + spec.patience_us).min(over);
-            let (end, retry_after) = self.one_try(arrival, nth, due, until).await;
+            let (end, retry_after) = self.attempt(arrival, nth, due, until).await;
             let now = self.context.clock.now();
             let again = match end {
                 End::Answer { status: 200 | 202, .. } | End::Open => return,
@@ -141,8 +141,8 @@
         from[nth as usize % from.len()]
     }
 
-    /// One try. It ends for its client at `until`; the connection is watched for a while longer.
-    async fn one_try(
+    /// One attempt. It ends for its client at `until`; the connection is watched for `GRACE` longer.
+    async fn attempt(
         self: &Arc<Clients>,
         arrival: usize,
         nth: u32,
@@ -153,7 +153,7 @@
         let id = self.context.plan.id(arrival, nth);
         self.context.announce(id, arrival);
         let began = self.context.clock.now();
-        let this = Try {
+        let attempt = Try {
             arrival,
             nth,
             id,
@@ -169,39 +169,53 @@
         };
         let budget_ms = until.saturating_sub(due) / 1000;
         let text = self.text(arrival, nth, id, budget_ms.max(1));
-        let (tell, told) = oneshot::channel();
+        let (result_sender, result) = oneshot::channel();
         let clients = self.clone();
-        let mut this = this;
         tokio::spawn(async move {
-            let deadline = clients.context.clock.instant(until + GRACE);
-            let mut retry_after = None;
-            let until = clients.context.clock.instant(until);
-            this.end = match timeout_at(deadline, clients.exchange(&mut this, &text, until)).await {
-                Ok((end, answer)) => {
-                    let (told, place) = answer.map_or((None, None), |a| (a.retry_after, a.location));
-                    retry_after = told;
-                    let place = place.filter(|_| matches!(end, End::Answer { status: 202, .. }));
-                    if let Some(place) = place {
-                        let receipt = Receipt { arrival: this.arrival, place, told: Fate::Nothing };
-                        clients.context.note(|record| record.receipts.push(receipt));
-                    }
-                    end
-                }
-                Err(_) if this.written.is_none() => End::Unreachable,
-                Err(_) => End::GaveUp,
-            };
-            this.ended = clients.context.clock.now();
-            let end = this.end;
-            clients.context.note(|record| record.tries.push(this));
-            // Its client may have gone on to another try.
-            let _ = tell.send((end, retry_after));
+            let ended = clients.run_attempt(attempt, &text).await;
+            // Its client may have gone on to another attempt.
+            let _ = result_sender.send(ended);
         });
-        match timeout_at(self.context.clock.instant(until), told).await {
+        match timeout_at(self.context.clock.instant(until), result).await {
             Ok(Ok(ended)) => ended,
             _ => (End::GaveUp, None),
         }
     }
 
+    /// Runs an attempt to its end, which may be later than its client waits, and records it. Returns how it ended and
+    /// the seconds of its `Retry-After`.
+    async fn run_attempt(&self, mut attempt: Try, text: &[u8]) -> (End, Option<f64>) {
+        let deadline = self.context.clock.instant(attempt.until + GRACE);
+        let until = self.context.clock.instant(attempt.until);
+        let mut retry_after = None;
+        attempt.end = match timeout_at(deadline, self.exchange(&mut attempt, text, until)).await {
+            Ok((end, answer)) => {
+                if let Some(answer) = answer {
+                    retry_after = answer.retry_after;
+                    self.note_receipt(attempt.arrival, end, answer.location);
+                }
+                end
+            }
+            Err(_) if attempt.written.is_none() => End::Unreachable,
+            Err(_) => End::GaveUp,
+        };
+        attempt.ended = self.context.clock.now();
+        let end = attempt.end;
+        self.context.note(|record| record.tries.push(attempt));
+        (end, retry_after)
+    }
+
+    /// Records where the status of a write that was accepted with 202 can be polled.
+    fn note_receipt(&self, arrival: usize, end: End, location: Option<String>) {
+        if !matches!(end, End::Answer { status: 202, .. }) {
+            return;
+        }
+        if let Some(place) = location {
+            let receipt = Receipt { arrival, place, told: Fate::Nothing };
+            self.context.note(|record| record.receipts.push(receipt));
+        }
+    }
+
     /// Writes the request and waits for its answer, once more where a close crossed it. Nothing is written past the
     /// client's time.
     async fn exchange(&self, this: &mut Try, text: &[u8], until: Instant) -> (End, Option<Answer>) {
@@ -285,8 +299,10 @@
     fn spoke(&self, kept: &Kept) {
         self.context.note(|record| {
             let (arrival, nth) = kept.last;
-            let tries = record.tries.iter_mut().rev();
-            tries.filter(|t| t.arrival == arrival && t.nth == nth).take(1).for_each(|t| t.twice = true);
+            let mut latest_first = record.tries.iter_mut().rev();
+            if let Some(attempt) = latest_first.find(|one| one.arrival == arrival && one.nth == nth) {
+                attempt.twice = true;
+            }
         });
     }
 
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -51,53 +51,111 @@
     for settings in combinations(sets) {
         plays.push((Scenario::load(path, &settings).map_err(Failure::of_use)?, settings));
     }
-    let failed = |error: &dyn std::fmt::Display| Failure { text: format!("CSV: {error}"), code: 1 };
-    let out: Box<dyn Write> = match csv {
-        Some(path) => Box::new(std::fs::File::create(path).map_err(|e| failed(&e))?),
+    let mut sweep = Sweep { seeds, sets, writer: csv_writer(csv)?, rows: Vec::new(), worst: 0 };
+    for (scenario, settings) in &plays {
+        sweep.play_settings(scenario, settings, &resources).await?;
+    }
+    // A line for each figure reads better than a column for each.
+    println!("\nmedian (least to most) over {} seeds", seeds.0.len());
+    print!("{}", table(&transposed(&sweep.rows)));
+    Ok(sweep.worst)
+}
+
+/// Writes CSV to a file, or to the standard output.
+fn csv_writer(path: Option<&Path>) -> Result<csv::Writer<Box<dyn Write>>, Failure> {
+    let out: Box<dyn Write> = match path {
+        Some(path) => Box::new(std::fs::File::create(path).map_err(csv_failure)?),
         None => Box::new(std::io::stdout()),
     };
-    let mut writer = csv::Writer::from_writer(out);
-    let mut rows: Vec<Vec<String>> = Vec::new();
-    let mut worst = 0;
-    for (scenario, settings) in &plays {
+    Ok(csv::Writer::from_writer(out))
+}
+
+fn csv_failure(error: impl std::fmt::Display) -> Failure {
+    Failure { text: format!("CSV: {error}"), code: 1 }
+}
+
+/// A sweep and its results so far.
+struct Sweep<'a> {
+    seeds: &'a Seeds,
+    sets: &'a [Values],
+    writer: csv::Writer<Box<dyn Write>>,
+    /// The summary: a heading, then a row for each combination of values.
+    rows: Vec<Vec<String>>,
+    /// The highest exit code of the plays.
+    worst: u8,
+}
+
+impl Sweep<'_> {
+    /// Plays all seeds with one combination of values, and adds its row to the summary.
+    async fn play_settings(
+        &mut self,
+        scenario: &Scenario,
+        settings: &[Setting],
+        resources: &impl Fn(&[Setting]) -> Result<RunResources, Failure>,
+    ) -> Result<(), Failure> {
         let mut figures: Vec<Vec<f64>> = Vec::new();
         let mut held = 0;
-        for seed in &seeds.0 {
+        for seed in &self.seeds.0 {
             let result = play(scenario, *seed, &resources(settings)?).await?;
             let named = result.verdict.figures.named();
-            if figures.is_empty() {
-                figures = vec![Vec::new(); named.len()];
+            if self.rows.is_empty() {
+                self.write_headings(&named)?;
             }
-            if rows.is_empty() {
-                let names = named.iter().map(|(name, _)| name.to_string());
-                let keys = sets.iter().map(|set| set.key.clone());
-                let head: Vec<String> =
-                    keys.chain(["seed".into(), "verdict".into()]).chain(names.clone()).collect();
-                writer.write_record(&head).map_err(|e| failed(&e))?;
-                rows.push(["settings".into(), "held".into()].into_iter().chain(names).collect());
+            self.write_play(*seed, settings, &result, &named)?;
+            figures.resize(named.len(), Vec::new());
+            for ((_, value), values) in named.iter().zip(&mut figures) {
+                values.push(*value);
             }
-            let values = settings.iter().map(|s| s.value.clone()).chain([seed.to_string(), word(&result)]);
-            let line: Vec<String> = values.chain(named.iter().map(|(_, v)| v.to_string())).collect();
-            writer.write_record(&line).map_err(|e| failed(&e))?;
-            writer.flush().map_err(|e| failed(&e))?;
-            named.iter().zip(&mut figures).for_each(|((_, value), all)| all.push(*value));
             held += usize::from(result.verdict.word == Word::Held);
-            worst = worst.max(code(&result));
+            self.worst = self.worst.max(code(&result));
         }
-        let name: Vec<String> = settings.iter().map(|s| format!("{}={}", s.key, s.value)).collect();
-        let cells = figures.iter().map(|all| {
-            let (least, most) = spread(all);
-            format!("{} ({} to {})", number(median(all)), number(least), number(most))
-        });
-        let first = if name.is_empty() { "as it stands".into() } else { name.join(" ") };
-        rows.push([first, format!("{held}/{}", seeds.0.len())].into_iter().chain(cells).collect());
+        let held = format!("{held}/{}", self.seeds.0.len());
+        self.rows.push(summary_row(settings, held, &figures));
+        Ok(())
     }
-    // A line for each figure reads better than a column for each.
-    println!("\nmedian (least to most) over {} seeds", seeds.0.len());
-    print!("{}", table(&transposed(&rows)));
-    Ok(worst)
+
+    fn write_headings(&mut self, named: &[(&'static str, f64)]) -> Result<(), Failure> {
+        let names: Vec<String> = named.iter().map(|(name, _)| name.to_string()).collect();
+        let mut heading: Vec<String> = self.sets.iter().map(|set| set.key.clone()).collect();
+        heading.extend(["seed".into(), "verdict".into()]);
+        heading.extend(names.clone());
+        self.writer.write_record(&heading).map_err(csv_failure)?;
+        let mut summary_heading: Vec<String> = vec!["settings".into(), "held".into()];
+        summary_heading.extend(names);
+        self.rows.push(summary_heading);
+        Ok(())
+    }
+
+    fn write_play(
+        &mut self,
+        seed: u64,
+        settings: &[Setting],
+        result: &RunResult,
+        named: &[(&'static str, f64)],
+    ) -> Result<(), Failure> {
+        let mut line: Vec<String> = settings.iter().map(|setting| setting.value.clone()).collect();
+        line.extend([seed.to_string(), word(result)]);
+        line.extend(named.iter().map(|(_, value)| value.to_string()));
+        self.writer.write_record(&line).map_err(csv_failure)?;
+        self.writer.flush().map_err(csv_failure)
+    }
+}
+
+/// The row of one combination of values: the settings, how many plays held, and each figure's median and spread.
+fn summary_row(settings: &[Setting], held: String, figures: &[Vec<f64>]) -> Vec<String> {
+    let names: Vec<String> =
+        settings.iter().map(|setting| format!("{}={}", setting.key, setting.value)).collect();
+    let name = if names.is_empty() { "as it stands".into() } else { names.join(" ") };
+    let cells = figures.iter().map(|values| {
+        let (least, most) = spread(values);
+        format!("{} ({} to {})", number(median(values)), number(least), number(most))
+    });
+    let mut row = vec![name, held];
+    row.extend(cells);
+    row
 }
 
+/// Swaps rows and columns.
 fn transposed(rows: &[Vec<String>]) -> Vec<Vec<String>> {
     let columns = rows.first().map_or(0, Vec::len);
     (0..columns).map(|column| rows.iter().filter_map(|row| row.get(column).cloned()).collect()).collect()
@@ -134,48 +192,49 @@
     pairs: u32,
     resources: impl Fn(Option<PathBuf>) -> Result<RunResources, Failure>,
 ) -> Result<u8, Failure> {
-    let [a, b] = sides;
-    let (a, b) = (side(path, a)?, side(path, b)?);
+    let [first, second] = sides;
+    let first = side(path, first)?;
+    let second = side(path, second)?;
     let mut plays: Vec<[RunResult; 2]> = Vec::new();
     for pair in 0..u64::from(pairs) {
-        let one = play(&a.scenario, a.scenario.seed + pair, &resources(a.binary.clone())?).await?;
-        let other = play(&b.scenario, b.scenario.seed + pair, &resources(b.binary.clone())?).await?;
+        let a = play(&first.scenario, first.scenario.seed + pair, &resources(first.binary.clone())?).await?;
+        let b =
+            play(&second.scenario, second.scenario.seed + pair, &resources(second.binary.clone())?).await?;
         let served = |result: &RunResult| format!("{} {:.4}", word(result), result.verdict.figures.served);
-        println!("seed {}: A {}, B {}", one.seed, served(&one), served(&other));
-        plays.push([one, other]);
+        println!("seed {}: A {}, B {}", a.seed, served(&a), served(&b));
+        plays.push([a, b]);
     }
-    let mut rows = vec![["figure", "A", "B", "B / A by pair", "mean ratio", "95% interval", ""]
-        .map(String::from)
-        .to_vec()];
-    let names: Vec<&str> = plays
-        .first()
-        .map(|p| p[0].verdict.figures.named())
-        .unwrap_or_default()
-        .iter()
-        .map(|(n, _)| *n)
-        .collect();
-    for (place, name) in names.iter().enumerate() {
+    println!("\nmedians over {pairs} pairs; ratios of B to A");
+    print!("{}", table(&comparison_rows(&plays)));
+    Ok(plays.iter().flatten().map(code).max().unwrap_or(0))
+}
+
+/// A heading and a row for each figure.
+fn comparison_rows(plays: &[[RunResult; 2]]) -> Vec<Vec<String>> {
+    let heading = ["figure", "A", "B", "B / A by pair", "mean ratio", "95% interval", ""];
+    let mut rows = vec![heading.map(String::from).to_vec()];
+    let Some([first, _]) = plays.first() else { return rows };
+    for (place, (name, _)) in first.verdict.figures.named().into_iter().enumerate() {
         let value = |result: &RunResult| result.verdict.figures.named()[place].1;
         let values: Vec<(f64, f64)> = plays.iter().map(|[a, b]| (value(a), value(b))).collect();
-        let side =
-            |pick: fn(&(f64, f64)) -> f64| number(median(&values.iter().map(pick).collect::<Vec<f64>>()));
-        let mut row = vec![name.to_string(), side(|v| v.0), side(|v| v.1)];
-        match ratio(&values) {
-            Some(found) => {
-                let each: Vec<String> = values.iter().map(|(a, b)| format!("{:.3}", b / a)).collect();
-                let words = found.words(values.len());
-                row.extend([
-                    each.join(" "),
-                    format!("{:.3}", found.mean),
-                    format!("{:.3} to {:.3}", found.low, found.high),
-                    words.into(),
-                ]);
-            }
-            None => row.extend(["-".into(), "-".into(), "-".into(), "a value is zero".into()]),
-        }
-        rows.push(row);
+        rows.push(comparison_row(name, &values));
     }
-    println!("\nmedians over {pairs} pairs; ratios of B to A");
-    print!("{}", table(&rows));
-    Ok(plays.iter().flatten().map(code).max().unwrap_or(0))
+    rows
+}
+
+/// The row of one figure; `values` are those of A and B by pair.
+fn comparison_row(name: &str, values: &[(f64, f64)]) -> Vec<String> {
+    let of_a: Vec<f64> = values.iter().map(|(a, _)| *a).collect();
+    let of_b: Vec<f64> = values.iter().map(|(_, b)| *b).collect();
+    let mut row = vec![name.to_string(), number(median(&of_a)), number(median(&of_b))];
+    let Some(found) = ratio(values) else {
+        row.extend(["-", "-", "-", "a value is zero"].map(String::from));
+        return row;
+    };
+    let by_pair: Vec<String> = values.iter().map(|(a, b)| format!("{:.3}", b / a)).collect();
+    row.push(by_pair.join(" "));
+    row.push(format!("{:.3}", found.mean));
+    row.push(format!("{:.3} to {:.3}", found.low, found.high));
+    row.push(found.words(values.len()).into());
+    row
 }
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -123,7 +123,12 @@
         let address = listener.local_addr()?;
         let open = watch::Sender::new(true);
         let standing = Standing { alive, open: open.subscribe() };
-        tokio::spawn(keep(listener, address, way, standing, starved, serve));
+        tokio::spawn(async move {
+            let up = way.up.watch();
+            let down = way.down.watch();
+            let task = ListenerTask { address, way, up, down, standing, starved, serve };
+            task.run(listener).await;
+        });
         Ok(GatewayListener { address, open })
     }
 
@@ -140,58 +145,80 @@
     socket.listen(BACKLOG)
 }
 
-async fn keep(
-    listener: TcpListener,
+/// The task of a listener: accepts while the party behind it lives, and is closed while it does not.
+struct ListenerTask {
     address: SocketAddr,
     way: Way,
-    mut standing: Standing,
+    up: watch::Receiver<View>,
+    down: watch::Receiver<View>,
+    standing: Standing,
     starved: Arc<StarvedReads>,
     serve: Serve,
-) {
-    let (mut up, mut down) = (way.up.watch(), way.down.watch());
-    let mut open = Some(listener);
-    // Ends with the party behind it, or the door.
-    loop {
-        if !standing.now() {
-            open = None;
-            if standing.changed().await.is_none() {
-                return;
-            }
-            continue;
-        }
-        let Some(listener) = &open else {
-            match listen(address) {
-                Ok(listener) => open = Some(listener),
-                Err(error) => {
-                    starved.note(&error);
-                    sleep(STARVED).await;
+}
+
+impl ListenerTask {
+    /// Runs until the party behind the listener, or the listener itself, is gone for good.
+    async fn run(mut self, listener: TcpListener) {
+        let mut open = Some(listener);
+        loop {
+            if !self.standing.now() {
+                open = None;
+                if self.standing.changed().await.is_none() {
+                    return;
                 }
+                continue;
             }
-            continue;
-        };
-        if way.cut(&mut up, &mut down) {
-            if black_hole(listener, address, &way, &mut up, &mut down, &mut standing).await.is_none() {
+            let Some(listener) = &open else {
+                open = self.listen_again().await;
+                continue;
+            };
+            let is_cut = self.way.cut(&mut self.up, &mut self.down);
+            let stands = if is_cut {
+                self.hang_connections(listener).await
+            } else {
+                self.accept_or_change(listener).await
+            };
+            if stands.is_none() {
                 return;
             }
-            continue;
         }
+    }
+
+    /// Listens at the same address as before; `None` after a pause where that failed.
+    async fn listen_again(&self) -> Option<TcpListener> {
+        match listen(self.address) {
+            Ok(listener) => Some(listener),
+            Err(error) => {
+                self.starved.note(&error);
+                sleep(STARVED).await;
+                None
+            }
+        }
+    }
+
+    /// Waits for one connection or one change of state. `None`: the party or the listener is gone for good.
+    async fn accept_or_change(&mut self, listener: &TcpListener) -> Option<()> {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    let (stream, stamp) = through(stream, way.clone(), Some(standing.clone()));
-                    serve(stream, stamp);
+                    let (stream, stamp) = through(stream, self.way.clone(), Some(self.standing.clone()));
+                    (self.serve)(stream, stamp);
                 }
                 Err(error) => {
-                    starved.note(&error);
+                    self.starved.note(&error);
                     sleep(STARVED).await;
                 }
             },
-            _ = up.changed() => {}
-            _ = down.changed() => {}
-            changed = standing.changed() => if changed.is_none() {
-                return;
-            },
+            _ = self.up.changed() => {}
+            _ = self.down.changed() => {}
+            changed = self.standing.changed() => changed?,
         }
+        Some(())
+    }
+
+    async fn hang_connections(&mut self, listener: &TcpListener) -> Option<()> {
+        let standing = &mut self.standing;
+        black_hole(listener, self.address, &self.way, &mut self.up, &mut self.down, standing).await
     }
 }
 
--- a/lab/src/run/actions.rs
+++ b/lab/src/run/actions.rs
@@ -12,9 +12,11 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// An operator waits so long for a rollout to be taken.
+/// How long an operator waits for a rollout to be accepted.
 const ROLLOUT_TIME: Duration = Duration::from_secs(2);
-/// After SIGTERM the front sends on for this long.
+/// The pause between looks at whether a process has ended.
+const PROCESS_POLL: Duration = Duration::from_millis(5);
+/// After SIGTERM the front still forwards requests for this long.
 const FRONT_AFTER_TERM: Duration = Duration::from_millis(300);
 
 impl World {
@@ -26,35 +28,17 @@
     pub(super) fn act(self: &Arc<World>, action: &Action) {
         match action {
             Action::Link { .. } | Action::Reset { .. } => self.on_links(action),
-            Action::Kill(g) | Action::Restart(g) => self.stop(*g, matches!(action, Action::Kill(_))),
-            Action::Start(g) => self.start_again(*g),
+            Action::Kill(gateway) => self.stop(*gateway, true),
+            Action::Restart(gateway) => self.stop(*gateway, false),
+            Action::Start(gateway) => self.start_again(*gateway),
             Action::Pause { gateway, on } => self.pause(*gateway, *on),
-            Action::Reload(g) => self.reload(*g),
-            Action::BackendDies(b) => {
-                if let Some(backend) = self.backend(*b) {
-                    backend.die();
-                    self.discovery.change(*b, Phase::Gone);
-                }
-            }
-            Action::BackendStarts(b) => {
-                if let Some(backend) = self.backend(*b) {
-                    backend.start();
-                    self.discovery.change(*b, Phase::Ready);
-                }
-            }
-            Action::Drain { old, new, label } => {
-                if let Some(backend) = self.backend(*old) {
-                    backend.drain();
-                }
-                self.discovery.change(*old, Phase::Draining);
-                match self.add_backend(*new, Some(self.context.clock.now().max(1))) {
-                    Ok(backend) => self.discovery.add(&backend, label),
-                    Err(error) => self.context.starved.note(&error),
-                }
-            }
+            Action::Reload(gateway) => self.reload(*gateway),
+            Action::BackendDies(backend) => self.kill_backend(*backend),
+            Action::BackendStarts(backend) => self.start_backend(*backend),
+            Action::Drain { old, new, label } => self.replace_backend(*old, *new, label),
             Action::Ill { backend, ill, on } => {
                 if let Some(backend) = self.backend(*backend) {
-                    backend.ill(*ill, *on);
+                    backend.set_fault(*ill, *on);
                 }
             }
             Action::CounterDown(on) => self.counter.down(*on),
@@ -65,22 +49,52 @@
             Action::ListLate { delay_us, on } => self.discovery.late(*delay_us, *on),
             Action::ListSilent { gateway, on } => self.discovery.silent(*gateway, *on),
             Action::ListGhost(on) => self.discovery.ghosts(*on),
-            Action::ListMove(b) => {
-                if let Some(backend) = self.backend(*b) {
-                    for gateway in 0..self.gateways.len() {
-                        if let Err(error) = self.backend_door(gateway, &backend) {
-                            self.context.starved.note(&error);
-                        }
-                    }
-                    self.discovery.moved(*b);
-                }
-            }
-            Action::Rollout { gateway, rules } => self.roll(*gateway, rules.clone()),
+            Action::ListMove(backend) => self.move_backend(*backend),
+            Action::Rollout { gateway, rules } => self.start_rollout(*gateway, rules.clone()),
             Action::KillLeader { back } => self.kill_leader(*back),
         }
     }
 
-    fn roll(&self, gateway: usize, rules: String) {
+    fn kill_backend(&self, number: usize) {
+        if let Some(backend) = self.backend(number) {
+            backend.die();
+            self.discovery.change(number, Phase::Gone);
+        }
+    }
+
+    fn start_backend(&self, number: usize) {
+        if let Some(backend) = self.backend(number) {
+            backend.start();
+            self.discovery.change(number, Phase::Ready);
+        }
+    }
+
+    /// Drains one backend and starts another one, cold.
+    fn replace_backend(self: &Arc<World>, old: usize, new: usize, label: &str) {
+        if let Some(backend) = self.backend(old) {
+            backend.drain();
+        }
+        self.discovery.change(old, Phase::Draining);
+        let started = Some(self.context.clock.now().max(1));
+        match self.add_backend(new, started) {
+            Ok(backend) => self.discovery.add(&backend, label),
+            Err(error) => self.context.starved.note(&error),
+        }
+    }
+
+    /// Opens new addresses for a backend at all gateways and lists them.
+    fn move_backend(&self, number: usize) {
+        let Some(backend) = self.backend(number) else { return };
+        for gateway in 0..self.gateways.len() {
+            if let Err(error) = self.backend_door(gateway, &backend) {
+                self.context.starved.note(&error);
+            }
+        }
+        self.discovery.moved(number);
+    }
+
+    /// Sends a rollout to a gateway, as an operator does.
+    fn start_rollout(&self, gateway: usize, rules: String) {
         let ops = lock(&self.gateways[gateway].place).ops;
         tokio::spawn(async move {
             let call = format!(
@@ -94,7 +108,7 @@
         });
     }
 
-    /// Kills the gateway that said last that it leads.
+    /// Kills the gateway that reported last that it leads, and starts it again `back` microseconds later.
     fn kill_leader(self: &Arc<World>, back: u64) {
         let record = lock(&self.context.record);
         let leader = record.rollouts.iter().rev().find(|seen| seen.leads).map(|seen| seen.gateway);
@@ -111,7 +125,9 @@
     fn on_links(&self, action: &Action) {
         let pairs = |from: &[Party], to: &[Party], each: &dyn Fn(Party, Party)| {
             for from in from {
-                to.iter().filter(|to| *to != from).for_each(|to| each(*from, *to));
+                for to in to.iter().filter(|to| *to != from) {
+                    each(*from, *to);
+                }
             }
         };
         match action {
@@ -128,7 +144,8 @@
 
     /// Ends a gateway's process, by SIGKILL or by SIGTERM; after SIGTERM it starts again.
     fn stop(self: &Arc<World>, number: usize, killed: bool) {
-        let (world, gateway) = (self.clone(), self.gateways[number].clone());
+        let world = self.clone();
+        let gateway = self.gateways[number].clone();
         lock(&self.known).insert(number, self.discovery.known(number));
         tokio::spawn(async move {
             if killed {
@@ -136,7 +153,8 @@
                 gateway.kill().await;
                 return;
             }
-            let (clients, front) = (world.clients.clone(), gateway.number);
+            let clients = world.clients.clone();
+            let front = gateway.number;
             tokio::spawn(async move {
                 sleep(FRONT_AFTER_TERM).await;
                 clients.front(front, true);
@@ -147,10 +165,11 @@
     }
 
     fn start_again(self: &Arc<World>, number: usize) {
-        let (world, gateway) = (self.clone(), self.gateways[number].clone());
+        let world = self.clone();
+        let gateway = self.gateways[number].clone();
         tokio::spawn(async move {
             while gateway.runs() {
-                sleep(Duration::from_millis(5)).await;
+                sleep(PROCESS_POLL).await;
             }
             world.context.next_life(number);
             world.discovery.forget(number);
--- a/lab/src/run/places.rs
+++ b/lab/src/run/places.rs
@@ -5,6 +5,7 @@
 use crate::datagrams::Mesh;
 use crate::gateway::Place;
 use crate::run_context::RunContext;
+use crate::scenario::Gateways;
 use std::io;
 use std::net::{IpAddr, SocketAddr, TcpListener, UdpSocket};
 use std::path::Path;
@@ -24,7 +25,8 @@
     let mut peers = Vec::new();
     for number in 0..count {
         // Held until all are chosen, so that none is chosen twice.
-        let (listen, ops) = (TcpListener::bind((own(number), 0))?, TcpListener::bind((own(number), 0))?);
+        let listen = TcpListener::bind((own(number), 0))?;
+        let ops = TcpListener::bind((own(number), 0))?;
         let datagrams = UdpSocket::bind((own(number), 0))?;
         peers.push(datagrams.local_addr()?);
         let second = resources.second.as_ref().filter(|_| scenario.gateways.second.contains(&number));
@@ -38,12 +40,11 @@
         });
         held.push((listen, ops, datagrams));
     }
-    let mesh = match scenario.gateways.peers {
-        true => {
-            let ips: Vec<IpAddr> = (0..count).map(|g| context.side(g, last_byte::PEERS)).collect();
-            Some(Mesh::open(&ips, peers, &context.links).await?)
-        }
-        false => None,
+    let mesh = if scenario.gateways.peers {
+        let ips: Vec<IpAddr> = (0..count).map(|gateway| context.side(gateway, last_byte::PEERS)).collect();
+        Some(Mesh::open(&ips, peers, &context.links).await?)
+    } else {
+        None
     };
     for (number, place) in places.iter_mut().enumerate() {
         place.env = environment(context, mesh.as_ref(), number)?;
@@ -51,7 +52,7 @@
     Ok(places)
 }
 
-/// A gateway's further environment, with its own names in place.
+/// A gateway's further environment, with the placeholders of the scenario's texts filled in.
 fn environment(
     context: &RunContext,
     mesh: Option<&Mesh>,
@@ -61,38 +62,8 @@
     let peers = context.folder.join(format!("g{number}.peers.toml"));
     let mut listen = String::new();
     if let Some(mesh) = mesh {
-        let others = mesh.seen[number].iter().enumerate().filter(|(other, _)| *other != number);
-        let lines: Vec<String> =
-            others.map(|(other, address)| format!("g{other} = \"{address}\"\n")).collect();
         listen = mesh.own[number].to_string();
-        let zone = &scenario.net.zones[number % scenario.zones()];
-        let seats: Vec<String> = (0..mesh.own.len()).map(|gateway| format!("\"g{gateway}\"")).collect();
-        let head = format!(
-            "fleet = \"lab\"\nlisten = \"{listen}\"\nzone = \"{zone}\"\nlend = {}\nseats = [{}]\n",
-            scenario.gateways.lend,
-            seats.join(", ")
-        );
-        let ledger = &scenario.gateways.ledger;
-        let mut ledger: String = ledger.iter().map(|(name, value)| format!("{name} = {value}\n")).collect();
-        if scenario.gateways.disks {
-            let disk = context.folder.join(format!("g{number}.disk"));
-            std::fs::create_dir_all(&disk)?;
-            ledger.push_str(&format!("dir = \"{}\"\n", std::path::absolute(&disk)?.display()));
-        }
-        let ledger = if ledger.is_empty() { ledger } else { format!("\n[ledger]\n{ledger}") };
-        let branch = &scenario.gateways.branch;
-        let lines_of: String = branch.iter().map(|(name, value)| format!("{name} = {value}\n")).collect();
-        let branch = match branch.is_empty() {
-            true => String::new(),
-            false => {
-                let branches = scenario.gateways.branches.max(1);
-                let of_branch = seats.iter().skip(number % branches).step_by(branches);
-                let of_branch: Vec<&str> = of_branch.map(String::as_str).collect();
-                format!("\n[branch]\nseats = [{}]\n{lines_of}", of_branch.join(", "))
-            }
-        };
-        let rollout = if scenario.gateways.rollout { "\n[rollout]\n" } else { "" };
-        std::fs::write(&peers, format!("{head}\n[peers]\n{}{ledger}{rollout}{branch}", lines.concat()))?;
+        std::fs::write(&peers, fleet_file(context, mesh, number)?)?;
     }
     let folder = |path: &Path| path.display().to_string();
     let fill = |text: &String| {
@@ -104,3 +75,50 @@
     };
     Ok(scenario.gateways.env.iter().map(|(name, text)| (name.clone(), fill(text))).collect())
 }
+
+/// The text of a gateway's fleet file.
+fn fleet_file(context: &RunContext, mesh: &Mesh, number: usize) -> io::Result<String> {
+    let scenario = &context.plan.scenario;
+    let listen = mesh.own[number];
+    let zone = &scenario.net.zones[number % scenario.zones()];
+    let seats: Vec<String> = (0..mesh.own.len()).map(|gateway| format!("\"g{gateway}\"")).collect();
+    let head = format!(
+        "fleet = \"lab\"\nlisten = \"{listen}\"\nzone = \"{zone}\"\nlend = {}\nseats = [{}]\n",
+        scenario.gateways.lend,
+        seats.join(", ")
+    );
+    let others = mesh.seen[number].iter().enumerate().filter(|(other, _)| *other != number);
+    let peers: Vec<String> = others.map(|(other, address)| format!("g{other} = \"{address}\"\n")).collect();
+    let ledger = ledger_section(context, number)?;
+    let rollout = if scenario.gateways.rollout { "\n[rollout]\n" } else { "" };
+    let branch = branch_section(&scenario.gateways, &seats, number);
+    Ok(format!("{head}\n[peers]\n{}{ledger}{rollout}{branch}", peers.concat()))
+}
+
+/// The ledger's section of a fleet file, empty where the scenario sets nothing. Makes the gateway's disk folder.
+fn ledger_section(context: &RunContext, number: usize) -> io::Result<String> {
+    let gateways = &context.plan.scenario.gateways;
+    let mut lines: String =
+        gateways.ledger.iter().map(|(name, value)| format!("{name} = {value}\n")).collect();
+    if gateways.disks {
+        let disk = context.folder.join(format!("g{number}.disk"));
+        std::fs::create_dir_all(&disk)?;
+        lines.push_str(&format!("dir = \"{}\"\n", std::path::absolute(&disk)?.display()));
+    }
+    if lines.is_empty() {
+        return Ok(lines);
+    }
+    Ok(format!("\n[ledger]\n{lines}"))
+}
+
+/// The section of a gateway's branch in a fleet file, empty where the scenario sets nothing.
+fn branch_section(gateways: &Gateways, seats: &[String], number: usize) -> String {
+    if gateways.branch.is_empty() {
+        return String::new();
+    }
+    let lines: String = gateways.branch.iter().map(|(name, value)| format!("{name} = {value}\n")).collect();
+    let branches = gateways.branches.max(1);
+    let members = seats.iter().skip(number % branches).step_by(branches);
+    let members: Vec<&str> = members.map(String::as_str).collect();
+    format!("\n[branch]\nseats = [{}]\n{lines}", members.join(", "))
+}
