--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -9,12 +9,6 @@
 //! - [`rollout`]: `docs/decisions/0007-rules-rollout.md`. `storage`: what outlives the process
 //! - `node`, and for each part a `*_node`: how the parts are joined in one node
 //! - `datagram`: the form of datagrams on the wire. `report`: the answer to `/fleet`
-#![warn(
-    clippy::cast_possible_wrap,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::wildcard_imports
-)]
 
 mod datagram;
 mod event;
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -8,12 +8,6 @@
 //! - `retry`: the retry budget, what may be sent again, when an attempt is given up.
 //! - `routing`: routing rules that operators roll out.
 //! - `handover_state`: the form in which one process hands the gateway to the next.
-#![warn(
-    clippy::cast_possible_wrap,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::wildcard_imports
-)]
 
 mod action;
 mod admission;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,12 @@
 #![doc = include_str!("../README.md")]
 #![deny(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(
+    missing_docs,
+    clippy::cast_possible_wrap,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    clippy::wildcard_imports
+)]
 
 pub mod cluster;
 pub mod decision;
--- a/src/proxy/admin/mod.rs
+++ b/src/proxy/admin/mod.rs
@@ -3,12 +3,6 @@
 //!
 //! [`server`] accepts and bounds the connections, [`call`] reads what is called for and answers it, [`rollout_calls`]
 //! answers calls for rollouts, [`metrics`] holds the counters and [`stats`] writes them as text.
-#![warn(
-    clippy::cast_possible_wrap,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::wildcard_imports
-)]
 
 pub mod call;
 pub mod known_names;
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -3,12 +3,6 @@
 //!
 //! [`ClusterTransport`] holds the node while this process takes part, and performs its effects; `participation` is its loop.
 //! `claims`, `rollouts`, `writes` and `stats` are what others ask of it.
-#![warn(
-    clippy::cast_possible_wrap,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::wildcard_imports
-)]
 
 pub(crate) mod abandoned_requests;
 mod claim_handle;
--- a/src/proxy/downstream/mod.rs
+++ b/src/proxy/downstream/mod.rs
@@ -2,12 +2,6 @@
 //!
 //! [`server`] accepts connections and [`connection`] serves one; [`request`] takes a request from its head
 //! ([`request_head`]) and body ([`request_body`]) through [`dispatch`] to its response ([`client_response`]).
-#![warn(
-    clippy::cast_possible_wrap,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::wildcard_imports
-)]
 
 pub(crate) mod accept;
 pub(crate) mod client_response;
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -1,11 +1,5 @@
 //! The one owner of the decision module: events in, actions out, timers. It translates and never chooses; its request
 //! table sees to it that every request gets exactly one final answer.
-#![warn(
-    clippy::cast_possible_wrap,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::wildcard_imports
-)]
 
 mod admin_commands;
 mod attempts;
--- a/src/proxy/upstream/mod.rs
+++ b/src/proxy/upstream/mod.rs
@@ -2,12 +2,6 @@
 //!
 //! [`pool`] holds the connections, [`attempt`] makes one attempt over one of them, [`attempt_result`] says how it ended, [`response`] reads
 //! the response, [`streamed_response`] passes a long one on, [`forwarded_request`] is what attempts send.
-#![warn(
-    clippy::cast_possible_wrap,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::wildcard_imports
-)]
 
 pub mod attempt;
 pub mod attempt_result;
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -2,12 +2,6 @@
 //!
 //! Input comes in batches of lines, each a word with named values; the reply to a batch is what the gateways did.
 //! `decode` and `encode` are the only places that know the words of the wire.
-#![warn(
-    clippy::cast_possible_wrap,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::wildcard_imports
-)]
 
 mod decode;
 mod encode;
--- a/src/site_settings/mod.rs
+++ b/src/site_settings/mod.rs
@@ -1,11 +1,5 @@
 //! The settings of a site by their dotted names. The simulator's adapter and the proxy both read them here: one finds
 //! them on a line, the other flattens its JSON to the same form.
-#![warn(
-    clippy::cast_possible_wrap,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::wildcard_imports
-)]
 
 mod fields;
 mod json;
