--- a/lab/tests/checker.rs
+++ b/lab/tests/checker.rs
@@ -7,6 +7,7 @@
 use quota_gateway_lab::scenario::Scenario;
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
+use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
 /// Two gateways and four backends, two of which are replaced: little load, so that a busy machine bears it.
@@ -51,8 +52,11 @@
         text = text.replace(from, to);
     }
     let scenario = Scenario::parse(PathBuf::from("small.toml"), &text, &[]).expect("a good scenario");
-    let folder =
-        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("checker-{fault}-{}", std::process::id()));
+    // Two tests may play the same fault at once: each run has a folder of its own.
+    static RUNS: AtomicUsize = AtomicUsize::new(0);
+    let run = RUNS.fetch_add(1, Ordering::Relaxed);
+    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("checker-{fault}-{}-{run}", std::process::id()));
     let resources =
         RunResources { binary: env!("CARGO_BIN_EXE_lab-faulty-gateway").into(), second: None, folder };
     let runtime = tokio::runtime::Builder::new_multi_thread()
