--- a/src/decision/action.rs
+++ b/src/decision/action.rs
@@ -1,89 +1,89 @@
-//! The outputs of the decision module.
+//! Actions, the output of the decision module.
 
 use super::ids::{CounterKey, EndpointId, RequestId, TimerId};
 use super::time::Micros;
 use strum::{IntoStaticStr, VariantArray};
 
-/// What the caller is to do for a gateway.
+/// An action that the caller must carry out for a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the next attempt of a request.
     SendAttempt {
-        /// The request.
+        /// Request to send.
         request: RequestId,
-        /// Where to.
+        /// Endpoint to send it to.
         endpoint: EndpointId,
-        /// The attempt ends unanswered at this time.
+        /// Time at which the attempt is given up if there is no response.
         give_up_at: Micros,
     },
-    /// Final answer: rejected.
+    /// Reject the request as its final answer. The client may safely retry it.
     Reject {
-        /// The request.
+        /// Request to reject.
         request: RequestId,
-        /// How long the client should wait before it retries, if it is to be informed.
+        /// Value of the Retry-After; `None`: none is sent.
         retry_after: Option<Micros>,
-        /// Why.
+        /// Reason of the rejection.
         reason: RejectionReason,
     },
-    /// Final answer: failed. A retry of the client's may run the request twice.
+    /// Fail the request as its final answer. A retry by the client could run it twice.
     Fail {
-        /// The request.
+        /// Request to fail.
         request: RequestId,
-        /// Why.
+        /// Reason of the failure.
         reason: RejectionReason,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt that is in flight.
     CancelAttempt {
-        /// The request.
+        /// Request of the attempt.
         request: RequestId,
-        /// Which of its attempts.
+        /// Index of the attempt among the request's attempts, prior attempts included.
         attempt: usize,
     },
-    /// Add to a counter and report its total.
+    /// Add to a shared counter and report its total.
     IncrementCounter {
-        /// The counter.
+        /// Counter to add to.
         key: CounterKey,
-        /// What to add, in units or attempts; negative to give back.
+        /// Quota units or attempts to add; negative for a refund.
         amount: f64,
-        /// The counter is forgotten after this time.
+        /// How long the counter service keeps the counter.
         lifetime: Micros,
     },
-    /// Send [`Event::TimerFired`](super::Event::TimerFired) after this time.
+    /// Report [`Event::TimerFired`](super::Event::TimerFired) once the delay has passed.
     SetTimer {
-        /// The timer.
+        /// Timer to report.
         timer: TimerId,
-        /// How long from now.
+        /// Delay from now.
         after: Micros,
     },
-    /// Watch the endpoint list.
+    /// Subscribe to changes of the endpoint list.
     Subscribe,
 }
 
-/// Why a request ends without an endpoint's response. For logs and metrics alone: clients do not see it.
+/// Why a request ends without a response from an endpoint. Used in logs and metrics; clients don't see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr, VariantArray)]
 pub enum RejectionReason {
-    /// Its class or plan is not among the settings'.
+    /// The settings don't define the request's class or plan.
     #[strum(serialize = "unknown")]
     UnknownClassOrPlan,
-    /// The last known total of the customer's counter leaves no room; the counter was not called.
+    /// By the last known total of the customer's counter, the quota is exhausted. The counter was not called.
     #[strum(serialize = "quota_full")]
     QuotaKnownExhausted,
-    /// The counter's total exceeds the quota, or, without an answer, the local token bucket is empty.
+    /// The counter's total exceeds the quota, or the counter gave no total and the local token bucket is empty.
     #[strum(serialize = "quota_spent")]
     QuotaExceeded,
-    /// The customer has as many attempts in flight as its plan allows.
+    /// The customer has as many attempts in flight as the plan allows.
     #[strum(serialize = "too_many_out")]
     ConcurrencyQuota,
-    /// Shed by chance, in proportion to late responses.
+    /// Shed at random, with a probability that grows with the rate of late responses.
     #[strum(serialize = "shed")]
     LoadShed,
-    /// No endpoint had capacity in time.
+    /// No endpoint had capacity within the time that a request may be queued.
     #[strum(serialize = "no_server")]
     NoEndpoint,
-    /// Its attempts ended without a response, and no further one is allowed.
+    /// The attempts ended without a response, and no further attempt is allowed.
     #[strum(serialize = "attempts_failed")]
     AttemptsExhausted,
-    /// Its deadline came.
+    /// The deadline passed.
     #[strum(serialize = "deadline")]
     DeadlineExceeded,
 }
--- a/src/decision/context.rs
+++ b/src/decision/context.rs
@@ -1,21 +1,21 @@
-//! What every rule may read.
+//! Read-only state that is common to all decision rules.
 
 use super::settings::Settings;
 use super::time::Micros;
 
-/// While a gateway's process is replaced, two processes form the gateway.
+/// Role of this process. While a gateway's process is replaced, two processes act as one gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum ProcessRole {
-    /// The only one.
+    /// The gateway's only process.
     #[default]
     Single,
-    /// The one that is replaced: it finishes the requests that it has.
+    /// The process that is being replaced: it only finishes the requests it already has.
     Predecessor,
-    /// The one that takes its place.
+    /// The process that takes over from the predecessor.
     Successor,
 }
 
-/// The settings, the present time, and which process of the gateway this is.
+/// Settings, current time, and role of this process.
 #[derive(Debug, Default)]
 pub(crate) struct Context {
     pub(crate) settings: Settings,
--- a/src/decision/endpoint.rs
+++ b/src/decision/endpoint.rs
@@ -1,19 +1,19 @@
-//! Endpoints as discovery and they themselves describe them.
+//! Descriptions of endpoints: entries of the endpoint list from discovery, and load reports of the endpoints.
 
 use super::ids::{CellId, EndpointId, LabelId, ZoneId};
 use super::time::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Whether an endpoint takes new work, by the endpoint list.
+/// Status of an endpoint in the endpoint list.
 ///
-/// A wire form: the names of the variants travel in the hand-over state.
+/// The names of the variants are part of the serialized hand-over state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointStatus {
-    /// It takes new work.
+    /// The endpoint takes new requests.
     InService,
-    /// It only finishes what it has.
+    /// The endpoint finishes its requests and takes no new ones.
     Draining,
-    /// It was removed.
+    /// The endpoint was removed from the list.
     #[serde(rename = "Gone")]
     Removed,
 }
@@ -21,49 +21,49 @@
 /// One entry of an endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointUpdate {
-    /// The endpoint.
+    /// Endpoint that the entry describes.
     pub endpoint: EndpointId,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: ZoneId,
-    /// Its cell.
+    /// Cell of the endpoint.
     pub cell: CellId,
-    /// Whether it takes new work.
+    /// Whether the endpoint takes new requests.
     pub status: EndpointStatus,
-    /// Its capacity relative to the others.
+    /// Capacity relative to other endpoints.
     pub weight: f64,
-    /// When it last started; `None`: long ago.
+    /// Time of the last start; `None`: so long ago that no slow start is needed.
     pub started_at: Option<Micros>,
-    /// Its release label.
+    /// Release label of the endpoint.
     pub label: LabelId,
 }
 
-/// What an endpoint list event holds.
+/// Scope of an endpoint list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchScope {
-    /// Only entries that changed.
+    /// The event holds only entries that changed.
     Incremental,
-    /// The complete list.
+    /// The event holds the complete list.
     Complete,
-    /// The poll or the watch failed; the earlier list stays.
+    /// The poll or the watch failed; the earlier list stays in force.
     Failed,
 }
 
-/// How many endpoints are listed, and how many of them are excluded.
+/// Number of listed endpoints, and how many of them are excluded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Listed, whatever their status.
+    /// Listed endpoints of any status.
     pub known: usize,
-    /// In maintenance, draining or ejected.
+    /// Listed endpoints that are in maintenance, draining or ejected.
     pub excluded: usize,
 }
 
-/// The load that an endpoint reported with a response, as far as it did.
+/// Load that an endpoint reported with a response. Figures that it did not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests being handled.
+    /// Number of requests being handled.
     pub in_flight: Option<f64>,
-    /// Requests waiting.
+    /// Number of requests queued at the endpoint.
     pub queued: Option<f64>,
-    /// Fraction of its cores in use.
+    /// Fraction of the endpoint's cores in use.
     pub busy_fraction: Option<f64>,
 }
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -1,4 +1,4 @@
-//! The inputs of the decision module.
+//! Events, the input of the decision module.
 
 use super::endpoint::{EndpointUpdate, LoadReport, WatchScope};
 use super::ids::{ClassId, CounterKey, CustomerId, EndpointId, PlanId, RequestId, TimerId};
@@ -7,157 +7,157 @@
 use super::time::Micros;
 use strum::{IntoStaticStr, VariantArray};
 
-/// What happened, as far as a gateway decides by it.
+/// An event that a gateway's decisions depend on.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list, or a part of it, has changed.
+    /// The endpoint list was received in full or in part, or could not be fetched.
     EndpointsChanged {
-        /// What `endpoints` holds.
+        /// Whether `endpoints` holds the complete list or only changes.
         scope: WatchScope,
-        /// The entries.
+        /// Entries of the list.
         endpoints: Vec<EndpointUpdate>,
     },
-    /// A request came in.
+    /// A request arrived.
     RequestArrived(Arrival),
     /// A timer came due.
     TimerFired {
-        /// The timer.
+        /// Timer that came due.
         timer: TimerId,
     },
-    /// A streamed response has started; the request is the client's now.
+    /// A streamed response has started. From here on the request is not retried, rejected or ended at its deadline.
     StreamStarted {
-        /// The request.
+        /// Request whose response has started.
         request: RequestId,
     },
-    /// The first bytes of a long response have come. The rest comes as fast as the client takes it.
+    /// The first bytes of a long response have arrived. The client determines how fast the rest is read.
     ResponseStarted {
-        /// The request.
+        /// Request whose response has started.
         request: RequestId,
-        /// Which of its attempts.
+        /// Index of the attempt among the request's attempts, prior attempts included.
         attempt: usize,
-        /// How long after it was sent.
+        /// Time since the attempt was sent.
         elapsed: Micros,
     },
-    /// The last byte of a streamed request body has come.
+    /// The last byte of a streamed request body has arrived.
     RequestBodyEnded {
-        /// The request.
+        /// Request whose body has ended.
         request: RequestId,
-        /// Its deadline, which is known now.
+        /// Final deadline; until now only an upper bound was known.
         deadline: Micros,
     },
-    /// The client has gone.
+    /// The client closed the connection or gave up.
     ClientDisconnected {
-        /// The request.
+        /// Request of the client.
         request: RequestId,
     },
     /// A call to the counter service ended.
     CounterReplied {
-        /// The counter.
+        /// Counter that was called.
         key: CounterKey,
-        /// How the call ended.
+        /// Outcome of the call.
         outcome: Outcome,
-        /// The counter's total, where the call succeeded.
+        /// Total of the counter; valid only if the call succeeded.
         total: f64,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// An operator takes an endpoint out of service, whatever the list says of it, or puts it back.
+    /// An operator took an endpoint out of service, or put it back. This overrides the endpoint list.
     MaintenanceChanged {
-        /// The endpoint.
+        /// Endpoint that the operator chose.
         endpoint: EndpointId,
-        /// Out of service, or back.
+        /// Whether the endpoint is now out of service.
         in_maintenance: bool,
     },
     /// The other process of this gateway has ended.
     PeerProcessExited,
-    /// The gateways agree on other quota leases.
+    /// The gateways agreed on different quota leases.
     QuotaLeaseChanged(QuotaLease),
-    /// Other routing rules are in force.
+    /// Different routing rules came into force.
     RoutingChanged(RoutingRules),
 }
 
-/// A request that came in.
+/// A request that arrived.
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
-    /// Its identifier.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its customer's plan.
+    /// Plan of the customer.
     pub plan: PlanId,
-    /// Its customer.
+    /// Customer that sent the request.
     pub customer: CustomerId,
-    /// Through how many gateways this customer's requests come.
+    /// Number of gateways that receive this customer's requests.
     pub spread: u32,
-    /// The first of them; the others follow it in number, and after the last comes number 0.
+    /// Number of the first of these gateways. The others have the numbers that follow, wrapping around to 0.
     pub first_gateway: u32,
-    /// The client gives up then.
+    /// Time at which the client gives up.
     pub deadline: Micros,
-    /// Its cost in quota units.
+    /// Cost in quota units.
     pub units: f64,
-    /// The client retries a request that was rejected, failed or abandoned, and says so.
+    /// Whether the client marked this as a retry of a request that was rejected, failed or abandoned.
     pub is_retry: bool,
-    /// Its body is still coming and is not buffered: it can be sent once. Until the body has ended the deadline
-    /// is an upper bound.
+    /// Whether the request body is still arriving and is not buffered. Such a request can be sent only once, and
+    /// its deadline is an upper bound until the body has ended.
     pub streaming_body: bool,
-    /// Attempts of gateways that had the request before and are gone; they may have run.
+    /// Attempts by gateways that handled the request before and have failed. These attempts may have run.
     pub prior_attempts: Vec<PriorAttempt>,
-    /// One of those gateways had its units counted.
+    /// Whether one of those gateways has already counted the request's units.
     pub already_counted: bool,
 }
 
-/// An attempt of another gateway's that may have run.
+/// An attempt that another gateway sent and that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PriorAttempt {
-    /// The endpoint.
+    /// Endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// When it was sent, or somewhat before.
+    /// Time of the send, or somewhat earlier.
     pub sent_at: Micros,
 }
 
 /// An attempt that ended.
 #[derive(Clone, Debug)]
 pub struct AttemptEnded {
-    /// The request.
+    /// Request of the attempt.
     pub request: RequestId,
-    /// Which of its attempts.
+    /// Index of the attempt among the request's attempts, prior attempts included.
     pub attempt: usize,
-    /// The endpoint.
+    /// Endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// How long it was in flight.
+    /// Time that the attempt was in flight.
     pub elapsed: Micros,
-    /// The request has had its final answer.
+    /// Whether the request has its final answer.
     pub request_finished: bool,
-    /// The true cost in quota units, where it is settled afterwards.
+    /// Actual cost in quota units, if it was determined after the request ran.
     pub settled_units: Option<f64>,
-    /// The load that the endpoint reported.
+    /// Load that the endpoint reported.
     pub load: LoadReport,
 }
 
-/// How an attempt or a call to the counter ended.
+/// Outcome of an attempt or of a call to the counter service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr, VariantArray)]
 pub enum Outcome {
-    /// Served.
+    /// Answered successfully.
     #[strum(serialize = "ok")]
     Success,
-    /// Answered with an error; it may have run.
+    /// Answered with an error; the request may have run.
     #[strum(serialize = "error")]
     ServerError,
-    /// Rejected before it ran.
+    /// Rejected before it could run.
     #[strum(serialize = "full")]
     Rejected,
-    /// No response in time; it may have run.
+    /// No response in time; the request may have run.
     #[strum(serialize = "timeout")]
     Timeout,
-    /// No connection was made.
+    /// The connection could not be opened.
     #[strum(serialize = "connect_failed")]
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     #[strum(serialize = "reset")]
     ConnectionReset,
-    /// Cancelled; it may have run.
+    /// Cancelled by the gateway; the request may have run.
     #[strum(serialize = "cancelled")]
     Cancelled,
     /// Never sent.
@@ -166,7 +166,7 @@
 }
 
 impl Outcome {
-    /// The outcome proves that the attempt never ran.
+    /// Whether the outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
--- a/src/decision/gateway.rs
+++ b/src/decision/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway's decisions: events come in, and each is dispatched to the part that it concerns.
+//! The decisions of one gateway: dispatches each event to the rules that apply and collects their actions.
 
 mod arrival;
 mod attempts;
@@ -26,13 +26,14 @@
 use std::collections::BTreeMap;
 use timers::{Timer, Timers};
 
-/// One gateway. It shares nothing with others but what the counter service tells.
+/// Decision state of one gateway. It learns of other gateways only through its events, such as totals of the
+/// counter service and quota leases.
 pub struct Gateway {
     context: Context,
     rng: fastrand::Rng,
-    /// When this process began to admit requests by itself.
+    /// Time at which this process began to admit requests.
     admitting_since: Option<Micros>,
-    /// What is to be done, until the caller takes it.
+    /// Actions that have not been returned to the caller yet.
     actions: Vec<Action>,
     timers: Timers,
     requests: BTreeMap<RequestId, Request>,
@@ -47,10 +48,10 @@
 }
 
 impl Gateway {
-    /// A gateway as it starts, knowing nothing but its settings. The same seed leads to the same decisions.
+    /// Creates a gateway with nothing but its settings. The same seed and events lead to the same decisions.
     ///
     /// # Errors
-    /// Settings that make no sense; see [`Settings::check`].
+    /// The settings are invalid; see [`Settings::check`].
     pub fn new(seed: u64, settings: Settings) -> Result<Gateway, SettingsError> {
         settings.check()?;
         let mut gateway = Gateway {
@@ -69,13 +70,14 @@
             retry_budget: RetryBudget::default(),
             routing: RoutingRules::default(),
         };
-        // Goes out with the first event, whichever that is.
-        gateway.set_timer(Timer::ForgetIdleCustomers, CUSTOMER_IDLE_TIMEOUT);
+        // These actions are returned with the first event, whichever it is.
+        gateway.set_timer(Timer::EvictIdleCustomers, CUSTOMER_IDLE_TIMEOUT);
         gateway.subscribe_if_required();
         Ok(gateway)
     }
 
-    /// Takes one event and appends what is to be done. Time never goes back.
+    /// Handles one event and appends the resulting actions. If `now` is earlier than at the previous event, the
+    /// previous time is used.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.context.now = self.context.now.max(now);
         self.admitting_since = self.admitting_since.or(Some(self.context.now));
@@ -101,12 +103,12 @@
         actions.append(&mut self.actions);
     }
 
-    /// How many endpoints are listed, and how many of them are excluded.
+    /// Number of listed endpoints, and how many of them are excluded.
     pub fn endpoint_counts(&self, now: Micros) -> EndpointCounts {
         self.balancer.counts(now)
     }
 
-    /// Whether an operator took this endpoint out of service.
+    /// Whether an operator has taken this endpoint out of service.
     pub fn is_in_maintenance(&self, endpoint: EndpointId) -> bool {
         self.balancer.endpoints.get(&endpoint).is_some_and(|endpoint| endpoint.in_maintenance)
     }
@@ -124,10 +126,10 @@
                 self.serve_queue();
             }
             Some(Timer::Resubscribe) => self.subscribe_if_required(),
-            Some(Timer::ForgetIdleCustomers) => {
+            Some(Timer::EvictIdleCustomers) => {
                 let now = self.context.now;
                 self.customers.retain(|_, customer| !customer.is_idle(now));
-                self.set_timer(Timer::ForgetIdleCustomers, CUSTOMER_IDLE_TIMEOUT);
+                self.set_timer(Timer::EvictIdleCustomers, CUSTOMER_IDLE_TIMEOUT);
             }
             None => {}
         }
@@ -139,10 +141,11 @@
         }
     }
 
-    /// Every request has its answer by its deadline.
+    /// Rejects a request that has no answer by its deadline.
     fn on_deadline(&mut self, id: RequestId) {
-        let is_open = self.requests.get(&id).is_some_and(|request| !request.finished && !request.streaming);
-        if is_open {
+        let is_unanswered =
+            self.requests.get(&id).is_some_and(|request| !request.finished && !request.streaming);
+        if is_unanswered {
             self.reject(id, RejectionReason::DeadlineExceeded);
         }
     }
--- a/src/decision/gateway/arrival.rs
+++ b/src/decision/gateway/arrival.rs
@@ -1,4 +1,4 @@
-//! A request comes in: it is noted, shed, or goes on to its customer's quota.
+//! Arrival of a request: registers it, then sheds it or passes it to the quota checks.
 
 use super::timers::Timer;
 use super::Gateway;
@@ -23,16 +23,16 @@
         self.retry_budget.request_arrived();
         self.set_deadline_timer(id, arrival.deadline);
         self.insert_request(arrival);
-        if may_be_shed && self.draws_shedding(id) {
+        if may_be_shed && self.draw_load_shedding(id) {
             self.reject(id, RejectionReason::LoadShed);
         } else if needs_quota {
-            self.ask_quota(id);
+            self.check_quota(id);
         } else {
-            self.ask_concurrency(id);
+            self.check_concurrency(id);
         }
     }
 
-    /// Fires before the deadline by two ticks: a timer may come one late, and the answer takes one.
+    /// Sets the timer to two ticks before the deadline: it may fire one tick late, and the answer takes another.
     pub(super) fn set_deadline_timer(&mut self, id: RequestId, deadline: Micros) {
         let tick = self.context.settings.tick;
         self.set_timer(Timer::Deadline(id), deadline - self.context.now - tick - tick);
@@ -45,7 +45,7 @@
         arrival.is_retry = customer.is_retry(&arrival, now);
         let request = Request {
             attempts: arrival.prior_attempts.iter().map(Attempt::from).collect(),
-            route: routing::rule_of(&self.routing, &arrival),
+            route: routing::select_rule(&self.routing, &arrival),
             arrived_at: now,
             arrival,
             ..Request::default()
@@ -54,7 +54,7 @@
         self.begin_periods(customer_id);
     }
 
-    /// Brings a customer's counters to the present quota window and epoch.
+    /// Advances a customer's counters to the current quota window and epoch.
     pub(super) fn begin_periods(&mut self, id: CustomerId) {
         if let Some(customer) = self.customers.get_mut(&id) {
             let plan = &self.context.settings.plans[customer.plan.0];
@@ -62,15 +62,16 @@
         }
     }
 
-    /// Whether a request is shed, by chance. Only where concurrency limits bound little.
-    fn draws_shedding(&mut self, id: RequestId) -> bool {
+    /// Decides at random whether to shed a request. Requests are shed only where so many gateways share the
+    /// endpoints that concurrency limits have little effect.
+    fn draw_load_shedding(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let weight = request.priority_weight(&self.context.settings);
         self.shedding.request_arrived(weight);
         self.balancer.is_sparse(&self.context) && self.rng.f64() > self.shedding.pass_probability(weight)
     }
 
-    /// The request is within its quotas: it is sent, or queued until an endpoint has capacity.
+    /// Admits a request that is within its quotas: sends it, or queues it until an endpoint has capacity.
     pub(super) fn admit(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.plan(&self.context.settings).concurrency_quota > 0.0 {
--- a/src/decision/gateway/counter.rs
+++ b/src/decision/gateway/counter.rs
@@ -1,4 +1,4 @@
-//! Quotas by the shared counters: calls to the counter service, their replies, and decisions without one.
+//! Quota checks by the shared counters: calls to the counter service, their replies, and decisions without a total.
 
 use super::Gateway;
 use crate::decision::action::{Action, RejectionReason};
@@ -7,21 +7,21 @@
 use crate::decision::event::Outcome;
 use crate::decision::ids::{CounterKey, CustomerId, RequestId};
 
-/// What is owed to a counter is paid by a call of its own if it is more than this, in units.
-const LEAST_OWED_UNITS: f64 = 0.5;
-/// Units are given back by a call of their own if the quota then admits at least this many.
-const LEAST_USABLE_UNITS: f64 = 1.0;
+/// Unreported spending above this, in units, is reported by a separate call; otherwise with the next request's.
+const MAX_UNREPORTED_UNITS: f64 = 0.5;
+/// Units are refunded by a separate call if the quota then admits at least this many.
+const MIN_USABLE_UNITS: f64 = 1.0;
 
 impl Gateway {
-    /// The ordinary path: the request's units are counted in its customer's window before it is sent.
-    pub(super) fn ask_quota(&mut self, id: RequestId) {
+    /// Checks the rate quota of a request: counts its units in the customer's quota window before it is sent.
+    pub(super) fn check_quota(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let (customer_id, units) = (request.arrival.customer, request.arrival.units);
         let is_retry = request.arrival.is_retry;
-        let known = self.customers[&customer_id].window.known_total();
-        let is_exhausted = self.quota_left(customer_id, known) < units;
-        if is_exhausted && !self.counter.breaker.is_open() && known > 0.0 {
-            // A call could only confirm it.
+        let known_total = self.customers[&customer_id].window.known_total();
+        let is_exhausted = self.quota_left(customer_id, known_total) < units;
+        if is_exhausted && !self.counter.breaker.is_open() && known_total > 0.0 {
+            // A call to the counter could only confirm that the quota is exhausted.
             return self.reject(id, RejectionReason::QuotaKnownExhausted);
         }
         if self.counter.draws_call(&mut self.rng, is_retry) && self.try_start_call(customer_id) {
@@ -31,13 +31,14 @@
         }
     }
 
-    /// Counts the request among its customer's attempts in flight, where the plan has a quota of them.
-    pub(super) fn ask_concurrency(&mut self, id: RequestId) {
+    /// Checks the concurrency quota of a request, if the plan has one: counts it among the customer's attempts in
+    /// flight.
+    pub(super) fn check_concurrency(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let customer_id = request.arrival.customer;
         if request.plan(&self.context.settings).concurrency_quota <= 0.0 {
             self.admit(id);
-            // The concurrency quota calls as seldom as retries do while calls fail.
+            // While calls fail, concurrency checks call the counter as rarely as retries do.
         } else if self.counter.draws_call(&mut self.rng, true) && self.try_start_call(customer_id) {
             self.call_counter(CounterPurpose::Concurrency, customer_id, Some(id), 1.0);
         } else {
@@ -50,14 +51,14 @@
         self.counter.try_start_call(self.context.settings.counter_enabled, self.context.now, customer)
     }
 
-    /// What a customer's quota still admits by a total of its counter, in units.
+    /// Units that a customer's quota still admits, given a total of the counter.
     fn quota_left(&self, id: CustomerId, total: f64) -> f64 {
         let Some(customer) = self.customers.get(&id) else { return -total };
         let plan = &self.context.settings.plans[customer.plan.0];
         customer.quota_left(id, plan, self.context.now, total)
     }
 
-    /// Adds an amount, and all that is owed, to a customer's counter.
+    /// Calls the counter service to add an amount, plus all unreported spending, to a customer's counter.
     fn call_counter(
         &mut self,
         purpose: CounterPurpose,
@@ -98,13 +99,13 @@
             return;
         }
         let total = match outcome {
-            Outcome::Success => Some(self.note_total(&call, total)),
+            Outcome::Success => Some(self.record_total(&call, total)),
             _ => {
-                self.note_failed_call(&call, outcome);
+                self.record_failed_call(&call, outcome);
                 None
             }
         };
-        self.note_counted_request(&call, outcome);
+        self.record_counted_request(&call, outcome);
         if let Some(id) = call.request {
             match call.purpose {
                 CounterPurpose::QuotaWindow => self.decide_quota(id, total),
@@ -112,15 +113,15 @@
             }
         }
         if total.is_some() && call.purpose == CounterPurpose::QuotaWindow {
-            self.pay_owed_units(call.customer);
+            self.report_owed_units(call.customer);
         }
         if let Some(id) = call.request {
-            self.release_if_over(id);
+            self.release_if_finished(id);
         }
     }
 
-    /// Notes a counter's total; returns it with own spending that it does not hold yet.
-    fn note_total(&mut self, call: &CounterCall, total: f64) -> f64 {
+    /// Records a counter's total, and returns it plus this gateway's spending that it doesn't include yet.
+    fn record_total(&mut self, call: &CounterCall, total: f64) -> f64 {
         let settings = &self.context.settings;
         let Some(customer) = self.customers.get_mut(&call.customer) else { return total };
         let burst = settings.plans[customer.plan.0].burst;
@@ -128,30 +129,30 @@
             CounterPurpose::QuotaWindow => &mut customer.window,
             CounterPurpose::Concurrency => &mut customer.epoch,
         };
-        let mut with_own = total;
+        let mut total_with_own = total;
         if count.period == call.period {
             count.in_transit -= call.owed_amount;
             count.own_counted += call.amount;
-            // Guards against a counter that lost its memory, which a total below own additions proves: own
-            // spending goes back on and is reckoned with here until it has.
-            let lost = count.lost_by(total).filter(|_| call.purpose == CounterPurpose::QuotaWindow);
-            if let Some(lost) = lost {
-                count.owe_again(lost, total);
-                // Others may spend it again: under a ceiling that is paid for.
-                customer.ceiling_bucket.level -= lost;
+            // A total below this gateway's own additions proves that the counter lost its state. The lost
+            // spending is reported again with a later call, and is added to the total here until then.
+            let lost_units = count.lost_by(total).filter(|_| call.purpose == CounterPurpose::QuotaWindow);
+            if let Some(lost_units) = lost_units {
+                count.owe_again(lost_units, total);
+                // Other gateways may admit the lost units once more, so they are charged to the hard limit.
+                customer.ceiling_bucket.level -= lost_units;
             }
             count.last_total = total;
-            with_own = total + count.not_yet_counted();
+            total_with_own = total + count.not_yet_counted();
         }
-        let is_fine_grained = customer.spread * settings.max_request_units <= burst;
-        if is_fine_grained {
+        let share_fits_largest_request = customer.spread * settings.max_request_units <= burst;
+        if share_fits_largest_request {
             customer.local_bucket = None;
         }
         self.counter.call_succeeded(customer, call.is_probe);
-        with_own
+        total_with_own
     }
 
-    fn note_failed_call(&mut self, call: &CounterCall, outcome: Outcome) {
+    fn record_failed_call(&mut self, call: &CounterCall, outcome: Outcome) {
         let Some(customer) = self.customers.get_mut(&call.customer) else { return };
         let count = match call.purpose {
             CounterPurpose::QuotaWindow => &mut customer.window,
@@ -169,8 +170,9 @@
         self.counter.call_failed(call.customer, customer, self.context.now, call.is_probe);
     }
 
-    /// Notes whether a counter holds the request's units. An answer without a number holds them as well.
-    fn note_counted_request(&mut self, call: &CounterCall, outcome: Outcome) {
+    /// Records that the counter includes the request's units. It does so also after an error response, which has no
+    /// total.
+    fn record_counted_request(&mut self, call: &CounterCall, outcome: Outcome) {
         if !matches!(outcome, Outcome::Success | Outcome::ServerError) {
             return;
         }
@@ -180,15 +182,15 @@
         }
     }
 
-    fn pay_owed_units(&mut self, customer_id: CustomerId) {
+    fn report_owed_units(&mut self, customer_id: CustomerId) {
         let owed = self.customers.get(&customer_id).map_or(0.0, |customer| customer.window.owed);
-        if owed > LEAST_OWED_UNITS {
+        if owed > MAX_UNREPORTED_UNITS {
             self.call_counter(CounterPurpose::QuotaWindow, customer_id, None, 0.0);
         }
     }
 
-    /// Gives back the units of a request that was counted in this window and never sent.
-    pub(super) fn give_back_units(&mut self, customer_id: CustomerId, window: u64, units: f64) {
+    /// Refunds the units of a request that was counted in this window and never sent.
+    pub(super) fn refund_units(&mut self, customer_id: CustomerId, window: u64, units: f64) {
         self.begin_periods(customer_id);
         let now = self.context.now;
         let Some(customer) = self.customers.get_mut(&customer_id) else { return };
@@ -198,27 +200,28 @@
         let plan = &self.context.settings.plans[customer.plan.0];
         let total = customer.window.last_total - units;
         let usable = customer.quota_left_elsewhere(customer_id, plan, now, total);
-        if !self.counter.breaker.is_open() && usable >= LEAST_USABLE_UNITS {
+        if !self.counter.breaker.is_open() && usable >= MIN_USABLE_UNITS {
             customer.window.last_total = total;
             self.call_counter(CounterPurpose::QuotaWindow, customer_id, None, -units);
         } else {
-            // Nobody could use as little: it goes back with the next call.
+            // No gateway could use so few units now, or the breaker is open: they are refunded with the next call.
             customer.window.owed -= units;
         }
     }
 
-    /// Decides by the counter's total whether a request is within the quota, or without one by the local bucket.
+    /// Decides whether a request is within the quota: by the counter's total, or by the local bucket if there is no
+    /// total.
     fn decide_quota(&mut self, id: RequestId, total: Option<f64>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.finished) else { return };
         let (customer_id, is_retry) = (request.arrival.customer, request.arrival.is_retry);
         let is_within = match total {
             Some(total) => self.is_within_counted_quota(id, total),
-            // A retry was rejected a moment ago, here or elsewhere: it must be counted.
-            None if is_retry && !self.counter_is_silent(customer_id) => false,
+            // A retry was rejected a moment ago, here or at another gateway, so only a total may admit it.
+            None if is_retry && !self.counter_is_unavailable(customer_id) => false,
             None => self.is_within_local_quota(id),
         };
         if is_within {
-            self.ask_concurrency(id);
+            self.check_concurrency(id);
         } else {
             self.reject(id, RejectionReason::QuotaExceeded);
         }
@@ -231,7 +234,8 @@
             return false;
         }
         let plan = request.plan(&self.context.settings);
-        // Within the plain window only what a counter forgot is paid off under a ceiling.
+        // Within the plain window a request is not charged to the hard limit, but it is rejected while that
+        // bucket is still negative because a counter lost its state.
         let is_in_plain_window = total <= QuotaWindow::of(plan).units;
         let units = if is_in_plain_window { 0.0 } else { request.arrival.units };
         let Some(customer) = self.customers.get_mut(&customer_id) else { return true };
@@ -253,18 +257,18 @@
         is_within
     }
 
-    fn counter_is_silent(&self, customer_id: CustomerId) -> bool {
+    fn counter_is_unavailable(&self, customer_id: CustomerId) -> bool {
         let customer = self.customers.get(&customer_id);
         self.counter.is_silent(self.context.settings.counter_enabled, customer)
     }
 
-    /// Decides by the counter's total whether one more attempt is within the plan, or without one by this gateway's
-    /// share.
+    /// Decides whether one more attempt is within the concurrency quota: by the counter's total, or by this gateway's
+    /// share if there is no total.
     fn decide_concurrency(&mut self, id: RequestId, total: Option<f64>) {
         let Some(request) = self.requests.get(&id) else { return };
         let (customer_id, is_finished) = (request.arrival.customer, request.finished);
         let Some(customer) = self.customers.get(&customer_id) else { return };
-        let must_be_counted = request.arrival.is_retry && !self.counter_is_silent(customer_id);
+        let must_be_counted = request.arrival.is_retry && !self.counter_is_unavailable(customer_id);
         let plan = request.plan(&self.context.settings);
         let is_within = customer.is_within_concurrency(plan, total) && !(total.is_none() && must_be_counted);
         if is_within && !is_finished {
@@ -275,7 +279,7 @@
         self.correct_concurrency(customer_id);
     }
 
-    /// Corrects the counter of attempts in flight where it holds more than are.
+    /// Corrects the counter of attempts in flight if it exceeds their actual number.
     pub(super) fn correct_concurrency(&mut self, customer_id: CustomerId) {
         self.begin_periods(customer_id);
         let is_open = self.counter.breaker.is_open();
--- a/src/decision/gateway/finish.rs
+++ b/src/decision/gateway/finish.rs
@@ -1,4 +1,4 @@
-//! A request ends: its final answer, and what is given back once nothing of it is in flight.
+//! End of a request: its final answer, and the release of its resources once no attempt is in flight.
 
 use super::Gateway;
 use crate::decision::action::{Action, RejectionReason};
@@ -10,7 +10,7 @@
 use crate::decision::time::Micros;
 
 impl Gateway {
-    /// Ends a request without a response: rejected where its client may retry, else failed.
+    /// Ends a request that got no response: rejects it if its client may safely retry, otherwise fails it.
     pub(super) fn reject(&mut self, id: RequestId, reason: RejectionReason) {
         let Some(request) = self.requests.get(&id) else { return };
         let answer = if retry::may_reject(&self.context, request) {
@@ -26,7 +26,7 @@
         self.finish(id, Some(answer));
     }
 
-    /// The end of the customer's quota window, where clients receive a Retry-After.
+    /// Time until the end of the customer's quota window, if clients are sent a Retry-After.
     fn retry_after(&self, request: &Request) -> Option<Micros> {
         let settings = &self.context.settings;
         let plan = request.plan(settings);
@@ -38,7 +38,7 @@
         Some(period.remaining.min(settings.max_retry_after))
     }
 
-    /// The request has its final answer, or needs none; attempts in flight are cancelled.
+    /// Marks a request as finished, with its final answer if it needs one, and cancels its attempts in flight.
     pub(super) fn finish(&mut self, id: RequestId, answer: Option<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if !request.finished {
@@ -51,22 +51,22 @@
                 self.actions.extend(in_flight.map(cancel));
             }
         }
-        self.release_if_over(id);
+        self.release_if_finished(id);
     }
 
-    /// Forgets a finished request once no attempt is in flight, and gives back what it held.
-    pub(super) fn release_if_over(&mut self, id: RequestId) {
-        let is_over = |request: &&mut Request| request.finished && !request.is_in_flight();
-        let Some(request) = self.requests.get_mut(&id).filter(is_over) else { return };
+    /// Removes a finished request once no attempt is in flight, and releases its units and its concurrency.
+    pub(super) fn release_if_finished(&mut self, id: RequestId) {
+        let is_complete = |request: &&mut Request| request.finished && !request.is_in_flight();
+        let Some(request) = self.requests.get_mut(&id).filter(is_complete) else { return };
         let (customer_id, units) = (request.arrival.customer, request.arrival.units);
         let held_concurrency = std::mem::take(&mut request.holds_concurrency);
         let counted_in_window = request.counted_in_window.take();
-        // A call to the counter that is in flight needs to know whether the request was sent.
+        // The reply to a counter call in flight still needs to know whether the request was sent.
         if request.pending_counter_calls == 0 {
             self.requests.remove(&id);
         }
         if let Some(window) = counted_in_window {
-            self.give_back_units(customer_id, window, units);
+            self.refund_units(customer_id, window, units);
         }
         if held_concurrency {
             if let Some(customer) = self.customers.get_mut(&customer_id) {
--- a/src/decision/gateway/handover.rs
+++ b/src/decision/gateway/handover.rs
@@ -10,8 +10,8 @@
 use crate::decision::load_balancing::{EndpointAverages, EndpointState, MAX_EJECTION_DOUBLINGS};
 
 impl Gateway {
-    /// The other process of this gateway has ended. A predecessor that is the only process again after all starts
-    /// with empty buckets, as after a restart: its share had gone to the successor.
+    /// Handles the end of this gateway's other process. A predecessor whose successor has ended is the only process
+    /// again and starts with empty buckets, as after a restart, because its share had gone to the successor.
     pub(super) fn on_peer_process_exited(&mut self) {
         let role = std::mem::take(&mut self.context.role);
         if role != ProcessRole::Predecessor {
@@ -26,11 +26,12 @@
         }
     }
 
-    /// What another process needs to go on as this gateway. What is owed to the counter is that process's to pay;
-    /// this one only finishes its requests.
+    /// Returns the state that another process needs to continue as this gateway. Spending that the counters don't
+    /// include yet is reported by that process; this one only finishes its requests.
     pub fn hand_over(&mut self) -> HandoverState {
         self.context.role = ProcessRole::Predecessor;
-        let customers = self.customers.iter_mut().map(|(&id, customer)| (id, hand_over_customer(customer)));
+        let customers =
+            self.customers.iter_mut().map(|(&id, customer)| (id, split_off_customer_state(customer)));
         let customers = customers.map(|(id, customer)| (id, customer.into())).collect();
         let endpoints = self.balancer.endpoints.iter();
         HandoverState {
@@ -46,16 +47,16 @@
         }
     }
 
-    /// Goes on where another process of this gateway was.
+    /// Continues from the state of another process of this gateway.
     pub fn take_over(&mut self, state: HandoverState) {
-        let endpoints = state.endpoints.into_iter().map(|(id, form)| {
-            let theirs = EndpointState::from(form);
-            let ejection_doublings = theirs.ejection_doublings.min(MAX_EJECTION_DOUBLINGS);
-            (id, EndpointState { ejection_doublings, ..theirs })
+        let endpoints = state.endpoints.into_iter().map(|(id, record)| {
+            let received = EndpointState::from(record);
+            let ejection_doublings = received.ejection_doublings.min(MAX_EJECTION_DOUBLINGS);
+            (id, EndpointState { ejection_doublings, ..received })
         });
         self.balancer.take_over(endpoints.collect());
         let plans = self.context.settings.plans.len();
-        let customers = state.customers.into_iter().map(|(id, form)| (id, Customer::from(form)));
+        let customers = state.customers.into_iter().map(|(id, record)| (id, Customer::from(record)));
         self.customers.extend(customers.filter(|(_, customer)| customer.plan.0 < plans));
         self.counter.breaker = state.breaker.into();
         self.counter.call_fraction = CallFraction(state.call_fraction.clamp(LEAST_CALL_FRACTION, 1.0));
@@ -71,10 +72,10 @@
     }
 }
 
-/// A customer as the successor gets it. What calls to the counter in flight carry, this process pays; attempts in
-/// flight stay here.
-fn hand_over_customer(customer: &mut Customer) -> Customer {
-    let theirs = Customer {
+/// State of a customer for the successor. This process keeps its attempts in flight and the spending that counter
+/// calls in flight report; the other unreported spending moves to the successor.
+fn split_off_customer_state(customer: &mut Customer) -> Customer {
+    let successor_customer = Customer {
         window: SharedCount {
             last_total: customer.window.last_total + customer.window.in_transit,
             own_counted: 0.0,
@@ -87,5 +88,5 @@
     };
     customer.window.last_total += customer.window.owed;
     customer.window.owed = 0.0;
-    theirs
+    successor_customer
 }
--- a/src/decision/gateway/queue.rs
+++ b/src/decision/gateway/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for an endpoint with capacity.
+//! Queueing of requests until an endpoint has capacity.
 
 use super::timers::Timer;
 use super::Gateway;
@@ -8,33 +8,33 @@
 use crate::decision::time::Micros;
 use std::cmp::Reverse;
 
-/// The longest wait, as a fraction of the latency objective.
-const LONGEST_WAIT_FRACTION: f64 = 0.3;
-/// How often queued requests are tried again.
+/// Maximum time in the queue, as a fraction of the latency objective.
+const MAX_QUEUE_TIME_FRACTION: f64 = 0.3;
+/// Interval at which queued requests are tried again.
 const SERVE_INTERVAL: Micros = Micros(10_000);
-/// Priority weights are compared to this part of one.
+/// Priority weights are compared in steps of one divided by this.
 const WEIGHT_RESOLUTION: f64 = 1e6;
 
 impl Gateway {
-    /// Queues a request, unless it is queued.
+    /// Queues a request unless it is already queued.
     pub(super) fn enqueue(&mut self, id: RequestId) {
-        let is_unqueued = |request: &&mut Request| request.queued_since.is_none();
-        if let Some(request) = self.requests.get_mut(&id).filter(is_unqueued) {
+        let is_not_queued = |request: &&mut Request| request.queued_since.is_none();
+        if let Some(request) = self.requests.get_mut(&id).filter(is_not_queued) {
             request.queued_since = Some(self.context.now);
             self.queue.waiting.push(id);
         }
-        self.watch_queue();
+        self.ensure_queue_timer();
     }
 
-    fn watch_queue(&mut self) {
+    fn ensure_queue_timer(&mut self) {
         if !self.queue.is_empty() && !self.queue.is_timer_set {
             self.queue.is_timer_set = true;
             self.set_timer(Timer::ServeQueue, SERVE_INTERVAL);
         }
     }
 
-    /// Sends what can be sent, and rejects what has waited too long. Under overload the requests of least weight wait
-    /// longest and are rejected first.
+    /// Sends the queued requests for which an endpoint has capacity, and rejects those queued too long. Under overload
+    /// the requests with the least priority weight wait longest and are rejected first.
     pub(super) fn serve_queue(&mut self) {
         let mut waiting = std::mem::take(&mut self.queue.waiting);
         waiting.retain(|id| {
@@ -54,13 +54,13 @@
                 self.queue.waiting.push(id);
             }
         }
-        self.watch_queue();
+        self.ensure_queue_timer();
     }
 
     fn has_waited_too_long(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let objective = request.class(&self.context.settings).latency_objective;
-        let longest = objective.times(LONGEST_WAIT_FRACTION);
+        let longest = objective.times(MAX_QUEUE_TIME_FRACTION);
         request.queued_since.is_some_and(|since| self.context.now >= since + longest)
     }
 }
--- a/src/decision/gateway/request_queue.rs
+++ b/src/decision/gateway/request_queue.rs
@@ -1,13 +1,13 @@
-//! The requests that wait for an endpoint with capacity.
+//! The queue of requests that wait for an endpoint with capacity.
 
 use crate::decision::ids::RequestId;
 
-/// The queued requests.
+/// Queued requests, and whether their timer is set.
 #[derive(Debug, Default)]
 pub(super) struct RequestQueue {
-    /// In the order in which they were queued or last tried.
+    /// Queued requests, in the order in which they were queued or last tried.
     pub(super) waiting: Vec<RequestId>,
-    /// The timer that serves the queue is set.
+    /// Whether the timer that serves the queue is set.
     pub(super) is_timer_set: bool,
 }
 
--- a/src/decision/gateway/timers.rs
+++ b/src/decision/gateway/timers.rs
@@ -1,37 +1,37 @@
-//! The timers that a gateway has set.
+//! Timers of a gateway.
 
 use crate::decision::ids::{RequestId, TimerId};
 use std::collections::BTreeMap;
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Timer {
-    /// The request must have its answer.
+    /// The deadline of a request is due.
     Deadline(RequestId),
-    /// Queued requests are tried again.
+    /// Queued requests are due to be tried again.
     ServeQueue,
-    /// The watch on the endpoint list is opened again.
+    /// The gateway is due to subscribe to the endpoint list again.
     Resubscribe,
-    ForgetIdleCustomers,
+    EvictIdleCustomers,
 }
 
-/// The timers that have not fired, by number.
+/// Timers that are set and have not fired.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
-    last_number: u64,
+    last_id: u64,
     set: BTreeMap<TimerId, Timer>,
 }
 
 impl Timers {
-    /// Remembers a timer.
+    /// Registers a timer and returns its identifier.
     pub(super) fn set(&mut self, timer: Timer) -> TimerId {
-        self.last_number += 1;
-        let id = TimerId(self.last_number);
+        self.last_id += 1;
+        let id = TimerId(self.last_id);
         self.set.insert(id, timer);
         id
     }
 
-    /// What the timer that fired was for; `None`: this gateway did not set it, or it fired before.
+    /// Removes the timer that fired and returns its purpose; `None`: this gateway did not set it, or it fired before.
     pub(super) fn fired(&mut self, id: TimerId) -> Option<Timer> {
         self.set.remove(&id)
     }
--- a/src/decision/handover_state.rs
+++ b/src/decision/handover_state.rs
@@ -1,5 +1,7 @@
-//! What the process that takes a gateway over must know, in the form in which it is sent: the only place that knows
-//! the names of its fields, but for the variants of [`EndpointStatus`]. Processes of other versions read and write it, so the names stay as they are.
+//! Serialized state that a gateway's process hands to its successor.
+//!
+//! This file alone defines the serialized field names, except for the variants of [`EndpointStatus`]. Processes of
+//! other versions read and write this state, so the serialized names must not change.
 
 use super::admission::{Customer, ObservedTraffic, RecentRejection, SharedCount};
 use super::circuit_breaker::CircuitBreaker;
@@ -10,17 +12,17 @@
 use super::token_bucket::TokenBucket;
 use serde::{Deserialize, Serialize};
 
-/// What the process that takes a gateway over must know to keep the quotas and guards.
+/// State that the successor process needs to keep enforcing quotas, limits and ejections.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct HandoverState {
     #[serde(rename = "servers")]
-    pub(crate) endpoints: Vec<(EndpointId, EndpointForm)>,
-    pub(crate) customers: Vec<(CustomerId, CustomerForm)>,
-    pub(crate) breaker: BreakerForm,
+    pub(crate) endpoints: Vec<(EndpointId, EndpointRecord)>,
+    pub(crate) customers: Vec<(CustomerId, CustomerRecord)>,
+    pub(crate) breaker: BreakerRecord,
     #[serde(rename = "ask")]
     pub(crate) call_fraction: f64,
     #[serde(rename = "flow")]
-    pub(crate) forward_rate: BucketForm,
+    pub(crate) forward_rate: BucketRecord,
     #[serde(rename = "latency")]
     pub(crate) latency_us: f64,
     #[serde(rename = "fail_share")]
@@ -32,7 +34,7 @@
 }
 
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(crate) struct BucketForm {
+pub(crate) struct BucketRecord {
     level: f64,
     #[serde(rename = "depth")]
     capacity: f64,
@@ -41,9 +43,9 @@
     filled_at: Micros,
 }
 
-impl From<TokenBucket> for BucketForm {
-    fn from(bucket: TokenBucket) -> BucketForm {
-        BucketForm {
+impl From<TokenBucket> for BucketRecord {
+    fn from(bucket: TokenBucket) -> BucketRecord {
+        BucketRecord {
             level: bucket.level,
             capacity: bucket.capacity,
             rate: bucket.rate,
@@ -52,14 +54,19 @@
     }
 }
 
-impl From<BucketForm> for TokenBucket {
-    fn from(form: BucketForm) -> TokenBucket {
-        TokenBucket { level: form.level, capacity: form.capacity, rate: form.rate, filled_at: form.filled_at }
+impl From<BucketRecord> for TokenBucket {
+    fn from(record: BucketRecord) -> TokenBucket {
+        TokenBucket {
+            level: record.level,
+            capacity: record.capacity,
+            rate: record.rate,
+            filled_at: record.filled_at,
+        }
     }
 }
 
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(crate) struct BreakerForm {
+pub(crate) struct BreakerRecord {
     #[serde(rename = "streak")]
     failure_streak: f64,
     #[serde(rename = "opened")]
@@ -67,9 +74,9 @@
     probing: bool,
 }
 
-impl From<CircuitBreaker> for BreakerForm {
-    fn from(breaker: CircuitBreaker) -> BreakerForm {
-        BreakerForm {
+impl From<CircuitBreaker> for BreakerRecord {
+    fn from(breaker: CircuitBreaker) -> BreakerRecord {
+        BreakerRecord {
             failure_streak: breaker.failure_streak,
             opened_at: breaker.opened_at,
             probing: breaker.probing,
@@ -77,18 +84,18 @@
     }
 }
 
-impl From<BreakerForm> for CircuitBreaker {
-    fn from(form: BreakerForm) -> CircuitBreaker {
+impl From<BreakerRecord> for CircuitBreaker {
+    fn from(record: BreakerRecord) -> CircuitBreaker {
         CircuitBreaker {
-            failure_streak: form.failure_streak,
-            opened_at: form.opened_at,
-            probing: form.probing,
+            failure_streak: record.failure_streak,
+            opened_at: record.opened_at,
+            probing: record.probing,
         }
     }
 }
 
 #[derive(Debug, Default, Serialize, Deserialize)]
-struct CountForm {
+struct CountRecord {
     #[serde(rename = "span")]
     period: u64,
     #[serde(rename = "posted")]
@@ -104,9 +111,9 @@
     carry_over_known: bool,
 }
 
-impl From<SharedCount> for CountForm {
-    fn from(count: SharedCount) -> CountForm {
-        CountForm {
+impl From<SharedCount> for CountRecord {
+    fn from(count: SharedCount) -> CountRecord {
+        CountRecord {
             period: count.period,
             own_counted: count.own_counted,
             owed: count.owed,
@@ -118,57 +125,57 @@
     }
 }
 
-impl From<CountForm> for SharedCount {
-    fn from(form: CountForm) -> SharedCount {
+impl From<CountRecord> for SharedCount {
+    fn from(record: CountRecord) -> SharedCount {
         SharedCount {
-            period: form.period,
-            own_counted: form.own_counted,
-            owed: form.owed,
-            in_transit: form.in_transit,
-            last_total: form.last_total,
-            carried_over: form.carried_over,
-            carry_over_known: form.carry_over_known,
+            period: record.period,
+            own_counted: record.own_counted,
+            owed: record.owed,
+            in_transit: record.in_transit,
+            last_total: record.last_total,
+            carried_over: record.carried_over,
+            carry_over_known: record.carry_over_known,
         }
     }
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct RejectionForm {
+pub(crate) struct RejectionRecord {
     pub(crate) class: ClassId,
     units: f64,
     at: Micros,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct CustomerForm {
+pub(crate) struct CustomerRecord {
     #[serde(rename = "refused")]
-    pub(crate) last_rejection: Option<RejectionForm>,
+    pub(crate) last_rejection: Option<RejectionRecord>,
     pub(crate) plan: PlanId,
     spread: f64,
     #[serde(rename = "first", default)]
     pub(crate) first_gateway: u32,
-    window: CountForm,
-    epoch: CountForm,
-    /// Units through this gateway, and through all.
+    window: CountRecord,
+    epoch: CountRecord,
+    /// Units through this gateway, and units through all gateways.
     #[serde(rename = "heard")]
     observed: (f64, f64),
     #[serde(rename = "bucket")]
-    local_bucket: Option<BucketForm>,
+    local_bucket: Option<BucketRecord>,
     #[serde(rename = "beyond")]
-    ceiling_bucket: BucketForm,
-    breaker: BreakerForm,
+    ceiling_bucket: BucketRecord,
+    breaker: BreakerRecord,
     #[serde(rename = "used")]
     last_used: Micros,
 }
 
-impl From<Customer> for CustomerForm {
-    fn from(customer: Customer) -> CustomerForm {
-        let rejection = |rejection: RecentRejection| RejectionForm {
+impl From<Customer> for CustomerRecord {
+    fn from(customer: Customer) -> CustomerRecord {
+        let rejection = |rejection: RecentRejection| RejectionRecord {
             class: rejection.class,
             units: rejection.units,
             at: rejection.at,
         };
-        CustomerForm {
+        CustomerRecord {
             last_rejection: customer.last_rejection.map(rejection),
             plan: customer.plan,
             spread: customer.spread,
@@ -176,7 +183,7 @@
             window: customer.window.into(),
             epoch: customer.epoch.into(),
             observed: (customer.observed.own, customer.observed.total),
-            local_bucket: customer.local_bucket.map(BucketForm::from),
+            local_bucket: customer.local_bucket.map(BucketRecord::from),
             ceiling_bucket: customer.ceiling_bucket.into(),
             breaker: customer.breaker.into(),
             last_used: customer.last_used,
@@ -184,29 +191,32 @@
     }
 }
 
-impl From<CustomerForm> for Customer {
-    fn from(form: CustomerForm) -> Customer {
-        let rejection =
-            |form: RejectionForm| RecentRejection { class: form.class, units: form.units, at: form.at };
+impl From<CustomerRecord> for Customer {
+    fn from(record: CustomerRecord) -> Customer {
+        let rejection = |record: RejectionRecord| RecentRejection {
+            class: record.class,
+            units: record.units,
+            at: record.at,
+        };
         Customer {
-            last_rejection: form.last_rejection.map(rejection),
-            plan: form.plan,
-            spread: form.spread,
-            first_gateway: form.first_gateway,
-            window: form.window.into(),
-            epoch: form.epoch.into(),
-            observed: ObservedTraffic { own: form.observed.0, total: form.observed.1 },
-            local_bucket: form.local_bucket.map(TokenBucket::from),
-            ceiling_bucket: form.ceiling_bucket.into(),
-            breaker: form.breaker.into(),
-            last_used: form.last_used,
+            last_rejection: record.last_rejection.map(rejection),
+            plan: record.plan,
+            spread: record.spread,
+            first_gateway: record.first_gateway,
+            window: record.window.into(),
+            epoch: record.epoch.into(),
+            observed: ObservedTraffic { own: record.observed.0, total: record.observed.1 },
+            local_bucket: record.local_bucket.map(TokenBucket::from),
+            ceiling_bucket: record.ceiling_bucket.into(),
+            breaker: record.breaker.into(),
+            last_used: record.last_used,
             ..Customer::default()
         }
     }
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct EndpointForm {
+pub(crate) struct EndpointRecord {
     zone: ZoneId,
     cell: CellId,
     weight: f64,
@@ -231,12 +241,12 @@
     #[serde(rename = "cold_since")]
     slow_start_since: Option<Micros>,
     #[serde(rename = "cold_room")]
-    slow_start_allowance: BucketForm,
+    slow_start_allowance: BucketRecord,
 }
 
-impl From<EndpointState> for EndpointForm {
-    fn from(endpoint: EndpointState) -> EndpointForm {
-        EndpointForm {
+impl From<EndpointState> for EndpointRecord {
+    fn from(endpoint: EndpointState) -> EndpointRecord {
+        EndpointRecord {
             zone: endpoint.zone,
             cell: endpoint.cell,
             weight: endpoint.weight,
@@ -255,23 +265,23 @@
     }
 }
 
-impl From<EndpointForm> for EndpointState {
-    fn from(form: EndpointForm) -> EndpointState {
+impl From<EndpointRecord> for EndpointState {
+    fn from(record: EndpointRecord) -> EndpointState {
         EndpointState {
-            zone: form.zone,
-            cell: form.cell,
-            weight: form.weight,
-            status: form.status,
-            in_maintenance: form.in_maintenance,
-            latency_us: form.latency_us,
-            concurrency_limit: form.concurrency_limit,
-            failure_fraction: form.failure_fraction,
-            excluded_until: form.excluded_until,
-            ejection_doublings: form.ejection_doublings,
-            on_trial: form.on_trial,
-            unreachable_since: form.unreachable_since,
-            slow_start_since: form.slow_start_since,
-            slow_start_allowance: form.slow_start_allowance.into(),
+            zone: record.zone,
+            cell: record.cell,
+            weight: record.weight,
+            status: record.status,
+            in_maintenance: record.in_maintenance,
+            latency_us: record.latency_us,
+            concurrency_limit: record.concurrency_limit,
+            failure_fraction: record.failure_fraction,
+            excluded_until: record.excluded_until,
+            ejection_doublings: record.ejection_doublings,
+            on_trial: record.on_trial,
+            unreachable_since: record.unreachable_since,
+            slow_start_since: record.slow_start_since,
+            slow_start_allowance: record.slow_start_allowance.into(),
             ..EndpointState::default()
         }
     }
--- a/src/decision/hash.rs
+++ b/src/decision/hash.rs
@@ -1,6 +1,6 @@
-//! Pseudo-random numbers that every gateway derives alike from the same input.
+//! Hash functions that give the same result at every gateway.
 
-/// Spreads the bits of a number (the finaliser of SplitMix64; Steele, Lea and Flood, OOPSLA 2014).
+/// Hashes a number with the finalizer of SplitMix64 (Steele, Lea and Flood, OOPSLA 2014).
 pub(crate) fn spread_bits(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -8,7 +8,7 @@
     value ^ (value >> 31)
 }
 
-/// A number from 0 to 1 that depends on the input alone.
+/// Hashes a number to a fraction from 0 to 1.
 pub(crate) fn fraction_of(value: u64) -> f64 {
     spread_bits(value) as f64 / u64::MAX as f64
 }
--- a/src/decision/ids.rs
+++ b/src/decision/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers. They carry no meaning beyond equality and order.
+//! Identifiers of the decision module. Only their equality and order matter.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,23 +10,23 @@
     };
 }
 
-id!(/// A request, as this gateway received it; a client's retry is another one.
+id!(/// A request as this gateway received it. A retry by the client gets a new identifier.
     RequestId, u64);
-id!(/// A customer, whose quota all gateways share.
+id!(/// A customer. All gateways share the customer's quota.
     CustomerId, u64);
-id!(/// An endpoint of the back end; every gateway knows it by the same number.
+id!(/// An endpoint; its identifier is the same at every gateway.
     EndpointId, u64);
-id!(/// An index into [`Settings::classes`](super::Settings::classes).
+id!(/// Index into [`Settings::classes`](super::Settings::classes).
     ClassId, usize);
-id!(/// An index into [`Settings::plans`](super::Settings::plans).
+id!(/// Index into [`Settings::plans`](super::Settings::plans).
     PlanId, usize);
-id!(/// A zone, numbered as this gateway met it.
+id!(/// A zone, numbered in the order in which this gateway first saw it.
     ZoneId, u32);
-id!(/// A release label of endpoints, numbered as this gateway met it.
+id!(/// A release label of endpoints, numbered in the order in which this gateway first saw it.
     LabelId, u32);
-id!(/// A group of endpoints that share the idempotency keys that they have seen.
+id!(/// A group of endpoints that share a record of the idempotency keys they have processed.
     CellId, u64);
-id!(/// A number kept by the counter service.
+id!(/// A counter of the counter service.
     CounterKey, u64);
-id!(/// A timer, chosen by the decision module.
+id!(/// A timer; the decision module assigns the identifier.
     TimerId, u64);
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,13 +1,15 @@
-//! The decision module: events in, actions out, and every decision in between. No I/O; time is passed in. `docs/decision-rules.md` leads from the questions of on-call engineers to the functions.
+//! The decision module of a gateway: takes events, returns actions, and makes every admission, routing and retry
+//! decision. It does no I/O, and the caller passes the time in. `docs/decision-rules.md` maps the questions of
+//! on-call engineers to functions.
 //!
-//! - [`Event`], [`Action`], [`Settings`]: the interface.
-//! - `gateway`: dispatches each event to the rules that it concerns.
+//! - [`Event`], [`Action`], [`Settings`]: the public interface.
+//! - `gateway`: dispatches each event to the rules that apply to it.
 //! - `admission`: quotas, the ceiling, the concurrency quota, load shedding.
-//! - `circuit_breaker`: calls to the counter service while it fails.
+//! - `circuit_breaker`: limits calls to the counter service while they fail.
 //! - `load_balancing`: subsetting, selection, concurrency limits, slow start, outlier ejection.
-//! - `retry`: the retry budget, what may be sent again, when an attempt is given up.
+//! - `retry`: the retry budget, which requests may be sent again, and attempt time-outs.
 //! - `routing`: routing rules that operators roll out.
-//! - `handover_state`: the form in which one process hands the gateway to the next.
+//! - `handover_state`: the serialized state that one process hands to its successor.
 
 mod action;
 mod admission;
--- a/src/decision/quota_lease.rs
+++ b/src/decision/quota_lease.rs
@@ -2,14 +2,14 @@
 
 use super::time::Micros;
 
-/// Shares of customers' quotas that are leased to other gateways: a gateway's own, while it can't show that the
-/// others still count it as present, and those of absent gateways. All shares together never exceed the quota.
+/// The quota lease in force. A fraction of a gateway's quota share is leased to the other gateways while it is
+/// absent, or cannot show that the others still count it as present. All shares together never exceed the quota.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QuotaLease {
-    /// The fraction of each share that may be leased, 0 to 1.
+    /// Fraction of each quota share that may be leased, 0 to 1.
     pub fraction: f64,
-    /// Until then the own share is complete, and those of `absent_gateways` are distributed.
+    /// Until this time this gateway uses its complete share and a part of the shares of `absent_gateways`.
     pub valid_until: Micros,
-    /// Numbers of the gateways whose shares are distributed.
+    /// Numbers of the gateways whose shares are distributed among the others.
     pub absent_gateways: Vec<u32>,
 }
--- a/src/decision/retry/budget.rs
+++ b/src/decision/retry/budget.rs
@@ -1,35 +1,35 @@
-//! The retry budget: retries are a fraction of the requests, so that they do not multiply an overload. See
+//! The retry budget: limits retries to a fraction of the requests, so that they do not amplify an overload. See
 //! "Addressing Cascading Failures" in the Google SRE book.
 
-/// Retries that each request adds to the budget.
-const RETRIES_PER_REQUEST: f64 = 0.2;
-/// The most retries that the budget saves up; it starts with as many.
-const MOST_SAVED_RETRIES: f64 = 20.0;
+/// Tokens that each request adds to the budget; one token allows one retry.
+const TOKENS_PER_REQUEST: f64 = 0.2;
+/// Maximum number of tokens, with which the budget also starts.
+const MAX_TOKENS: f64 = 20.0;
 
-/// The retries that may still be sent.
+/// Token bucket of the retries that may still be sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryBudget {
-    saved: f64,
+    tokens: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> RetryBudget {
-        RetryBudget { saved: MOST_SAVED_RETRIES }
+        RetryBudget { tokens: MAX_TOKENS }
     }
 }
 
 impl RetryBudget {
-    /// A request came in.
+    /// Called when a request arrives.
     pub(crate) fn request_arrived(&mut self) {
-        self.saved = (self.saved + RETRIES_PER_REQUEST).min(MOST_SAVED_RETRIES);
+        self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// Takes one retry from the budget, if it has one.
+    /// Takes one token if there is one, and returns whether there was.
     pub(crate) fn try_take(&mut self) -> bool {
-        let enough = self.saved >= 1.0;
-        if enough {
-            self.saved -= 1.0;
+        let has_token = self.tokens >= 1.0;
+        if has_token {
+            self.tokens -= 1.0;
         }
-        enough
+        has_token
     }
 }
--- a/src/decision/retry/mod.rs
+++ b/src/decision/retry/mod.rs
@@ -1,5 +1,4 @@
-//! Retries: whether a request may be sent again, how often retries happen in all, and when an attempt is given up
-//! so that a retry can still be in time.
+//! Retries: which requests may be sent again, the retry budget, and attempt time-outs that leave time for a retry.
 
 mod attempt_timeout;
 mod budget;
--- a/src/decision/routing_rules.rs
+++ b/src/decision/routing_rules.rs
@@ -1,36 +1,36 @@
-//! Routing rules as operators roll them out. Rules only weigh endpoints that may be chosen anyway.
+//! Routing rules that operators roll out. Rules only weight endpoints that may be selected without them.
 
 use super::ids::{ClassId, LabelId, PlanId, ZoneId};
 use std::rc::Rc;
 
-/// How requests of one kind are routed.
+/// How the requests of one class or plan are routed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteRule {
-    /// Only requests of this class.
+    /// Class of the requests that the rule matches; `None`: all classes.
     pub class: Option<ClassId>,
-    /// Only customers of this plan.
+    /// Plan of the customers that the rule matches; `None`: all plans.
     pub plan: Option<PlanId>,
-    /// Weights of endpoints by zone; 1 where none is named.
+    /// Endpoint weights by zone; 1 for other zones.
     pub zone_weights: Vec<(ZoneId, f64)>,
-    /// Weights of endpoints by release label; 1 where none is named.
+    /// Endpoint weights by release label; 1 for other labels.
     pub label_weights: Vec<(LabelId, f64)>,
-    /// The most attempts, within the settings' bound.
+    /// Maximum number of attempts; the settings' maximum still applies.
     pub max_attempts: Option<usize>,
-    /// An attempt at an endpoint that failed recently is given up after this fraction of the latency objective.
+    /// Fraction of the latency objective after which an attempt at an endpoint that failed recently is given up.
     pub give_up_fraction: Option<f64>,
-    /// The fraction of the requests that an endpoint in slow start could get that it does get.
+    /// Fraction of the requests allowed by slow start that an endpoint in slow start is selected for.
     pub slow_start_fraction: Option<f64>,
 }
 
-/// The routing rules in force: those of most customers, and those of a canary fraction.
+/// The routing rules in force: baseline rules for most customers, canary rules for a fraction of them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RoutingRules {
-    /// Rules of most customers; the first that fits a request counts.
+    /// Rules of the baseline customers; the first that matches a request applies.
     pub baseline: Vec<Rc<RouteRule>>,
-    /// Rules of the canary customers; the first that fits a request counts.
+    /// Rules of the canary customers; the first that matches a request applies.
     pub canary: Vec<Rc<RouteRule>>,
-    /// How many of 10,000 customers have the canary rules.
+    /// Number of customers in 10,000 that get the canary rules.
     pub canary_share: u16,
-    /// Selects the canary customers: the same ones at every gateway, others in each rollout.
+    /// Hash salt that selects the canary customers: the same at every gateway, different in each rollout.
     pub salt: u64,
 }
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -1,23 +1,23 @@
-//! The settings of a gateway. Some are only read and checked, and say so: no rule uses them.
+//! Settings of a gateway. Fields marked "Validated only" are used by no rule.
 
 use super::ids::ZoneId;
 use super::time::Micros;
 
-/// Whether a request may run more than once.
+/// Whether a request may be run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated.
+    /// The request may be repeated.
     Idempotent,
-    /// It carries an idempotency key; endpoints of one deduplication scope drop a repeat within the window.
+    /// The request has an idempotency key. Endpoints of one deduplication scope drop repeats within the window.
     WithKey,
-    /// It must not run twice.
+    /// The request must not run twice.
     NotIdempotent,
 }
 
-/// Which endpoints drop repeats of a request with an idempotency key.
+/// Endpoints that drop repeats of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// Every endpoint.
+    /// All endpoints.
     All,
     /// The endpoints of one zone.
     Zone,
@@ -28,128 +28,127 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// A response within this time earns the full weight.
+    /// Time within which a response earns the full weight.
     pub latency_objective: Micros,
-    /// How long a client waits, all attempts together.
+    /// Time that a client waits for a response, over all attempts.
     pub deadline: Micros,
-    /// What a request is worth relative to others.
+    /// Priority weight of a request relative to other classes.
     pub priority_weight: f64,
-    /// The fraction of the weight that a response after the objective earns. Only checked.
+    /// Fraction of the weight that a response after the objective earns. Validated only.
     pub late_weight_fraction: f64,
-    /// Whether it may run again.
+    /// Whether requests of this class may be run more than once.
     pub idempotency: Idempotency,
-    /// Which endpoints drop repeats, where it has an idempotency key.
+    /// Endpoints that drop repeats; applies to requests with an idempotency key.
     pub deduplication_scope: DeduplicationScope,
-    /// How long they drop them, where it has an idempotency key.
+    /// Time within which repeats are dropped; applies to requests with an idempotency key.
     pub deduplication_window: Micros,
-    /// The response comes as a stream.
+    /// Whether the response is streamed.
     pub streaming: bool,
 }
 
-/// A plan. Its quota holds for each customer over all gateways together.
+/// A plan. Its quota applies to each customer, over all gateways together.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Units a second; 0: no quota on the rate.
+    /// Quota in units per second; 0: no rate quota.
     pub rate: f64,
-    /// The most units that the quota saves up.
+    /// Burst size of the quota, in units.
     pub burst: f64,
-    /// Attempts in flight at once; 0: no such quota.
+    /// Maximum number of attempts in flight; 0: no concurrency quota.
     pub concurrency_quota: f64,
-    /// Multiplies the priority weight of the class.
+    /// Factor applied to the priority weight of the class.
     pub weight_factor: f64,
-    /// Fraction of the weight earned beyond the quota. Only checked.
+    /// Fraction of the weight earned beyond the quota. Validated only.
     pub overage_weight_fraction: f64,
-    /// Fraction of the weight lost by forwarding beyond the quota. Only checked.
+    /// Fraction of the weight lost by forwarding beyond the quota. Validated only.
     pub overage_cost_fraction: f64,
-    /// Units a second of the hard ceiling; 0: none.
+    /// Rate of the hard limit, in units per second; 0: no hard limit.
     pub ceiling_rate: f64,
-    /// The most units that the ceiling saves up.
+    /// Burst size of the hard limit, in units.
     pub ceiling_burst: f64,
-    /// Units by which the ceiling may be overdrawn. Only checked.
+    /// Units by which the hard limit may be overdrawn. Validated only.
     pub ceiling_overdraft: f64,
 }
 
-/// The settings of a gateway, fixed from its start.
+/// Settings of a gateway. They do not change while it runs.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Number of gateways.
     pub gateways: u32,
-    /// This gateway's number among them, from 0.
+    /// Number of this gateway, from 0.
     pub gateway_number: u32,
-    /// This gateway's zone.
+    /// Zone of this gateway.
     pub zone: ZoneId,
-    /// The classes of requests.
+    /// Classes of requests.
     pub classes: Vec<Class>,
-    /// The plans.
+    /// Plans of customers.
     pub plans: Vec<Plan>,
-    /// The most attempts for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: usize,
-    /// Two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Endpoints may be asked for their health. Only checked.
+    /// Whether health checks may be sent to endpoints. Validated only.
     pub health_checks: bool,
-    /// Clients receive a Retry-After.
+    /// Whether clients are sent a Retry-After.
     pub retry_after: bool,
-    /// The longest Retry-After that a client follows.
+    /// Longest Retry-After that clients honour.
     pub max_retry_after: Micros,
-    /// The counter service may be called.
+    /// Whether the counter service may be called.
     pub counter_enabled: bool,
-    /// A call to the counter ends unanswered after this. The caller sees to it.
+    /// Time-out of a call to the counter. The caller of this module enforces it.
     pub counter_timeout: Micros,
-    /// The cost of the largest request in units.
+    /// Cost of the largest request, in units.
     pub max_request_units: f64,
-    /// Changes of the endpoint list must be subscribed to.
+    /// Whether the gateway must subscribe to changes of the endpoint list.
     pub must_subscribe: bool,
-    /// An attempt whose connection is not made by then has failed; so much later than it is decided on one may be
-    /// sent.
+    /// Time-out for opening a connection. An attempt may be sent this much later than it was decided on.
     pub connect_timeout: Micros,
-    /// How long past its deadline a final answer still counts. Only checked.
+    /// Time past the deadline within which a final answer still counts. Validated only.
     pub answer_slack: Micros,
-    /// An endpoint starts at no less than this fraction of its capacity.
+    /// Fraction of its capacity that a newly started endpoint has at least.
     pub slow_start_min_capacity: f64,
-    /// An endpoint has its full capacity after this.
+    /// Time after its start at which an endpoint has its full capacity.
     pub slow_start_window: Micros,
-    /// An endpoint in slow start fails when sent this many times its present capacity for a while.
+    /// Multiple of its current capacity at which an endpoint in slow start fails if the load lasts.
     pub overload_multiple: f64,
-    /// For how long that is. Only checked.
+    /// How long such a load lasts before the endpoint fails. Validated only.
     pub overload_after: Micros,
-    /// The shortest gap between two calls of the module.
+    /// Shortest interval between two calls of the module.
     pub tick: Micros,
 }
 
-/// Settings that make no sense.
+/// The settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct SettingsError(pub String);
 
 impl Settings {
-    /// Whether these settings make sense.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// Names the first setting that does not, and what was expected of it.
+    /// Names the first invalid setting and the values that are allowed.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let fail = |what: &str| Err(SettingsError(what.to_string()));
+        let invalid = |expected: &str| Err(SettingsError(expected.to_string()));
         if self.gateways == 0 || self.gateway_number >= self.gateways {
-            return fail("gateways: expected at least one, and this one's number below it");
+            return invalid("gateways: expected at least one, and this one's number below it");
         }
         if self.max_attempts == 0 {
-            return fail("max_attempts: expected at least 1");
+            return invalid("max_attempts: expected at least 1");
         }
         let multiples = [self.slow_start_min_capacity, self.overload_multiple, self.max_request_units];
-        if !multiples.into_iter().all(is_zero_or_more) {
-            return fail("cold_from, fall_multiple, most_units: expected numbers of 0 or more");
+        if !multiples.into_iter().all(is_finite_and_not_negative) {
+            return invalid("cold_from, fall_multiple, most_units: expected numbers of 0 or more");
         }
-        if !self.classes.iter().all(Class::is_sound) {
-            return fail("class: expected a worth of 0 or more and a deadline above 0");
+        if !self.classes.iter().all(Class::is_valid) {
+            return invalid("class: expected a worth of 0 or more and a deadline above 0");
         }
         for plan in &self.plans {
-            if !plan.has_numbers_of_zero_or_more() {
-                return fail("plan: expected numbers of 0 or more");
+            if !plan.has_valid_numbers() {
+                return invalid("plan: expected numbers of 0 or more");
             }
             if plan.has_rate_without_burst() {
-                return fail("plan: expected a burst above 0 where there is a rate");
+                return invalid("plan: expected a burst above 0 where there is a rate");
             }
         }
         Ok(())
@@ -157,18 +156,18 @@
 }
 
 impl Class {
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         let weights = [self.priority_weight, self.late_weight_fraction];
-        weights.into_iter().all(is_zero_or_more) && self.deadline.0 > 0
+        weights.into_iter().all(is_finite_and_not_negative) && self.deadline.0 > 0
     }
 }
 
 impl Plan {
-    fn has_numbers_of_zero_or_more(&self) -> bool {
+    fn has_valid_numbers(&self) -> bool {
         let ceiling = [self.ceiling_rate, self.ceiling_burst, self.ceiling_overdraft];
         let quota = [self.rate, self.burst, self.concurrency_quota];
         let weights = [self.weight_factor, self.overage_weight_fraction, self.overage_cost_fraction];
-        [quota, ceiling, weights].into_iter().flatten().all(is_zero_or_more)
+        [quota, ceiling, weights].into_iter().flatten().all(is_finite_and_not_negative)
     }
 
     fn has_rate_without_burst(&self) -> bool {
@@ -176,6 +175,6 @@
     }
 }
 
-fn is_zero_or_more(value: f64) -> bool {
+fn is_finite_and_not_negative(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
--- a/src/decision/token_bucket.rs
+++ b/src/decision/token_bucket.rs
@@ -1,34 +1,34 @@
-//! The token bucket (RFC 2697 calls it a committed bucket): what quotas and allowances save up.
+//! The token bucket behind quotas and allowances (the committed bucket of RFC 2697).
 
 use super::time::Micros;
 
-/// Units that are saved up at a rate, up to a capacity. Callers may take the level below zero.
+/// A token bucket: fills at a constant rate up to its capacity. Callers may take the level below zero.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TokenBucket {
-    /// Units saved up.
+    /// Tokens in the bucket, in units.
     pub(crate) level: f64,
-    /// The most units that it holds.
+    /// Maximum level, in units.
     pub(crate) capacity: f64,
-    /// Units a second that come in.
+    /// Fill rate, in units per second.
     pub(crate) rate: f64,
-    /// When it was last filled.
+    /// Time of the last fill.
     pub(crate) filled_at: Micros,
 }
 
 impl TokenBucket {
-    /// Adds what has come in since the last time.
+    /// Adds the tokens accrued since the last fill.
     pub(crate) fn fill(&mut self, now: Micros) {
         self.level = (self.level + self.rate * (now - self.filled_at).secs()).min(self.capacity);
         self.filled_at = now.max(self.filled_at);
     }
 
-    /// Takes units if the bucket holds as many.
+    /// Takes units if the bucket holds that many, and returns whether it did.
     pub(crate) fn try_take(&mut self, now: Micros, units: f64) -> bool {
         self.fill(now);
-        let enough = self.level >= units;
-        if enough {
+        let has_enough = self.level >= units;
+        if has_enough {
             self.level -= units;
         }
-        enough
+        has_enough
     }
 }
