--- a/src/decision/admission/counter_calls.rs
+++ b/src/decision/admission/counter_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the counter service that are in flight, and whether another may be made.
+//! Calls in flight to the counter service, and whether another call may be made.
 
 use super::call_fraction::CallFraction;
 use super::customer::Customer;
@@ -10,10 +10,10 @@
 use crate::decision::time::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A counter lives for at most this time.
-const LONGEST_LIFETIME: Micros = Micros(60_000_000);
+/// Maximum lifetime of a counter.
+const MAX_LIFETIME: Micros = Micros(60_000_000);
 
-/// What a counter counts.
+/// Kind of shared counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CounterPurpose {
     /// Units of a customer in one quota window.
@@ -23,63 +23,65 @@
 }
 
 impl CounterPurpose {
-    /// The counter of a customer in one period: the same key at every gateway.
+    /// Returns the key of a customer's counter in one period, which is the same at every gateway.
     pub(crate) fn key(self, customer: CustomerId, period: u64) -> CounterKey {
         let purpose = u64::from(self == CounterPurpose::Concurrency);
         CounterKey(spread_bits(spread_bits(customer.0) ^ spread_bits(period << 1 | purpose)) >> 1)
     }
 
-    /// How long the counter is kept: two of its periods.
+    /// Returns how long the counter is kept: two of its periods, up to the maximum lifetime.
     pub(crate) fn lifetime(self, plan: &Plan) -> Micros {
         let length = match self {
             CounterPurpose::QuotaWindow => QuotaWindow::of(plan).length,
             CounterPurpose::Concurrency => CONCURRENCY_EPOCH,
         };
-        (length + length).min(LONGEST_LIFETIME)
+        (length + length).min(MAX_LIFETIME)
     }
 }
 
-/// One call to the counter service that is unanswered.
+/// A call to the counter service that has no reply yet.
 #[derive(Debug)]
 pub(crate) struct CounterCall {
     pub(crate) purpose: CounterPurpose,
     pub(crate) customer: CustomerId,
-    /// The period of the counter.
+    /// Period of the counter.
     pub(crate) period: u64,
-    /// The request that waits for it.
+    /// The request that waits for the reply.
     pub(crate) request: Option<RequestId>,
     pub(crate) amount: f64,
-    /// The part of the amount that was owed before and is not the request's own.
+    /// Part of the amount that was owed from earlier requests.
     pub(crate) owed_amount: f64,
-    /// It is a circuit breaker's probe.
+    /// Whether the call is a circuit breaker's probe.
     pub(crate) is_probe: bool,
 }
 
-/// This gateway's way to the counter service.
+/// This gateway's calls to the counter service, with the guards that limit them.
 #[derive(Debug, Default)]
 pub(crate) struct CounterCalls {
     pub(crate) breaker: CircuitBreaker,
     pub(crate) call_fraction: CallFraction,
-    /// The customer whose call failed last, since the last success.
+    /// The customer of the last failed call, if no call has succeeded since.
     last_failed: Option<CustomerId>,
-    /// Calls in flight by counter; the replies of one counter come in the order of its calls.
+    /// Calls in flight by counter, in the order in which they were sent. The replies of one counter arrive in
+    /// the order of its calls.
     in_flight: BTreeMap<CounterKey, VecDeque<CounterCall>>,
 }
 
 impl CounterCalls {
-    /// The counter service says nothing of this customer for a while: the local token bucket alone decides.
+    /// Returns whether the counter service is not used for this customer for now, so that the local token
+    /// bucket alone decides.
     pub(crate) fn is_silent(&self, counter_enabled: bool, customer: Option<&Customer>) -> bool {
-        let own_open = customer.is_some_and(|customer| customer.breaker.is_open());
-        !counter_enabled || self.breaker.is_open() || own_open
+        let customer_open = customer.is_some_and(|customer| customer.breaker.is_open());
+        !counter_enabled || self.breaker.is_open() || customer_open
     }
 
-    /// Whether a request is among the fraction that calls. With an open breaker only the probe calls, and
-    /// nothing is drawn.
+    /// Draws whether a request is among the fraction that calls. While the breaker is open, only the probe
+    /// calls and no random number is drawn.
     pub(crate) fn draws_call(&self, rng: &mut fastrand::Rng, is_retry: bool) -> bool {
         self.breaker.is_open() || rng.f64() < self.call_fraction.probability(is_retry)
     }
 
-    /// Asks both circuit breakers for leave to call; with it, the call is as good as made.
+    /// Returns whether both circuit breakers allow a call. If they do, the call counts as started.
     pub(crate) fn try_start_call(
         &mut self,
         counter_enabled: bool,
@@ -94,12 +96,12 @@
         allowed
     }
 
-    /// Remembers a call until its reply.
+    /// Records a call until its reply arrives.
     pub(crate) fn sent(&mut self, key: CounterKey, call: CounterCall) {
         self.in_flight.entry(key).or_default().push_back(call);
     }
 
-    /// The call that a reply ends.
+    /// Removes and returns the call that a reply answers: the oldest of its counter.
     pub(crate) fn replied(&mut self, key: CounterKey) -> Option<CounterCall> {
         let calls = self.in_flight.get_mut(&key)?;
         let call = calls.pop_front();
@@ -109,7 +111,7 @@
         call
     }
 
-    /// A call succeeded.
+    /// Records a successful call.
     pub(crate) fn call_succeeded(&mut self, customer: &mut Customer, was_probe: bool) {
         customer.breaker.call_succeeded(was_probe);
         self.call_fraction.call_succeeded(was_probe);
@@ -117,8 +119,9 @@
         self.breaker.call_succeeded(was_probe);
     }
 
-    /// A call failed. Guards against one busy counter that overloads its part of the service: failures of one
-    /// customer in a row count once for the common breaker, while that customer's own breaker opens.
+    /// Records a failed call. Guards against one busy counter that overloads its part of the service:
+    /// successive failures of one customer count once for the common breaker, while that customer's own
+    /// breaker opens.
     pub(crate) fn call_failed(
         &mut self,
         id: CustomerId,
--- a/src/decision/admission/customer.rs
+++ b/src/decision/admission/customer.rs
@@ -1,4 +1,4 @@
-//! What a gateway remembers of a customer, and what the customer's quota still admits.
+//! The state that a gateway keeps for a customer, and the units that the customer's quota still admits.
 
 use super::quota_window::{Period, QuotaWindow, CONCURRENCY_EPOCH};
 use super::shared_count::SharedCount;
@@ -9,11 +9,11 @@
 use crate::decision::time::Micros;
 use crate::decision::token_bucket::TokenBucket;
 
-/// A customer is forgotten after this time without a request.
+/// A customer's state is dropped after this time without a request.
 pub(crate) const CUSTOMER_IDLE_TIMEOUT: Micros = Micros(120_000_000);
-/// How long after a rejection a request like the rejected one counts as its retry.
+/// A request like a rejected one counts as its retry for this time.
 const RETRY_DETECTION_WINDOW: Micros = Micros(1_000_000);
-/// Fraction of the earlier windows' figures that each new window drops.
+/// Fraction by which the figures of earlier windows decay at the start of each window.
 const OBSERVED_TRAFFIC_DECAY: f64 = 0.3;
 
 /// The last rejected request, by which a retry is recognized.
@@ -24,47 +24,48 @@
     pub(crate) at: Micros,
 }
 
-/// Spending in past windows, older windows weighing less.
+/// Units spent in past windows, where older windows weigh less.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ObservedTraffic {
-    /// Through this gateway, in units.
+    /// Units through this gateway.
     pub(crate) own: f64,
-    /// Through all gateways, in units.
+    /// Units through all gateways.
     pub(crate) total: f64,
 }
 
-/// A customer.
+/// State of a customer.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Customer {
     pub(crate) last_rejection: Option<RecentRejection>,
     pub(crate) plan: PlanId,
-    /// Through how many gateways its requests come.
+    /// Number of gateways through which the customer's requests come.
     pub(crate) spread: f64,
-    /// The first of these gateways.
+    /// Number of the first of these gateways.
     pub(crate) first_gateway: u32,
-    /// The version of the quota lease by which the local bucket was last filled.
+    /// Version of the quota lease by which the local bucket was last filled.
     pub(crate) lease_version: u64,
-    /// The counter of the present quota window.
+    /// Counter of the current quota window.
     pub(crate) window: SharedCount,
-    /// The counter of attempts in flight in the present epoch.
+    /// Counter of attempts in flight in the current epoch.
     pub(crate) epoch: SharedCount,
     pub(crate) observed: ObservedTraffic,
-    /// Decides while the counter service is silent.
+    /// Decides while the counter service is unavailable.
     pub(crate) local_bucket: Option<TokenBucket>,
-    /// What may be forwarded beyond the quota, or without the counter, under a ceiling.
+    /// Units that may be forwarded under a hard limit beyond the quota or without the counter.
     pub(crate) ceiling_bucket: TokenBucket,
     pub(crate) breaker: CircuitBreaker,
-    /// Own requests that are admitted and not over, where the plan has a concurrency quota.
+    /// Admitted requests of this gateway that have not ended, if the plan has a concurrency quota.
     pub(crate) in_flight: f64,
     pub(crate) last_used: Micros,
 }
 
 impl Customer {
-    /// Notes a request; `admitting_since` is when this gateway began to admit requests by itself.
+    /// Records a request. `admitting_since` is when this process last began to admit requests.
     pub(crate) fn request_arrived(&mut self, arrival: &Arrival, now: Micros, admitting_since: Micros) {
         if self.last_used == Micros(0) {
-            // Empty at the start of this process, as an earlier one may have spent it. It has filled since, though
-            // the customer came only now: with many gateways most see it for the first time.
+            // The bucket is empty at the start of this process, as an earlier process may have spent it. It
+            // has filled since then, even if the customer arrives only now: with many gateways, most of them
+            // see a customer's first request late.
             self.ceiling_bucket.filled_at = admitting_since.max(now - CUSTOMER_IDLE_TIMEOUT);
         }
         self.plan = arrival.plan;
@@ -73,22 +74,23 @@
         self.last_used = now;
     }
 
-    /// Whether a request is a retry: its client says so, or the like of it was just rejected here.
+    /// Returns whether a request is a retry: either its client marks it as one, or a similar request was just
+    /// rejected here.
     pub(crate) fn is_retry(&self, arrival: &Arrival, now: Micros) -> bool {
-        let is_alike = |rejection: &RecentRejection| {
+        let is_similar = |rejection: &RecentRejection| {
             rejection.class == arrival.class
                 && rejection.units == arrival.units
                 && now < rejection.at + RETRY_DETECTION_WINDOW
         };
-        arrival.is_retry || self.last_rejection.as_ref().is_some_and(is_alike)
+        arrival.is_retry || self.last_rejection.as_ref().is_some_and(is_similar)
     }
 
-    /// May be forgotten.
+    /// Returns whether the state may be dropped.
     pub(crate) fn is_idle(&self, now: Micros) -> bool {
         self.last_used + CUSTOMER_IDLE_TIMEOUT < now && self.in_flight <= 0.0
     }
 
-    /// Brings the counters to the present quota window and epoch.
+    /// Moves the counters to the current quota window and epoch.
     pub(crate) fn begin_periods(&mut self, id: CustomerId, plan: &Plan, now: Micros) {
         let no_quota = QuotaWindow { length: CONCURRENCY_EPOCH, units: 0.0 };
         let window = if plan.rate > 0.0 { QuotaWindow::of(plan) } else { no_quota };
@@ -102,44 +104,46 @@
         }
     }
 
-    /// Begins a window with what the last one left, as far as it was followed here, else with a share of the
-    /// burst: gateways that see a customer seldom must not each believe the burst unspent.
+    /// Begins a window. Carries over what the last window left if this gateway counted in it, otherwise a
+    /// share of the burst: gateways that rarely see a customer must not each assume that the whole burst is
+    /// unspent.
     fn begin_window(&mut self, number: u64, window_units: f64, burst: f64) {
-        let last = &self.window;
-        let kept = 1.0 - OBSERVED_TRAFFIC_DECAY;
+        let previous = &self.window;
+        let retained = 1.0 - OBSERVED_TRAFFIC_DECAY;
         self.observed = ObservedTraffic {
-            own: self.observed.own * kept + last.own_counted,
-            total: self.observed.total * kept + last.last_total,
+            own: self.observed.own * retained + previous.own_counted,
+            total: self.observed.total * retained + previous.last_total,
         };
-        let follows = last.period + 1 == number;
-        let left = last.carried_over + window_units - last.known_total();
+        let is_consecutive = previous.period + 1 == number;
+        let unspent = previous.carried_over + window_units - previous.known_total();
         self.window = SharedCount {
             period: number,
-            carried_over: if follows { left.clamp(0.0, burst) } else { burst / self.spread },
-            carry_over_known: follows && last.last_total > 0.0,
+            carried_over: if is_consecutive { unspent.clamp(0.0, burst) } else { burst / self.spread },
+            carry_over_known: is_consecutive && previous.last_total > 0.0,
             ..SharedCount::default()
         };
     }
 
-    /// What the quota still admits in this window by a total of the shared counter: what the window before left
-    /// and what has come in since, where this gateway knows that window's total, else at least the window's plain
-    /// allowance. Guards against rejecting inside the quota, as the plain window forgets what the last one
-    /// left, and against forwarding beyond it, as the plain window forgets what the last one spent.
+    /// Returns the units that the quota still admits in this window, given a total of the shared counter. The
+    /// allowance is what the previous window left plus what has accrued since, if this gateway knows the
+    /// previous window's total, otherwise at least the plain allowance of the window. Guards against
+    /// rejecting within the quota, as the plain window ignores what the last one left, and against forwarding
+    /// beyond the quota, as the plain window ignores what the last one spent.
     pub(crate) fn quota_left(&self, id: CustomerId, plan: &Plan, now: Micros, total: f64) -> f64 {
         if self.window.carry_over_known {
-            self.saved_units(id, plan, now) - total
+            self.accrued_units(id, plan, now) - total
         } else {
             self.quota_left_elsewhere(id, plan, now, total)
         }
     }
 
-    /// The same for gateways that may not know the last window's total.
+    /// Returns the same as [`Customer::quota_left`] for gateways that may not know the last window's total.
     pub(crate) fn quota_left_elsewhere(&self, id: CustomerId, plan: &Plan, now: Micros, total: f64) -> f64 {
-        self.saved_units(id, plan, now).max(QuotaWindow::of(plan).units) - total
+        self.accrued_units(id, plan, now).max(QuotaWindow::of(plan).units) - total
     }
 
-    /// What the window before left, and what has come in since.
-    fn saved_units(&self, id: CustomerId, plan: &Plan, now: Micros) -> f64 {
+    /// Returns what the previous window left plus what has accrued since.
+    fn accrued_units(&self, id: CustomerId, plan: &Plan, now: Micros) -> f64 {
         let window = QuotaWindow::of(plan);
         let remaining = Period::at(now, id, window.length).remaining;
         self.window.carried_over + window.units * (1.0 - remaining.secs() / window.length.secs())
--- a/src/decision/admission/mod.rs
+++ b/src/decision/admission/mod.rs
@@ -1,9 +1,9 @@
 //! Admission: whether a request may be forwarded at all.
 //!
-//! A customer's quota holds over all gateways together. Each request is counted at the shared counter service,
-//! in windows ([`quota_window`]); while that service is silent, a local token bucket with this gateway's share
-//! of the quota decides ([`local_bucket`]). A hard ceiling stands above both ([`ceiling`]). Attempts in flight
-//! have a quota of their own ([`concurrency_quota`]), and under overload some requests are shed
+//! A customer's quota holds over all gateways together. Each request is counted at the shared counter
+//! service, in windows ([`quota_window`]). While that service is unavailable, a local token bucket with this
+//! gateway's share of the quota decides ([`local_bucket`]). A hard limit bounds both ([`ceiling`]). Attempts
+//! in flight have a separate quota ([`concurrency_quota`]), and under overload some requests are shed
 //! ([`load_shedding`]).
 
 mod call_fraction;
