--- a/src/decision/load_balancing/balancer.rs
+++ b/src/decision/load_balancing/balancer.rs
@@ -1,4 +1,4 @@
-//! The endpoints, as discovery, operators and attempts changed them.
+//! The endpoints, with the state from discovery, operators and attempts.
 
 use super::concurrency_limit;
 use super::endpoint_state::EndpointState;
@@ -21,13 +21,13 @@
     pub(crate) failure_fraction: f64,
 }
 
-/// The endpoints and what is needed to choose among them.
+/// The endpoints and the state that selection needs.
 #[derive(Debug, Default)]
 pub(crate) struct LoadBalancer {
     pub(crate) endpoints: BTreeMap<EndpointId, EndpointState>,
-    /// The endpoints in service, sorted.
+    /// Endpoints in service, sorted.
     pub(super) in_service: Vec<EndpointId>,
-    /// Attempts that count against a concurrency limit, at all endpoints.
+    /// Attempts at all endpoints that count against a concurrency limit.
     pub(super) in_flight: f64,
     pub(crate) forward_rate: ForwardRate,
     pub(crate) averages: EndpointAverages,
@@ -36,8 +36,8 @@
 }
 
 impl LoadBalancer {
-    /// Notes a part of the endpoint list, or all of it. Endpoints that have restarted begin their slow start with
-    /// an allowance that is drawn, so that gateways do not all send at once.
+    /// Applies a complete or incremental endpoint list. Restarted endpoints begin their slow start with a
+    /// random negative allowance, so that gateways do not all send to them at once.
     pub(crate) fn list_changed(
         &mut self,
         context: &Context,
@@ -68,7 +68,7 @@
                 *endpoint = endpoint.restarted();
                 endpoint.begin_slow_start(since, now, allowance);
             }
-            // Of two starts the list's counts, also where it is the earlier one.
+            // The start time in the list takes precedence over a known one, even if it is earlier.
             endpoint.slow_start_since = Some(since);
         }
         if endpoint.is_in_slow_start() {
@@ -81,9 +81,9 @@
         endpoint.status = Some(update.status).filter(|status| *status != EndpointStatus::Removed);
     }
 
-    /// Notes that an operator takes an endpoint out of service or puts it back; returns whether that changed
-    /// anything. Operators go before the list: out, the endpoint counts as draining; put back, it was restarted
-    /// meanwhile, for all that is known, and begins a slow start.
+    /// Applies an operator's change of an endpoint's maintenance, and returns whether it changed anything.
+    /// Maintenance takes precedence over the list: in maintenance, the endpoint counts as draining. An
+    /// endpoint that returns from maintenance may have restarted meanwhile, so it begins a slow start.
     pub(crate) fn maintenance_changed(&mut self, id: EndpointId, in_maintenance: bool, now: Micros) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return false };
         if endpoint.in_maintenance == in_maintenance {
@@ -99,14 +99,14 @@
         true
     }
 
-    /// Looks up the places of these endpoints in the sorted list, so that a small change costs little where there are
-    /// many endpoints.
+    /// Updates the sorted list only at the positions of these endpoints, so that a small change is cheap
+    /// where there are many endpoints.
     fn update_in_service(&mut self, changed: &[EndpointId]) {
         for id in changed {
-            let serves = self.endpoints.get(id).is_some_and(EndpointState::is_in_service);
-            match (self.in_service.binary_search(id), serves) {
-                (Err(place), true) => self.in_service.insert(place, *id),
-                (Ok(place), false) => drop(self.in_service.remove(place)),
+            let is_in_service = self.endpoints.get(id).is_some_and(EndpointState::is_in_service);
+            match (self.in_service.binary_search(id), is_in_service) {
+                (Err(index), true) => self.in_service.insert(index, *id),
+                (Ok(index), false) => drop(self.in_service.remove(index)),
                 _ => {}
             }
         }
@@ -117,13 +117,14 @@
         self.in_service = in_service.map(|(&id, _)| id).collect();
     }
 
-    /// Goes on with what another process of this gateway knew of the endpoints. The own list says which are in
-    /// service; a start that only the own list knows is a new one.
+    /// Continues with the endpoint state of another process of this gateway. This process's list decides
+    /// which endpoints are in service. If the list has a later start of an endpoint, the other process's
+    /// state of it is not used.
     pub(crate) fn take_over(&mut self, endpoints: Vec<(EndpointId, EndpointState)>) {
-        for (id, theirs) in endpoints {
+        for (id, handed_over) in endpoints {
             let own = self.endpoints.entry(id).or_default();
-            if own.slow_start_since > theirs.slow_start_since {
-                own.in_maintenance = theirs.in_maintenance;
+            if own.slow_start_since > handed_over.slow_start_since {
+                own.in_maintenance = handed_over.in_maintenance;
                 continue;
             }
             *own = EndpointState {
@@ -133,32 +134,32 @@
                 weight: own.weight,
                 status: own.status,
                 in_flight: own.in_flight,
-                ..theirs
+                ..handed_over
             };
             if own.is_in_slow_start() {
                 self.slow_start.endpoints.insert(id);
             }
         }
-        self.slow_start.by_lottery = false;
+        self.slow_start.by_random_draw = false;
         self.rebuild_in_service();
     }
 
-    /// How many endpoints are listed, and how many of them are excluded.
+    /// Returns the number of listed endpoints, and how many of them are excluded.
     pub(crate) fn counts(&self, now: Micros) -> EndpointCounts {
         let listed = || self.endpoints.values().filter(|endpoint| endpoint.status.is_some());
         let excluded = listed().filter(|endpoint| !endpoint.is_in_service() || endpoint.is_ejected(now));
         EndpointCounts { known: listed().count(), excluded: excluded.count() }
     }
 
-    /// Notes that an attempt is sent.
+    /// Records an attempt that is sent.
     pub(crate) fn attempt_sent(&mut self, id: EndpointId, units: f64, now: Micros) {
-        self.forward_rate.forwarded(now, units);
+        self.forward_rate.record(now, units);
         if let Some(endpoint) = self.endpoints.get_mut(&id) {
             endpoint.slow_start_allowance.level -= units;
         }
     }
 
-    /// An attempt begins to count against its endpoint's concurrency limit.
+    /// Counts an attempt against its endpoint's concurrency limit.
     pub(crate) fn take_slot(&mut self, id: EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(&id) {
             endpoint.in_flight += 1.0;
@@ -166,7 +167,7 @@
         self.in_flight += 1.0;
     }
 
-    /// An attempt counts against its endpoint's concurrency limit no more.
+    /// Stops counting an attempt against its endpoint's concurrency limit.
     pub(super) fn release_slot(&mut self, id: EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(&id) {
             endpoint.in_flight = (endpoint.in_flight - 1.0).max(0.0);
@@ -174,25 +175,26 @@
         self.in_flight = (self.in_flight - 1.0).max(0.0);
     }
 
-    /// The number of endpoints in this gateway's subset.
+    /// Returns the number of endpoints in this gateway's subset.
     pub(super) fn subset_size(&self, now: Micros) -> usize {
         subsetting::subset_size(self.in_service.len(), self.forward_rate.units_per_second(now))
     }
 
-    /// All endpoints in service, this gateway's subset first.
+    /// Returns all endpoints in service, this gateway's subset first.
     pub(super) fn own_subset_first(&self, context: &Context) -> impl Iterator<Item = EndpointId> + '_ {
         subsetting::own_subset_first(&self.in_service, context.settings.gateway_number)
     }
 
-    /// This process's part in every concurrency limit.
-    pub(super) fn part_of_limits(&self, context: &Context) -> f64 {
+    /// Returns the factor that scales every concurrency limit to this process's share.
+    pub(super) fn limit_scale(&self, context: &Context) -> f64 {
         let gateways = f64::from(context.settings.gateways);
         let sharing = gateways * self.subset_size(context.now) as f64 / self.in_service.len().max(1) as f64;
-        concurrency_limit::part_of_limit(sharing, context.role)
+        concurrency_limit::limit_scale(sharing, context.role)
     }
 
-    /// So many gateways share the endpoints that concurrency limits start below one attempt and bound little.
+    /// Returns whether so many gateways share the endpoints that concurrency limits start below one attempt
+    /// and bound little.
     pub(crate) fn is_sparse(&self, context: &Context) -> bool {
-        concurrency_limit::starts_below_one(self.part_of_limits(context))
+        concurrency_limit::initial_limit_below_one(self.limit_scale(context))
     }
 }
--- a/src/decision/load_balancing/mod.rs
+++ b/src/decision/load_balancing/mod.rs
@@ -1,9 +1,9 @@
-//! Load balancing: which endpoint an attempt goes to, and what its end says of that endpoint.
+//! Load balancing: which endpoint an attempt goes to, and how its result changes the endpoint's state.
 //!
-//! Each gateway prefers its own subset of the endpoints ([`subsetting`]). Of those that may be chosen the one
-//! with the least score is ([`selection`]). What an attempt's end says is noted in [`outcome`]: the concurrency
-//! limit ([`concurrency_limit`]), the latency, the failures and the ejection of outliers ([`outlier_ejection`]).
-//! Endpoints that have just started receive less ([`slow_start`]).
+//! Each gateway prefers a subset of the endpoints ([`subsetting`]). Among the candidates, [`selection`]
+//! chooses the one with the lowest score. [`outcome`] records the result of an attempt: the concurrency limit
+//! ([`concurrency_limit`]), the latency, the failures and the ejection of outliers ([`outlier_ejection`]).
+//! Endpoints that have just started are sent less ([`slow_start`]).
 
 mod attempt_verdict;
 mod balancer;
--- a/src/decision/load_balancing/reported_load.rs
+++ b/src/decision/load_balancing/reported_load.rs
@@ -1,33 +1,33 @@
-//! How many requests an endpoint is expected to hold, by what it reported.
+//! Estimate of the requests in flight at an endpoint, from its load reports.
 
-use super::smoothing::{move_towards, SAMPLE_WEIGHT};
+use super::smoothing::{update_average, SAMPLE_WEIGHT};
 use crate::decision::time::Micros;
 
-/// A report is trusted less by the factor e with each of these spans, in seconds.
-const TRUST_SPAN_SECONDS: f64 = 1.0;
+/// Time constant with which the weight of a report decays, in seconds.
+const REPORT_DECAY_SECONDS: f64 = 1.0;
 
-/// The requests that an endpoint reported in flight, from all gateways.
+/// Number of requests that an endpoint reported in flight, from all gateways.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportedLoad {
     pub(crate) in_flight: f64,
     pub(crate) at: Micros,
 }
 
-/// The smoothed number of requests that an endpoint reports in flight.
+/// Smoothed number of requests that endpoints report in flight.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AverageLoad(f64);
 
 impl AverageLoad {
-    /// An endpoint reported its load.
-    pub(crate) fn reported(&mut self, in_flight: f64) {
-        move_towards(&mut self.0, in_flight, SAMPLE_WEIGHT);
+    /// Adds the load that an endpoint reported.
+    pub(crate) fn record(&mut self, in_flight: f64) {
+        update_average(&mut self.0, in_flight, SAMPLE_WEIGHT);
     }
 
-    /// The requests that an endpoint is expected to hold: as it last reported, and the closer to the average the
-    /// longer ago that was.
+    /// Returns the expected number of requests in flight at an endpoint: its last report, which approaches
+    /// the average with age.
     pub(crate) fn expected_at(self, report: Option<ReportedLoad>, now: Micros) -> f64 {
         let Some(report) = report else { return self.0 };
-        let trust = (-(now - report.at).secs() / TRUST_SPAN_SECONDS).exp();
-        self.0 + trust * (report.in_flight - self.0)
+        let report_weight = (-(now - report.at).secs() / REPORT_DECAY_SECONDS).exp();
+        self.0 + report_weight * (report.in_flight - self.0)
     }
 }
--- a/src/decision/load_balancing/subsetting.rs
+++ b/src/decision/load_balancing/subsetting.rs
@@ -1,26 +1,26 @@
-//! Deterministic subsetting: which endpoints a gateway prefers. See "Load Balancing in the Datacenter" in the Google
-//! SRE book.
+//! Deterministic subsetting: which endpoints a gateway prefers. See "Load Balancing in the Datacenter" in the
+//! Google SRE book.
 //!
-//! A gateway with few requests learns of each endpoint only if it uses few of them.
+//! A gateway with few requests gets enough samples of each endpoint only if it uses few endpoints.
 
 use crate::decision::ids::EndpointId;
 
-/// Endpoints in a gateway's subset: at least this many,
-const LEAST_SUBSET: f64 = 8.0;
-/// and this many for each unit a second that it forwards. More spread its load better, fewer let it learn of each
-/// within a second or two.
+/// Minimum number of endpoints in a gateway's subset.
+const MIN_SUBSET_SIZE: f64 = 8.0;
+/// Endpoints added to the subset for each unit a second that the gateway forwards. More would spread the load
+/// better; fewer would give enough samples of each endpoint within one or two seconds.
 const SUBSET_PER_UNIT_PER_SECOND: f64 = 1.0;
-/// The fractional part of the golden ratio: its multiples spread evenly over a circle.
+/// Fractional part of the golden ratio, whose multiples spread evenly over a circle.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
-/// The number of endpoints in a gateway's subset.
+/// Returns the number of endpoints in a gateway's subset.
 pub(super) fn subset_size(in_service: usize, units_per_second: f64) -> usize {
-    (LEAST_SUBSET + SUBSET_PER_UNIT_PER_SECOND * units_per_second).min(in_service as f64) as usize
+    (MIN_SUBSET_SIZE + SUBSET_PER_UNIT_PER_SECOND * units_per_second).min(in_service as f64) as usize
 }
 
-/// All endpoints in service, this gateway's subset first. `in_service` is sorted, so that all gateways share its
-/// order. The golden ratio spreads the subsets evenly, also those of neighbouring gateways, through which one
-/// customer comes.
+/// Returns all endpoints in service, this gateway's subset first. `in_service` is sorted, so that all
+/// gateways use the same order. The golden ratio spreads the subsets evenly, including those of neighbouring
+/// gateways, through which the requests of one customer come.
 pub(super) fn own_subset_first(
     in_service: &[EndpointId],
     gateway_number: u32,
