--- a/src/proxy/control_plane/counter.rs
+++ b/src/proxy/control_plane/counter.rs
@@ -74,7 +74,7 @@
     }
 
     /// The same client for a counter at another address, over new connections.
-    pub fn at_address(&self, address: SocketAddr) -> CounterClient {
+    pub fn with_address(&self, address: SocketAddr) -> CounterClient {
         CounterClient::new(address, self.timeout, self.max_connections)
     }
 
@@ -84,8 +84,8 @@
         self.idle.borrow_mut().truncate(self.permits.available());
     }
 
-    /// Makes one call. One that is not answered in time closes its connection, so that a late response is not taken for
-    /// a later call's.
+    /// Makes one call. One that is not answered in time closes its connection, so that a late response is not taken
+    /// for a later call's.
     pub async fn increment(&self, increment: Increment) -> CounterReply {
         let was_written = Cell::new(false);
         match timeout(self.timeout, self.exchange(increment, &was_written)).await {
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Makes the call over an idle connection or a new one. A call that an idle connection did not take is made again.
+    /// Makes the call over an idle connection or a new one. A call that an idle connection did not take is made
+    /// again.
     async fn exchange(&self, increment: Increment, was_written: &Cell<bool>) -> CounterReply {
         let _permit = self.permits.acquire().await;
         loop {
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -1,5 +1,6 @@
-//! The one owner of the decision module: events in, actions out, timers. It translates and never chooses; its request
-//! table sees to it that every request gets exactly one final answer.
+//! Owner of the decision module: passes events and expired timers to it, and carries out the actions that it returns.
+//! The runtime only translates; every decision is made by the decision module. The request table ensures that each
+//! request gets exactly one final response.
 
 mod admin_commands;
 mod attempts;
@@ -38,39 +39,39 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use tracing::debug;
 
-/// How many events may wait for the runtime; whoever has one more waits with it.
+/// Capacity of the event queue; a sender waits while the queue is full.
 const MAX_QUEUED_EVENTS: usize = 1024;
-/// How many commands may wait for the runtime.
+/// Capacity of the command queue.
 const MAX_QUEUED_COMMANDS: usize = 16;
-/// How often idle connections to backends are looked at.
+/// How often idle connections to backends are checked.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a gateway that knows an endpoint list from before waits for discovery's before it is ready.
+/// How long a gateway with a cached endpoint list waits for discovery before it becomes ready with that list.
 const DISCOVERY_WAIT: Duration = Duration::from_secs(1);
-/// The shortest time between two turns: a gateway that calls its decision module without pause would only burn its core.
+/// Lower bound on the tick interval: calling the decision module without a pause would only waste CPU time.
 const MIN_TICK: Duration = Duration::from_millis(1);
 
-/// What the runtime shares with the rest of the process.
+/// Components that the runtime shares with the rest of the process.
 #[derive(Clone)]
 pub struct SharedParts {
-    /// The decision module's clock.
+    /// Clock of the decision module.
     pub clock: Clock,
-    /// Whether the process serves, drains or ends.
+    /// Whether the process serves, drains or shuts down.
     pub lifecycle: Rc<Lifecycle>,
-    /// Counts what happens, for operators.
+    /// Counters for operators.
     pub metrics: Rc<Metrics>,
-    /// The budget for buffers.
+    /// Memory budget for buffers.
     pub memory: Rc<MemoryBudget>,
-    /// Takes the outcomes of requests and attempts.
+    /// Records the outcomes of requests and attempts.
     pub outcomes: Rc<OutcomeRecorder>,
 }
 
-/// The owner of the decision module.
+/// Event loop that owns the decision module.
 pub struct Runtime {
     gateway: Gateway,
     site: Site,
     clock: Clock,
-    /// The shortest time between two turns.
-    tick: Duration,
+    /// Minimum time between two ticks.
+    tick_interval: Duration,
     sender: RuntimeSender,
     events: mpsc::Receiver<RuntimeEvent>,
     commands: mpsc::Receiver<AdminCommand>,
@@ -79,31 +80,31 @@
     counter: Option<Rc<CounterClient>>,
     counter_replies: ReplyOrder,
     backends: HashMap<EndpointId, Rc<Backend>>,
-    /// The endpoint list as discovery last sent it.
-    listed: HashMap<EndpointId, DiscoveredEndpoint>,
-    starts: HashMap<EndpointId, EndpointStart>,
+    /// The endpoint list as last received from discovery.
+    discovered_endpoints: HashMap<EndpointId, DiscoveredEndpoint>,
+    endpoint_starts: HashMap<EndpointId, EndpointStart>,
     list_revision: u64,
-    /// Sends the other process of this gateway messages, while there is one.
+    /// Sends messages to the other process of this gateway, while there is one.
     other_process: Option<mpsc::Sender<HandoverMessage>>,
     requests: RequestTable,
     timers: Timers,
-    /// Events for the decision module, which it handles at the next turn.
+    /// Events that are passed to the decision module at the next tick.
     pending_events: Vec<Event>,
-    /// Reused by each turn, to save the allocation.
+    /// Buffer reused by each tick to avoid an allocation.
     actions: Vec<Action>,
     lifecycle: Rc<Lifecycle>,
     metrics: Rc<Metrics>,
-    /// When the gateway serves by the list that it knows from before.
+    /// When the gateway becomes ready with the cached endpoint list, even if discovery has not answered.
     ready_at: Option<Instant>,
     rollout: Option<ActiveRollout>,
     outcomes: Rc<OutcomeRecorder>,
 }
 
 impl Runtime {
-    /// A runtime that knows nothing yet but the configuration, and the way of commands to it.
+    /// Creates a runtime from the configuration, and the sender for commands to it.
     ///
     /// # Errors
-    /// The settings contradict each other.
+    /// Returns an error if the settings contradict each other.
     pub fn new(config: Config, shared: SharedParts) -> Result<(Runtime, AdminSender), ConfigError> {
         let SharedParts { clock, lifecycle, metrics, memory, outcomes } = shared;
         let Config { site, counter, sockets, seed, known_endpoints, backend_idle_timeout, cluster, .. } =
@@ -124,7 +125,7 @@
         let mut runtime = Runtime {
             gateway,
             clock,
-            tick: duration(settings.tick).max(MIN_TICK),
+            tick_interval: duration(settings.tick).max(MIN_TICK),
             site,
             sender,
             events,
@@ -134,8 +135,8 @@
             counter: counter.map(Rc::new),
             counter_replies: ReplyOrder::default(),
             backends: HashMap::new(),
-            listed: HashMap::new(),
-            starts: HashMap::new(),
+            discovered_endpoints: HashMap::new(),
+            endpoint_starts: HashMap::new(),
             list_revision: 0,
             other_process: None,
             requests: RequestTable::default(),
@@ -149,11 +150,12 @@
             outcomes,
         };
         runtime.start_quota_lease(cluster.map_or(0.0, |cluster| cluster.lendable_part));
-        runtime.start_from_known_list(known_endpoints);
+        runtime.start_from_cached_list(known_endpoints);
         Ok((runtime, admin_sender))
     }
 
-    /// Where quota shares are leased, this gateway's may be with others until it is known not to be.
+    /// Until the cluster reports otherwise, the leasable part of this gateway's quota share may be leased to others,
+    /// so the decision module starts without it.
     fn start_quota_lease(&mut self, lendable_part: f64) {
         if lendable_part > 0.0 {
             let lease = QuotaLease { fraction: lendable_part, ..QuotaLease::default() };
@@ -161,31 +163,32 @@
         }
     }
 
-    /// The list from before may be old, but it is what there is until discovery answers, which is waited for a little.
-    fn start_from_known_list(&mut self, known: EndpointList) {
-        if !known.endpoints.is_empty() {
-            self.apply_endpoint_list(EndpointList { complete: true, ..known });
+    /// Starts with the cached endpoint list, which may be stale but is the only one until discovery answers.
+    /// Readiness is delayed by [`DISCOVERY_WAIT`] to give discovery a chance to answer first.
+    fn start_from_cached_list(&mut self, cached: EndpointList) {
+        if !cached.endpoints.is_empty() {
+            self.apply_endpoint_list(EndpointList { complete: true, ..cached });
             self.ready_at = Some(Instant::now() + DISCOVERY_WAIT);
         }
     }
 
-    /// Sends this runtime events.
+    /// Returns a sender of events to this runtime.
     pub fn sender(&self) -> RuntimeSender {
         self.sender.clone()
     }
 
-    /// Runs for ever. Like the simulator it passes events on to the decision module at most once a tick.
+    /// Runs until the task is dropped. As in the simulator, events reach the decision module at most once per tick.
     pub async fn run(mut self) {
         tokio::task::spawn_local(close_idle_connections(self.pool.clone()));
-        let mut last_turn = Instant::now();
+        let mut last_tick_at = Instant::now();
         loop {
-            let next_turn = self.next_turn(last_turn);
+            let next_tick_at = self.next_tick_at(last_tick_at);
             tokio::select! {
                 biased;
                 Some(command) = self.commands.recv() => self.run_command(command),
-                () = sleep_until(next_turn.unwrap_or_else(Instant::now)), if next_turn.is_some() => {
-                    last_turn = Instant::now();
-                    self.turn();
+                () = sleep_until(next_tick_at.unwrap_or_else(Instant::now)), if next_tick_at.is_some() => {
+                    last_tick_at = Instant::now();
+                    self.run_tick();
                 }
                 () = sleep_until(self.ready_at.unwrap_or_else(Instant::now)), if self.ready_at.is_some() => {
                     self.become_ready();
@@ -201,31 +204,33 @@
         }
     }
 
-    /// When the decision module is called next: a tick after the last turn where an event waits, else with the next timer.
-    fn next_turn(&self, last_turn: Instant) -> Option<Instant> {
-        let earliest = last_turn + self.tick;
+    /// Returns when the next tick is due: one tick interval after the last tick if an event is pending, otherwise
+    /// when the next timer fires, but no sooner.
+    fn next_tick_at(&self, last_tick_at: Instant) -> Option<Instant> {
+        let earliest = last_tick_at + self.tick_interval;
         if !self.pending_events.is_empty() {
             return Some(earliest);
         }
-        let timer: Micros = self.timers.next_at()?;
-        Some(self.clock.instant(timer).max(earliest))
+        let timer_at: Micros = self.timers.next_at()?;
+        Some(self.clock.instant_at(timer_at).max(earliest))
     }
 
-    /// Passes all pending events on to the decision module and carries out what it decides.
-    fn turn(&mut self) {
+    /// Passes all pending events to the decision module and carries out the actions that it returns.
+    fn run_tick(&mut self) {
         let now = self.clock.now();
         while let Some(timer) = self.timers.pop_fired(now) {
             self.pending_events.push(Event::TimerFired { timer });
         }
         let mut actions = std::mem::take(&mut self.actions);
         for event in std::mem::take(&mut self.pending_events) {
-            let ended_request = request_that_may_be_finished(&event);
+            let ended_request = possibly_finished_request(&event);
             self.gateway.handle(now, event, &mut actions);
             for action in actions.drain(..) {
                 self.perform(now, action);
             }
-            // Not before the decision module has heard: until then it may send for this request, and each of its sends
-            // must be reported as ended, or the capacity that it takes at an endpoint is never free again.
+            // The request is removed only after the decision module has handled the event: until then it may send
+            // attempts for this request, and the end of each must be reported, or the capacity that the attempt takes
+            // at an endpoint is never released.
             if let Some(request) = ended_request {
                 self.requests.remove_if_finished(request);
             }
@@ -233,7 +238,7 @@
         self.actions = actions;
     }
 
-    /// Translates what came in to an event of the decision module.
+    /// Translates a runtime event to events of the decision module.
     fn handle_event(&mut self, event: RuntimeEvent) {
         match event {
             RuntimeEvent::RequestReceived(request) => self.request_received(*request),
@@ -246,8 +251,8 @@
                 self.become_ready();
             }
             RuntimeEvent::CounterAddressChanged(address) => {
-                // Calls in flight end where they were made.
-                self.counter = self.counter.take().map(|counter| Rc::new(counter.at_address(address)));
+                // Calls in flight are completed by the old client, at the old address.
+                self.counter = self.counter.take().map(|counter| Rc::new(counter.with_address(address)));
             }
             RuntimeEvent::QuotaLeaseChanged(lease) => {
                 self.pending_events.push(Event::QuotaLeaseChanged(lease));
@@ -277,7 +282,7 @@
             customer = arrival.customer.0,
             "request received"
         );
-        let rollout = self.rollout_request(&arrival);
+        let rollout = self.rollout_assignment(&arrival);
         let request = OpenRequest::new(forward, reply, arrival.prior_attempts.len(), rollout);
         self.requests.insert(arrival.id, request);
         self.pending_events.push(Event::RequestArrived(arrival));
@@ -291,8 +296,8 @@
     }
 }
 
-/// The request that may be forgotten once the decision module has handled this event.
-fn request_that_may_be_finished(event: &Event) -> Option<RequestId> {
+/// Returns the request that may be finished once the decision module has handled this event.
+fn possibly_finished_request(event: &Event) -> Option<RequestId> {
     match event {
         Event::ClientDisconnected { request } => Some(*request),
         Event::AttemptEnded(end) => Some(end.request),
@@ -300,7 +305,7 @@
     }
 }
 
-/// Closes connections to backends that were idle for too long, for ever.
+/// Periodically closes connections to backends that were idle for too long.
 async fn close_idle_connections(pool: Rc<ConnectionPool>) {
     loop {
         sleep(IDLE_CHECK_INTERVAL).await;
--- a/src/proxy/runtime/admin_commands.rs
+++ b/src/proxy/runtime/admin_commands.rs
@@ -1,4 +1,4 @@
-//! Commands of operators and of the other process of this gateway.
+//! Handles commands from operators and from the other process of this gateway.
 
 use super::messages::AdminCommand;
 use super::Runtime;
@@ -8,13 +8,14 @@
 use tokio::sync::mpsc;
 use tracing::warn;
 
-/// Quarters of the connections and of the memory that the predecessor leaves to its successor, which takes all new
-/// requests, and the successor to its predecessor.
+/// Quarters of the connections and the memory that the predecessor reserves for its successor, which accepts all new
+/// requests.
 const SUCCESSOR_QUARTERS: usize = 3;
+/// Quarters of the connections and the memory that the successor reserves for its predecessor.
 const PREDECESSOR_QUARTERS: usize = 1;
 
 impl Runtime {
-    /// Carries out a command. Who asked and has left needs no reply.
+    /// Carries out a command. The reply is dropped if the sender no longer waits for it.
     pub(super) fn run_command(&mut self, command: AdminCommand) {
         match command {
             AdminCommand::CountEndpoints(reply) => {
@@ -31,57 +32,57 @@
                 let _ = reply.send(());
             }
             AdminCommand::PeerProcessExited(reply) => {
-                self.share_with(None, 0);
+                self.reserve_for_other_process(None, 0);
                 self.pending_events.push(Event::PeerProcessExited);
-                self.turn();
+                self.run_tick();
                 let _ = reply.send(());
             }
         }
     }
 
-    /// Takes an endpoint out of service, or puts it back. Returns whether there is one by this name.
+    /// Takes an endpoint out of service, or puts it back. Returns whether an endpoint with this name exists.
     fn set_maintenance(&mut self, name: String, in_maintenance: bool, relayed: bool) -> bool {
         let Some(endpoint) = self.site.known_endpoint_id(&name) else { return false };
         if !self.backends.contains_key(&endpoint) && !self.gateway.is_in_maintenance(endpoint) {
             return false;
         }
         if let Some(backend) = self.backends.get(&endpoint) {
-            // What is open will be dead once the backend has restarted.
+            // Open connections will be stale once the backend has restarted.
             self.pool.forget(backend.address);
         }
         self.pending_events.push(Event::MaintenanceChanged { endpoint, in_maintenance });
-        self.turn();
-        // The other process still sends to backends as well.
+        self.run_tick();
+        // The other process still sends to this backend as well, so the command is relayed to it.
         if let Some(other) = self.other_process.as_ref().filter(|_| !relayed) {
             let message = HandoverMessage::SetMaintenance { endpoint: name, in_maintenance };
             if other.try_send(message).is_err() {
-                warn!("maintenance order not passed on to the other process");
+                warn!("maintenance command not relayed to the other process; it keeps its previous state");
             }
         }
         true
     }
 
-    /// Hands the gateway over to another process.
+    /// Returns the state for the successor, and reserves connections and memory for it.
     fn hand_over(&mut self, messages: mpsc::Sender<HandoverMessage>) -> HandoverSnapshot {
-        self.share_with(Some(messages), SUCCESSOR_QUARTERS);
-        self.turn();
-        let endpoints = self.listed.values().cloned().collect();
+        self.reserve_for_other_process(Some(messages), SUCCESSOR_QUARTERS);
+        self.run_tick();
+        let endpoints = self.discovered_endpoints.values().cloned().collect();
         let endpoints = EndpointList { revision: self.list_revision, complete: true, endpoints };
         HandoverSnapshot { endpoints, decision_state: self.gateway.hand_over() }
     }
 
-    /// Takes the gateway over from another process.
+    /// Takes over the state of the predecessor, and reserves connections and memory for it.
     fn take_over(&mut self, snapshot: HandoverSnapshot, messages: mpsc::Sender<HandoverMessage>) {
-        self.share_with(Some(messages), PREDECESSOR_QUARTERS);
+        self.reserve_for_other_process(Some(messages), PREDECESSOR_QUARTERS);
         if snapshot.endpoints.revision > self.list_revision {
             self.apply_endpoint_list(snapshot.endpoints);
         }
-        self.turn();
+        self.run_tick();
         self.gateway.take_over(snapshot.decision_state);
     }
 
-    /// Leaves so many quarters of the connections and of the memory to the other process, while there is one.
-    fn share_with(&mut self, other: Option<mpsc::Sender<HandoverMessage>>, quarters: usize) {
+    /// Reserves the given quarters of the connections and the memory for the other process, if there is one.
+    fn reserve_for_other_process(&mut self, other: Option<mpsc::Sender<HandoverMessage>>, quarters: usize) {
         self.other_process = other;
         self.pool.leave(quarters);
         self.memory.leave(quarters);
--- a/src/proxy/runtime/attempts.rs
+++ b/src/proxy/runtime/attempts.rs
@@ -1,5 +1,5 @@
-//! Actions of the decision module: attempts that are sent and how they end, calls to the counter, and the one final
-//! answer of each request.
+//! Carries out the actions of the decision module: sends attempts and reports their ends, calls the counter, and
+//! sends each request's single final response.
 
 use super::messages::{send_event, AttemptId, FinalResponse, RuntimeEvent};
 use super::{Clock, Runtime};
@@ -22,11 +22,11 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// Guards the division by a latency objective of 0, in seconds.
+/// Lower bound on a latency objective, in seconds; prevents a division by 0.
 const MIN_OBJECTIVE_SECONDS: f64 = 1e-6;
 
 impl Runtime {
-    /// Carries out one action.
+    /// Carries out one action of the decision module.
     pub(super) fn perform(&mut self, now: Micros, action: Action) {
         match action {
             Action::SendAttempt { request, endpoint, give_up_at } => {
@@ -43,54 +43,55 @@
                 self.increment_counter(key, amount, lifetime);
             }
             Action::SetTimer { timer, after } => self.timers.set(now + after, timer),
-            // The watch on the endpoint list never stops.
+            // The endpoint list is watched all the time, so there is nothing to subscribe to.
             Action::Subscribe => {}
         }
     }
 
-    /// Answers a request for which no backend did.
+    /// Sends the final response to a request that no backend has answered.
     fn answer_without_backend(&mut self, id: RequestId, response: FinalResponse, reason: RejectionReason) {
         let rejected = matches!(response, FinalResponse::Rejected { .. });
-        debug!(request = id.0, rejected, ?reason, "answered without a backend");
+        debug!(request = id.0, rejected, ?reason, "request answered without a backend");
         self.metrics.rejections.increment(reason);
         let Some(reply) = self.requests.take_reply(id) else { return };
         self.record_unserved(id);
-        // A client that has just gone needs no answer.
+        // The receiver is gone if the client has just disconnected.
         let _ = reply.send(response);
         self.requests.remove_if_finished(id);
     }
 
-    /// Counts a request that no backend answered for its rollout.
+    /// Records the outcome of a request that no backend answered for its rollout, if it has one.
     fn record_unserved(&self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         let Some(rollout) = request.rollout else { return };
         let was_sent = request.attempt_count() > rollout.prior_attempts;
-        let ended = if was_sent { RequestOutcome::Failed } else { RequestOutcome::Rejected };
+        let request_outcome = if was_sent { RequestOutcome::Failed } else { RequestOutcome::Rejected };
         self.outcomes.record(RolloutOutcome {
             assignment: rollout,
             ended_at: self.clock.now(),
-            outcome: ended,
+            outcome: request_outcome,
             objective_fraction: 0.0,
         });
     }
 
-    /// Counts a request that a backend answered for its rollout.
+    /// Records the outcome of a request that a backend answered for its rollout.
     fn record_served(&self, rollout: RolloutAssignment) {
-        let at = self.clock.now();
+        let ended_at = self.clock.now();
         let class = self.site.settings.classes.get(rollout.class.0);
         let objective = class.map_or(Micros(1), |class| class.latency_objective);
         let objective_fraction =
-            (at - rollout.arrived_at).secs() / objective.secs().max(MIN_OBJECTIVE_SECONDS);
-        let ended = if objective_fraction <= 1.0 { RequestOutcome::OnTime } else { RequestOutcome::Late };
+            (ended_at - rollout.arrived_at).secs() / objective.secs().max(MIN_OBJECTIVE_SECONDS);
+        let request_outcome =
+            if objective_fraction <= 1.0 { RequestOutcome::OnTime } else { RequestOutcome::Late };
         self.outcomes.record(RolloutOutcome {
             assignment: rollout,
-            ended_at: at,
-            outcome: ended,
+            ended_at,
+            outcome: request_outcome,
             objective_fraction,
         });
     }
 
-    /// Reports an attempt's end to the decision module with the next batch.
+    /// Reports the end of an attempt to the decision module at the next tick.
     fn report_attempt_end(
         &mut self,
         attempt: AttemptId,
@@ -107,7 +108,7 @@
             outcome,
             elapsed,
             request_finished,
-            // Backends do not report units; only the simulator settles them afterwards.
+            // Backends do not report units; only the simulator settles them after the attempt.
             settled_units: None,
             load,
         }));
@@ -118,12 +119,12 @@
         let attempt = AttemptId { request: id, number: request.attempt_count(), endpoint };
         let backend = self.backends.get(&endpoint).filter(|_| !request.is_answered()).cloned();
         let Some(backend) = backend else {
-            // The client disconnected, or the list changed, after the decision module's last turn.
+            // The client disconnected, or the endpoint list changed, after the decision module last ran.
             request.add_unsent_attempt();
             return self.report_attempt_end(attempt, Outcome::NotSent, Micros(0), LoadReport::default());
         };
-        debug!(request = id.0, attempt = attempt.number, backend = %backend.address, "attempt begins");
-        let cancelled = request.add_attempt();
+        debug!(request = id.0, attempt = attempt.number, backend = %backend.address, "attempt started");
+        let cancel_receiver = request.add_attempt();
         let task = AttemptTask {
             attempt,
             backend,
@@ -132,26 +133,26 @@
             outcomes: self.outcomes.clone(),
             clock: self.clock,
             sent_at: now,
-            give_up_at: self.clock.instant(give_up_at),
+            give_up_at: self.clock.instant_at(give_up_at),
         };
         if let Some(tracker) = &task.request.tracker {
-            // Before its request can be answered: whoever asks then has to hear of it.
+            // Must happen before the request can be answered, so that a reader of the tracker then sees this attempt.
             tracker.attempt_started();
         }
         let runtime = self.sender.clone();
         tokio::task::spawn_local(async move {
-            // The runtime outlives every attempt but for the exit of the process.
-            let _ = runtime.send(task.run(cancelled).await).await;
+            // Sending fails only while the process exits; until then the runtime outlives every attempt.
+            let _ = runtime.send(task.run(cancel_receiver).await).await;
         });
     }
 
-    /// An attempt ended, or its streamed response began. The first 200 is the client's at once and ends the request; the
-    /// decision module hears of it.
+    /// Called when an attempt ended, or when its streamed response started. The first response with status 200 goes
+    /// to the client at once and ends the request; the decision module is notified.
     pub(super) fn attempt_ended(&mut self, attempt: AttemptId, result: AttemptResult, elapsed: Micros) {
         let Some(request) = self.requests.get_mut(attempt.request) else { return };
         let (id, number) = (attempt.request, attempt.number);
         let AttemptResult { outcome, body, report, not_sent, .. } = result;
-        debug!(request = id.0, attempt = number, ?outcome, ?not_sent, took_us = elapsed.0, "attempt ends");
+        debug!(request = id.0, attempt = number, ?outcome, ?not_sent, took_us = elapsed.0, "attempt ended");
         self.metrics.attempt_outcomes.increment(outcome);
         let forwarded = request.forwarded.clone();
         let rollout = request.rollout.filter(|_| body.is_some() && !request.is_answered());
@@ -167,7 +168,7 @@
                 });
                 self.pending_events.push(Event::ResponseStarted { request: id, attempt: number, elapsed });
                 let _ = reply.send(FinalResponse::Served(ResponseBody::Streamed(body)));
-                // The attempt ends with the body.
+                // The attempt ends when the body does.
                 return;
             }
             (Some(UpstreamResponseBody::Buffered(bytes, permit)), Some(reply)) => {
@@ -183,7 +184,7 @@
         self.report_attempt_end(attempt, outcome, elapsed, report);
     }
 
-    /// A streamed response ended.
+    /// Called when a streamed response ended.
     pub(super) fn response_body_ended(&mut self, attempt: AttemptId, complete: bool) {
         self.requests.end_attempt(attempt);
         let outcome = if complete { Outcome::Success } else { Outcome::ConnectionReset };
@@ -203,7 +204,7 @@
     }
 }
 
-/// One attempt on its way.
+/// Task that makes one attempt.
 struct AttemptTask {
     attempt: AttemptId,
     backend: Rc<Backend>,
@@ -216,14 +217,14 @@
 }
 
 impl AttemptTask {
-    /// Makes the attempt and returns its end.
-    async fn run(self, cancelled: oneshot::Receiver<()>) -> RuntimeEvent {
+    /// Makes the attempt and returns the event that reports its end.
+    async fn run(self, cancel_receiver: oneshot::Receiver<()>) -> RuntimeEvent {
         let endpoint = self.attempt.endpoint.0;
         let result = match &self.request.claim {
             Some(claim) if !claim.record_attempt(endpoint).await => {
                 self.pool.not_sent(NotSentReason::NotOwner)
             }
-            _ => self.pool.attempt(&self.backend, &self.request, self.give_up_at, cancelled).await,
+            _ => self.pool.attempt(&self.backend, &self.request, self.give_up_at, cancel_receiver).await,
         };
         if let Some(claim) = &self.request.claim {
             claim.attempt_ended(endpoint, result.outcome);
@@ -236,7 +237,7 @@
         RuntimeEvent::AttemptEnded { attempt: self.attempt, result, elapsed }
     }
 
-    /// Notes whether a backend could be reached, where the outcome says so.
+    /// Records whether the backend could be reached, where the outcome shows it.
     fn record_reachability(&self, outcome: Outcome) {
         match outcome {
             Outcome::Success | Outcome::ServerError | Outcome::Rejected => {
@@ -247,10 +248,13 @@
         }
     }
 
-    /// From the last byte of the request, which for a streamed body comes after the send, to the first of its response.
+    /// Returns how long the attempt took: from the last byte of the request, which for a streamed body comes after the
+    /// attempt started, to the first byte of a streamed response, or to the end of the attempt if there is none.
     fn elapsed(&self, result: &AttemptResult) -> Micros {
-        let since = result.request_sent_at.map_or(self.sent_at, |at| self.clock.at(at).max(self.sent_at));
-        let until = result.response_started_at.map_or(self.clock.now(), |at| self.clock.at(at));
-        until - since
+        let start = result
+            .request_sent_at
+            .map_or(self.sent_at, |instant| self.clock.time_at(instant).max(self.sent_at));
+        let end = result.response_started_at.map_or(self.clock.now(), |instant| self.clock.time_at(instant));
+        end - start
     }
 }
--- a/src/proxy/runtime/clock.rs
+++ b/src/proxy/runtime/clock.rs
@@ -1,10 +1,11 @@
-//! The clock of the decision module: Unix time, which all gateways share, but never going back.
+//! Clock of the decision module: monotonic Unix time, so that gateways can compare timestamps and time never goes
+//! back.
 
 use crate::decision::Micros;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Reads the time for the decision module.
+/// Monotonic clock set to Unix time at the start of the process.
 #[derive(Clone, Copy)]
 pub struct Clock {
     unix_at_start: Micros,
@@ -12,32 +13,32 @@
 }
 
 impl Clock {
-    /// Reads the system's clock once; from then on the monotonic one counts.
+    /// Reads the wall clock once; later readings advance with the monotonic clock.
     pub fn start() -> Clock {
         Clock { unix_at_start: wall_time(), start: Instant::now() }
     }
 
-    /// Now.
+    /// Returns the current time.
     pub fn now(&self) -> Micros {
-        self.at(Instant::now())
+        self.time_at(Instant::now())
     }
 
-    /// The time on this clock.
-    pub fn at(&self, instant: Instant) -> Micros {
+    /// Converts an instant to a time on this clock.
+    pub fn time_at(&self, instant: Instant) -> Micros {
         let elapsed = instant.saturating_duration_since(self.start);
         self.unix_at_start + micros(elapsed)
     }
 
-    /// How long ago a moment of the wall clock was. That clock may have stepped since this process read it, and all
-    /// machines read one: by the clock of before and by that of now, the shorter of the two, as an endpoint that has
-    /// just started is in slow start.
-    pub fn age_of(&self, unix: Micros) -> Micros {
+    /// Returns how long ago a wall-clock time was. The wall clock may have stepped since the process started, so the
+    /// age is computed from this clock and from the present wall clock, and the shorter one is returned: an endpoint
+    /// that has just started must be in slow start.
+    pub fn elapsed_since_unix(&self, unix: Micros) -> Micros {
         (self.now() - unix).min(wall_time() - unix)
     }
 
-    /// The instant of a time on this clock.
-    pub(super) fn instant(&self, at: Micros) -> Instant {
-        self.start + duration(at - self.unix_at_start)
+    /// Converts a time on this clock to an instant.
+    pub(super) fn instant_at(&self, time: Micros) -> Instant {
+        self.start + duration(time - self.unix_at_start)
     }
 }
 
@@ -46,12 +47,12 @@
     micros(unix)
 }
 
-/// A span as the decision module has it.
+/// Converts a duration to the decision module's type.
 fn micros(span: Duration) -> Micros {
     Micros(u64::try_from(span.as_micros()).unwrap_or(u64::MAX))
 }
 
-/// A span as the standard library has it.
+/// Converts a duration of the decision module to the standard library's type.
 pub fn duration(span: Micros) -> Duration {
     Duration::from_micros(span.0)
 }
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: discovery's names and addresses become the decision module's endpoints and the pool's backends.
+//! Applies discovery's endpoint list: names and addresses become endpoints of the decision module and backends of the
+//! connection pool.
 
 use super::Runtime;
 use crate::decision::{CellId, EndpointId, EndpointStatus, EndpointUpdate, Event, Micros, WatchScope};
@@ -12,17 +13,17 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1000;
 
-/// A start of an endpoint.
+/// Start time of an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EndpointStart {
-    /// As discovery reports it, Unix time in milliseconds.
+    /// Time reported by discovery, Unix time in milliseconds.
     unix_ms: u64,
-    /// On this gateway's clock.
-    at: Micros,
+    /// The same time on this gateway's clock.
+    time: Micros,
 }
 
 impl Runtime {
-    /// Applies a list from discovery, complete or as changes.
+    /// Applies an endpoint list from discovery, complete or incremental.
     pub(super) fn apply_endpoint_list(&mut self, list: EndpointList) {
         let EndpointList { revision, complete, endpoints } = list;
         self.list_revision = revision;
@@ -31,22 +32,22 @@
         }
         log_list(revision, complete, &endpoints);
         if complete {
-            self.listed.clear();
+            self.discovered_endpoints.clear();
         }
         let updates: Vec<EndpointUpdate> =
             endpoints.into_iter().map(|endpoint| self.apply_endpoint(endpoint)).collect();
         if complete {
-            self.retain_listed(&updates);
+            self.remove_unlisted(&updates);
         }
         self.report_open_backends();
         let scope = if complete { WatchScope::Complete } else { WatchScope::Incremental };
         self.pending_events.push(Event::EndpointsChanged { scope, endpoints: updates });
     }
 
-    /// Applies one entry of a list.
+    /// Applies one entry of an endpoint list.
     fn apply_endpoint(&mut self, entry: DiscoveredEndpoint) -> EndpointUpdate {
         let endpoint = self.site.endpoint_id(&entry.name);
-        self.log_change(endpoint, &entry);
+        self.log_status_change(endpoint, &entry);
         let backend = Backend {
             address: entry.address,
             started_at_unix_ms: entry.started_at_unix_ms,
@@ -63,18 +64,18 @@
             label: self.site.label(&entry.release_label),
         };
         if entry.status == EndpointStatus::Removed {
-            self.starts.remove(&endpoint);
+            self.endpoint_starts.remove(&endpoint);
             self.backends.remove(&endpoint);
-            self.listed.remove(&endpoint);
+            self.discovered_endpoints.remove(&endpoint);
         } else {
-            self.listed.insert(endpoint, entry);
+            self.discovered_endpoints.insert(endpoint, entry);
             self.backends.insert(endpoint, Rc::new(backend));
         }
         update
     }
 
-    /// Guards against old connections to a backend that moved, restarted or will end soon, and against attempts that
-    /// still wait for one.
+    /// Closes the idle connections to a backend that moved, restarted or is no longer in service, and prevents
+    /// attempts that still wait for a connection to it from being sent.
     fn close_previous_backend(&self, endpoint: EndpointId, next: &Backend) {
         let Some(previous) = self.backends.get(&endpoint) else { return };
         let is_same =
@@ -85,21 +86,21 @@
         }
     }
 
-    /// Forgets the endpoints that a complete list does not name.
-    fn retain_listed(&mut self, updates: &[EndpointUpdate]) {
+    /// Removes the endpoints that are missing from a complete list.
+    fn remove_unlisted(&mut self, updates: &[EndpointUpdate]) {
         let listed: HashSet<EndpointId> = updates.iter().map(|update| update.endpoint).collect();
-        self.starts.retain(|endpoint, _| listed.contains(endpoint));
+        self.endpoint_starts.retain(|endpoint, _| listed.contains(endpoint));
         self.backends.retain(|endpoint, backend| {
-            let stays = listed.contains(endpoint);
-            if !stays {
+            let is_listed = listed.contains(endpoint);
+            if !is_listed {
                 backend.open.set(false);
                 self.pool.forget(backend.address);
             }
-            stays
+            is_listed
         });
     }
 
-    /// Reports which backends may be dialled to see whether the uplink is back, where a write queue watches that.
+    /// Where a write queue watches the uplink, reports the backends that may be dialled to detect that it is back.
     fn report_open_backends(&self) {
         if self.outcomes.records_reachability() {
             let open = self.backends.values().filter(|backend| backend.open.get());
@@ -107,24 +108,24 @@
         }
     }
 
-    /// When an endpoint started, on this gateway's clock: reckoned once for each start, so that a step of the wall clock
-    /// makes no new start of it.
+    /// Returns when an endpoint started, on this gateway's clock. The time is computed once per start, so that a step
+    /// of the wall clock is not taken for a restart.
     fn started_at(&mut self, endpoint: EndpointId, unix_ms: u64) -> Option<Micros> {
         if unix_ms == 0 {
             return None;
         }
-        let start = match self.starts.get(&endpoint) {
+        let start = match self.endpoint_starts.get(&endpoint) {
             Some(start) if start.unix_ms == unix_ms => *start,
             _ => {
-                let age = self.clock.age_of(Micros(unix_ms.saturating_mul(MICROS_PER_MILLI)));
-                EndpointStart { unix_ms, at: self.clock.now() - age }
+                let age = self.clock.elapsed_since_unix(Micros(unix_ms.saturating_mul(MICROS_PER_MILLI)));
+                EndpointStart { unix_ms, time: self.clock.now() - age }
             }
         };
-        self.starts.insert(endpoint, start);
-        Some(start.at)
+        self.endpoint_starts.insert(endpoint, start);
+        Some(start.time)
     }
 
-    /// The endpoint list is known: the gateway may serve.
+    /// Marks the endpoint list as known, so that the gateway may serve.
     pub(super) fn become_ready(&mut self) {
         self.ready_at = None;
         if self.lifecycle.mark_endpoints_known() {
@@ -132,11 +133,11 @@
         }
     }
 
-    fn log_change(&self, endpoint: EndpointId, entry: &DiscoveredEndpoint) {
-        let before = self.listed.get(&endpoint).map(|listed| listed.status);
+    fn log_status_change(&self, endpoint: EndpointId, entry: &DiscoveredEndpoint) {
+        let before = self.discovered_endpoints.get(&endpoint).map(|previous| previous.status);
         if before != Some(entry.status) {
             let status = entry.status;
-            debug!(endpoint = entry.name, address = %entry.address, ?before, ?status, "endpoint changes");
+            debug!(endpoint = entry.name, address = %entry.address, ?before, ?status, "endpoint status changed");
         }
     }
 }
@@ -145,7 +146,7 @@
     let entries = endpoints.len();
     let draining = endpoints.iter().filter(|entry| entry.status == EndpointStatus::Draining).count();
     match complete {
-        true => info!(revision, entries, draining, "complete endpoint list"),
-        false => debug!(revision, entries, draining, "changes of the endpoint list"),
+        true => info!(revision, entries, draining, "complete endpoint list applied"),
+        false => debug!(revision, entries, draining, "endpoint list changes applied"),
     }
 }
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -1,4 +1,4 @@
-//! The runtime's events and commands.
+//! Events and commands that the runtime receives.
 
 use crate::cluster::RoutingInForce;
 use crate::decision::{Arrival, CounterKey, EndpointCounts, EndpointId, Micros, QuotaLease, RequestId};
@@ -11,130 +11,131 @@
 use std::net::SocketAddr;
 use tokio::sync::{mpsc, oneshot};
 
-/// Sends the runtime events.
+/// Sender of events to the runtime.
 pub type RuntimeSender = mpsc::Sender<RuntimeEvent>;
 
-/// Sends the runtime commands, which wait behind no event.
+/// Sender of commands to the runtime, which handles them before any queued event.
 pub type AdminSender = mpsc::Sender<AdminCommand>;
 
-/// What operators and the other process of this gateway ask of the runtime.
+/// Command to the runtime from an operator or from the other process of this gateway.
 pub enum AdminCommand {
-    /// Count the endpoints.
+    /// Counts the endpoints.
     CountEndpoints(oneshot::Sender<EndpointCounts>),
-    /// Take an endpoint out of service, or put it back.
+    /// Takes an endpoint out of service, or puts it back.
     SetMaintenance {
-        /// Its name at discovery.
+        /// Name of the endpoint at discovery.
         endpoint: String,
-        /// Out of service, or back.
+        /// Whether the endpoint is taken out of service rather than put back.
         in_maintenance: bool,
-        /// The order comes from the other process of this gateway.
+        /// Whether the command comes from the other process of this gateway.
         relayed: bool,
-        /// Receives whether there is such an endpoint, once it is done.
+        /// Receives whether the endpoint exists, once the command is carried out.
         reply: oneshot::Sender<bool>,
     },
-    /// Another process takes this gateway over.
+    /// Hands this gateway over to another process.
     HandOver {
-        /// Sends that process messages.
+        /// Sends messages to the successor.
         messages: mpsc::Sender<HandoverMessage>,
-        /// Receives what that process must know.
+        /// Receives the state for the successor.
         reply: oneshot::Sender<Box<HandoverSnapshot>>,
     },
-    /// This process takes the gateway over from another.
+    /// Takes this gateway over from another process.
     TakeOver {
-        /// What that one handed over.
+        /// State that the predecessor handed over.
         snapshot: Box<HandoverSnapshot>,
-        /// Sends that process messages.
+        /// Sends messages to the predecessor.
         messages: mpsc::Sender<HandoverMessage>,
-        /// Notified once the decision module has the snapshot.
+        /// Notified once the decision module has taken over the snapshot.
         reply: oneshot::Sender<()>,
     },
-    /// The other process is gone.
+    /// The other process has exited.
     PeerProcessExited(oneshot::Sender<()>),
 }
 
-/// The final answer to a client.
+/// Final response to a client.
 pub enum FinalResponse {
-    /// A backend's 200, buffered or streamed.
+    /// Response of a backend with status 200, buffered or streamed.
     Served(ResponseBody),
-    /// Rejected: a retry runs nothing twice.
+    /// The request was rejected and has not run, so a retry can't run it twice.
     Rejected {
-        /// How long the client should wait before it.
+        /// How long the client should wait before a retry.
         retry_after: Option<Micros>,
     },
-    /// Failed; a retry may run the request twice.
+    /// The request failed and may have run, so a retry may run it twice.
     Failed,
 }
 
-/// A request that a client has sent.
+/// Request received from a client.
 pub struct NewRequest {
-    /// The request as the decision module sees it. Its id is new, whatever the client called it.
+    /// The request as seen by the decision module, with an id assigned by this gateway rather than the client's.
     pub arrival: Arrival,
-    /// What is forwarded to backends.
+    /// The request as forwarded to backends.
     pub forward: ForwardedRequest,
-    /// Takes the final answer.
+    /// Receives the final response.
     pub reply: oneshot::Sender<FinalResponse>,
 }
 
-/// Names one attempt.
+/// Identifier of one attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptId {
-    /// Its request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// Its index among the attempts of the request.
+    /// Index of the attempt among those of the request, from 0.
     pub number: usize,
-    /// The endpoint that it goes to.
+    /// Endpoint that the attempt is sent to.
     pub endpoint: EndpointId,
 }
 
-/// What happens outside the runtime.
+/// Event reported to the runtime.
 pub enum RuntimeEvent {
-    /// A request came in.
+    /// A request was received.
     RequestReceived(Box<NewRequest>),
-    /// The last byte of a request's body has come.
+    /// The last byte of a request body was received.
     RequestBodyEnded {
         /// The request.
         request: RequestId,
-        /// Its deadline, which counts from that byte.
+        /// Deadline of the request, counted from that byte.
         deadline: Micros,
     },
     /// The client of a request closed its connection.
     ClientDisconnected(RequestId),
     /// Discovery sent an endpoint list, complete or as changes.
     EndpointsChanged(EndpointList),
-    /// The counter is called at this address from now on.
+    /// The address of the counter has changed.
     CounterAddressChanged(SocketAddr),
-    /// The gateways agree on other quota leases.
+    /// The gateways have agreed on other quota leases.
     QuotaLeaseChanged(QuotaLease),
-    /// Other routing rules are in force.
+    /// Other routing rules are now in force.
     RoutingChanged(Box<RoutingInForce>),
     /// A call to the counter ended.
     CounterReplied {
-        /// The counter that was called.
+        /// Key of the counter that was called.
         key: CounterKey,
-        /// Which of the calls.
+        /// Number of the call.
         call: CallNumber,
-        /// How it ended.
+        /// Result of the call.
         reply: CounterReply,
     },
-    /// An attempt ended, or its streamed response began.
+    /// An attempt ended, or its streamed response started.
     AttemptEnded {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// Result of the attempt.
         result: AttemptResult,
-        /// For how long it was in flight.
+        /// How long the attempt was in flight.
         elapsed: Micros,
     },
     /// A streamed response ended.
     ResponseBodyEnded {
-        /// The attempt that it answers.
+        /// Attempt whose response it was.
         attempt: AttemptId,
-        /// All of it came.
+        /// Whether the response was received in full.
         complete: bool,
     },
 }
 
-/// Sends the runtime an event from where nothing can wait.
+/// Sends an event to the runtime from synchronous code. If the queue is full, a task is spawned that waits for a free
+/// slot.
 pub fn send_event(runtime: &RuntimeSender, event: RuntimeEvent) {
     if let Err(mpsc::error::TrySendError::Full(event)) = runtime.try_send(event) {
         let runtime = runtime.clone();
--- a/src/proxy/runtime/requests.rs
+++ b/src/proxy/runtime/requests.rs
@@ -1,4 +1,4 @@
-//! The table of open requests: each gets exactly one final answer.
+//! Table of open requests, each of which gets exactly one final response.
 
 use super::messages::{AttemptId, FinalResponse};
 use crate::decision::RequestId;
@@ -8,16 +8,16 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A request, until it has its final answer and no attempt of it is in flight.
+/// Request without a final response, or with attempts still in flight.
 pub(super) struct OpenRequest {
     reply: Option<oneshot::Sender<FinalResponse>>,
     pub forwarded: Rc<ForwardedRequest>,
     attempts: Vec<OpenAttempt>,
-    /// How it ends is counted for a rollout.
+    /// Rollout for which the outcome of this request is counted.
     pub rollout: Option<RolloutAssignment>,
 }
 
-/// An attempt of an open request.
+/// Attempt of an open request.
 #[derive(Default)]
 struct OpenAttempt {
     in_flight: bool,
@@ -25,7 +25,8 @@
 }
 
 impl OpenRequest {
-    /// A request that had so many attempts at gateways before this one, which the decision module counts as well.
+    /// Creates an open request. `prior_attempts` were made by other gateways; they are included in the indices
+    /// because the decision module counts them as well.
     pub fn new(
         forwarded: ForwardedRequest,
         reply: oneshot::Sender<FinalResponse>,
@@ -36,13 +37,13 @@
         OpenRequest { reply: Some(reply), forwarded: Rc::new(forwarded), attempts, rollout }
     }
 
-    /// Takes what the one final answer goes to; no further attempt is written.
+    /// Takes the sender of the final response. From then on no attempt of the request is written to a backend.
     pub fn take_reply(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.forwarded.wanted.set(false);
         self.reply.take()
     }
 
-    /// Whether it has had its final answer.
+    /// Whether the request has had its final response.
     pub fn is_answered(&self) -> bool {
         self.reply.is_none()
     }
@@ -51,7 +52,7 @@
         self.is_answered() && !self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// How many attempts it has had.
+    /// Number of attempts so far, including those of other gateways.
     pub fn attempt_count(&self) -> usize {
         self.attempts.len()
     }
@@ -61,15 +62,15 @@
         self.attempts.push(OpenAttempt::default());
     }
 
-    /// Adds an attempt that is in flight. The receiver is notified when it is to be cancelled.
+    /// Adds an attempt that is in flight. The returned receiver is notified when the attempt is to be cancelled.
     pub fn add_attempt(&mut self) -> oneshot::Receiver<()> {
-        let (cancel, cancelled) = oneshot::channel();
+        let (cancel, cancel_receiver) = oneshot::channel();
         self.attempts.push(OpenAttempt { in_flight: true, cancel: Some(cancel) });
-        cancelled
+        cancel_receiver
     }
 }
 
-/// The open requests by their ids.
+/// Open requests by id.
 #[derive(Default)]
 pub(super) struct RequestTable(HashMap<RequestId, OpenRequest>);
 
@@ -86,19 +87,20 @@
         self.0.get_mut(&id)
     }
 
-    /// Takes what the final answer of a request goes to, if it has not had one.
+    /// Takes the sender of a request's final response, if that was not sent before.
     pub fn take_reply(&mut self, id: RequestId) -> Option<oneshot::Sender<FinalResponse>> {
         self.get_mut(id).and_then(OpenRequest::take_reply)
     }
 
-    /// Notes that an attempt is no longer in flight.
+    /// Marks an attempt as no longer in flight.
     pub fn end_attempt(&mut self, attempt: AttemptId) {
         if let Some(attempt) = self.attempt_mut(attempt.request, attempt.number) {
             attempt.in_flight = false;
         }
     }
 
-    /// Cancels an attempt. It reports its end itself, once its connection is closed; it may have ended.
+    /// Cancels an attempt, which may have ended already. The attempt's task reports the end once the connection is
+    /// closed.
     pub fn cancel_attempt(&mut self, request: RequestId, number: usize) {
         let attempt = self.attempt_mut(request, number);
         if let Some(cancel) = attempt.and_then(|attempt| attempt.cancel.take()) {
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Forgets a request that has had its answer and of which nothing is in flight.
+    /// Removes a request that has had its final response and has no attempt in flight.
     pub fn remove_if_finished(&mut self, id: RequestId) {
         if self.get(id).is_some_and(OpenRequest::is_finished) {
             self.0.remove(&id);
--- a/src/proxy/runtime/routing.rs
+++ b/src/proxy/runtime/routing.rs
@@ -1,5 +1,5 @@
-//! Routing rules: the names of a rollout become the numbers by which the decision module knows classes, plans, zones and
-//! labels.
+//! Translates the routing rules of a rollout: names of classes, plans, zones and labels become the decision module's
+//! ids.
 
 use super::Runtime;
 use crate::cluster::rollout::{Arm, RolloutKey, RuleConfig};
@@ -11,10 +11,10 @@
 use crate::site_settings::Site;
 use std::rc::Rc;
 
-/// A rollout whose outcomes are counted.
+/// Rollout whose request outcomes are counted.
 pub(super) struct ActiveRollout {
     key: RolloutKey,
-    /// How it splits the customers.
+    /// Rules that divide the customers between baseline and canary.
     rules: RoutingRules,
 }
 
@@ -44,8 +44,8 @@
         self.pending_events.push(Event::RoutingChanged(rules));
     }
 
-    /// What is noted of a request whose outcome counts for a rollout.
-    pub(super) fn rollout_request(&self, arrival: &Arrival) -> Option<RolloutAssignment> {
+    /// Returns the rollout, if any, for which the outcome of a request is counted.
+    pub(super) fn rollout_assignment(&self, arrival: &Arrival) -> Option<RolloutAssignment> {
         let rollout = self.rollout.as_ref()?;
         Some(RolloutAssignment {
             key: rollout.key,
@@ -57,7 +57,7 @@
     }
 }
 
-/// The rules for gateways of this zone, in the decision module's terms.
+/// Translates the rules that apply to gateways of this zone.
 fn route_rules(site: &mut Site, rules: Vec<RuleConfig>) -> Vec<Rc<RouteRule>> {
     let own_zone = site.settings.zone;
     let mut own_rules = Vec::new();
--- a/src/proxy/runtime/tests.rs
+++ b/src/proxy/runtime/tests.rs
@@ -1,5 +1,5 @@
-//! The request table under what comes late, twice or from a client that has left, and what a gateway admits without an
-//! answer of the counter after a hand-over.
+//! Tests of attempts for clients that have disconnected, and of what a gateway admits without the counter after a
+//! hand-over.
 
 use super::{Clock, FinalResponse, NewRequest, Runtime, RuntimeEvent, SharedParts};
 use crate::decision::{Action, Arrival, CustomerId, Event, Micros, Outcome, RequestId};
@@ -20,11 +20,11 @@
         "plans":[{"name":"team","per_second":10.0,"peak_units":20.0,"price":1.0}],"rules":{}}}"#;
 
 fn runtime() -> Runtime {
-    runtime_of(CONFIG)
+    runtime_with_config(CONFIG)
 }
 
-fn runtime_of(config: &str) -> Runtime {
-    let config = Config::parse(config, None, None).expect("a configuration");
+fn runtime_with_config(config: &str) -> Runtime {
+    let config = Config::parse(config, None, None).expect("valid configuration");
     let shared = SharedParts {
         clock: Clock::start(),
         lifecycle: Rc::default(),
@@ -45,13 +45,13 @@
     answer
 }
 
-/// Whether a request whose call to the counter is rejected is sent.
+/// Returns whether a request is sent although its call to the counter is rejected.
 fn admits_without_counter(runtime: &mut Runtime) -> bool {
     let now = runtime.clock.now();
     admits_without_counter_at(runtime, now, 0)
 }
 
-/// The same at that time, for a customer.
+/// Like [`admits_without_counter`], for a request of this customer at this time.
 fn admits_without_counter_at(runtime: &mut Runtime, now: Micros, customer: u64) -> bool {
     let mut actions = Vec::new();
     let arrival = Arrival {
@@ -67,42 +67,45 @@
         Action::IncrementCounter { key, .. } => Some(*key),
         _ => None,
     });
-    let rejected =
-        Event::CounterReplied { key: key.expect("a call"), outcome: Outcome::Rejected, total: 0.0 };
+    let rejected = Event::CounterReplied {
+        key: key.expect("a call to the counter"),
+        outcome: Outcome::Rejected,
+        total: 0.0,
+    };
     runtime.gateway.handle(now, rejected, &mut actions);
     actions.iter().any(|action| matches!(action, Action::SendAttempt { .. }))
 }
 
 #[test]
-fn the_right_to_admit_without_the_counter_goes_over_to_the_successor() {
+fn only_the_successor_admits_without_the_counter_after_a_handover() {
     let (mut predecessor, mut successor) = (runtime(), runtime());
-    predecessor.turn();
-    successor.turn();
-    let state = serde_json::to_string(&predecessor.gateway.hand_over()).expect("a text");
-    successor.gateway.take_over(serde_json::from_str(&state).expect("the same"));
+    predecessor.run_tick();
+    successor.run_tick();
+    let state = serde_json::to_string(&predecessor.gateway.hand_over()).expect("serialized state");
+    successor.gateway.take_over(serde_json::from_str(&state).expect("deserialized state"));
     assert!(!admits_without_counter(&mut predecessor) && admits_without_counter(&mut successor));
     let mut single = runtime();
-    single.turn();
+    single.run_tick();
     assert!(admits_without_counter(&mut single));
 }
 
 #[test]
-fn a_process_that_is_alone_again_admits_nothing_by_what_its_buckets_held_before() {
+fn predecessor_does_not_reuse_old_tokens_after_the_successor_exits() {
     let ceiling = r#""price":1.0,"ceiling_rate":20.0,"cap_depth":40.0"#;
-    let mut predecessor = runtime_of(&CONFIG.replace(r#""price":1.0"#, ceiling));
-    predecessor.turn();
+    let mut predecessor = runtime_with_config(&CONFIG.replace(r#""price":1.0"#, ceiling));
+    predecessor.run_tick();
     let later = |seconds: u64| predecessor.clock.now() + Micros(seconds * 1_000_000);
-    let (back, after) = (later(60), later(70));
+    let (successor_exit, after_refill) = (later(60), later(70));
     predecessor.gateway.hand_over();
-    predecessor.gateway.handle(back, Event::PeerProcessExited, &mut Vec::new());
-    let admitted = admits_without_counter_at(&mut predecessor, back, 1);
-    assert!(!admitted, "the successor may have spent it");
-    let admitted = admits_without_counter_at(&mut predecessor, after, 2);
-    assert!(admitted, "nobody else can have spent what came in since");
+    predecessor.gateway.handle(successor_exit, Event::PeerProcessExited, &mut Vec::new());
+    let admitted = admits_without_counter_at(&mut predecessor, successor_exit, 1);
+    assert!(!admitted, "the successor may have spent the tokens");
+    let admitted = admits_without_counter_at(&mut predecessor, after_refill, 2);
+    assert!(admitted, "no other process can have spent the tokens added since the exit");
 }
 
 #[test]
-fn an_attempt_for_a_client_that_has_left_is_reported_as_not_sent() {
+fn attempt_after_client_disconnect_is_reported_as_not_sent() {
     let mut runtime = runtime();
     let (request, endpoint) = (RequestId(7), *runtime.backends.keys().next().expect("a backend"));
     let _answer = receive_request(&mut runtime, request);
@@ -115,5 +118,5 @@
         }
         _ => false,
     });
-    assert!(is_reported, "the decision module never hears of it: {:?}", runtime.pending_events);
+    assert!(is_reported, "the end of the attempt is not reported: {:?}", runtime.pending_events);
 }
--- a/src/proxy/runtime/timers.rs
+++ b/src/proxy/runtime/timers.rs
@@ -1,10 +1,10 @@
-//! The decision module's timers.
+//! Timers of the decision module.
 
 use crate::decision::{Micros, TimerId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Timers by the time at which they fire.
+/// Pending timers, ordered by the time at which they fire.
 #[derive(Default)]
 pub(super) struct Timers(BinaryHeap<Reverse<(Micros, TimerId)>>);
 
@@ -14,12 +14,12 @@
         self.0.push(Reverse((at, timer)));
     }
 
-    /// When the next timer fires.
+    /// Returns when the next timer fires.
     pub fn next_at(&self) -> Option<Micros> {
         self.0.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes the next timer that has fired by now.
+    /// Removes and returns the earliest timer whose time has come.
     pub fn pop_fired(&mut self, now: Micros) -> Option<TimerId> {
         match self.next_at() {
             Some(at) if at <= now => self.0.pop().map(|Reverse((_, timer))| timer),
