--- a/src/cluster/membership/codec.rs
+++ b/src/cluster/membership/codec.rs
@@ -1,7 +1,7 @@
-//! Reads and writes the protocol's messages, refuses members that no cluster may have, and notes who is named.
+//! Codec of the membership protocol that validates every member named in a message and records the incarnations seen.
 //!
-//! Every message passes here before the protocol sees it, so this is where a forged or damaged message is stopped from
-//! adding members without bound, and where another process under this member's own name is noticed.
+//! Every message is decoded here before the protocol processes it. Forged or damaged messages therefore can't add
+//! members without bound, and another process under this member's own name is detected here.
 
 use crate::cluster::membership::identity::Identity;
 use crate::cluster::membership::members::MAX_MEMBERS;
@@ -10,64 +10,64 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A message that this member does not take.
+/// Why a message was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// It could not be read or written.
-    #[error("malformed: {0}")]
+    /// The message could not be decoded or encoded.
+    #[error("message could not be decoded or encoded: {0}")]
     Encoding(postcard::Error),
-    /// It names a member with invalid texts, or one more than are remembered.
-    #[error("names a member that no cluster may have, or one above {MAX_MEMBERS}")]
+    /// The message names a member with an invalid name, zone or version, or a new member above `MAX_MEMBERS`.
+    #[error("message names an invalid member, or more than {MAX_MEMBERS} members")]
     InvalidMember,
-    /// It names a later incarnation under this member's own name.
-    #[error("names a later incarnation under the own name")]
+    /// The message names a later incarnation under this member's own name.
+    #[error("message names a later incarnation under this member's own name")]
     LaterIncarnation,
 }
 
-/// The incarnation of a name that a member knows.
+/// The latest incarnation that a member knows under a name.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KnownIncarnation {
-    /// The number; 0: none is known.
+    /// Incarnation number; 0 if none is known.
     pub incarnation: u64,
-    /// It is taken for present.
+    /// Whether the incarnation counts as present.
     pub is_present: bool,
 }
 
-/// A sender that is not the latest incarnation of its name.
+/// A sender with a lower incarnation than the latest one known under its name.
 #[derive(Debug, Clone)]
 pub struct OutdatedSender {
-    /// The sender.
+    /// Identity of the sender.
     pub identity: Identity,
-    /// The latest incarnation known of its name.
+    /// Latest incarnation known under the sender's name.
     pub latest: u64,
 }
 
-/// What the messages show beside what the protocol takes from them. The owner takes it out after each message.
+/// Facts seen in messages that the protocol itself does not report. The owner takes them out after each message.
 #[derive(Default)]
 pub struct Observations {
-    /// This process's identity now.
+    /// Current identity of this process.
     pub own: Option<Identity>,
-    /// All names, and the latest incarnation known of each.
+    /// Latest incarnation known under each name.
     pub latest_incarnations: BTreeMap<Rc<str>, u64>,
-    /// The sender of the last message that could be read, where it is the latest incarnation of its name.
+    /// Sender of the last decoded message, if it is the latest incarnation of its name.
     pub sender: Option<Identity>,
-    /// The sender of the last message that could be read, where it is not.
+    /// Sender of the last decoded message from an outdated incarnation.
     pub outdated_sender: Option<Identity>,
-    /// The highest later incarnation that was named under the own name.
+    /// Highest incarnation named under this member's own name that is later than its own.
     pub later_own_incarnation: Option<KnownIncarnation>,
-    /// A probe was acknowledged.
+    /// Whether a probe was acknowledged.
     pub acknowledged: bool,
-    /// A member was named as suspect or down.
+    /// Whether a message named a member as suspect or down.
     pub suspicion_seen: bool,
 }
 
 impl Observations {
-    /// Those of a process that knows only itself.
+    /// Creates the observations of a process that knows no other member.
     pub fn new(own: Identity) -> Observations {
         Observations { own: Some(own), ..Observations::default() }
     }
 
-    /// Takes note of a member that a message names.
+    /// Validates a member that a message names, and records its incarnation.
     fn check_member(&mut self, identity: &Identity, is_present: bool) -> Result<(), MessageError> {
         if !identity.is_valid() {
             return Err(MessageError::InvalidMember);
@@ -80,10 +80,10 @@
             self.later_own_incarnation = self.later_own_incarnation.max(Some(later));
             return Err(MessageError::LaterIncarnation);
         }
-        self.note_incarnation(identity)
+        self.record_incarnation(identity)
     }
 
-    fn note_incarnation(&mut self, identity: &Identity) -> Result<(), MessageError> {
+    fn record_incarnation(&mut self, identity: &Identity) -> Result<(), MessageError> {
         match self.latest_incarnations.get(&identity.name) {
             None if self.latest_incarnations.len() >= MAX_MEMBERS => return Err(MessageError::InvalidMember),
             Some(latest) if *latest >= identity.incarnation => {}
@@ -94,7 +94,7 @@
         Ok(())
     }
 
-    fn note_sender(&mut self, sender: &Identity) {
+    fn record_sender(&mut self, sender: &Identity) {
         let latest = self.latest_incarnations.get(&sender.name);
         if latest.is_some_and(|latest| sender.incarnation < *latest) {
             self.outdated_sender = Some(sender.clone());
@@ -104,19 +104,19 @@
     }
 }
 
-/// The protocol's codec: `postcard`, with every member checked.
+/// Codec of the protocol: `postcard`, with every member validated.
 pub struct CheckedCodec {
     observations: Rc<RefCell<Observations>>,
 }
 
 impl CheckedCodec {
-    /// A codec that notes what it reads there.
+    /// Creates a codec that records into `observations`.
     pub fn new(observations: Rc<RefCell<Observations>>) -> CheckedCodec {
         CheckedCodec { observations }
     }
 }
 
-/// The third member that a message names beside its sender and receiver.
+/// Returns the member that a message names besides its sender and receiver, if any.
 fn third_member(message: &Message<Identity>) -> Option<&Identity> {
     match message {
         Message::PingReq { target, .. } | Message::IndirectAck { target, .. } => Some(target),
@@ -140,7 +140,7 @@
         let header: Header<Identity> = PostcardCodec.decode_header(buffer).map_err(MessageError::Encoding)?;
         let mut observations = self.observations.borrow_mut();
         observations.check_member(&header.src, true)?;
-        observations.note_sender(&header.src);
+        observations.record_sender(&header.src);
         if third_member(&header.message).is_some_and(|identity| !identity.is_valid()) {
             return Err(MessageError::InvalidMember);
         }
--- a/src/cluster/membership/join.rs
+++ b/src/cluster/membership/join.rs
@@ -1,18 +1,20 @@
-//! When configured gateways that are not present are called: to join the cluster, and to find again those of whom
-//! nobody here knows, as after a partition that outlasted the memory of members that were down.
+//! Schedule of the announcements to configured gateways that are not present.
+//!
+//! Announcements join the cluster. They also find gateways again that no member has a record of, for example after a
+//! partition that lasted longer than records of members that are down are kept.
 
 use crate::decision::Micros;
 
-/// The first call of a gateway that knows nobody comes within this time; then the pause doubles with each call.
+/// A gateway that knows no other member announces itself first within this time; then the pause doubles each time.
 const INITIAL_BACKOFF: Micros = Micros(500_000);
-/// The longest pause between two calls of a gateway that knows nobody.
+/// Longest pause between two announcements of a gateway that knows no other member.
 const MAX_BACKOFF: Micros = Micros(8_000_000);
-/// The mean pause between two calls of a gateway that knows others.
+/// Mean pause between two announcements of a gateway that knows other members.
 const CONNECTED_INTERVAL: Micros = Micros(2_000_000);
-/// Gateways that are called at once by one that knows nobody.
-const CALLS_WHILE_ALONE: usize = 3;
+/// Number of gateways that a gateway without other members announces itself to at once.
+const DISCONNECTED_FANOUT: usize = 3;
 
-/// The schedule of calls.
+/// Schedule of announcements, with exponential backoff until the gateway is connected.
 #[derive(Debug)]
 pub struct JoinSchedule {
     due_at: Micros,
@@ -20,35 +22,36 @@
 }
 
 impl JoinSchedule {
-    /// Begins at a random time, so that hundreds of gateways that start together do not call in step.
+    /// Creates a schedule that begins at a random time, so that hundreds of gateways that start together do not
+    /// announce themselves in step.
     pub fn new(now: Micros, rng: &mut fastrand::Rng) -> JoinSchedule {
         JoinSchedule { due_at: now + Micros(rng.u64(0..INITIAL_BACKOFF.0)), backoff: INITIAL_BACKOFF }
     }
 
-    /// The configured addresses changed: the next call is due now.
+    /// Makes the next announcement due now; called when the configured addresses changed.
     pub fn restart(&mut self, now: Micros) {
         self.due_at = now;
         self.backoff = INITIAL_BACKOFF;
     }
 
-    /// Whether a call is due.
+    /// Whether an announcement is due.
     pub fn is_due(&self, now: Micros) -> bool {
         self.due_at <= now
     }
 
-    /// How many gateways are called at once.
-    pub fn calls(is_alone: bool) -> usize {
-        if is_alone {
-            CALLS_WHILE_ALONE
+    /// Number of gateways to announce to at once.
+    pub fn fanout(is_disconnected: bool) -> usize {
+        if is_disconnected {
+            DISCONNECTED_FANOUT
         } else {
             1
         }
     }
 
-    /// Sets the time of the next call, with a pause between half and one and a half times the mean.
-    pub fn schedule_next(&mut self, now: Micros, is_alone: bool, rng: &mut fastrand::Rng) {
-        let pause = if is_alone { self.backoff } else { CONNECTED_INTERVAL };
-        self.backoff = if is_alone { (pause + pause).min(MAX_BACKOFF) } else { INITIAL_BACKOFF };
+    /// Sets the time of the next announcement, after a pause between half and one and a half times the mean.
+    pub fn schedule_next(&mut self, now: Micros, is_disconnected: bool, rng: &mut fastrand::Rng) {
+        let pause = if is_disconnected { self.backoff } else { CONNECTED_INTERVAL };
+        self.backoff = if is_disconnected { (pause + pause).min(MAX_BACKOFF) } else { INITIAL_BACKOFF };
         self.due_at = now + Micros(pause.0 / 2 + rng.u64(0..pause.0));
     }
 }
--- a/src/cluster/membership/members.rs
+++ b/src/cluster/membership/members.rs
@@ -1,4 +1,4 @@
-//! What this member knows of each other one: its state, since when, and why.
+//! Records of the other members: state, time and reason of the last change.
 
 use crate::cluster::membership::identity::Identity;
 use crate::decision::Micros;
@@ -6,24 +6,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// The most names that are remembered, those of members that are down or gone among them.
+/// Maximum number of names with a record, including members that are down or have left.
 pub const MAX_MEMBERS: usize = 2048;
-/// The records are refreshed at least this often.
+/// Maximum time between two refreshes of the records.
 const MAX_REFRESH_INTERVAL: Micros = Micros(1_000_000);
-/// Members that are learnt of within this time after this one joined were there before it.
+/// Members first seen within this time after this one joined count as having joined before it.
 const JOIN_TIME: Micros = Micros(2_000_000);
 
-/// The state of a member.
+/// State of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// It answers, as far as is known.
+    /// The member answers, as far as is known.
     Alive,
-    /// Some member had no answer from it.
+    /// Some member received no reply from this one.
     Suspect,
-    /// It did not refute a suspicion in time: dead, or cut off.
+    /// The member did not refute a suspicion in time: it crashed or is unreachable.
     Down,
-    /// It left on purpose.
+    /// The member left on purpose.
     Left,
 }
 
@@ -37,26 +37,26 @@
         }
     }
 
-    /// Whether the member takes part.
+    /// Whether the member takes part in the cluster.
     pub fn is_present(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
-/// A member as this one sees it.
+/// Another member as seen by this one.
 #[derive(Debug, Clone)]
 pub struct MemberRecord {
-    /// Its name and incarnation.
+    /// Name, incarnation and metadata.
     pub identity: Identity,
-    /// Its state.
+    /// Current state.
     pub state: MemberState,
-    /// Since when it is in this state.
+    /// Time of the change to this state.
     pub since: Micros,
-    /// Why, for people.
+    /// Reason of the change, in words for operators.
     pub reason: &'static str,
 }
 
-/// The records of all other members, by name.
+/// Records of all other members, by name.
 #[derive(Default)]
 pub struct MemberTable {
     records: BTreeMap<Rc<str>, MemberRecord>,
@@ -65,27 +65,28 @@
 }
 
 impl MemberTable {
-    /// An empty table that is due to be refreshed.
+    /// Creates an empty table that is due for a refresh.
     pub fn new() -> MemberTable {
         MemberTable { is_stale: true, ..MemberTable::default() }
     }
 
-    /// All records, by name.
+    /// Returns all records, by name.
     pub fn records(&self) -> &BTreeMap<Rc<str>, MemberRecord> {
         &self.records
     }
 
-    /// The protocol's knowledge may have changed.
+    /// Makes a refresh due; called when the protocol's member list may have changed.
     pub fn mark_stale(&mut self) {
         self.is_stale = true;
     }
 
-    /// Whether the records are to be brought up to date.
+    /// Whether a refresh is due.
     pub fn is_refresh_due(&self, now: Micros) -> bool {
         self.is_stale || now - self.refreshed_at >= MAX_REFRESH_INTERVAL
     }
 
-    /// Brings the records to what the protocol knows. `connected_at`: since when this member knows others.
+    /// Updates the records from the protocol's member list. `connected_at` is the time since which this member has
+    /// known others.
     pub fn refresh<'a>(
         &mut self,
         members: impl Iterator<Item = &'a Member<Identity>>,
@@ -106,25 +107,25 @@
     fn update(&mut self, member: &Member<Identity>, now: Micros, is_joining: bool) {
         let identity = member.id();
         let state = MemberState::of(member);
-        let before = self.records.get(&identity.name);
-        if before.is_some_and(|record| record.state == state && record.identity == *identity) {
+        let previous = self.records.get(&identity.name);
+        if previous.is_some_and(|record| record.state == state && record.identity == *identity) {
             return;
         }
-        let reason = transition_reason(before, identity, state, is_joining);
+        let reason = transition_reason(previous, identity, state, is_joining);
         let record = MemberRecord { identity: identity.clone(), state, since: now, reason };
         self.records.insert(identity.name.clone(), record);
     }
 }
 
-/// Why a member is in this state now, for people. `/fleet` shows these texts.
+/// Returns why a member is in this state. The texts are part of the JSON of `/fleet`.
 fn transition_reason(
-    before: Option<&MemberRecord>,
+    previous: Option<&MemberRecord>,
     identity: &Identity,
     state: MemberState,
     is_joining: bool,
 ) -> &'static str {
-    let is_later = before.is_some_and(|record| record.identity.incarnation < identity.incarnation);
-    match (state, before.map(|record| record.state)) {
+    let is_later = previous.is_some_and(|record| record.identity.incarnation < identity.incarnation);
+    match (state, previous.map(|record| record.state)) {
         (MemberState::Alive, Some(_)) if is_later => "it came back as a later life",
         (MemberState::Alive, Some(MemberState::Suspect)) => "it answered a suspicion",
         (MemberState::Alive, Some(_)) => "it came back",
--- a/src/cluster/membership/mod.rs
+++ b/src/cluster/membership/mod.rs
@@ -1,12 +1,12 @@
-//! Who takes part in the cluster, and where each member is reached.
+//! Cluster membership: which gateways take part, and their addresses.
 //!
-//! - [`swim`]: the membership protocol, SWIM (Das, Gupta, Motivala, DSN 2002) by the crate `foca`, with the extensions
-//!   that `docs/decisions/0001-membership.md` lists; [`codec`], [`parameters`], [`members`], [`suspicion`] and [`timers`]
-//!   are its parts.
-//! - [`identity`]: a member's name and incarnation. [`local_health`]: how well this process itself runs (Lifeguard).
-//! - [`ring_probe`]: the extra probe of the next member in the ring of names.
-//! - [`addresses`], [`join`], [`duplicate_name`]: where to send, how absent gateways are found, and two processes that
-//!   run under one name.
+//! - [`swim`]: the membership protocol, SWIM (Das, Gupta, Motivala, DSN 2002) as implemented by the crate `foca`, with
+//!   the extensions listed in `docs/decisions/0001-membership.md`; [`codec`], [`parameters`], [`members`],
+//!   [`suspicion`] and [`timers`] are its parts.
+//! - [`identity`]: name and incarnation of a member. [`local_health`]: health of this process itself (Lifeguard).
+//! - [`ring_probe`]: an additional probe of the next member in the ring of names.
+//! - [`addresses`]: resolution of a member's address. [`join`]: announcements to absent gateways. [`duplicate_name`]:
+//!   detection of two processes under the same name.
 //!
 //! No I/O, no clock, no global randomness: times and random numbers are passed in.
 
--- a/src/cluster/membership/ring_probe.rs
+++ b/src/cluster/membership/ring_probe.rs
@@ -1,9 +1,9 @@
-//! Each member probes the next one in the ring of all names, once a period.
+//! Ring probe: each member probes the next alive one in the ring of all names, once a period.
 //!
-//! Random probes alone find a death in 1.6 periods on average, but one death in a hundred goes unnoticed by all
-//! members for 4.6 periods (each period finds it with probability 1 - 1/e). In the ring every member is probed once a
-//! period by somebody. The probe is direct only, and a miss is only a suspicion, which the suspect and everybody who
-//! reaches it can refute.
+//! Random probes alone detect a crash after 1.6 periods on average, but one crash in a hundred stays undetected by all
+//! members for 4.6 periods (each period detects it with probability 1 - 1/e). With the ring probe every member is
+//! probed by some other one in each period. The probe is direct only, and a missing reply only raises a suspicion,
+//! which the suspect, and every member that reaches it, can refute.
 
 use crate::cluster::membership::identity::Identity;
 use crate::cluster::membership::local_health::LocalHealth;
@@ -13,117 +13,122 @@
 use std::ops::Bound;
 use std::rc::Rc;
 
-/// How long one attempt of a probe waits for its reply.
+/// Time-out of one probe attempt.
 const ATTEMPT_TIMEOUT: Micros = Micros(200_000);
-/// Attempts before the neighbour is suspected: at 10% loss one neighbour in 150 a period is suspected wrongly.
+/// Number of attempts before the neighbour is suspected: at 10% loss one neighbour in 150 is wrongly suspected per
+/// period.
 const MAX_ATTEMPTS: u32 = 3;
-/// How long an incarnation that was suspected is not probed again. Where only the path from here is cut, others know
-/// better, and the suspicion would return every period.
+/// How long a suspected incarnation is not probed again. If only the path from this member is cut, others refute the
+/// suspicion, and it would return every period.
 const PAUSE_AFTER_MISS: Micros = Micros(30_000_000);
 
-/// What the caller has to do.
+/// Action that the caller has to take.
 #[derive(Debug, PartialEq, Eq)]
 pub enum RingProbeAction {
-    /// Nothing now.
+    /// Do nothing now.
     Wait,
     /// Send a probe to this member, with this token.
     Probe(Identity, u64),
-    /// Suspect this member: it answered no attempt.
+    /// Suspect this member, which answered no attempt.
     Suspect(Identity),
 }
 
-/// What a step of the ring probe goes by.
+/// Inputs of a step of the ring probe.
 pub struct RingContext<'a> {
-    /// The time that this process was awake.
-    pub awake: Micros,
-    /// The probe period.
+    /// Protocol time, which excludes pauses of this process.
+    pub protocol_time: Micros,
+    /// Probe period.
     pub period: Micros,
-    /// This member's name.
+    /// Name of this member.
     pub own_name: &'a str,
-    /// All other members.
+    /// Records of all other members, by name.
     pub records: &'a BTreeMap<Rc<str>, MemberRecord>,
-    /// How well this process runs; its time-outs are scaled by it.
+    /// Health of this process, by which time-outs are scaled.
     pub health: &'a LocalHealth,
 }
 
-/// A probe under way.
+/// A probe that waits for its reply.
 #[derive(Debug)]
 struct PendingProbe {
     target: Identity,
     token: u64,
     attempts: u32,
-    /// When this attempt times out.
+    /// Time at which the current attempt times out.
     timeout_at: Micros,
 }
 
-/// A member that is not probed for a while.
+/// An incarnation that is not probed until a given time.
 #[derive(Debug)]
-struct Paused {
+struct ProbePause {
     incarnation: u64,
     until: Micros,
 }
 
-/// The ring probe of one member.
+/// State of one member's ring probe.
 #[derive(Debug, Default)]
 pub struct RingProber {
     pending: Option<PendingProbe>,
     next_probe_at: Micros,
-    paused: BTreeMap<Rc<str>, Paused>,
+    paused: BTreeMap<Rc<str>, ProbePause>,
 }
 
 impl RingProber {
-    /// Time has passed. `token` marks a probe that begins now; it is unused otherwise.
+    /// Advances the probe and returns the next action. `token` identifies a probe that starts in this step and is
+    /// unused otherwise.
     pub fn tick(&mut self, context: &RingContext<'_>, token: u64) -> RingProbeAction {
         match self.pending.take() {
             Some(pending) => self.continue_probe(context, pending),
-            None => self.begin_probe(context, token),
+            None => self.start_probe(context, token),
         }
     }
 
     fn continue_probe(&mut self, context: &RingContext<'_>, mut pending: PendingProbe) -> RingProbeAction {
-        if context.awake < pending.timeout_at {
+        if context.protocol_time < pending.timeout_at {
             self.pending = Some(pending);
             return RingProbeAction::Wait;
         }
         if pending.attempts >= MAX_ATTEMPTS {
             let target = pending.target;
-            let paused = Paused { incarnation: target.incarnation, until: context.awake + PAUSE_AFTER_MISS };
+            let paused = ProbePause {
+                incarnation: target.incarnation,
+                until: context.protocol_time + PAUSE_AFTER_MISS,
+            };
             self.paused.insert(target.name.clone(), paused);
             return RingProbeAction::Suspect(target);
         }
         pending.attempts += 1;
-        pending.timeout_at = context.awake + context.health.scaled(ATTEMPT_TIMEOUT);
+        pending.timeout_at = context.protocol_time + context.health.scaled(ATTEMPT_TIMEOUT);
         let action = RingProbeAction::Probe(pending.target.clone(), pending.token);
         self.pending = Some(pending);
         action
     }
 
-    fn begin_probe(&mut self, context: &RingContext<'_>, token: u64) -> RingProbeAction {
-        if context.awake < self.next_probe_at {
+    fn start_probe(&mut self, context: &RingContext<'_>, token: u64) -> RingProbeAction {
+        if context.protocol_time < self.next_probe_at {
             return RingProbeAction::Wait;
         }
-        self.next_probe_at = context.awake + context.health.scaled(context.period);
-        self.paused.retain(|_, paused| context.awake < paused.until);
+        self.next_probe_at = context.protocol_time + context.health.scaled(context.period);
+        self.paused.retain(|_, paused| context.protocol_time < paused.until);
         let Some(target) = next_alive(context.own_name, context.records) else {
             return RingProbeAction::Wait;
         };
         if self.paused.get(&target.name).is_some_and(|p| p.incarnation == target.incarnation) {
             return RingProbeAction::Wait;
         }
-        let timeout_at = context.awake + context.health.scaled(ATTEMPT_TIMEOUT);
+        let timeout_at = context.protocol_time + context.health.scaled(ATTEMPT_TIMEOUT);
         self.pending = Some(PendingProbe { target: target.clone(), token, attempts: 1, timeout_at });
         RingProbeAction::Probe(target, token)
     }
 
-    /// A reply came. One that is late or doubled says nothing new.
-    pub fn reply(&mut self, token: u64) {
+    /// Called when a reply arrives. Late and duplicate replies have no effect.
+    pub fn on_reply(&mut self, token: u64) {
         if self.pending.as_ref().is_some_and(|pending| pending.token == token) {
             self.pending = None;
         }
     }
 }
 
-/// The first member alive after this name, in the ring of names.
+/// Returns the first alive member after `own_name` in the ring of names.
 fn next_alive(own_name: &str, records: &BTreeMap<Rc<str>, MemberRecord>) -> Option<Identity> {
     let after = records.range::<str, _>((Bound::Excluded(own_name), Bound::Unbounded));
     let mut ring = after.map(|(_, record)| record).chain(records.values());
--- a/src/cluster/membership/suspicion.rs
+++ b/src/cluster/membership/suspicion.rs
@@ -1,8 +1,8 @@
-//! Suspicions: whom this member suspects and asks, and which suspicions of itself it has refuted.
+//! Suspicions that this member raised, and suspicions against this member that it has refuted.
 //!
-//! In SWIM a suspect learns of its suspicion by gossip, so the time to refute has to be long. Here the suspecting
-//! member asks the suspect itself, again and again (Lifeguard's buddy system, made direct), so that two probe periods
-//! are enough at any size of the cluster.
+//! In SWIM a suspect learns of the suspicion by gossip, so the time to refute it has to be long. Here the suspecting
+//! member queries the suspect repeatedly and directly (an extension of Lifeguard's buddy system), so that two probe
+//! periods are enough at any cluster size.
 
 use crate::cluster::membership::identity::Identity;
 use crate::cluster::membership::members::{MemberRecord, MemberState};
@@ -10,52 +10,56 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The time between two questions to a suspect.
-const ASK_INTERVAL: Micros = Micros(250_000);
+/// Time between two queries to a suspect.
+const QUERY_INTERVAL: Micros = Micros(250_000);
 
-/// A member that this one suspects.
+/// A suspicion against another member that this one raised.
 #[derive(Debug, Clone)]
 pub struct Suspicion {
-    /// The suspect.
+    /// Identity of the suspect.
     pub suspect: Identity,
-    /// The protocol's own incarnation of it that is suspected; a refutation carries a higher one.
+    /// The protocol's own incarnation number of the suspect; a refutation carries a higher one.
     pub number: u16,
-    ask_at: Micros,
+    next_query_at: Micros,
 }
 
-/// The suspicions that concern this member.
+/// Suspicions raised by this member, and those against it.
 #[derive(Debug, Default)]
 pub struct Suspicions {
-    suspected_by_us: BTreeMap<Rc<str>, Suspicion>,
-    /// The highest number by which others suspected this incarnation.
+    raised: BTreeMap<Rc<str>, Suspicion>,
+    /// Highest protocol incarnation number with which others suspected this incarnation of the member.
     refuted: Option<u16>,
 }
 
 impl Suspicions {
-    /// This member suspects another from now on. It is asked at the next chance.
-    pub fn add(&mut self, suspect: Identity, number: u16, awake: Micros) {
+    /// Adds a suspicion; the suspect is queried at the next opportunity.
+    pub fn add(&mut self, suspect: Identity, number: u16, protocol_time: Micros) {
         let name = suspect.name.clone();
-        self.suspected_by_us.insert(name, Suspicion { suspect, number, ask_at: awake });
+        self.raised.insert(name, Suspicion { suspect, number, next_query_at: protocol_time });
     }
 
-    /// The suspects that are to be asked now; those that are suspects no longer are dropped.
-    pub fn take_due(&mut self, awake: Micros, records: &BTreeMap<Rc<str>, MemberRecord>) -> Vec<Suspicion> {
-        self.suspected_by_us.retain(|name, suspicion| {
+    /// Returns the suspicions whose suspects are due for a query, and drops those that have ended.
+    pub fn take_due(
+        &mut self,
+        protocol_time: Micros,
+        records: &BTreeMap<Rc<str>, MemberRecord>,
+    ) -> Vec<Suspicion> {
+        self.raised.retain(|name, suspicion| {
             let record = records.get(name);
             record.is_some_and(|r| r.identity == suspicion.suspect && r.state == MemberState::Suspect)
         });
         let mut due = Vec::new();
-        for suspicion in self.suspected_by_us.values_mut() {
-            if suspicion.ask_at <= awake {
-                suspicion.ask_at = awake + ASK_INTERVAL;
+        for suspicion in self.raised.values_mut() {
+            if suspicion.next_query_at <= protocol_time {
+                suspicion.next_query_at = protocol_time + QUERY_INTERVAL;
                 due.push(suspicion.clone());
             }
         }
         due
     }
 
-    /// Others suspect this member. Returns whether that is to be refuted: the same suspicion comes from many members,
-    /// and again until its refutation arrives, and counts once.
+    /// Called when another member suspects this one. Returns whether the suspicion is new and has to be refuted: the
+    /// same suspicion arrives from many members, and repeatedly until its refutation arrives, but counts once.
     pub fn is_new_suspicion_of_us(&mut self, number: u16) -> bool {
         if self.refuted.is_some_and(|refuted| refuted >= number) {
             return false;
@@ -64,7 +68,7 @@
         true
     }
 
-    /// This process goes on under another identity, which nobody has suspected yet.
+    /// Called when this process takes another identity, which no member has suspected yet.
     pub fn identity_changed(&mut self) {
         self.refuted = None;
     }
--- a/src/cluster/membership/swim.rs
+++ b/src/cluster/membership/swim.rs
@@ -1,7 +1,7 @@
-//! The membership protocol of one gateway: SWIM by the crate `foca`, driven by this process's awake time.
+//! Membership protocol of one gateway: SWIM as implemented by the crate `foca`, driven by protocol time.
 //!
-//! Protocol time stands still while the process is paused (see [`LocalHealth`]), so that a process that wakes up does
-//! not accuse everybody; `foca`'s errors about outdated timers change nothing and are dropped.
+//! Protocol time does not advance while the process is paused (see [`LocalHealth`]), so that a process that resumes
+//! does not suspect all other members. Errors of `foca` about outdated timers have no effect and are ignored.
 
 use crate::cluster::membership::codec::{CheckedCodec, KnownIncarnation, Observations, OutdatedSender};
 use crate::cluster::membership::identity::Identity;
@@ -19,25 +19,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The gossip parameters follow the number of members once it differs by more than one part in this many.
-const RESIZE_PARTS: usize = 4;
+/// The gossip parameters are adapted once the number of members has changed by more than one part in this many.
+const RESIZE_DIVISOR: usize = 4;
 
-/// A message that is to be sent.
+/// A message to be sent.
 pub struct OutgoingMessage {
-    /// The receiver.
+    /// Receiver of the message.
     pub to: Identity,
-    /// The message.
+    /// Encoded message.
     pub message: bytes::Bytes,
-    /// The number by which the receiver is suspected, where this asks it about that.
+    /// If the message queries a suspect: the protocol incarnation number with which the receiver is suspected.
     pub suspicion: Option<u16>,
 }
 
-/// Why a message was not taken.
+/// Why a message was rejected.
 #[derive(Debug, thiserror::Error)]
-#[error("message of the membership protocol: {0}")]
+#[error("membership protocol rejected a message: {0}")]
 pub struct SwimError(#[from] foca::Error);
 
-/// The membership protocol of one gateway.
+/// Membership protocol of one gateway.
 pub struct Swim {
     foca: Foca<Identity, CheckedCodec, SmallRng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Identity>,
@@ -46,30 +46,30 @@
     max_message_bytes: usize,
     health: LocalHealth,
     now: Micros,
-    awake: Micros,
+    protocol_time: Micros,
     timers: TimerQueue,
-    /// `foca`'s mark on its timers; those with an older one are outdated.
+    /// Token that `foca` puts on its current timers; timers with an older token are outdated.
     timer_token: Option<foca::TimerToken>,
     members: MemberTable,
     suspicions: Suspicions,
-    /// A probe was sent, and its outcome is not noted yet.
+    /// Whether a probe was sent whose outcome is not recorded yet.
     is_probing: bool,
-    /// Probes in a row that nobody acknowledged.
+    /// Number of consecutive probes that were not acknowledged.
     unacknowledged_probes: u32,
-    /// The number of members that the gossip parameters are set for.
+    /// Number of members that the gossip parameters are set for.
     configured_size: usize,
-    /// Since when others are known.
+    /// Time since which other members have been known.
     connected_at: Option<Micros>,
     has_left: bool,
 }
 
-/// A span in microseconds.
+/// Converts a duration to microseconds, saturating.
 pub fn micros(span: Duration) -> Micros {
     Micros(u64::try_from(span.as_micros()).unwrap_or(u64::MAX))
 }
 
 impl Swim {
-    /// A member that knows nobody yet.
+    /// Creates a member that knows no others yet.
     pub fn new(own: Identity, seed: u64, probe_period: Duration, max_message_bytes: usize) -> Swim {
         let observations = Rc::new(RefCell::new(Observations::new(own.clone())));
         let codec = CheckedCodec::new(observations.clone());
@@ -82,7 +82,7 @@
             max_message_bytes,
             health: LocalHealth::default(),
             now: Micros(0),
-            awake: Micros(0),
+            protocol_time: Micros(0),
             timers: TimerQueue::default(),
             timer_token: None,
             members: MemberTable::new(),
@@ -95,32 +95,32 @@
         }
     }
 
-    /// This process's identity now.
+    /// Current identity of this process.
     pub fn own(&self) -> &Identity {
         self.foca.identity()
     }
 
-    /// How well this process itself runs.
+    /// Health of this process itself.
     pub fn health(&self) -> &LocalHealth {
         &self.health
     }
 
-    /// The time that this process was awake.
-    pub fn awake(&self) -> Micros {
-        self.awake
+    /// Protocol time, which excludes pauses of this process.
+    pub fn protocol_time(&self) -> Micros {
+        self.protocol_time
     }
 
-    /// Since when it has known others, if it does.
+    /// Time since which this member has known others, if it knows any.
     pub fn connected_at(&self) -> Option<Micros> {
         self.connected_at
     }
 
-    /// All other members, by name.
+    /// Records of all other members, by name.
     pub fn records(&self) -> &BTreeMap<Rc<str>, MemberRecord> {
         self.members.records()
     }
 
-    /// The incarnation that this member knows of a name.
+    /// Returns the incarnation that this member knows under a name.
     pub fn known_incarnation(&self, name: &str) -> KnownIncarnation {
         self.records().get(name).map_or(KnownIncarnation::default(), |record| KnownIncarnation {
             incarnation: record.identity.incarnation,
@@ -128,17 +128,17 @@
         })
     }
 
-    /// Takes out the highest later incarnation under the own name that messages named.
+    /// Takes out the highest later incarnation that messages named under this member's own name.
     pub fn take_later_own_incarnation(&mut self) -> Option<KnownIncarnation> {
         self.observations.borrow_mut().later_own_incarnation.take()
     }
 
-    /// Takes out the sender of the last message, where it is the latest incarnation of its name.
+    /// Takes out the sender of the last message, if it is the latest incarnation of its name.
     pub fn take_sender(&mut self) -> Option<Identity> {
         self.observations.borrow_mut().sender.take()
     }
 
-    /// Takes out the last sender that was not the latest incarnation of its name.
+    /// Takes out the last sender that was an outdated incarnation of its name.
     pub fn take_outdated_sender(&mut self) -> Option<OutdatedSender> {
         let mut observations = self.observations.borrow_mut();
         let identity = observations.outdated_sender.take()?;
@@ -146,21 +146,22 @@
         Some(OutdatedSender { identity, latest })
     }
 
-    /// Time has passed.
+    /// Advances the clock and runs all due timers.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<OutgoingMessage>) {
         self.advance_clock(now);
-        // An empty update makes the protocol look at its connection. Without it a process that rejoined probes nobody
-        // until it next receives a message; if all died meanwhile, it would take them for alive for ever.
+        // An empty update makes the protocol re-evaluate whether it is connected. Otherwise a process that rejoined
+        // would probe no member until it next receives a message; if all others crashed meanwhile, it would consider
+        // them alive forever.
         let _ = self.foca.apply_many(std::iter::empty(), false, &mut self.runtime);
         self.drain_runtime(out);
-        while let Some(timer) = self.timers.pop_due(self.awake) {
+        while let Some(timer) = self.timers.pop_due(self.protocol_time) {
             if matches!(timer, Timer::ProbeRandomMember(_)) {
-                self.note_probe_outcome();
+                self.record_probe_outcome();
             }
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
             self.drain_runtime(out);
         }
-        for identity in self.timers.take_due_removals(self.awake) {
+        for identity in self.timers.take_due_removals(self.protocol_time) {
             let _ = self.foca.handle_timer(Timer::RemoveDown(identity), &mut self.runtime);
             self.members.mark_stale();
         }
@@ -168,43 +169,43 @@
         if self.members.is_refresh_due(self.now) {
             self.refresh_members();
         }
-        self.ask_suspects(out);
+        self.query_suspects(out);
     }
 
     fn advance_clock(&mut self, now: Micros) {
         self.now = self.now.max(now);
-        self.awake = self.health.advance(self.now);
+        self.protocol_time = self.health.advance(self.now);
     }
 
-    /// A new probe begins: the one before it was acknowledged by now, or never will be.
-    fn note_probe_outcome(&mut self) {
+    /// Records the outcome of the previous probe when a new one starts: by then it was acknowledged, or never will be.
+    fn record_probe_outcome(&mut self) {
         if !std::mem::take(&mut self.is_probing) {
             return;
         }
         let acknowledged = std::mem::take(&mut self.observations.borrow_mut().acknowledged);
         self.unacknowledged_probes = if acknowledged { 0 } else { self.unacknowledged_probes + 1 };
-        // One probe without an answer tells of the probed member; several in a row tell of this process.
+        // A single missed reply points to the probed member; several in a row point to this process.
         if self.unacknowledged_probes != 1 {
-            self.health.probe_ended(acknowledged);
+            self.health.on_probe_ended(acknowledged);
         }
         if !acknowledged {
             self.members.mark_stale();
         }
     }
 
-    /// Asks those whom this member suspects whether they live.
-    fn ask_suspects(&mut self, out: &mut Vec<OutgoingMessage>) {
-        for suspicion in self.suspicions.take_due(self.awake, self.members.records()) {
+    /// Queries the members that this one suspects.
+    fn query_suspects(&mut self, out: &mut Vec<OutgoingMessage>) {
+        for suspicion in self.suspicions.take_due(self.protocol_time, self.members.records()) {
             let first_new = out.len();
             let _ = self.foca.announce(suspicion.suspect, &mut self.runtime);
             self.drain_runtime(out);
-            for question in &mut out[first_new..] {
-                question.suspicion = Some(suspicion.number);
+            for query in &mut out[first_new..] {
+                query.suspicion = Some(suspicion.number);
             }
         }
     }
 
-    /// This member itself had no answer from another.
+    /// Suspects a member that did not reply to this one.
     pub fn suspect(&mut self, identity: &Identity, out: &mut Vec<OutgoingMessage>) {
         let is_alive = |m: &&Member<Identity>| m.id() == identity && m.state() == State::Alive;
         let Some(number) = self.foca.iter_members().find(is_alive).map(Member::incarnation) else { return };
@@ -215,25 +216,25 @@
         foca::Runtime::submit_after(&mut self.runtime, timer, self.probe_period * SUSPICION_PERIODS);
         self.drain_runtime(out);
         self.refresh_members();
-        self.ask_suspects(out);
+        self.query_suspects(out);
     }
 
-    /// Another member suspects this one and asks. The answer to its question carries the refutation.
-    pub fn suspected(&mut self, number: u16, out: &mut Vec<OutgoingMessage>) {
+    /// Called when another member suspects this one and queries it. The reply carries the refutation.
+    pub fn on_suspected(&mut self, number: u16, out: &mut Vec<OutgoingMessage>) {
         if !self.suspicions.is_new_suspicion_of_us(number) {
             return;
         }
-        self.health.was_suspected();
+        self.health.on_suspected();
         let own = Member::new(self.own().clone(), number, State::Suspect);
         let _ = self.foca.apply_many(std::iter::once(own), false, &mut self.runtime);
         self.drain_runtime(out);
     }
 
-    /// A message was received.
+    /// Processes a received message.
     ///
     /// # Errors
     ///
-    /// It was malformed, or named members that this one does not take.
+    /// Fails if the message is malformed or names members that are rejected.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -246,18 +247,18 @@
         Ok(result?)
     }
 
-    /// Calls a member of which only the name is known, to join it.
+    /// Announces this member to one of which only the name is known, to join its cluster.
     pub fn announce_to(&mut self, name: &str, out: &mut Vec<OutgoingMessage>) {
         let _ = self.foca.announce(Identity::unknown(name), &mut self.runtime);
         self.drain_runtime(out);
     }
 
-    /// Goes on as an incarnation above `other`.
-    pub fn outlive(&mut self, other: u64, out: &mut Vec<OutgoingMessage>) {
+    /// Takes an incarnation above `other`.
+    pub fn raise_incarnation_above(&mut self, other: u64, out: &mut Vec<OutgoingMessage>) {
         self.change_identity(self.own().above(other), out);
     }
 
-    /// Announces that this member leaves on purpose. It answers nobody from now on.
+    /// Announces that this member leaves on purpose. It answers no messages from then on.
     pub fn leave(&mut self, out: &mut Vec<OutgoingMessage>) {
         if std::mem::replace(&mut self.has_left, true) {
             return;
@@ -268,7 +269,7 @@
         self.drain_runtime(out);
     }
 
-    /// Gossips the updates that there are to some members, now.
+    /// Gossips the pending updates to some members immediately.
     pub fn gossip(&mut self, out: &mut Vec<OutgoingMessage>) {
         let _ = self.foca.gossip(&mut self.runtime);
         self.drain_runtime(out);
@@ -285,13 +286,13 @@
         self.suspicions.identity_changed();
     }
 
-    /// Takes out what the protocol wants done.
+    /// Executes the actions that the protocol has queued: messages, timers and notifications.
     fn drain_runtime(&mut self, out: &mut Vec<OutgoingMessage>) {
         while let Some((to, message)) = self.runtime.to_send() {
             out.push(OutgoingMessage { to, message, suspicion: None });
         }
-        while let Some((after, timer)) = self.runtime.to_schedule() {
-            self.schedule(micros(after), timer);
+        while let Some((delay, timer)) = self.runtime.to_schedule() {
+            self.schedule(micros(delay), timer);
         }
         while let Some(notification) = self.runtime.to_notify() {
             self.members.mark_stale();
@@ -308,34 +309,34 @@
         }
     }
 
-    fn schedule(&mut self, after: Micros, timer: Timer<Identity>) {
-        let mut after = after;
+    fn schedule(&mut self, delay: Micros, timer: Timer<Identity>) {
+        let mut delay = delay;
         match &timer {
             Timer::ProbeRandomMember(token) => {
                 self.timer_token = Some(*token);
-                after = self.health.scaled(after);
+                delay = self.health.scaled(delay);
             }
             Timer::SendIndirectProbe { .. } => {
                 self.is_probing = true;
-                after = self.health.scaled(after);
+                delay = self.health.scaled(delay);
             }
             Timer::ChangeSuspectToDown { member_id, incarnation, .. } => {
                 self.members.mark_stale();
-                self.suspicions.add(member_id.clone(), *incarnation, self.awake);
-                after = self.health.scaled(after);
+                self.suspicions.add(member_id.clone(), *incarnation, self.protocol_time);
+                delay = self.health.scaled(delay);
             }
             Timer::RemoveDown(identity) => {
-                self.timers.schedule_removal(self.awake + after, identity.clone());
+                self.timers.schedule_removal(self.protocol_time + delay, identity.clone());
                 return;
             }
             _ => {}
         }
-        self.timers.schedule(self.awake + after, timer);
+        self.timers.schedule(self.protocol_time + delay, timer);
     }
 
     fn adapt_to_size(&mut self) {
         let members = self.foca.num_members() + 1;
-        if members.abs_diff(self.configured_size) * RESIZE_PARTS > self.configured_size {
+        if members.abs_diff(self.configured_size) * RESIZE_DIVISOR > self.configured_size {
             self.configured_size = members;
             let config = parameters::config(members, self.probe_period, self.max_message_bytes);
             let _ = self.foca.set_config(config);
--- a/src/cluster/membership/timers.rs
+++ b/src/cluster/membership/timers.rs
@@ -1,4 +1,4 @@
-//! The membership protocol's timers, by the clock of the time awake.
+//! Timers of the membership protocol, in protocol time.
 
 use crate::cluster::membership::identity::Identity;
 use crate::decision::Micros;
@@ -7,16 +7,16 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::rc::Rc;
 
-/// A timer of the protocol.
+/// A timer of the protocol and its due time.
 struct ScheduledTimer {
     due_at: Micros,
-    /// Tells timers that are due at one time in the order in which they were set.
+    /// Orders timers with the same due time by the order in which they were set.
     serial: u64,
     timer: Timer<Identity>,
 }
 
 impl Ord for ScheduledTimer {
-    /// The earliest is the greatest, as a heap yields its greatest entry first.
+    /// The earliest timer compares as the greatest, because a heap yields its greatest entry first.
     fn cmp(&self, other: &ScheduledTimer) -> Ordering {
         (other.due_at, other.serial).cmp(&(self.due_at, self.serial))
     }
@@ -36,45 +36,45 @@
 
 impl Eq for ScheduledTimer {}
 
-/// When a member that is down or gone is forgotten.
+/// Removal of a member that is down or has left.
 struct Removal {
     due_at: Micros,
     identity: Identity,
 }
 
-/// All timers that are set.
+/// All pending timers.
 #[derive(Default)]
 pub struct TimerQueue {
     timers: BinaryHeap<ScheduledTimer>,
     last_serial: u64,
-    /// At most one for each name: a member that goes down again and again must not fill the memory.
+    /// At most one removal for each name, so that a member that goes down repeatedly does not exhaust the memory.
     removals: BTreeMap<Rc<str>, Removal>,
 }
 
 impl TimerQueue {
-    /// Sets a timer.
+    /// Schedules a timer.
     pub fn schedule(&mut self, due_at: Micros, timer: Timer<Identity>) {
         self.last_serial += 1;
         self.timers.push(ScheduledTimer { due_at, serial: self.last_serial, timer });
     }
 
-    /// Sets when a member that is down is forgotten; a later one under the same name takes its place.
+    /// Schedules the removal of a member that is down or has left, replacing an earlier removal of the same name.
     pub fn schedule_removal(&mut self, due_at: Micros, identity: Identity) {
         self.removals.insert(identity.name.clone(), Removal { due_at, identity });
     }
 
-    /// The next timer that is due.
-    pub fn pop_due(&mut self, awake: Micros) -> Option<Timer<Identity>> {
+    /// Removes and returns the next due timer.
+    pub fn pop_due(&mut self, protocol_time: Micros) -> Option<Timer<Identity>> {
         let next = self.timers.peek()?;
-        if next.due_at > awake {
+        if next.due_at > protocol_time {
             return None;
         }
         self.timers.pop().map(|scheduled| scheduled.timer)
     }
 
-    /// Takes out the members that are due to be forgotten, by name.
-    pub fn take_due_removals(&mut self, awake: Micros) -> Vec<Identity> {
-        let is_due = |removal: &Removal| removal.due_at <= awake;
+    /// Removes and returns the members that are due for removal, ordered by name.
+    pub fn take_due_removals(&mut self, protocol_time: Micros) -> Vec<Identity> {
+        let is_due = |removal: &Removal| removal.due_at <= protocol_time;
         let due: Vec<Identity> =
             self.removals.values().filter(|r| is_due(r)).map(|r| r.identity.clone()).collect();
         self.removals.retain(|_, removal| !is_due(removal));
--- a/src/cluster/membership_node.rs
+++ b/src/cluster/membership_node.rs
@@ -1,4 +1,4 @@
-//! The cluster node's part in membership: datagrams in and out, probes, joining and leaving.
+//! Membership part of the cluster node: sent and received datagrams, probes, joining and leaving.
 
 use crate::cluster::datagram::{self, DatagramError, Payload};
 use crate::cluster::event::{ClusterNotice, Effect};
@@ -12,14 +12,14 @@
 use crate::decision::Micros;
 use std::net::SocketAddr;
 
-/// A process that has known others for this long is established under its name: it yields to a newer one, instead of
-/// taking a higher incarnation itself.
+/// Time of knowing others after which a process counts as established under its name: it then yields to a newer
+/// process instead of taking a higher incarnation itself.
 const ESTABLISHED_AFTER: Micros = Micros(10_000_000);
-/// How many ticks long a leaving gateway repeats that it leaves.
+/// Number of ticks in which a leaving gateway repeats its departure.
 const LEAVE_REPEATS: u32 = 4;
 
 impl ClusterNode {
-    /// Time has passed for membership and the quota leases.
+    /// Advances membership and the quota leases.
     pub(super) fn tick_membership(&mut self, messages: &mut Vec<OutgoingMessage>, out: &mut Vec<Effect>) {
         self.swim.tick(self.now, messages);
         self.check_own_incarnation(messages, out);
@@ -31,14 +31,14 @@
             return;
         }
         if self.join_schedule.is_due(self.now) {
-            self.call_absent_gateways(messages);
+            self.announce_to_absent_gateways(messages);
         }
         self.tick_ring_probe(messages, out);
         self.notify_member_changes(out);
         self.tick_quota_leases(out);
     }
 
-    /// The gateway leaves on purpose.
+    /// Leaves the cluster on purpose.
     pub(super) fn leave(&mut self, messages: &mut Vec<OutgoingMessage>) {
         self.left = true;
         self.leave_repeats = LEAVE_REPEATS;
@@ -49,7 +49,7 @@
     fn tick_ring_probe(&mut self, messages: &mut Vec<OutgoingMessage>, out: &mut Vec<Effect>) {
         let token = self.rng.u64(..);
         let context = RingContext {
-            awake: self.swim.awake(),
+            protocol_time: self.swim.protocol_time(),
             period: micros(self.settings.probe_period),
             own_name: &self.settings.name,
             records: self.swim.records(),
@@ -69,22 +69,22 @@
         }
     }
 
-    /// Calls configured gateways that are not present.
-    fn call_absent_gateways(&mut self, messages: &mut Vec<OutgoingMessage>) {
+    /// Announces this gateway to configured gateways that are not present.
+    fn announce_to_absent_gateways(&mut self, messages: &mut Vec<OutgoingMessage>) {
         let records = self.swim.records();
         let is_absent = |name: &&String| {
             let record = records.get(name.as_str());
             **name != self.settings.name && record.is_none_or(|record| !record.state.is_present())
         };
         let absent: Vec<String> = self.address_book.configured_names().filter(is_absent).cloned().collect();
-        let is_alone = self.swim.connected_at().is_none();
-        for name in self.rng.choose_multiple(absent.iter(), JoinSchedule::calls(is_alone)) {
+        let is_disconnected = self.swim.connected_at().is_none();
+        for name in self.rng.choose_multiple(absent.iter(), JoinSchedule::fanout(is_disconnected)) {
             self.swim.announce_to(name, messages);
         }
-        self.join_schedule.schedule_next(self.now, is_alone, &mut self.rng);
+        self.join_schedule.schedule_next(self.now, is_disconnected, &mut self.rng);
     }
 
-    /// Notifies people of members whose state changed since the last notification.
+    /// Emits a notice for each member whose state changed since the last notice.
     fn notify_member_changes(&mut self, out: &mut Vec<Effect>) {
         let records = self.swim.records();
         for (name, record) in records {
@@ -98,7 +98,7 @@
         self.address_book.retain_known(records);
     }
 
-    /// Takes a datagram, and counts it.
+    /// Processes a received datagram and counts it.
     pub(super) fn receive(
         &mut self,
         from: SocketAddr,
@@ -129,7 +129,7 @@
         out: &mut Vec<Effect>,
     ) -> Result<(), DatagramError> {
         let (payload, rest) = datagram::decode(self.cluster_tag, bytes)?;
-        if !self.takes(&payload) {
+        if !self.accepts(&payload) {
             return Ok(());
         }
         match payload {
@@ -151,7 +151,7 @@
                 Ok(())
             }
             Payload::RingProbeReply { token } => {
-                self.ring_prober.reply(token);
+                self.ring_prober.on_reply(token);
                 Ok(())
             }
             Payload::ViewRequest { seat_list, token } => {
@@ -162,13 +162,15 @@
         }
     }
 
-    /// A process that yielded takes nothing more. One that leaves still hands over its work and others' records.
-    fn takes(&self, payload: &Payload) -> bool {
+    /// Whether a payload is processed. A process that yielded processes none. A leaving one still takes part in the
+    /// ledger and the write queue, to hand over its own work and the records of others.
+    fn accepts(&self, payload: &Payload) -> bool {
         let is_hand_over = matches!(payload, Payload::Ledger { .. } | Payload::WriteQueue { .. });
         self.yielded_to.is_none() && (!self.left || is_hand_over)
     }
 
-    /// A message of the membership protocol. `known`: the incarnation that its sender knows under this name.
+    /// Processes a message of the membership protocol. `known` is the incarnation that the sender knows under this
+    /// name.
     fn receive_swim(
         &mut self,
         known: KnownIncarnation,
@@ -179,27 +181,29 @@
     ) -> Result<(), DatagramError> {
         let own = self.own().incarnation;
         if known.incarnation > own {
-            self.yield_or_outlive(known, messages, out);
+            self.yield_or_raise_incarnation(known, messages, out);
             return Ok(());
         }
         if let Some(number) = suspicion.filter(|_| known.incarnation == own) {
-            self.swim.suspected(number, messages);
+            self.swim.on_suspected(number, messages);
         }
         self.swim.receive(self.now, message, messages).map_err(|_| DatagramError::Rejected)
     }
 
-    /// Looks whether messages named a later incarnation under the own name.
+    /// Checks whether messages named a later incarnation under this member's own name.
     fn check_own_incarnation(&mut self, messages: &mut Vec<OutgoingMessage>, out: &mut Vec<Effect>) {
         let Some(later) = self.swim.take_later_own_incarnation() else { return };
         if self.yielded_to.is_none() && !self.left && later.incarnation > self.own().incarnation {
-            self.yield_or_outlive(later, messages, out);
+            self.yield_or_raise_incarnation(later, messages, out);
         }
     }
 
-    /// Others know a later incarnation under this name. Where that one is present and this process is established, two
-    /// processes run, and the older yields: else they would declare each other down for ever. Otherwise the later one is
-    /// dead, or this process started after it with a clock that was set back, and takes a higher incarnation.
-    fn yield_or_outlive(
+    /// Called when other members know a later incarnation under this name.
+    ///
+    /// If that one is present and this process is established, two processes run, and the older one yields; otherwise
+    /// they would declare each other down forever. In all other cases the later one has crashed, or this process
+    /// started after it with a clock that was set back; this process then takes a higher incarnation.
+    fn yield_or_raise_incarnation(
         &mut self,
         other: KnownIncarnation,
         messages: &mut Vec<OutgoingMessage>,
@@ -208,7 +212,7 @@
         let connected_at = self.swim.connected_at();
         let is_established = connected_at.is_some_and(|at| self.now - at >= ESTABLISHED_AFTER);
         if !other.is_present || !is_established {
-            self.swim.outlive(other.incarnation, messages);
+            self.swim.raise_incarnation_above(other.incarnation, messages);
             return;
         }
         let own = self.own().incarnation;
@@ -223,7 +227,7 @@
         out.push(Effect::Notify(ClusterNotice::SeatYielded { own, other: other.incarnation }));
     }
 
-    /// Looks whether the last message came from an outdated incarnation of its name.
+    /// Checks whether the last message came from an outdated incarnation of its sender's name.
     fn check_duplicate_name(&mut self, out: &mut Vec<Effect>) {
         let Some(sender) = self.swim.take_outdated_sender() else { return };
         if let Some(duplicate) = self.duplicate_names.observe(&sender, self.now) {
@@ -249,12 +253,12 @@
         }
     }
 
-    /// Where to send what is for a member, the likeliest address first.
+    /// Returns the addresses to try for a member, the most likely one first.
     pub(super) fn addresses(&self, to: &Identity) -> impl Iterator<Item = SocketAddr> {
         self.address_book.candidates(to, self.swim.records())
     }
 
-    /// Sends a datagram without a message of the membership protocol.
+    /// Sends a datagram whose payload is followed by no message.
     pub(super) fn send_payload(&mut self, to: SocketAddr, payload: &Payload, out: &mut Vec<Effect>) {
         if let Some(bytes) = self.encode(payload, &[]) {
             self.send_datagram(to, bytes, out);
@@ -265,7 +269,7 @@
         datagram::encode(self.cluster_tag, payload, message)
     }
 
-    /// Sends a whole datagram, and counts it.
+    /// Sends an encoded datagram and counts it.
     pub(super) fn send_datagram(&mut self, to: SocketAddr, bytes: Vec<u8>, out: &mut Vec<Effect>) {
         self.traffic.sent += 1;
         self.traffic.sent_bytes += bytes.len() as u64;
