--- a/src/cluster/ledger/client.rs
+++ b/src/cluster/ledger/client.rs
@@ -1,4 +1,4 @@
-//! One claim of a record: acquires it, and writes it while it is the owner (a Paxos proposer with a lease).
+//! Client of one ledger record: a Paxos proposer that acquires the record and writes it while it holds the lease.
 
 mod prepare;
 mod write;
@@ -9,112 +9,113 @@
 use crate::decision::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An owner stops acting when this part of its lease is left, as what it begins takes time.
+/// Divisor of the lease that gives the guard time before its end in which an owner starts nothing, as each
+/// action takes time.
 const LEASE_GUARD_DIVISOR: u64 = 10;
 
-/// A message to the replica in a seat.
+/// A message and the seat of the replica that it is addressed to.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct AddressedMessage {
-    /// The replica's seat.
+    /// Seat of the replica.
     pub to: u16,
-    /// The message.
+    /// Message to send.
     pub message: LedgerMessage,
 }
 
-/// What became of a claim, or of a write under it.
+/// Outcome of a claim, or of a write under a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum ClaimOutcome {
-    /// The record is the claim's to write.
+    /// The claim acquired the record and may write it.
     Acquired {
-        /// There was a record before.
+        /// Whether the record existed before.
         existed: bool,
-        /// Attempts of earlier owners that may have run.
+        /// Attempts of earlier owners that may have been executed.
         attempts: Vec<RecordedAttempt>,
     },
-    /// Another owns it, for so long at most unless it renews its lease.
+    /// Another claim owns the record; its lease ends after at most this time unless it is renewed.
     InProgress(Micros),
-    /// It is done, with this response.
+    /// The request is completed, with this response.
     Completed(Vec<u8>),
-    /// The idempotency key was used with another request.
+    /// The idempotency key was used with a different request.
     KeyReused,
-    /// No quorum of the replicas can be had.
+    /// No quorum of the replicas promised in any round, or the record has had the maximum number of owners.
     Unavailable,
-    /// The write of this number is confirmed by a quorum.
+    /// A quorum accepted the write with this sequence number.
     Confirmed(u32),
-    /// Another took the record over.
+    /// Another claim took the record over.
     Lost,
 }
 
-/// What an owner writes.
+/// A change that an owner writes to its record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum RecordChange {
-    /// An attempt is about to be sent to this endpoint.
+    /// Records that an attempt is about to be sent to this endpoint.
     AddAttempt(u64),
-    /// The owner gives the request up: whoever claims the record continues.
+    /// Gives up ownership, so that the next claim may continue the request.
     Release,
-    /// The request is done, with this response.
+    /// Completes the request with this response.
     Complete(Vec<u8>),
-    /// Nothing but a longer lease.
+    /// Renews the lease without another change.
     Renew,
 }
 
-/// What a replica replied in this round.
+/// Reply of a replica in the current round.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Reply {
-    Promised { at: Micros, held: Option<RecordSnapshot> },
+    Promised { received_at: Micros, held: Option<RecordSnapshot> },
     Preempted { promised: Ballot },
     Abstained,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Phase {
-    /// Asks for promises.
+    /// Waits for promises.
     Preparing,
-    /// A quorum promised; nothing is written yet.
+    /// A quorum has promised; nothing is written yet.
     Prepared,
-    /// It has written, and is the owner for all that it knows.
+    /// The claim has written the record and knows of no takeover.
     Owner,
     Finished,
 }
 
-/// One claim of a record.
+/// Client of one claim of a record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LedgerClient {
     id: RecordId,
     settings: LedgerSettings,
-    /// The record's replicas, nearest first.
+    /// Replicas of the record, in the order in which they are contacted.
     replicas: Vec<u16>,
-    /// How many of them are asked: first a quorum, the others where those are slow.
+    /// Number of replicas contacted: a quorum at first, all of them when that quorum is slow.
     contacted: usize,
     ballot: Ballot,
     phase: Phase,
-    round_began: Micros,
-    /// Rounds of prepare messages that came before this one.
+    round_started_at: Micros,
+    /// Number of prepare rounds before the current one.
     earlier_rounds: u32,
     replies: BTreeMap<u16, Reply>,
-    /// The record as it was written last, or will be.
+    /// Record as last written, or as the first write will have it.
     record: Record,
-    record_began: Micros,
-    /// The number of the last write; 0: none yet.
+    record_created_at: Micros,
+    /// Sequence number of the last write; 0 before the first.
     sequence: u32,
     first_write_at: Micros,
     last_write_at: Micros,
-    /// When the last write was last sent.
+    /// Time at which the last write was last sent or resent.
     last_sent_at: Micros,
     /// Replicas that accepted the last write.
     accepted_by: BTreeSet<u16>,
-    /// The number of the last write that a quorum accepted; 0: none yet.
+    /// Sequence number of the last write that a quorum accepted; 0 before the first.
     confirmed: u32,
-    /// The end of the lease that the last confirmed write gave.
+    /// End of the lease granted by the last confirmed write.
     lease_until: Micros,
-    /// The request, which goes to the replicas with the first write.
+    /// Request that is sent to the replicas with the first write.
     request: Option<Vec<u8>>,
     request_sent: bool,
 }
 
 impl LedgerClient {
-    /// Claims a record for a request of this digest. `replicas`: those that hold it, those that answer soonest first.
-    /// Appends what is to be sent.
+    /// Starts a claim of a record for a request with this digest and appends the messages to send. `replicas` are the
+    /// record's replicas in the order in which they are to be contacted.
     pub fn begin(
         id: RecordId,
         request_digest: u64,
@@ -132,11 +133,11 @@
             replicas,
             ballot,
             phase: Phase::Preparing,
-            round_began: now,
+            round_started_at: now,
             earlier_rounds: 0,
             replies: BTreeMap::new(),
             record: Record { request_digest, lease_ms, ..Record::default() },
-            record_began: now,
+            record_created_at: now,
             sequence: 0,
             first_write_at: now,
             last_write_at: now,
@@ -151,65 +152,68 @@
         client
     }
 
-    /// The request is to be stored with the replicas, so that it is finished whoever dies. One that is too long is not.
+    /// Has the request stored at the replicas with the first write, so that another gateway can finish it if this one
+    /// fails. A request longer than `MAX_REQUEST_BYTES` is not stored.
     pub fn attach_request(&mut self, request: Vec<u8>) {
         self.request = Some(request).filter(|request| request.len() <= MAX_REQUEST_BYTES);
     }
 
-    /// Which record.
+    /// Returns the identifier of the claimed record.
     pub fn id(&self) -> RecordId {
         self.id
     }
 
-    /// By which ballot.
+    /// Returns the ballot of the current round.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// The record as it was written last, or will be.
+    /// Returns the record as last written, or as the first write will have it.
     pub fn record(&self) -> &Record {
         &self.record
     }
 
-    /// Whether nothing more comes of it.
+    /// Returns whether the claim has ended and produces no further outcome.
     pub fn is_finished(&self) -> bool {
         self.phase == Phase::Finished
     }
 
-    /// Whether its last write was confirmed.
+    /// Returns whether no write awaits confirmation by a quorum.
     pub fn is_confirmed(&self) -> bool {
         self.confirmed == self.sequence
     }
 
-    /// Whether it waits for its replicas.
+    /// Returns whether the claim waits for replies of replicas.
     pub fn is_waiting(&self) -> bool {
         self.phase == Phase::Preparing || self.is_owner() && !self.is_confirmed()
     }
 
-    /// Whether it has written, and is the owner for all that it knows.
+    /// Returns whether the claim has written the record and knows of no takeover.
     pub fn is_owner(&self) -> bool {
         self.phase == Phase::Owner
     }
 
-    /// Whether a quorum has confirmed it as the owner, and its lease runs.
+    /// Returns whether a quorum has confirmed this owner and its lease runs.
     pub fn has_lease(&self, now: Micros) -> bool {
         self.confirmed > 0 && self.may_act(now)
     }
 
-    /// Whether the owner may do something now that others see: under its lease or, where the replicas have not
-    /// answered yet, without. To be asked at the last moment before each such act.
+    /// Returns whether the owner may perform an externally visible action now: under its lease or, before the
+    /// first write is confirmed, for the duration of a lease after it. Must be checked immediately before each
+    /// such action.
     pub fn may_act(&self, now: Micros) -> bool {
         let until = match self.confirmed {
-            // Nobody takes over what was just written, where a quorum holds it at all.
+            // If a quorum accepted the first write, no other claim can take the record over during this time.
             0 => self.first_write_at + self.record.lease(),
             _ => self.lease_until,
         };
         let guard = Micros(self.record.lease().0 / LEASE_GUARD_DIVISOR);
-        // With its last write it releases the record: that may have come, though no answer to it has.
+        // A write that releases the record may have reached the replicas although no reply has come.
         self.is_owner() && self.record.owned && now + guard < until
     }
 
-    /// Handles a replica's message; what the claim found out, if anything. Appends what is to be sent.
+    /// Handles a reply of a replica and appends the messages to send. Returns the outcome of the claim or of its last
+    /// write if the reply decides it.
     pub fn on_message(
         &mut self,
         now: Micros,
@@ -244,14 +248,14 @@
         held: Option<RecordSnapshot>,
         out: &mut Vec<AddressedMessage>,
     ) -> Option<ClaimOutcome> {
-        if self.phase == Phase::Finished || now - self.round_began > ROUND_TRIP_LIMIT {
+        if self.phase == Phase::Finished || now - self.round_started_at > ROUND_TRIP_LIMIT {
             return None;
         }
-        self.replies.entry(from).or_insert(Reply::Promised { at: now, held });
+        self.replies.entry(from).or_insert(Reply::Promised { received_at: now, held });
         match self.phase {
             Phase::Preparing => self.evaluate_replies(now, out),
             Phase::Owner => {
-                // One that promised late holds it as well.
+                // A replica that promised late receives the last write as well.
                 out.extend(self.accept_message(now, from));
                 None
             }
--- a/src/cluster/ledger/client/prepare.rs
+++ b/src/cluster/ledger/client/prepare.rs
@@ -1,4 +1,4 @@
-//! Acquiring a record: rounds of prepare messages, until a quorum has promised (Paxos phase 1).
+//! Acquires a record by rounds of prepare messages until a quorum has promised (Paxos phase 1).
 
 use super::{AddressedMessage, ClaimOutcome, LedgerClient, Phase, Reply};
 use crate::cluster::ledger::message::{LedgerMessage, RecordSnapshot};
@@ -6,21 +6,22 @@
 use crate::cluster::ledger::settings::{lease_with_drift, MAX_OWNERS, ROUND_TRIP_LIMIT};
 use crate::decision::Micros;
 
-/// How many rounds a claim has, each by a higher ballot, before its record counts as unavailable.
+/// Maximum number of prepare rounds of a claim, each with a higher ballot, before the record counts as unavailable.
 const MAX_ROUNDS: u32 = 4;
 
 impl LedgerClient {
-    /// Those asked first are slow: asks the other replicas as well.
+    /// Contacts the remaining replicas too. Called when those contacted first are slow.
     pub fn contact_all(&mut self, out: &mut Vec<AddressedMessage>) {
         let others = self.replicas.iter().skip(self.contacted);
         out.extend(others.map(|to| self.prepare_message(*to)));
         self.contacted = self.replicas.len();
     }
 
-    /// To be called as time passes. A claim that too few have answered, or whose messages or answers were lost, asks all
-    /// anew by a higher ballot, as a late promise does not count, and gives up after some rounds.
+    /// Called on each tick. A round without a decision within `ROUND_TRIP_LIMIT`, for lack of replies or
+    /// because messages were lost, is repeated with a higher ballot at all replicas, as late promises do not
+    /// count. The claim gives up after `MAX_ROUNDS`.
     pub fn retry_prepare(&mut self, now: Micros, out: &mut Vec<AddressedMessage>) -> Option<ClaimOutcome> {
-        if self.phase != Phase::Preparing || now - self.round_began <= ROUND_TRIP_LIMIT {
+        if self.phase != Phase::Preparing || now - self.round_started_at <= ROUND_TRIP_LIMIT {
             return None;
         }
         if !self.has_rounds_left() {
@@ -32,7 +33,7 @@
     }
 
     pub(super) fn begin_round(&mut self, now: Micros, out: &mut Vec<AddressedMessage>) {
-        self.round_began = now;
+        self.round_started_at = now;
         self.phase = Phase::Preparing;
         self.replies.clear();
         out.extend(self.replicas.iter().take(self.contacted).map(|to| self.prepare_message(*to)));
@@ -52,7 +53,7 @@
         AddressedMessage { to, message: LedgerMessage::Prepare { id: self.id, ballot: self.ballot } }
     }
 
-    /// Looks whether the replies so far decide the round.
+    /// Acts on the replies so far: acquires the record, starts a new round, contacts more replicas or gives up.
     pub(super) fn evaluate_replies(
         &mut self,
         now: Micros,
@@ -67,7 +68,8 @@
             if !self.has_rounds_left() {
                 return Some(self.give_up());
             }
-            // At once: whoever is silent may be dead, and one that preempted would promise to a higher ballot.
+            // Starts the next round without waiting for more replies: replicas that have not replied may have
+            // failed, and the preempting one promises to a higher ballot.
             self.begin_round_above(number, now, out);
             return None;
         }
@@ -96,11 +98,12 @@
         ClaimOutcome::Unavailable
     }
 
-    /// A quorum promised: what the highest ballot wrote is continued.
+    /// Called when a quorum has promised: adopts the record that was written with the highest ballot among the
+    /// promises.
     fn acquire(&mut self) -> ClaimOutcome {
         let Some(latest) = self.latest_held().cloned() else {
             self.phase = Phase::Prepared;
-            self.record_began = self.round_began;
+            self.record_created_at = self.round_started_at;
             return ClaimOutcome::Acquired { existed: false, attempts: Vec::new() };
         };
         if latest.record.request_digest != self.record.request_digest {
@@ -111,12 +114,12 @@
             return self.give_up();
         }
         self.phase = Phase::Prepared;
-        self.record_began = self.round_began - latest.age;
-        let prior = |attempt: &SentAttempt| RecordedAttempt {
+        self.record_created_at = self.round_started_at - latest.age;
+        let to_recorded = |attempt: &SentAttempt| RecordedAttempt {
             endpoint: attempt.endpoint,
-            sent_at: self.record_began + Micros(u64::from(attempt.record_age_ms) * 1000),
+            sent_at: self.record_created_at + Micros(u64::from(attempt.record_age_ms) * 1000),
         };
-        let attempts = latest.record.attempts.iter().map(prior).collect();
+        let attempts = latest.record.attempts.iter().map(to_recorded).collect();
         self.record = Record { lease_ms: self.record.lease_ms, ..latest.record };
         ClaimOutcome::Acquired { existed: true, attempts }
     }
--- a/src/cluster/ledger/client/write.rs
+++ b/src/cluster/ledger/client/write.rs
@@ -1,4 +1,5 @@
-//! Writing a record as its owner: each write is sent until a quorum has accepted it (Paxos phase 2), and renews the lease.
+//! Writes a record as its owner (Paxos phase 2): each write is resent until a quorum has accepted it, and renews the
+//! lease.
 
 use super::{AddressedMessage, ClaimOutcome, LedgerClient, Phase, RecordChange, Reply};
 use crate::cluster::ledger::message::LedgerMessage;
@@ -6,15 +7,16 @@
 use crate::cluster::ledger::settings::{PROMISE_LIFETIME, ROUND_TRIP_LIMIT};
 use crate::decision::Micros;
 
-/// A write that is not confirmed is sent again after this.
+/// Interval at which an unconfirmed write is resent.
 const RESEND_AFTER: Micros = Micros(50_000);
-/// A lease is renewed when one part in so many of it is over: what is left has time for a second try.
+/// Divisor of the lease that gives the renewal interval; the rest of the lease leaves time for a second attempt.
 const RENEWAL_DIVISOR: u64 = 2;
-/// The most attempts that a record lists.
+/// Maximum number of attempts in a record.
 const MAX_ATTEMPTS: usize = 8;
 
 impl LedgerClient {
-    /// Writes the record; the number of the write, which is not confirmed yet, or none where it may not be written.
+    /// Writes a change to the record and appends the messages to send. Returns the sequence number of the
+    /// write, which is not confirmed yet, or `None` if the record may not be written.
     pub fn write(
         &mut self,
         now: Micros,
@@ -22,7 +24,9 @@
         out: &mut Vec<AddressedMessage>,
     ) -> Option<u32> {
         match self.phase {
-            Phase::Prepared if now - self.round_began > PROMISE_LIFETIME - ROUND_TRIP_LIMIT => return None,
+            Phase::Prepared if now - self.round_started_at > PROMISE_LIFETIME - ROUND_TRIP_LIMIT => {
+                return None
+            }
             Phase::Prepared => self.become_owner(now, out),
             Phase::Owner => {}
             Phase::Preparing | Phase::Finished => return None,
@@ -33,14 +37,15 @@
                 if self.record.attempts.len() >= MAX_ATTEMPTS {
                     return None;
                 }
-                let age_ms = (now - self.record_began).0 / 1000;
+                let age_ms = (now - self.record_created_at).0 / 1000;
                 let record_age_ms = age_ms.min(u64::from(u32::MAX)) as u32;
                 self.record.attempts.push(SentAttempt { endpoint, record_age_ms });
             }
             RecordChange::Complete(response) => {
                 self.record.response = Some(response);
                 if !self.record.fits() {
-                    // Too long to be held: whoever comes again is sent to an endpoint, if that is allowed.
+                    // The response is too long to store: a retry of the client is sent to an endpoint again,
+                    // where the request allows that.
                     self.record.response = None;
                 }
             }
@@ -69,8 +74,10 @@
         }));
     }
 
-    /// To whom the next write goes first. A quorum that accepted the last is enough, and where one of it is silent the
-    /// others are sent it with the next tick; but all that hold the request have to learn that it is completed.
+    /// Returns the replicas to which the next write is sent first. A quorum that accepted the last write is
+    /// enough: if one of its members does not reply, `resend` includes the others. The first write and one
+    /// after an unconfirmed write go to all replicas, and so does a release or completion of a record whose
+    /// request is stored, as every replica that holds the request must learn of it.
     fn receivers(&self) -> Vec<u16> {
         let quorum_is_enough =
             self.is_confirmed() && self.sequence > 0 && (self.record.owned || !self.request_sent);
@@ -80,7 +87,8 @@
         }
     }
 
-    /// An attempt at this endpoint surely never ran; the next write says so.
+    /// Removes the last attempt at this endpoint, which is known not to have been executed. The next write
+    /// contains the removal.
     pub fn remove_attempt(&mut self, endpoint: u64) {
         let last = self.record.attempts.iter().rposition(|attempt| attempt.endpoint == endpoint);
         if let Some(index) = last {
@@ -88,15 +96,15 @@
         }
     }
 
-    /// The last write, for a replica that promised.
+    /// Returns a message with the last write for a replica that has promised, otherwise `None`.
     pub(super) fn accept_message(&self, now: Micros, to: u16) -> Option<AddressedMessage> {
-        let Some(Reply::Promised { at, .. }) = self.replies.get(&to) else { return None };
+        let Some(Reply::Promised { received_at, .. }) = self.replies.get(&to) else { return None };
         let message = LedgerMessage::Accept {
             id: self.id,
             ballot: self.ballot,
             sequence: self.sequence,
-            since_promise: now - *at,
-            age: now - self.record_began,
+            since_promise: now - *received_at,
+            age: now - self.record_created_at,
             record: self.record.clone(),
         };
         Some(AddressedMessage { to, message })
@@ -111,12 +119,13 @@
             return None;
         }
         self.confirmed = sequence;
-        let lease_over = self.last_write_at + self.record.lease();
-        self.lease_until = lease_over.min(self.record_began + self.settings.record_lifetime);
+        let lease_end = self.last_write_at + self.record.lease();
+        self.lease_until = lease_end.min(self.record_created_at + self.settings.record_lifetime);
         Some(ClaimOutcome::Confirmed(sequence))
     }
 
-    /// To be called as time passes: sends again what is not confirmed, and renews the lease of an owner that works.
+    /// Called on each tick: resends an unconfirmed write, or renews the lease of an owner that has not released
+    /// the record.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<AddressedMessage>) {
         if !self.is_owner() {
             return;
@@ -137,10 +146,10 @@
             return;
         }
         self.last_sent_at = now;
-        if now - self.round_began <= ROUND_TRIP_LIMIT {
+        if now - self.round_started_at <= ROUND_TRIP_LIMIT {
             self.contact_all(out);
         }
-        let silent = self.replicas.iter().filter(|replica| !self.accepted_by.contains(replica));
-        out.extend(silent.filter_map(|to| self.accept_message(now, *to)));
+        let without_acceptance = self.replicas.iter().filter(|replica| !self.accepted_by.contains(replica));
+        out.extend(without_acceptance.filter_map(|to| self.accept_message(now, *to)));
     }
 }
--- a/src/cluster/ledger/message.rs
+++ b/src/cluster/ledger/message.rs
@@ -1,106 +1,109 @@
-//! Messages between claims and replicas. A wire form (postcard): the order of variants and fields counts.
+//! Messages between ledger clients and replicas.
+//!
+//! They are encoded with postcard, which is positional: variants and fields must keep their order.
 
 use super::record::{Ballot, Record, RecordId};
 use crate::decision::Micros;
 use serde::{Deserialize, Serialize};
 
-/// A record as a replica holds it.
+/// A record with its ballot and age, as stored at one replica.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecordSnapshot {
-    /// The ballot by which it was written.
+    /// Ballot of the last accepted write.
     pub ballot: Ballot,
-    /// Which of the writes by that ballot.
+    /// Sequence number of that write within its ballot.
     pub sequence: u32,
-    /// What it says.
+    /// Contents of the record.
     pub record: Record,
-    /// How old the record is.
+    /// Age of the record.
     pub age: Micros,
-    /// How long ago the replica accepted the write.
+    /// Time since the replica accepted the write.
     pub since_write: Micros,
 }
 
-/// A message of the ledger. `id` names the record, `ballot` is the claim's.
+/// A ledger message. `id` names the record and `ballot` is that of the client's claim.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LedgerMessage {
-    /// To a replica: promise to accept nothing of a lower ballot (Paxos phase 1).
+    /// Asks a replica to promise that it accepts no write of a lower ballot (Paxos phase 1).
     Prepare {
-        /// Which record.
+        /// Record that is claimed.
         id: RecordId,
-        /// By which ballot.
+        /// Ballot of the claim.
         ballot: Ballot,
     },
-    /// The replica promises, and says what it holds.
+    /// Reply of a replica that makes the promise, with the record that it holds.
     Promise {
-        /// Which record.
+        /// Record that is claimed.
         id: RecordId,
-        /// To which ballot.
+        /// Ballot to which the replica promised.
         ballot: Ballot,
-        /// What it holds, unless that has expired.
+        /// Record held by the replica, unless there is none or it has expired.
         held: Option<RecordSnapshot>,
     },
-    /// The replica does not promise: the record is answered, or its owner's lease runs.
+    /// Reply of a replica that makes no promise, as the record is completed or its owner's lease may still run.
     Locked {
-        /// Which record.
+        /// Record that is claimed.
         id: RecordId,
-        /// The ballot that asked.
+        /// Ballot of the request.
         ballot: Ballot,
-        /// What it holds.
+        /// Record held by the replica.
         held: RecordSnapshot,
     },
-    /// The replica has promised to a higher ballot.
+    /// Reply of a replica that has promised to a higher ballot.
     Preempted {
-        /// Which record.
+        /// Record that is claimed.
         id: RecordId,
-        /// The ballot that asked.
+        /// Ballot of the request.
         ballot: Ballot,
-        /// The higher one.
+        /// Higher ballot to which the replica promised.
         promised: Ballot,
     },
-    /// The replica has no vote, or no capacity.
+    /// Reply of a replica that has no vote or no capacity.
     Abstained {
-        /// Which record.
+        /// Record that is claimed.
         id: RecordId,
-        /// The ballot that asked.
+        /// Ballot of the request.
         ballot: Ballot,
     },
-    /// To a replica: accept this write (Paxos phase 2).
+    /// Asks a replica to accept a write (Paxos phase 2).
     Accept {
-        /// Which record.
+        /// Record that is written.
         id: RecordId,
-        /// By which ballot.
+        /// Ballot of the write.
         ballot: Ballot,
-        /// Which of the writes by it, from 1.
+        /// Sequence number of the write within its ballot, from 1.
         sequence: u32,
-        /// How long ago the claim received this replica's promise.
+        /// Time since the client received this replica's promise.
         since_promise: Micros,
-        /// How old the record is.
+        /// Age of the record.
         age: Micros,
-        /// What it says now.
+        /// New contents of the record.
         record: Record,
     },
-    /// The replica accepted the write.
+    /// Reply of a replica that accepted the write.
     Accepted {
-        /// Which record.
+        /// Record that was written.
         id: RecordId,
-        /// By which ballot.
+        /// Ballot of the write.
         ballot: Ballot,
-        /// Which of the writes by it.
+        /// Sequence number of the write within its ballot.
         sequence: u32,
     },
-    /// To a replica: the request itself, sent with its owner's first write, for whoever finishes it if the owner dies
-    /// and its client does not come again. It is not answered; a replica that lacks it finishes nothing.
+    /// Asks a replica to store the request itself, so that another gateway can finish it if the owner fails and the
+    /// client does not retry. Sent with the owner's first write and not answered; a replica that did not receive the
+    /// request never offers it.
     StoreRequest {
-        /// Which record.
+        /// Record of the request.
         id: RecordId,
-        /// By which ballot.
+        /// Ballot of the owner.
         ballot: Ballot,
-        /// The request.
+        /// Encoded request.
         request: Vec<u8>,
     },
 }
 
 impl LedgerMessage {
-    /// The ballot to which a replica's reply belongs; none for messages to replicas.
+    /// Returns the ballot that a replica replies to, or `None` for messages addressed to replicas.
     pub fn reply_ballot(&self) -> Option<Ballot> {
         match self {
             LedgerMessage::Promise { ballot, .. }
--- a/src/cluster/ledger/mod.rs
+++ b/src/cluster/ledger/mod.rs
@@ -1,12 +1,12 @@
-//! The ledger: replicated records of requests, each with one owner at a time, that outlive their owner.
+//! Replicated ledger of requests. Each record has one owner at a time and survives the failure of its owner.
 //!
-//! Each record is a register of its own, agreed on by a quorum of its replicas: Paxos over a register that changes
-//! (CASPaxos, Rystsov 2018), with a lease for its owner (Gray and Cheriton 1989). No I/O, no clock, no global
-//! randomness. `docs/decisions/0004-ledger.md` gives the reasons, the guarantees and what is not guaranteed.
+//! Each record is a separate mutable register on which a quorum of its replicas agrees by Paxos (CASPaxos, Rystsov
+//! 2018); its owner holds a lease (Gray and Cheriton 1989). The module does no I/O, reads no clock and uses no global
+//! randomness. `docs/decisions/0004-ledger.md` describes the design, its guarantees and their limits.
 //!
-//! * [`LedgerClient`] claims one record and writes it while it is the owner (Paxos: the proposer).
-//! * [`Replica`] holds records for other gateways (Paxos: the acceptor).
-//! * [`LedgerNode`] is all that one gateway does at the ledger: its claims, and its replica.
+//! * [`LedgerClient`] claims one record and writes it while it is the owner (Paxos proposer).
+//! * [`Replica`] stores records for all gateways of the cluster (Paxos acceptor).
+//! * [`LedgerNode`] combines the claims and the replica of one gateway.
 
 mod client;
 mod message;
--- a/src/cluster/ledger/node.rs
+++ b/src/cluster/ledger/node.rs
@@ -1,4 +1,4 @@
-//! All that one gateway does at the ledger: its claims, and the replica that it is for others.
+//! Ledger of one gateway: its open claims and its replica.
 
 use super::client::{AddressedMessage, ClaimOutcome, LedgerClient, RecordChange};
 use super::message::LedgerMessage;
@@ -10,76 +10,76 @@
 use crate::decision::Micros;
 use std::collections::BTreeMap;
 
-/// The number of a claim of this process.
+/// Number of a claim within this process.
 pub type ClaimId = u64;
 
-/// How often the ledger is to be called.
+/// Interval at which `LedgerNode::tick` is to be called.
 pub const LEDGER_TICK_INTERVAL: Micros = Micros(20_000);
-/// The most claims at one time; beyond that requests go on without a record.
+/// Maximum number of open claims; further requests proceed without a record.
 const MAX_CLAIMS: usize = 10_000;
-/// How long a released claim waits for its replicas to confirm the last write.
+/// Time for which a released claim waits for the confirmation of its last write.
 const RELEASE_TIMEOUT: Micros = Micros(500_000);
-/// So many seats can be a group of their own: one of them may be dead.
+/// Minimum number of seats of a group, so that the group tolerates the failure of one of them.
 const MIN_GROUP_SEATS: usize = 3;
-/// Between two looks for entries that have expired.
+/// Interval at which expired entries are removed from the replica.
 const EXPIRY_INTERVAL: Micros = Micros(500_000);
-/// Between two looks for abandoned requests.
+/// Interval at which the replica is searched for abandoned requests.
 const ABANDONED_INTERVAL: Micros = Micros(100_000);
 
-/// What the ledger wants done.
+/// An action that the ledger asks its caller to perform.
 #[derive(Debug)]
 pub enum LedgerEffect {
-    /// Send this to a seat.
+    /// Send this message to another seat.
     Send(AddressedMessage),
-    /// Something became of a claim.
+    /// A claim, or a write under it, has an outcome.
     ClaimResolved {
-        /// Which claim.
+        /// Claim that the outcome belongs to.
         claim: ClaimId,
-        /// What became of it.
+        /// Outcome of the claim or write.
         outcome: ClaimOutcome,
     },
-    /// A request whose owner is gone and whose client did not come again may be finished here.
+    /// This gateway may finish a request whose owner failed and whose client did not retry.
     RequestAbandoned(AbandonedRequest),
 }
 
-/// How claims ended, and how many there were. The field names are keys of the operators' JSON.
+/// Numbers of claims by outcome. The serialized field names are keys of the JSON served to operators.
 #[derive(Debug, Clone, Default, serde::Serialize)]
 pub struct ClaimCounts {
-    /// Claims made.
+    /// Claims opened.
     pub claims: u64,
-    /// Records acquired.
+    /// Claims that acquired their record.
     #[serde(rename = "clear")]
     pub acquired: u64,
-    /// Of them such as an earlier owner left.
+    /// Acquired records that existed before.
     pub taken_over: u64,
-    /// Found in progress at another gateway.
+    /// Claims that found the request in progress under another claim.
     #[serde(rename = "running")]
     pub in_progress: u64,
-    /// Found completed.
+    /// Claims that found the request completed.
     #[serde(rename = "answered")]
     pub completed: u64,
-    /// Found with another request under the same key.
+    /// Claims that found a different request under the same idempotency key.
     #[serde(rename = "mistakes")]
     pub key_reused: u64,
-    /// Without a quorum of the replicas.
+    /// Claims without a quorum of the replicas.
     #[serde(rename = "unheld")]
     pub unavailable: u64,
-    /// Lost to another owner.
+    /// Claims whose record was taken over by another owner.
     pub lost: u64,
-    /// Requests that went on without a record, as its replicas did not confirm it in time.
+    /// Requests that proceeded without a record, as its replicas did not confirm in time.
     pub unprotected: u64,
-    /// Requests of owners that are gone, offered to be finished here.
+    /// Requests of failed owners that this gateway was asked to finish.
     #[serde(rename = "orphans")]
     pub abandoned: u64,
 }
 
 struct OpenClaim {
     client: LedgerClient,
-    /// When its request released it.
+    /// Time at which the claim was released.
     released_at: Option<Micros>,
 }
 
-/// One gateway's part in the ledger.
+/// Claims and replica of one gateway.
 pub struct LedgerNode {
     settings: LedgerSettings,
     own_seat: u16,
@@ -90,14 +90,14 @@
     claims: BTreeMap<ClaimId, OpenClaim>,
     last_claim: ClaimId,
     next_expiry: Micros,
-    next_abandoned_look: Micros,
-    /// How claims ended.
+    next_abandoned_check: Micros,
+    /// Numbers of claims by outcome.
     pub counts: ClaimCounts,
 }
 
 impl LedgerNode {
-    /// For the gateway in this seat of so many; `seat_list` is the digest of the list of seats, `process` is drawn at
-    /// random.
+    /// Creates the ledger of the gateway in `own_seat`, one of `seats` seats. `seat_list` is the digest of the
+    /// list of seats and `process` the random number of this process.
     pub fn new(
         settings: LedgerSettings,
         own_seat: u16,
@@ -116,32 +116,33 @@
             claims: BTreeMap::new(),
             last_claim: 0,
             next_expiry: now,
-            next_abandoned_look: now,
+            next_abandoned_check: now,
             counts: ClaimCounts::default(),
         }
     }
 
-    /// The records that it holds for others.
+    /// Returns the replica of this gateway.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// The same, for the events of its storage.
+    /// Returns the replica of this gateway for storage events.
     pub fn replica_mut(&mut self) -> &mut Replica {
         &mut self.replica
     }
 
-    /// How many claims are open.
+    /// Returns the number of open claims.
     pub fn open_claims(&self) -> usize {
         self.claims.len()
     }
 
-    /// An open claim.
+    /// Returns the client of an open claim, or `None` if the claim is not open.
     pub fn claim(&self, claim: ClaimId) -> Option<&LedgerClient> {
         self.claims.get(&claim).map(|open| &open.client)
     }
 
-    /// Claims a record; none where there are too many claims. `reachable` says which seats are worth asking.
+    /// Opens a claim of a record. `reachable` tells whether a seat can be contacted. Returns `None` if
+    /// `MAX_CLAIMS` claims are open.
     pub fn open(
         &mut self,
         now: Micros,
@@ -151,11 +152,12 @@
         out: &mut Vec<LedgerEffect>,
     ) -> Option<ClaimId> {
         let replicas = replicas_of(id, self.seat_list, self.seats, self.settings.replicas);
-        self.open_at(now, id, request_digest, replicas, reachable, out)
+        self.open_with_replicas(now, id, request_digest, replicas, reachable, out)
     }
 
-    /// Claims a record that a group of the seats holds: it can be had where a quorum of the group is, whoever else is
-    /// cut off. A group of fewer than three is none: the whole cluster holds the record.
+    /// Opens a claim of a record whose replicas all belong to a group of seats, so that a quorum within the
+    /// group suffices when the rest of the cluster is unreachable. For a group of fewer than three seats the
+    /// replicas are chosen from the whole cluster instead.
     pub fn open_in_group(
         &mut self,
         now: Micros,
@@ -170,10 +172,10 @@
         let count =
             if group.len() < self.settings.replicas { MIN_GROUP_SEATS } else { self.settings.replicas };
         let replicas = replicas_among(id, self.seat_list, group.iter().copied(), count);
-        self.open_at(now, id, 0, replicas, reachable, out)
+        self.open_with_replicas(now, id, 0, replicas, reachable, out)
     }
 
-    fn open_at(
+    fn open_with_replicas(
         &mut self,
         now: Micros,
         id: RecordId,
@@ -189,30 +191,30 @@
         self.counts.claims += 1;
         let claim = self.last_claim;
         let ballot = Ballot { number: 1, process: self.process, claim };
-        let is_away = |seat: u16| seat != self.own_seat && !reachable(seat);
-        // The own replica first, those that are away last.
-        replicas.sort_by_key(|seat| (*seat != self.own_seat, is_away(*seat)));
-        let away: Vec<u16> = replicas.iter().copied().filter(|seat| is_away(*seat)).collect();
+        let is_unreachable = |seat: u16| seat != self.own_seat && !reachable(seat);
+        // The local replica comes first, unreachable replicas last.
+        replicas.sort_by_key(|seat| (*seat != self.own_seat, is_unreachable(*seat)));
+        let unreachable: Vec<u16> = replicas.iter().copied().filter(|seat| is_unreachable(*seat)).collect();
         let settings = LedgerSettings { replicas: replicas.len(), ..self.settings };
         let mut messages = Vec::new();
         let client = LedgerClient::begin(id, request_digest, ballot, replicas, settings, now, &mut messages);
         self.claims.insert(claim, OpenClaim { client, released_at: None });
-        messages.retain(|message| !away.contains(&message.to));
+        messages.retain(|message| !unreachable.contains(&message.to));
         self.deliver(now, messages, out);
-        for seat in away {
+        for seat in unreachable {
             self.on_message(now, seat, LedgerMessage::Abstained { id, ballot }, out);
         }
         Some(claim)
     }
 
-    /// The request is to be stored with the replicas of its record.
+    /// Has a claim's request stored at the replicas of its record with the first write.
     pub fn attach_request(&mut self, claim: ClaimId, request: Vec<u8>) {
         if let Some(open) = self.claims.get_mut(&claim) {
             open.client.attach_request(request);
         }
     }
 
-    /// The replicas that a claim asked are slow: the others are asked as well.
+    /// Contacts the remaining replicas of a claim too. Called when those contacted first are slow.
     pub fn contact_all(&mut self, now: Micros, claim: ClaimId, out: &mut Vec<LedgerEffect>) {
         let mut messages = Vec::new();
         if let Some(open) = self.claims.get_mut(&claim).filter(|open| open.client.is_waiting()) {
@@ -221,7 +223,7 @@
         self.deliver(now, messages, out);
     }
 
-    /// Writes a claim's record. Returns the number of the write, or none where it may not be written.
+    /// Writes a claim's record. Returns the sequence number of the write, or `None` if the record may not be written.
     pub fn write(
         &mut self,
         now: Micros,
@@ -230,24 +232,25 @@
         out: &mut Vec<LedgerEffect>,
     ) -> Option<u32> {
         let mut messages = Vec::new();
-        let number = self.claims.get_mut(&claim)?.client.write(now, change, &mut messages);
+        let sequence = self.claims.get_mut(&claim)?.client.write(now, change, &mut messages);
         self.deliver(now, messages, out);
-        number
+        sequence
     }
 
-    /// An attempt at this endpoint surely never ran.
+    /// Removes an attempt at this endpoint that is known not to have been executed.
     pub fn remove_attempt(&mut self, claim: ClaimId, endpoint: u64) {
         if let Some(open) = self.claims.get_mut(&claim) {
             open.client.remove_attempt(endpoint);
         }
     }
 
-    /// Whether a claim's owner may act now.
+    /// Returns whether the owner of a claim's record may perform an externally visible action now.
     pub fn may_act(&self, now: Micros, claim: ClaimId) -> bool {
         self.claim(claim).is_some_and(|client| client.may_act(now))
     }
 
-    /// A claim's request is over here, with its response or without: others may continue it.
+    /// Releases a claim whose request has ended at this gateway. With a response the record is completed; without one
+    /// another gateway may continue the request.
     pub fn release(
         &mut self,
         now: Micros,
@@ -267,7 +270,7 @@
         }
     }
 
-    /// Handles a message from a seat: one to the replica, or a reply to a claim.
+    /// Handles a message from a seat: a request to the local replica or a reply to a claim.
     pub fn on_message(
         &mut self,
         now: Micros,
@@ -333,7 +336,7 @@
         out.push(LedgerEffect::ClaimResolved { claim, outcome });
     }
 
-    /// Messages to the own replica are handled at once, the others sent.
+    /// Handles messages to the local replica at once and emits the others to be sent.
     fn deliver(&mut self, now: Micros, messages: Vec<AddressedMessage>, out: &mut Vec<LedgerEffect>) {
         for addressed in messages {
             match addressed.to == self.own_seat {
@@ -343,7 +346,8 @@
         }
     }
 
-    /// To be called as time passes.
+    /// Called every `LEDGER_TICK_INTERVAL`: drives open claims, reports abandoned requests and removes expired
+    /// entries.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<LedgerEffect>) {
         let mut messages = Vec::new();
         let mut unavailable = Vec::new();
@@ -359,9 +363,9 @@
             self.resolve(claim, outcome, out);
         }
         self.deliver(now, messages, out);
-        if now >= self.next_abandoned_look {
-            self.next_abandoned_look = now + ABANDONED_INTERVAL;
-            self.offer_abandoned(now, out);
+        if now >= self.next_abandoned_check {
+            self.next_abandoned_check = now + ABANDONED_INTERVAL;
+            self.report_abandoned(now, out);
         }
         if now >= self.next_expiry {
             self.next_expiry = now + EXPIRY_INTERVAL;
@@ -369,7 +373,7 @@
         }
     }
 
-    fn offer_abandoned(&mut self, now: Micros, out: &mut Vec<LedgerEffect>) {
+    fn report_abandoned(&mut self, now: Micros, out: &mut Vec<LedgerEffect>) {
         let (own_seat, seat_list, seats, count) =
             (self.own_seat, self.seat_list, self.seats, self.settings.replicas);
         let rank = |id| {
--- a/src/cluster/ledger/record.rs
+++ b/src/cluster/ledger/record.rs
@@ -1,79 +1,80 @@
-//! A record: what it says of a request, its name, and the ballot by which it was written.
+//! Ledger records, their identifiers and Paxos ballots.
 //!
-//! These are wire and disk forms (postcard): the order of fields counts, their names do not.
+//! These types are sent and stored in postcard, which is positional: fields must keep their order, not their names.
 
 use super::settings::{lease_with_drift, MAX_RECORD_BYTES};
 use crate::decision::Micros;
 use serde::{Deserialize, Serialize};
 
-/// A record's name: the customer, and what tells its requests apart.
+/// Identifier of a record: the customer and a hash that distinguishes its requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecordId {
-    /// The customer.
+    /// Customer that sent the request.
     pub customer: u64,
-    /// A hash of the request's class and idempotency key.
+    /// Hash of the request's class and idempotency key.
     pub key: u64,
 }
 
-/// A Paxos ballot. No two claims ever have the same, as each process draws its number at random when it starts.
+/// A Paxos ballot. Ballots of different claims never collide, as each process draws its number at random when it
+/// starts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Raised by each further round of one claim, and above those that preempted it.
+    /// Round number: raised by each further round of one claim, and above the ballots that preempted it.
     pub number: u32,
-    /// The process that claims.
+    /// Random number of the claiming process.
     pub process: u64,
-    /// Which of that process's claims.
+    /// Number of the claim within that process.
     pub claim: u64,
 }
 
-/// An attempt that may have run.
+/// An attempt that may have been executed, as stored in a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SentAttempt {
-    /// The endpoint.
+    /// Endpoint of the attempt.
     pub endpoint: u64,
-    /// The record's age when the attempt was about to be sent, in milliseconds, rounded down.
+    /// Age of the record when the attempt was about to be sent, in milliseconds, rounded down.
     pub record_age_ms: u32,
 }
 
-/// An attempt of an earlier owner that may have run, on this process's clock.
+/// An attempt of an earlier owner that may have been executed, timed on the clock of this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RecordedAttempt {
-    /// The endpoint.
+    /// Endpoint of the attempt.
     pub endpoint: u64,
-    /// When it was about to be sent.
+    /// Time at which the attempt was about to be sent.
     pub sent_at: Micros,
 }
 
-/// What the replicas hold of a request.
+/// State of a request that is replicated in the ledger.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// A digest of what the client sent: method, path, body.
+    /// Digest of the client's request: method, path and body.
     pub request_digest: u64,
-    /// How many owners it has had; rises with each (a fencing token).
+    /// Fencing token: the number of owners so far.
     pub fence: u32,
-    /// It has an owner; otherwise whoever claims it continues the request.
+    /// Whether the record has an owner. Otherwise the next claim may continue the request at once.
     pub owned: bool,
-    /// How long its owner may act after a write that a quorum confirmed, in milliseconds.
+    /// Duration of the owner's lease, counted from each write that a quorum confirmed, in milliseconds.
     pub lease_ms: u32,
-    /// Attempts that were about to be sent and may have run.
+    /// Attempts that were about to be sent and may have been executed.
     pub attempts: Vec<SentAttempt>,
-    /// The response, once it is known.
+    /// Encoded response, once it is known.
     pub response: Option<Vec<u8>>,
 }
 
 impl Record {
-    /// How long an owner may act.
+    /// Returns the duration of the owner's lease.
     pub fn lease(&self) -> Micros {
         Micros(u64::from(self.lease_ms) * 1000)
     }
 
-    /// Whether nobody else may claim it, so long after a replica last accepted a write of it: it is answered, or its
-    /// owner's lease may still run.
+    /// Returns whether other claims are refused `since_write` after a replica last accepted a write: the request is
+    /// completed, or the owner's lease may still run.
     pub fn is_locked(&self, since_write: Micros) -> bool {
         self.response.is_some() || self.owned && since_write < lease_with_drift(self.lease())
     }
 
-    /// Whether it is short enough for a replica to hold.
+    /// Returns whether the encoded record is within `MAX_RECORD_BYTES`.
     pub fn fits(&self) -> bool {
         postcard::to_allocvec(self).is_ok_and(|bytes| bytes.len() <= MAX_RECORD_BYTES)
     }
--- a/src/cluster/ledger/replica.rs
+++ b/src/cluster/ledger/replica.rs
@@ -1,4 +1,4 @@
-//! A replica: the records that this gateway holds for others (a Paxos acceptor for each).
+//! Replica of the ledger: a Paxos acceptor for each record that this gateway holds.
 
 pub(super) mod abandoned;
 mod vote;
@@ -10,86 +10,86 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most records that a replica holds.
+/// Maximum number of records at a replica.
 const MAX_RECORDS: usize = 20_000;
-/// The most of them that one customer has.
+/// Maximum number of records of one customer at a replica.
 const MAX_RECORDS_PER_CUSTOMER: usize = MAX_RECORDS / 8;
-/// The most bytes of records and requests that a replica holds.
+/// Maximum total size of the records and requests at a replica, in bytes.
 const MAX_BYTES: usize = 4 << 20;
-/// What a record takes in memory beside its attempts and its response, in bytes, about.
+/// Approximate memory of a record without its attempts and its response, in bytes.
 const RECORD_OVERHEAD_BYTES: usize = 64;
-/// What an attempt takes in memory, in bytes.
+/// Memory of one attempt, in bytes.
 const ATTEMPT_BYTES: usize = 16;
-/// When a replica without a vote votes.
+/// Value of `votes_from` for a replica that has no vote.
 const NEVER: Micros = Micros(u64::MAX);
 
-/// A write that was accepted. A disk form: the order of fields counts.
+/// An accepted write. Stored in postcard, so fields must keep their order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct AcceptedWrite {
     ballot: Ballot,
     sequence: u32,
     record: Record,
-    /// When it was accepted.
-    at: Micros,
-    /// When the record began, by the age that came with it.
-    record_began: Micros,
+    /// Time at which the write was accepted.
+    accepted_at: Micros,
+    /// Time at which the record was created, computed from the age that came with the write.
+    record_created_at: Micros,
 }
 
-/// All that a replica holds of a record. A disk form: the order of fields counts.
+/// State of one record at a replica. Stored in postcard, so fields must keep their order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicaEntry {
     promised: Ballot,
     promised_at: Micros,
     accepted: Option<AcceptedWrite>,
-    /// The request, where its owner wants it finished whatever happens.
+    /// Request of the record, if its owner wants it finished even if that owner fails.
     request: Option<Vec<u8>>,
-    /// When the request was last offered to be finished.
-    offered_at: Option<Micros>,
+    /// Time at which the request was last reported as abandoned.
+    reported_at: Option<Micros>,
 }
 
 impl ReplicaEntry {
-    /// What it takes in memory, in bytes, about.
+    /// Returns the approximate memory of the entry, in bytes.
     fn bytes(&self) -> usize {
         let accepted = self.accepted.as_ref().map_or(0, |write| record_bytes(&write.record));
         accepted + self.request.as_ref().map_or(0, Vec::len)
     }
 
-    /// The same with its times converted to another clock.
+    /// Returns the entry with its times converted to another clock.
     pub fn with_times(mut self, convert: impl Fn(Micros) -> Micros) -> ReplicaEntry {
         self.promised_at = convert(self.promised_at);
-        self.offered_at = self.offered_at.map(&convert);
+        self.reported_at = self.reported_at.map(&convert);
         if let Some(write) = self.accepted.as_mut() {
-            write.at = convert(write.at);
-            write.record_began = convert(write.record_began);
+            write.accepted_at = convert(write.accepted_at);
+            write.record_created_at = convert(write.record_created_at);
         }
         self
     }
 }
 
-/// How many messages a replica rejected, by reason.
+/// Numbers of messages that a replica rejected, by reason.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct RejectionCounts {
-    /// It had no vote yet.
+    /// The replica had no vote.
     pub not_voting: u64,
-    /// It had no capacity, or the customer had too much of it.
+    /// The replica was at capacity, in total or for this customer.
     pub at_capacity: u64,
-    /// A write came too late.
+    /// The first write of a ballot came too late after the promise.
     pub late: u64,
-    /// A write without a promise, or of a record that no claim may write.
+    /// The write had no promise, or its record was too large or expired.
     pub invalid: u64,
 }
 
-/// The records that this gateway holds for others.
+/// A replica of the ledger: the records that this gateway holds for the cluster.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Replica {
     settings: LedgerSettings,
     votes_from: Micros,
     entries: BTreeMap<RecordId, ReplicaEntry>,
-    entries_of_customer: BTreeMap<u64, usize>,
+    entries_per_customer: BTreeMap<u64, usize>,
     bytes: usize,
-    /// What has changed since it was last asked for; none where the gateway has no storage.
+    /// Records changed since the last call of `take_changed`; `None` if the gateway has no storage.
     changed: Option<BTreeSet<RecordId>>,
-    /// What it rejected.
+    /// Numbers of rejected messages.
     pub rejections: RejectionCounts,
 }
 
@@ -99,44 +99,45 @@
 }
 
 impl Replica {
-    /// A replica that starts now and remembers nothing.
+    /// Creates a replica without stored state. It has no vote until the vote delay is over.
     pub fn new(settings: LedgerSettings, now: Micros) -> Replica {
         Replica {
             settings,
             votes_from: now + settings.vote_delay(),
             entries: BTreeMap::new(),
-            entries_of_customer: BTreeMap::new(),
+            entries_per_customer: BTreeMap::new(),
             bytes: 0,
             changed: None,
             rejections: RejectionCounts::default(),
         }
     }
 
-    /// It has no vote until its storage is read, and notes what changes from then on.
+    /// Withholds the replica's vote until `restore` is called, and tracks changes from now on.
     pub fn await_storage(&mut self) {
         self.votes_from = NEVER;
         self.changed = Some(BTreeSet::new());
     }
 
-    /// Its storage is read and held these. `complete`: it is all that earlier processes promised and accepted, so that it votes at once;
-    /// otherwise it waits as one that starts without.
+    /// Restores the entries that were read from storage. If they are `complete`, that is, all that earlier
+    /// processes promised and accepted, the replica votes at once; otherwise it waits for the vote delay, like
+    /// a replica without stored state.
     pub fn restore(&mut self, now: Micros, entries: Vec<(RecordId, ReplicaEntry)>, complete: bool) {
         self.votes_from = if complete { now } else { now + self.settings.vote_delay() };
         for (id, entry) in entries {
             self.bytes += entry.bytes();
             if self.entries.insert(id, entry).is_none() {
-                *self.entries_of_customer.entry(id.customer).or_default() += 1;
+                *self.entries_per_customer.entry(id.customer).or_default() += 1;
             }
         }
     }
 
-    /// Its storage takes nothing more: it gives up its vote.
+    /// Gives up the replica's vote. Called when its storage has failed.
     pub fn lose_storage(&mut self) {
         self.votes_from = NEVER;
         self.changed = None;
     }
 
-    /// What has changed since this was last called, and what is held of it now.
+    /// Returns the records changed since the last call with their current entries, `None` for removed ones.
     pub fn take_changed(&mut self) -> Vec<(RecordId, Option<ReplicaEntry>)> {
         let changed = self.changed.as_mut().map(std::mem::take).unwrap_or_default();
         changed.into_iter().map(|id| (id, self.entries.get(&id).cloned())).collect()
@@ -148,22 +149,23 @@
         }
     }
 
-    /// Whether it has a vote.
+    /// Returns whether the replica has a vote.
     pub fn has_vote(&self, now: Micros) -> bool {
         now >= self.votes_from
     }
 
-    /// How many records it holds, those that were only promised among them.
+    /// Returns the number of records, including those with a promise but no write.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether it holds none.
+    /// Returns whether the replica holds no records.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Answers a message to a replica; others get no answer.
+    /// Handles a message to a replica and returns the reply. Replies of replicas, which are meant for clients,
+    /// are ignored.
     pub fn on_message(&mut self, now: Micros, message: LedgerMessage) -> Option<LedgerMessage> {
         match message {
             LedgerMessage::Prepare { id, ballot } | LedgerMessage::Accept { id, ballot, .. }
@@ -178,7 +180,13 @@
             }
             LedgerMessage::Prepare { id, ballot } => Some(self.prepare(now, id, ballot)),
             LedgerMessage::Accept { id, ballot, sequence, since_promise, age, record } => {
-                let write = AcceptedWrite { ballot, sequence, record, at: now, record_began: now - age };
+                let write = AcceptedWrite {
+                    ballot,
+                    sequence,
+                    record,
+                    accepted_at: now,
+                    record_created_at: now - age,
+                };
                 self.accept(now, id, write, since_promise, age)
             }
             LedgerMessage::Promise { .. }
@@ -189,8 +197,8 @@
         }
     }
 
-    /// Removes what nobody can need: promises on which nothing was written, and records that have expired for so long
-    /// that no replica takes them for current.
+    /// Removes entries that can no longer matter: promises that no write followed, and records that expired so
+    /// long ago that no replica can still regard them as current.
     pub fn remove_expired(&mut self, now: Micros) {
         let retention = self.settings.record_lifetime + self.settings.ballot_retention();
         let promise_retention = PROMISE_LIFETIME + ROUND_TRIP_LIMIT + ROUND_TRIP_LIMIT;
@@ -199,7 +207,7 @@
             .iter()
             .filter(|(_, entry)| now - entry.promised_at > promise_retention)
             .filter(|(_, entry)| {
-                entry.accepted.as_ref().is_none_or(|write| now - write.record_began > retention)
+                entry.accepted.as_ref().is_none_or(|write| now - write.record_created_at > retention)
             })
             .map(|(id, _)| *id)
             .collect();
@@ -212,10 +220,10 @@
         let Some(entry) = self.entries.remove(&id) else { return };
         self.mark_changed(id);
         self.bytes -= entry.bytes();
-        if let Some(count) = self.entries_of_customer.get_mut(&id.customer) {
+        if let Some(count) = self.entries_per_customer.get_mut(&id.customer) {
             *count -= 1;
             if *count == 0 {
-                self.entries_of_customer.remove(&id.customer);
+                self.entries_per_customer.remove(&id.customer);
             }
         }
     }
--- a/src/cluster/ledger/replica/abandoned.rs
+++ b/src/cluster/ledger/replica/abandoned.rs
@@ -1,34 +1,35 @@
-//! Requests whose owner is gone: offered to be finished, by one replica after the other.
+//! Finds requests whose owner has failed and reports them to be finished, at one replica after the other.
 
 use super::Replica;
 use crate::cluster::ledger::record::RecordId;
 use crate::cluster::ledger::settings::lease_with_drift;
 use crate::decision::Micros;
 
-/// How long the client of a gateway that died has to come again before others finish its request.
-const CLIENT_RETURN_TIME: Micros = Micros(300_000);
-/// How much longer each replica of a record waits than the one before.
+/// Time after the end of a lease in which the client of a failed gateway may retry before another gateway
+/// finishes its request.
+const CLIENT_RETRY_TIME: Micros = Micros(300_000);
+/// Additional waiting time for each rank among the replicas of a record.
 const REPLICA_STAGGER: Micros = Micros(400_000);
-/// An offer is made again after this: who was to finish the request may have died too.
-const OFFER_AGAIN_AFTER: Micros = Micros(1_500_000);
-/// A request is not continued when its record expires within this.
-const MIN_REMAINING_LIFE: Micros = Micros(500_000);
+/// Interval at which a request is reported again, as the gateway that was to finish it may have failed too.
+const REPORT_INTERVAL: Micros = Micros(1_500_000);
+/// Minimum remaining lifetime of a record for its request to be continued.
+const MIN_REMAINING_LIFETIME: Micros = Micros(500_000);
 
-/// A request that its owner left with the replicas of its record, and that may be finished by another gateway.
+/// A request that its failed owner stored at the replicas of its record, and that another gateway may finish.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AbandonedRequest {
-    /// Its record.
+    /// Identifier of the request's record.
     pub id: RecordId,
-    /// The digest of what its client sent.
+    /// Digest of the client's request.
     pub request_digest: u64,
-    /// The request.
+    /// Encoded request.
     pub request: Vec<u8>,
 }
 
 impl Replica {
-    /// Requests whose owner's lease is over for some time, without a response and without a message that it released
-    /// the record: its client had that time to come again. `rank` is this replica's among the record's; each later one
-    /// waits longer, so that one of them continues.
+    /// Returns requests whose owner neither completed nor released the record and whose lease ended long enough
+    /// ago that the client had time to retry. `rank` is the rank of this replica among those of the record;
+    /// each later replica waits longer, so that normally only one of them continues the request.
     pub fn take_abandoned(&mut self, now: Micros, rank: impl Fn(RecordId) -> usize) -> Vec<AbandonedRequest> {
         if !self.has_vote(now) {
             return Vec::new();
@@ -38,16 +39,17 @@
         for (id, entry) in &mut self.entries {
             let (Some(write), Some(request)) = (&entry.accepted, &entry.request) else { continue };
             let record = &write.record;
-            if !record.owned || record.is_locked(now - write.at) {
+            if !record.owned || record.is_locked(now - write.accepted_at) {
                 continue;
             }
             let stagger = Micros(REPLICA_STAGGER.0 * rank(*id) as u64);
-            let patience = lease_with_drift(record.lease()) + CLIENT_RETURN_TIME + stagger;
-            let is_due =
-                now - write.at >= patience && now - write.record_began + MIN_REMAINING_LIFE < lifetime;
-            let offered_lately = entry.offered_at.is_some_and(|at| now - at < OFFER_AGAIN_AFTER);
-            if is_due && !offered_lately {
-                entry.offered_at = Some(now);
+            let waiting_time = lease_with_drift(record.lease()) + CLIENT_RETRY_TIME + stagger;
+            let is_due = now - write.accepted_at >= waiting_time
+                && now - write.record_created_at + MIN_REMAINING_LIFETIME < lifetime;
+            let reported_recently =
+                entry.reported_at.is_some_and(|reported_at| now - reported_at < REPORT_INTERVAL);
+            if is_due && !reported_recently {
+                entry.reported_at = Some(now);
                 let request_digest = record.request_digest;
                 abandoned.push(AbandonedRequest { id: *id, request_digest, request: request.clone() });
             }
@@ -55,7 +57,7 @@
         abandoned
     }
 
-    /// A record was found answered elsewhere: its request needs nobody to finish it.
+    /// Drops the stored request of a record. Called when a claim finds the record completed.
     pub fn drop_request(&mut self, id: RecordId) {
         if let Some(request) = self.entries.get_mut(&id).and_then(|entry| entry.request.take()) {
             self.bytes -= request.len();
--- a/src/cluster/ledger/replica/vote.rs
+++ b/src/cluster/ledger/replica/vote.rs
@@ -1,4 +1,4 @@
-//! A replica's answers to claims: promises, and writes that it accepts.
+//! Votes of a replica: promises to ballots and acceptance of writes.
 
 use super::{record_bytes, AcceptedWrite, Replica, ReplicaEntry};
 use super::{MAX_BYTES, MAX_RECORDS, MAX_RECORDS_PER_CUSTOMER, NEVER};
@@ -9,21 +9,21 @@
 use std::cmp::Ordering;
 
 impl Replica {
-    /// Promises to accept nothing of a lower ballot, or says why not.
+    /// Promises to accept no write of a lower ballot, or replies with the reason for refusing.
     pub(super) fn prepare(&mut self, now: Micros, id: RecordId, ballot: Ballot) -> LedgerMessage {
         let lifetime = self.settings.record_lifetime;
         let Some(entry) = self.entries.get_mut(&id) else {
             return self.promise_first(now, id, ballot);
         };
-        let is_current = |write: &&AcceptedWrite| now - write.record_began < lifetime;
+        let is_current = |write: &&AcceptedWrite| now - write.record_created_at < lifetime;
         let held = entry.accepted.as_ref().filter(is_current).map(|write| RecordSnapshot {
             ballot: write.ballot,
             sequence: write.sequence,
             record: write.record.clone(),
-            age: now - write.record_began,
-            since_write: now - write.at,
+            age: now - write.record_created_at,
+            since_write: now - write.accepted_at,
         });
-        // A claim that only asks must not hinder an owner that works.
+        // A promise to another claim here would make this replica reject the writes of a live owner.
         if let Some(held) = held.as_ref().filter(|held| held.record.is_locked(held.since_write)) {
             return LedgerMessage::Locked { id, ballot, held: held.clone() };
         }
@@ -38,10 +38,10 @@
         LedgerMessage::Promise { id, ballot, held }
     }
 
-    /// Promises on a record of which it holds nothing, if there is capacity.
+    /// Promises on a record that has no entry yet, if there is capacity.
     fn promise_first(&mut self, now: Micros, id: RecordId, ballot: Ballot) -> LedgerMessage {
-        let of_customer = self.entries_of_customer.get(&id.customer).copied().unwrap_or(0);
-        if self.entries.len() >= MAX_RECORDS || of_customer >= MAX_RECORDS_PER_CUSTOMER {
+        let customer_entries = self.entries_per_customer.get(&id.customer).copied().unwrap_or(0);
+        if self.entries.len() >= MAX_RECORDS || customer_entries >= MAX_RECORDS_PER_CUSTOMER {
             self.rejections.at_capacity += 1;
             return LedgerMessage::Abstained { id, ballot };
         }
@@ -50,16 +50,17 @@
             promised_at: now,
             accepted: None,
             request: None,
-            offered_at: None,
+            reported_at: None,
         };
         self.entries.insert(id, entry);
         self.mark_changed(id);
-        *self.entries_of_customer.entry(id.customer).or_default() += 1;
+        *self.entries_per_customer.entry(id.customer).or_default() += 1;
         LedgerMessage::Promise { id, ballot, held: None }
     }
 
-    /// Accepts a write of whoever has this replica's promise. `since_promise`: how long ago the claim received it;
-    /// `age`: the record's. None: it is not answered.
+    /// Accepts a write of the claim that has this replica's promise. `since_promise` is the time since the
+    /// client received the promise, `age` the age of the record. Returns `None` if the write is dropped without
+    /// a reply.
     pub(super) fn accept(
         &mut self,
         now: Micros,
@@ -80,31 +81,31 @@
         if entry.promised > ballot {
             return Some(LedgerMessage::Preempted { id, ballot, promised: entry.promised });
         }
-        // Only the claim that has this replica's promise writes here.
+        // Only the claim that has this replica's promise may write.
         if entry.promised != ballot {
             self.rejections.invalid += 1;
             return None;
         }
-        match entry.order_of(&write, now, since_promise) {
+        match entry.write_order(&write, now, since_promise) {
             WriteOrder::Next => {}
             WriteOrder::Outdated => return None,
-            // A second copy changes nothing, least of all when it was accepted.
+            // A duplicate must change nothing, in particular not the time of acceptance, from which the lease counts.
             WriteOrder::Duplicate => return Some(LedgerMessage::Accepted { id, ballot, sequence }),
             WriteOrder::Late => {
                 self.rejections.late += 1;
                 return None;
             }
         }
-        self.hold(id, write)
+        self.replace_accepted(id, write)
     }
 
-    /// Holds a write in place of the last one, if there is capacity.
-    fn hold(&mut self, id: RecordId, mut write: AcceptedWrite) -> Option<LedgerMessage> {
+    /// Replaces the last accepted write, if there is capacity.
+    fn replace_accepted(&mut self, id: RecordId, mut write: AcceptedWrite) -> Option<LedgerMessage> {
         let (ballot, sequence) = (write.ballot, write.sequence);
         let entry = self.entries.get_mut(&id)?;
-        if let Some(last) = entry.last_by(ballot) {
-            // A later write that was delayed must not make the record younger.
-            write.record_began = write.record_began.min(last.record_began);
+        if let Some(last) = entry.last_write_by(ballot) {
+            // A delayed later write must not reduce the age of the record.
+            write.record_created_at = write.record_created_at.min(last.record_created_at);
         }
         let bytes_before = entry.bytes();
         if write.record.response.is_some() {
@@ -122,14 +123,14 @@
         Some(LedgerMessage::Accepted { id, ballot, sequence })
     }
 
-    /// Stores the request of the claim that may write here.
+    /// Stores the request of the claim that has this replica's promise.
     pub(super) fn store_request(&mut self, id: RecordId, ballot: Ballot, request: Vec<u8>) {
         let has_capacity = self.votes_from != NEVER && self.bytes + request.len() <= MAX_BYTES;
         if !has_capacity || request.len() > MAX_REQUEST_BYTES {
             return;
         }
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        if entry.promised != ballot || entry.request.is_some() || entry.is_answered() {
+        if entry.promised != ballot || entry.request.is_some() || entry.is_completed() {
             return;
         }
         self.bytes += request.len();
@@ -138,23 +139,23 @@
     }
 }
 
-/// How a write stands to those that this replica accepted by the same ballot.
+/// Order of a write relative to the last one that this replica accepted for the same ballot.
 enum WriteOrder {
     Next,
     Duplicate,
     Outdated,
-    /// The first one, too long after the promise.
+    /// First write of its ballot, too long after the promise.
     Late,
 }
 
 impl ReplicaEntry {
-    /// The last write that was accepted, if it was by this ballot.
-    fn last_by(&self, ballot: Ballot) -> Option<&AcceptedWrite> {
+    /// Returns the last accepted write if it has this ballot.
+    fn last_write_by(&self, ballot: Ballot) -> Option<&AcceptedWrite> {
         self.accepted.as_ref().filter(|last| last.ballot == ballot)
     }
 
-    fn order_of(&self, write: &AcceptedWrite, now: Micros, since_promise: Micros) -> WriteOrder {
-        let Some(last) = self.last_by(write.ballot) else {
+    fn write_order(&self, write: &AcceptedWrite, now: Micros, since_promise: Micros) -> WriteOrder {
+        let Some(last) = self.last_write_by(write.ballot) else {
             let promised_for = now - self.promised_at;
             let is_late = promised_for > PROMISE_LIFETIME || promised_for - since_promise > ROUND_TRIP_LIMIT;
             return if is_late { WriteOrder::Late } else { WriteOrder::Next };
@@ -166,7 +167,7 @@
         }
     }
 
-    fn is_answered(&self) -> bool {
+    fn is_completed(&self) -> bool {
         self.accepted.as_ref().is_some_and(|write| write.record.response.is_some())
     }
 }
--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -1,5 +1,5 @@
-//! The ledger within a cluster node: claims of this gateway go out to the seats that hold a record, and their replies
-//! come in.
+//! Ledger of a cluster node: sends the claims of this gateway to the seats that hold the record and handles the
+//! replies.
 
 use super::datagram::{self, DatagramError, Payload};
 use super::event::Effect;
@@ -13,50 +13,51 @@
 use crate::decision::Micros;
 use std::net::SocketAddr;
 
-/// What is written as the attempt of a record that stands for a lease alone: nothing is sent.
+/// Endpoint of the attempt in a record that serves only as a lease, for which no attempt is sent.
 const NO_ENDPOINT: u64 = 0;
 
-/// How the claim of a record that stands for a lease is doing.
+/// Progress of the claim of a record that serves only as a lease.
 pub(super) enum LeaseProgress {
-    /// It waits for its replicas.
+    /// The claim waits for its replicas.
     Pending,
-    /// A quorum confirmed a write.
+    /// A quorum accepted a write.
     Confirmed {
-        /// The first: the lease begins.
+        /// Whether it was the first write, with which the lease begins.
         is_first: bool,
     },
-    /// The lease is another's, or can't be had.
+    /// Another gateway holds the lease, or it cannot be acquired.
     Failed,
 }
 
-/// Where this gateway stands among the seats.
+/// Seat of this gateway and the list of seats that it refers to.
 pub(super) struct OwnSeat {
-    /// The digest of the list of seats.
+    /// Digest of the list of seats.
     pub(super) seat_list: u64,
-    /// This gateway's seat.
+    /// Seat of this gateway.
     pub(super) seat: u16,
 }
 
-/// How a lease stands, by the ledger.
+/// Status of a lease whose record is in the ledger.
 #[derive(Default)]
 pub(super) struct RecordLeaseStatus {
-    /// It runs.
+    /// Whether the lease runs.
     pub(super) is_held: bool,
-    /// It still runs when others learn of what is begun now.
+    /// Whether the lease still runs after the lease margin, when others have learned of an action started now.
     pub(super) is_held_with_margin: bool,
-    /// It is over though it was held: the claim is to be released.
+    /// Claim that was the owner and whose lease has ended; it is to be released.
     pub(super) lapsed: Option<ClaimId>,
-    /// The ledger no longer has the claim.
+    /// Whether the ledger no longer has the claim.
     pub(super) is_gone: bool,
 }
 
 impl ClusterNode {
-    /// The ledger, where there is one.
+    /// Returns the ledger, or `None` if this gateway has none.
     pub fn ledger(&self) -> Option<&LedgerNode> {
         self.ledger.as_ref()
     }
 
-    /// Claims a record for a request of this digest. None where there is no ledger, or too much is claimed.
+    /// Opens a claim of a record for a request with this digest. Returns `None` if there is no ledger or it has
+    /// too many open claims.
     pub fn open_claim(
         &mut self,
         now: Micros,
@@ -72,7 +73,7 @@
         claim
     }
 
-    /// Claims a record that a group of the seats holds.
+    /// Opens a claim of a record whose replicas all belong to a group of seats.
     pub(super) fn open_claim_in_group(
         &mut self,
         now: Micros,
@@ -88,7 +89,7 @@
         claim
     }
 
-    /// Writes a claim's record. Returns the number of the write, or none where it may not be written.
+    /// Writes a claim's record. Returns the sequence number of the write, or `None` if the record may not be written.
     pub fn write_claim(
         &mut self,
         now: Micros,
@@ -99,38 +100,39 @@
         self.with_ledger(out, |ledger, effects| ledger.write(now, claim, change, effects)).flatten()
     }
 
-    /// The request is to be stored with the replicas of its record, so that it is finished whoever dies.
+    /// Has a claim's request stored at the replicas of its record, so that another gateway can finish it if this one
+    /// fails.
     pub fn attach_request(&mut self, claim: ClaimId, request: Vec<u8>) {
         if let Some(ledger) = self.ledger.as_mut() {
             ledger.attach_request(claim, request);
         }
     }
 
-    /// The replicas that a claim asked are slow: the others are asked as well.
+    /// Contacts the remaining replicas of a claim too. Called when those contacted first are slow.
     pub fn contact_all_replicas(&mut self, now: Micros, claim: ClaimId, out: &mut Vec<Effect>) {
         self.with_ledger(out, |ledger, effects| ledger.contact_all(now, claim, effects));
     }
 
-    /// A claim's request goes on without a record.
+    /// Counts a request that proceeds without a record.
     pub fn count_unprotected(&mut self) {
         if let Some(ledger) = self.ledger.as_mut() {
             ledger.counts.unprotected += 1;
         }
     }
 
-    /// An attempt of a claim's request surely never ran.
+    /// Removes an attempt from a claim's record that is known not to have been executed.
     pub fn remove_attempt(&mut self, claim: ClaimId, endpoint: u64) {
         if let Some(ledger) = self.ledger.as_mut() {
             ledger.remove_attempt(claim, endpoint);
         }
     }
 
-    /// Whether the owner of a claim's record may do something now that others see.
+    /// Returns whether the owner of a claim's record may perform an externally visible action now.
     pub fn may_act(&self, now: Micros, claim: ClaimId) -> bool {
         self.ledger.as_ref().is_some_and(|ledger| ledger.may_act(now, claim))
     }
 
-    /// A claim's request is over here, with its response or without.
+    /// Releases a claim whose request has ended at this gateway, with its response or without.
     pub fn release_claim(
         &mut self,
         now: Micros,
@@ -146,7 +148,7 @@
         self.with_ledger(out, |ledger, effects| ledger.tick(now, effects));
     }
 
-    /// Handles a message of the ledger from a seat of that list.
+    /// Handles a ledger message from a seat of the list with this digest.
     pub(super) fn on_ledger_message(
         &mut self,
         seat_list: u64,
@@ -162,7 +164,7 @@
             .ok_or(DatagramError::Rejected)
     }
 
-    /// Does something with the ledger, and lets out what follows.
+    /// Runs an action on the ledger and emits its effects through the durability gate.
     fn with_ledger<T>(
         &mut self,
         out: &mut Vec<Effect>,
@@ -178,7 +180,7 @@
         self.gate_effects(effects.into_iter().map(GatedEffect::Ledger).collect(), out);
     }
 
-    /// Lets out one effect of the ledger.
+    /// Emits one effect of the ledger.
     pub(super) fn emit_ledger_effect(&mut self, effect: LedgerEffect, out: &mut Vec<Effect>) {
         let Some(OwnSeat { seat_list, seat }) = self.own_seat() else { return };
         match effect {
@@ -196,7 +198,8 @@
         }
     }
 
-    /// Something became of the claim of a record that stands for a lease. Once it is acquired, it is owned.
+    /// Handles the outcome of the claim of a record that serves only as a lease, and writes the record once it
+    /// is acquired so that this gateway becomes its owner.
     pub(super) fn advance_lease(
         &mut self,
         claim: ClaimId,
@@ -211,7 +214,7 @@
                     None => LeaseProgress::Failed,
                 }
             }
-            ClaimOutcome::Confirmed(number) => LeaseProgress::Confirmed { is_first: *number == 1 },
+            ClaimOutcome::Confirmed(sequence) => LeaseProgress::Confirmed { is_first: *sequence == 1 },
             ClaimOutcome::InProgress(_)
             | ClaimOutcome::Completed(_)
             | ClaimOutcome::KeyReused
@@ -220,7 +223,7 @@
         }
     }
 
-    /// How the lease of this claim stands.
+    /// Returns the status of the lease of this claim.
     pub(super) fn lease_status(&self, claim: Option<ClaimId>) -> RecordLeaseStatus {
         let Some(claim) = claim else { return RecordLeaseStatus::default() };
         let Some(client) = self.ledger.as_ref().and_then(|ledger| ledger.claim(claim)) else {
@@ -235,7 +238,7 @@
         }
     }
 
-    /// Sends a datagram to a seat.
+    /// Sends a datagram to a seat, or counts it as unaddressed if no address is known.
     pub(super) fn send_to_seat(&mut self, seat: u16, payload: &Payload, out: &mut Vec<Effect>) {
         let Some(name) = self.settings.seats.get(usize::from(seat)) else { return };
         let known = self.swim.records().get(name.as_str()).map(|record| record.identity.clone());
@@ -248,12 +251,12 @@
         }
     }
 
-    /// Whether this is the digest of this gateway's list of seats.
+    /// Returns whether this is the digest of this gateway's list of seats.
     pub(super) fn is_own_seat_list(&self, seat_list: u64) -> bool {
         self.quota_leases.as_ref().is_some_and(|leases| leases.seat_list() == seat_list)
     }
 
-    /// The digest of this gateway's list of seats, and its seat.
+    /// Returns the seat of this gateway with the digest of its list of seats, or `None` without quota leases.
     pub(super) fn own_seat(&self) -> Option<OwnSeat> {
         self.quota_leases
             .as_ref()
@@ -261,7 +264,7 @@
     }
 }
 
-/// Whether the gateway in this seat is present, and holds records.
+/// Returns whether the gateway in this seat is present and has the ledger capability.
 fn is_present_replica(seats: &[String], swim: &Swim, seat: u16) -> bool {
     let record = seats.get(usize::from(seat)).and_then(|name| swim.records().get(name.as_str()));
     record.is_some_and(|r| r.state.is_present() && r.identity.metadata.capabilities & CAPABILITY_LEDGER != 0)
