--- a/src/bin/quota-gateway-simulator.rs
+++ b/src/bin/quota-gateway-simulator.rs
@@ -1,4 +1,4 @@
-//! The decisions on the simulator's wire: batches on standard input, replies on standard output.
+//! Runs the decision module for the simulator: reads batches from standard input, writes replies to standard output.
 #![forbid(unsafe_code)]
 
 use quota_gateway::simulator::Host;
@@ -15,7 +15,7 @@
         if input.read_line(&mut line)? == 0 {
             return Ok(host.finish()?);
         }
-        if let Some(reply) = host.line(line.trim_end_matches(['\n', '\r']))? {
+        if let Some(reply) = host.handle_line(line.trim_end_matches(['\n', '\r']))? {
             output.write_all(reply.as_bytes())?;
             output.flush()?;
         }
@@ -25,8 +25,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("quota-gateway-simulator: {e}");
+        Err(error) => {
+            eprintln!("quota-gateway-simulator: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/simulator/decode.rs
+++ b/src/simulator/decode.rs
@@ -1,4 +1,4 @@
-//! Lines of the wire as events. The order in which values are read decides which error is named.
+//! Decoding of protocol lines into events. The order in which fields are read determines which error is reported.
 
 use crate::decision::{
     Arrival, AttemptEnded, CellId, ClassId, CounterKey, CustomerId, EndpointStatus, EndpointUpdate, Event,
@@ -6,28 +6,29 @@
 };
 use crate::site_settings::{set_load_figure, Fields, Result, Site};
 
-/// Bounds on the number of gateways through which a customer comes.
-const LEAST_SPREAD: f64 = 1.0;
-const GREATEST_SPREAD: f64 = 1e6;
+/// Bounds on the number of gateways that receive a customer's requests.
+const MIN_SPREAD: f64 = 1.0;
+const MAX_SPREAD: f64 = 1e6;
 
-/// The event of a line; `None` for lines that are none, or lead to none.
+/// Decodes the event of a line; `None` for unknown messages and for messages that lead to no event.
 pub(super) fn event(fields: &Fields, site: &mut Site, now: Micros) -> Result<Option<Event>> {
     Ok(Some(match fields.message {
         "KNOCK" => Event::RequestArrived(arrival(fields, site, now)?),
-        "RING" => Event::TimerFired { timer: TimerId(fields.whole("ref")?) },
+        "RING" => Event::TimerFired { timer: TimerId(fields.required_u64("ref")?) },
         "FIRST_BYTE" => Event::StreamStarted { request: request_id(fields)? },
         "TIMED_OUT_CLIENT" => Event::ClientDisconnected { request: request_id(fields)? },
         "PONG" => {
-            // The module sends no health check, so this answers none; the line must make sense all the same.
-            site.endpoint_id(fields.text("backend")?);
+            // The module sends no health checks, so their replies lead to no event. Their fields are still
+            // validated.
+            site.endpoint_id(fields.required_text("backend")?);
             outcome(fields)?;
             load_report(fields)?;
             return Ok(None);
         }
         "COUNT_RESULT" => Event::CounterReplied {
-            key: CounterKey(fields.whole("book")?),
+            key: CounterKey(fields.required_u64("book")?),
             outcome: outcome(fields)?,
-            total: fields.real_or("result_value", 0.0)?,
+            total: fields.f64_or("result_value", 0.0)?,
         },
         "OUTCOME" => Event::AttemptEnded(attempt_ended(fields, site)?),
         _ => return Ok(None),
@@ -35,18 +36,18 @@
 }
 
 fn request_id(fields: &Fields) -> Result<RequestId> {
-    fields.whole("ref").map(RequestId)
+    fields.required_u64("ref").map(RequestId)
 }
 
 fn arrival(fields: &Fields, site: &Site, now: Micros) -> Result<Arrival> {
-    let class = site.classes.get(fields.text("kind")?);
+    let class = site.classes.get(fields.required_text("kind")?);
     let class = *class.ok_or_else(|| fields.error("kind", "a known class"))?;
-    let plan = site.plans.get(fields.text("plan")?);
+    let plan = site.plans.get(fields.required_text("plan")?);
     let plan = *plan.ok_or_else(|| fields.error("plan", "a known plan"))?;
-    let customer = u64::from_str_radix(fields.text("user_key")?, 16);
+    let customer = u64::from_str_radix(fields.required_text("user_key")?, 16);
     let customer = customer.map_err(|_| fields.error("user_key", "16 hex digits"))?;
-    let latest = now + site.settings.classes[class].deadline;
-    let units = fields.real_or("price_units", 1.0)?;
+    let default_deadline = now + site.settings.classes[class].deadline;
+    let units = fields.f64_or("price_units", 1.0)?;
     if units < 0.0 {
         return Err(fields.error("price_units", "a number of 0 or more"));
     }
@@ -55,11 +56,11 @@
         class: ClassId(class),
         plan: PlanId(plan),
         customer: CustomerId(customer),
-        spread: fields.real_or("doors", 1.0)?.clamp(LEAST_SPREAD, GREATEST_SPREAD) as u32,
+        spread: fields.f64_or("doors", 1.0)?.clamp(MIN_SPREAD, MAX_SPREAD) as u32,
         first_gateway: 0,
-        deadline: fields.read("drop_dead", "a clock time")?.map_or(latest, Micros),
+        deadline: fields.optional("drop_dead", "a clock time")?.map_or(default_deadline, Micros),
         units,
-        is_retry: fields.flag_or("resent", false)?,
+        is_retry: fields.bool_or("resent", false)?,
         ..Arrival::default()
     })
 }
@@ -67,18 +68,18 @@
 fn attempt_ended(fields: &Fields, site: &mut Site) -> Result<AttemptEnded> {
     Ok(AttemptEnded {
         request: request_id(fields)?,
-        attempt: fields.whole_or("trial", 0)? as usize,
-        endpoint: site.endpoint_id(fields.text("backend")?),
+        attempt: fields.u64_or("trial", 0)? as usize,
+        endpoint: site.endpoint_id(fields.required_text("backend")?),
         outcome: outcome(fields)?,
         elapsed: fields.micros_or("took", 0)?,
-        request_finished: fields.flag_or("ended", false)?,
-        settled_units: Some(fields.real_or("settled", 0.0)?).filter(|units| *units > 0.0),
+        request_finished: fields.bool_or("ended", false)?,
+        settled_units: Some(fields.f64_or("settled", 0.0)?).filter(|units| *units > 0.0),
         load: load_report(fields)?,
     })
 }
 
 fn outcome(fields: &Fields) -> Result<Outcome> {
-    Ok(match fields.text("how")? {
+    Ok(match fields.required_text("how")? {
         "200" => Outcome::Success,
         "500" => Outcome::ServerError,
         "503" => Outcome::Rejected,
@@ -102,9 +103,9 @@
     Ok(report)
 }
 
-/// What a list holds.
+/// Decodes the scope of an endpoint list.
 pub(super) fn watch_scope(fields: &Fields) -> Result<WatchScope> {
-    match fields.text("scope")? {
+    match fields.required_text("scope")? {
         "incr" => Ok(WatchScope::Incremental),
         "total" | "warm_copy" => Ok(WatchScope::Complete),
         "lost" => Ok(WatchScope::Failed),
@@ -112,21 +113,21 @@
     }
 }
 
-/// An entry of a list.
+/// Decodes an entry of an endpoint list.
 pub(super) fn endpoint_update(fields: &Fields, site: &mut Site) -> Result<EndpointUpdate> {
     Ok(EndpointUpdate {
-        endpoint: site.endpoint_id(fields.text("backend")?),
+        endpoint: site.endpoint_id(fields.required_text("backend")?),
         zone: site.zone(fields.optional_text("rack_zone").unwrap_or("")),
-        cell: CellId(fields.whole_or("pod", 0)?),
+        cell: CellId(fields.u64_or("pod", 0)?),
         status: endpoint_status(fields)?,
-        weight: fields.real_or("heft", 1.0)?,
+        weight: fields.f64_or("heft", 1.0)?,
         started_at: Some(fields.micros_or("last_start", 0)?).filter(|at| at.0 > 0),
         label: LabelId::default(),
     })
 }
 
 fn endpoint_status(fields: &Fields) -> Result<EndpointStatus> {
-    match fields.text("status")? {
+    match fields.required_text("status")? {
         "in_service" => Ok(EndpointStatus::InService),
         "terminating" => Ok(EndpointStatus::Draining),
         "terminated" => Ok(EndpointStatus::Removed),
--- a/src/simulator/encode.rs
+++ b/src/simulator/encode.rs
@@ -1,10 +1,10 @@
-//! Actions as lines of the wire.
+//! Encoding of actions as lines of the simulator's protocol.
 
 use crate::decision::Action;
 use crate::site_settings::Site;
 use std::fmt::Write;
 
-/// Appends the line of an action.
+/// Appends an action as one line.
 pub(super) fn write_action(action: &Action, site: &Site, out: &mut String) {
     // Writing to a String cannot fail.
     let _ = match action {
@@ -28,14 +28,14 @@
     };
 }
 
-/// Appends one gateway's part of the reply to a batch, if it has one.
-pub(super) fn write_reply_of(gateway: u32, actions: &str, out: &mut String) {
+/// Appends the actions of one gateway to the reply to a batch, if there are any.
+pub(super) fn write_gateway_reply(gateway: u32, actions: &str, out: &mut String) {
     if !actions.is_empty() {
         let _ = write!(out, "AS who={gateway}\n{actions}");
     }
 }
 
-/// Ends the reply to a batch.
+/// Appends the end mark of the reply to a batch.
 pub(super) fn end_reply(out: &mut String) {
     out.push_str("EOR\n");
 }
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,7 +1,8 @@
-//! The decision module on the simulator's text wire.
+//! Adapter between the decision module and the simulator's text protocol.
 //!
-//! Input comes in batches of lines, each a word with named values; the reply to a batch is what the gateways did.
-//! `decode` and `encode` are the only places that know the words of the wire.
+//! Input is a sequence of batches of lines, each a message name followed by `name=value` pairs. The reply to a batch
+//! lists the actions of the gateways. `host` handles the framing of batches and lists; `decode` and `encode`
+//! translate events and actions.
 
 mod decode;
 mod encode;
--- a/src/site_settings/fields.rs
+++ b/src/site_settings/fields.rs
@@ -1,63 +1,63 @@
-//! Named values as text, and reading them.
+//! Named values in text form, and typed access to them.
 
 use crate::decision::{Micros, SettingsError};
 use std::collections::HashMap;
 use std::str::FromStr;
 
-/// What was wrong with a line or one of its values.
+/// An invalid line or an invalid value of a line.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldError {
-    /// A part of a line is no pair.
+    /// A part of a line is not a `name=value` pair.
     #[error("{place}: expected name=value, found '{found}'")]
     NotAPair {
-        /// Where it stood.
+        /// Line or document that holds the error.
         place: String,
-        /// The part.
+        /// Text of that part.
         found: String,
     },
-    /// A value is missing or makes no sense.
-    #[error("{place}: {name}: expected {wanted}, found {found}")]
+    /// A value is missing or invalid.
+    #[error("{place}: {name}: expected {expected}, found {found}")]
     Value {
-        /// Where it stood.
+        /// Line or document that holds the error.
         place: String,
-        /// The name of the value.
+        /// Name of the value.
         name: String,
-        /// What was expected.
-        wanted: String,
-        /// The value in quotes, or nothing.
+        /// Description of what was expected.
+        expected: String,
+        /// The value in quotes, or `nothing`.
         found: String,
     },
-    /// A line came where it makes no sense.
-    #[error("{place}: expected {wanted}")]
-    Sequence {
-        /// Where it stood.
+    /// A line is out of sequence.
+    #[error("{place}: expected {expected}")]
+    OutOfSequence {
+        /// Line or document that holds the error.
         place: String,
-        /// What was expected.
-        wanted: &'static str,
+        /// Description of what was expected.
+        expected: &'static str,
     },
-    /// The settings as a whole make no sense.
+    /// The settings are invalid as a whole.
     #[error("{place}: settings: {error}")]
     Settings {
-        /// Where they stood.
+        /// Line or document that holds the settings.
         place: String,
-        /// What is wrong.
+        /// Reason why the settings are invalid.
         error: SettingsError,
     },
 }
 
 pub(crate) type Result<T> = std::result::Result<T, FieldError>;
 
-/// Named values, and where they stood.
+/// Named values, and the line or document that they come from.
 pub(crate) struct Fields<'a> {
-    /// A line such as `line 3: START`, or another place to name in errors.
+    /// Source of the values for error messages, such as `line 3: START`.
     pub(crate) place: String,
-    /// The first word of a line: what kind of message it is.
+    /// Name of the message: the first word of a line.
     pub(crate) message: &'a str,
     pub(crate) pairs: HashMap<&'a str, &'a str>,
 }
 
 impl<'a> Fields<'a> {
-    /// Reads a line: a word, then pairs of names and values.
+    /// Parses a line: a message name, followed by `name=value` pairs.
     pub(crate) fn parse(line_number: u64, line: &'a str) -> Result<Fields<'a>> {
         let mut parts = line.split(' ');
         let message = parts.next().unwrap_or("");
@@ -72,53 +72,53 @@
         Ok(Fields { place, message, pairs })
     }
 
-    /// The error of a value that is not what was wanted.
-    pub(crate) fn error(&self, name: &str, wanted: &str) -> FieldError {
+    /// Creates the error for a value that is missing or is not as expected.
+    pub(crate) fn error(&self, name: &str, expected: &str) -> FieldError {
         let found = self.pairs.get(name).map_or("nothing".to_string(), |value| format!("'{value}'"));
-        let (name, wanted) = (name.to_string(), wanted.to_string());
-        FieldError::Value { place: self.place.clone(), name, wanted, found }
+        let (name, expected) = (name.to_string(), expected.to_string());
+        FieldError::Value { place: self.place.clone(), name, expected, found }
     }
 
-    /// The error of a line that makes no sense where it stands.
-    pub(crate) fn out_of_sequence(&self, wanted: &'static str) -> FieldError {
-        FieldError::Sequence { place: self.place.clone(), wanted }
+    /// Creates the error for a line that is out of sequence.
+    pub(crate) fn out_of_sequence(&self, expected: &'static str) -> FieldError {
+        FieldError::OutOfSequence { place: self.place.clone(), expected }
     }
 
-    /// A value, if there is one.
-    pub(crate) fn read<T: FromStr>(&self, name: &str, wanted: &str) -> Result<Option<T>> {
+    /// Parses a value, if it is present.
+    pub(crate) fn optional<T: FromStr>(&self, name: &str, expected: &str) -> Result<Option<T>> {
         let Some(text) = self.pairs.get(name) else { return Ok(None) };
-        text.parse().map(Some).map_err(|_| self.error(name, wanted))
+        text.parse().map(Some).map_err(|_| self.error(name, expected))
     }
 
-    /// A value that must be there.
-    fn require<T: FromStr>(&self, name: &str, wanted: &str) -> Result<T> {
-        self.read(name, wanted)?.ok_or_else(|| self.error(name, wanted))
+    /// Parses a value that must be present.
+    fn required<T: FromStr>(&self, name: &str, expected: &str) -> Result<T> {
+        self.optional(name, expected)?.ok_or_else(|| self.error(name, expected))
     }
 
-    pub(crate) fn whole(&self, name: &str) -> Result<u64> {
-        self.require(name, "a whole number")
+    pub(crate) fn required_u64(&self, name: &str) -> Result<u64> {
+        self.required(name, "a whole number")
     }
 
-    pub(crate) fn whole_or(&self, name: &str, default: u64) -> Result<u64> {
-        Ok(self.read(name, "a whole number")?.unwrap_or(default))
+    pub(crate) fn u64_or(&self, name: &str, default: u64) -> Result<u64> {
+        Ok(self.optional(name, "a whole number")?.unwrap_or(default))
     }
 
-    pub(crate) fn small(&self, name: &str) -> Result<u32> {
-        self.require(name, "a small whole number")
+    pub(crate) fn required_u32(&self, name: &str) -> Result<u32> {
+        self.required(name, "a small whole number")
     }
 
-    pub(crate) fn real_or(&self, name: &str, default: f64) -> Result<f64> {
-        match self.read::<f64>(name, "a number")? {
+    pub(crate) fn f64_or(&self, name: &str, default: f64) -> Result<f64> {
+        match self.optional::<f64>(name, "a number")? {
             Some(value) if !value.is_finite() => Err(self.error(name, "a finite number")),
             value => Ok(value.unwrap_or(default)),
         }
     }
 
     pub(crate) fn micros_or(&self, name: &str, default: u64) -> Result<Micros> {
-        self.whole_or(name, default).map(Micros)
+        self.u64_or(name, default).map(Micros)
     }
 
-    pub(crate) fn flag_or(&self, name: &str, default: bool) -> Result<bool> {
+    pub(crate) fn bool_or(&self, name: &str, default: bool) -> Result<bool> {
         match self.pairs.get(name) {
             None => Ok(default),
             Some(&"1" | &"true") => Ok(true),
@@ -127,7 +127,7 @@
         }
     }
 
-    pub(crate) fn text(&self, name: &str) -> Result<&'a str> {
+    pub(crate) fn required_text(&self, name: &str) -> Result<&'a str> {
         self.optional_text(name).ok_or_else(|| self.error(name, "a text"))
     }
 
--- a/src/site_settings/json.rs
+++ b/src/site_settings/json.rs
@@ -1,35 +1,35 @@
-//! Settings in JSON, brought to the form of a line of the simulator's wire.
+//! Flattening of JSON settings to the dotted names of the simulator's protocol.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Lays nested JSON out as dotted names: lists of plain values joined by commas, lists of objects as their
-/// `.count` and their numbered items.
-pub(crate) fn flatten(prefix: &str, value: &Value, into: &mut BTreeMap<String, String>) {
+/// Flattens nested JSON to dotted names. A list of scalars becomes one value joined by commas; a list of objects
+/// becomes its `.count` and its numbered items.
+pub(crate) fn flatten(prefix: &str, value: &Value, flattened: &mut BTreeMap<String, String>) {
     match value {
         Value::Object(fields) => {
             for (name, field) in fields {
-                flatten(&below(prefix, name), field, into);
+                flatten(&join_names(prefix, name), field, flattened);
             }
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            into.insert(below(prefix, "count"), items.len().to_string());
+            flattened.insert(join_names(prefix, "count"), items.len().to_string());
             for (number, item) in items.iter().enumerate() {
-                flatten(&below(prefix, &number.to_string()), item, into);
+                flatten(&join_names(prefix, &number.to_string()), item, flattened);
             }
         }
         Value::Array(items) => {
-            let plain: Vec<String> = items.iter().map(plain_text).collect();
-            into.insert(prefix.to_string(), plain.join(","));
+            let scalars: Vec<String> = items.iter().map(scalar_text).collect();
+            flattened.insert(prefix.to_string(), scalars.join(","));
         }
         Value::Null => {}
         Value::Bool(_) | Value::Number(_) | Value::String(_) => {
-            into.insert(prefix.to_string(), plain_text(value));
+            flattened.insert(prefix.to_string(), scalar_text(value));
         }
     }
 }
 
-fn below(prefix: &str, name: &str) -> String {
+fn join_names(prefix: &str, name: &str) -> String {
     if prefix.is_empty() {
         name.to_string()
     } else {
@@ -37,6 +37,6 @@
     }
 }
 
-fn plain_text(value: &Value) -> String {
+fn scalar_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_string)
 }
--- a/src/site_settings/load_figures.rs
+++ b/src/site_settings/load_figures.rs
@@ -1,8 +1,9 @@
-//! The names of the figures in an endpoint's load report.
+//! Names of the figures in an endpoint's load report.
 
 use crate::decision::LoadReport;
 
-/// Puts a figure of a load report in its place. Figures that mean nothing here, or make no sense, are passed over.
+/// Sets the field of a load report that a figure belongs to. An unknown name is ignored, and a value that is
+/// negative or not finite clears the field.
 pub(crate) fn set_load_figure(report: &mut LoadReport, name: &str, value: f64) {
     let figure = match name {
         "concurrent" => &mut report.in_flight,
--- a/src/site_settings/mod.rs
+++ b/src/site_settings/mod.rs
@@ -1,5 +1,5 @@
-//! The settings of a site by their dotted names. The simulator's adapter and the proxy both read them here: one finds
-//! them on a line, the other flattens its JSON to the same form.
+//! Settings of a site by their dotted names, read by both the simulator adapter and the proxy. The adapter finds them
+//! on a line of its protocol; the proxy flattens its JSON to the same form.
 
 mod fields;
 mod json;
--- a/tests/decision_fixtures/simulator.rs
+++ b/tests/decision_fixtures/simulator.rs
@@ -44,7 +44,7 @@
 /// What the adapter replies to recorded input.
 pub fn replay(input: &str) -> String {
     let mut host = Host::default();
-    let replies = input.lines().filter_map(|line| host.line(line).expect("recorded lines are sound"));
+    let replies = input.lines().filter_map(|line| host.handle_line(line).expect("recorded lines are sound"));
     let replies = replies.collect();
     host.finish().expect("the last batch is complete");
     replies
@@ -82,13 +82,13 @@
 fn first_error(before: &[&str], line: &str) -> String {
     let mut host = Host::default();
     for line in before {
-        host.line(line).expect("recorded lines are sound");
+        host.handle_line(line).expect("recorded lines are sound");
     }
-    host.line(line).map_or_else(|e| e.to_string(), |_| "accepted".into())
+    host.handle_line(line).map_or_else(|e| e.to_string(), |_| "accepted".into())
 }
 
 fn reply_of(host: &mut Host, batch: &str) -> Option<String> {
-    batch.lines().filter_map(|line| host.line(line).expect("the model writes sound lines")).last()
+    batch.lines().filter_map(|line| host.handle_line(line).expect("the model writes sound lines")).last()
 }
 
 fn backend_name(endpoint: u64) -> String {
--- a/tests/simulator_wire.rs
+++ b/tests/simulator_wire.rs
@@ -14,7 +14,7 @@
     let mut host = Host::default();
     let mut replies = Vec::new();
     for line in text.lines() {
-        replies.extend(host.line(line).map_err(|e| e.to_string())?);
+        replies.extend(host.handle_line(line).map_err(|e| e.to_string())?);
     }
     host.finish().map_err(|e| e.to_string())?;
     Ok(replies)
