--- a/benches/request_cost.rs
+++ b/benches/request_cost.rs
@@ -1,5 +1,5 @@
-//! What the module takes for one request and its answer, and for one list, by the number of backends. Run by hand:
-//! `cargo bench --bench request_cost`; the table stands in `docs/decisions/0010-fleet-size.md`.
+//! Cost of the decision module for one request with its response, and for one complete endpoint list, by the number of
+//! endpoints. Run with `cargo bench --bench request_cost`; results are in `docs/decisions/0010-fleet-size.md`.
 
 use divan::Bencher;
 use quota_gateway::decision::{
@@ -8,7 +8,7 @@
     Settings, WatchScope, ZoneId,
 };
 
-const SIZES: [u32; 4] = [50, 200, 800, 3200];
+const ENDPOINT_COUNTS: [u32; 4] = [50, 200, 800, 3200];
 const GATEWAYS: u32 = 300;
 const SECOND: u64 = 1_000_000;
 
@@ -54,83 +54,83 @@
     }
 }
 
-fn endpoint_list(endpoints: u32, started: Option<Micros>) -> Vec<EndpointUpdate> {
+fn endpoint_list(endpoints: u32, started_at: Option<Micros>) -> Vec<EndpointUpdate> {
     let entry = |number: u32| EndpointUpdate {
         endpoint: EndpointId(u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         zone: ZoneId(0),
         cell: CellId(u64::from(number / 8)),
         status: EndpointStatus::InService,
         weight: 1.0,
-        started_at: started.filter(|_| number.is_multiple_of(2)),
+        started_at: started_at.filter(|_| number.is_multiple_of(2)),
         label: LabelId::default(),
     };
     (0..endpoints).map(entry).collect()
 }
 
-/// A gateway, and its clock and next request.
+/// A gateway with its clock and the number of its last request.
 struct GatewayRun {
     gateway: Gateway,
     now: Micros,
-    next: u64,
-    out: Vec<Action>,
+    last_request: u64,
+    actions: Vec<Action>,
 }
 
 impl GatewayRun {
     fn new(endpoints: u32, half_in_slow_start: bool) -> GatewayRun {
         let now = Micros(1_000 * SECOND);
-        let mut gateway = Gateway::new(7, settings()).expect("sound settings");
-        let mut out = Vec::new();
+        let mut gateway = Gateway::new(7, settings()).expect("valid settings");
+        let mut actions = Vec::new();
         let list = endpoint_list(endpoints, half_in_slow_start.then_some(now));
         gateway.handle(
             now,
             Event::EndpointsChanged { scope: WatchScope::Complete, endpoints: list },
-            &mut out,
+            &mut actions,
         );
-        GatewayRun { gateway, now, next: 0, out }
+        GatewayRun { gateway, now, last_request: 0, actions }
     }
-    /// One request and its answer; the clock stands still, so that slow starts do not end.
+    /// Handles one request and its response. The clock does not advance, so that slow starts do not end.
     fn request(&mut self) {
-        self.next += 1;
-        let id = RequestId(self.next);
+        self.last_request += 1;
+        let id = RequestId(self.last_request);
         let deadline = self.now + Micros(3 * SECOND);
-        let customer = CustomerId(self.next % 100);
+        let customer = CustomerId(self.last_request % 100);
         let arrival = Arrival { id, customer, deadline, units: 1.0, spread: 2, ..Arrival::default() };
-        self.gateway.handle(self.now, Event::RequestArrived(arrival), &mut self.out);
-        let sent = self.out.drain(..).find_map(|action| match action {
+        self.gateway.handle(self.now, Event::RequestArrived(arrival), &mut self.actions);
+        let endpoint_sent_to = self.actions.drain(..).find_map(|action| match action {
             Action::SendAttempt { endpoint, .. } => Some(endpoint),
             _ => None,
         });
-        if let Some(endpoint) = sent {
-            let (outcome, took, report) = (Outcome::Success, Micros(50_000), LoadReport::default());
+        if let Some(endpoint) = endpoint_sent_to {
+            let (outcome, elapsed, load) = (Outcome::Success, Micros(50_000), LoadReport::default());
             let end = AttemptEnded {
                 request: id,
                 attempt: 0,
                 endpoint,
                 outcome,
-                elapsed: took,
+                elapsed,
                 request_finished: true,
                 settled_units: None,
-                load: report,
+                load,
             };
-            self.gateway.handle(self.now, Event::AttemptEnded(end), &mut self.out);
+            self.gateway.handle(self.now, Event::AttemptEnded(end), &mut self.actions);
         }
-        self.out.clear();
+        self.actions.clear();
     }
 }
 
-#[divan::bench(args = SIZES)]
+#[divan::bench(args = ENDPOINT_COUNTS)]
 fn request_without_slow_starts(bencher: Bencher, endpoints: u32) {
     let mut run = GatewayRun::new(endpoints, false);
     bencher.bench_local(|| run.request());
 }
 
-#[divan::bench(args = SIZES)]
+#[divan::bench(args = ENDPOINT_COUNTS)]
 fn request_with_half_in_slow_start(bencher: Bencher, endpoints: u32) {
     let mut run = GatewayRun::new(endpoints, true);
     bencher.bench_local(|| run.request());
 }
 
-#[divan::bench(args = SIZES)]
+#[divan::bench(args = ENDPOINT_COUNTS)]
 fn complete_list(bencher: Bencher, endpoints: u32) {
     let mut run = GatewayRun::new(endpoints, false);
     let now = run.now;
@@ -139,7 +139,7 @@
         run.gateway.handle(
             now,
             Event::EndpointsChanged { scope: WatchScope::Complete, endpoints: list },
-            &mut run.out,
+            &mut run.actions,
         );
     });
 }
--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -1,4 +1,4 @@
-//! Files of `tests/fixtures` that an earlier build wrote.
+//! Access to the recorded files in `tests/fixtures`, which an earlier build wrote.
 
 use std::path::{Path, PathBuf};
 
@@ -6,12 +6,13 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-/// The text of a file.
+/// Returns the text of a fixture.
 pub fn text(name: &str) -> String {
     std::fs::read_to_string(path(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
-/// Compares with a file. Makes it where it is missing and `WRITE_FIXTURES` is set; one that is there stays.
+/// Compares a text with a fixture. A missing fixture is written if `WRITE_FIXTURES` is set; an existing one is never
+/// overwritten.
 pub fn assert_same(name: &str, found: &str) {
     if std::env::var_os("WRITE_FIXTURES").is_some() && !path(name).exists() {
         std::fs::write(path(name), found).expect("a folder to write to");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway under test, driven through the interface, and a counter that answers on demand.
+//! A test harness that drives a gateway through the interface of the decision module, and default settings.
 #![allow(dead_code)]
 
 use quota_gateway::decision::Gateway;
@@ -11,14 +11,14 @@
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
 
-pub fn class(effect: Idempotency, group: DeduplicationScope) -> Class {
+pub fn class(idempotency: Idempotency, deduplication_scope: DeduplicationScope) -> Class {
     Class {
         latency_objective: Micros(800 * MS),
         deadline: Micros(3 * S),
         priority_weight: 1.0,
         late_weight_fraction: 0.0,
-        idempotency: effect,
-        deduplication_scope: group,
+        idempotency,
+        deduplication_scope,
         deduplication_window: Micros(S),
         streaming: false,
     }
@@ -38,8 +38,9 @@
     }
 }
 
-/// Classes: 0 idempotent, 1 with a key for its cell, 2 not idempotent, 3 with a key for all. Plans: 0 ten units a second and twenty at
-/// once, 1 the same under a ceiling twice as high, 2 two attempts in flight at once, 3 no quota.
+/// Classes: 0 idempotent; 1 idempotent with a key, scope cell; 2 not idempotent; 3 idempotent with a key, scope all.
+/// Plans: 0 ten units a second with a burst of twenty; 1 the same with a hard limit twice as high; 2 at most two
+/// attempts in flight; 3 no quota.
 pub fn settings() -> Settings {
     let ceiling =
         Plan { ceiling_rate: 20.0, ceiling_burst: 40.0, ceiling_overdraft: 4.0, ..plan(10.0, 20.0) };
@@ -87,7 +88,7 @@
         GatewayHarness::seeded(7, settings, endpoints)
     }
     pub fn seeded(seed: u64, settings: Settings, endpoints: u32) -> GatewayHarness {
-        let gateway = Gateway::new(seed, settings).expect("sound settings");
+        let gateway = Gateway::new(seed, settings).expect("valid settings");
         let mut harness = GatewayHarness {
             gateway,
             now: 1_000 * S,
@@ -95,32 +96,35 @@
             next_request: 1,
             timers: Vec::new(),
         };
-        let entries = (0..endpoints).map(|i| endpoint_update(i, EndpointStatus::InService, None)).collect();
+        let entries =
+            (0..endpoints).map(|number| endpoint_update(number, EndpointStatus::InService, None)).collect();
         harness.handle(Event::EndpointsChanged { scope: WatchScope::Complete, endpoints: entries });
         harness
     }
-    /// Handles one event and returns what it led to.
+    /// Handles one event and returns the resulting actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.gateway.handle(Micros(self.now), event, &mut out);
-        for action in &out {
-            if let Action::SetTimer { timer: id, after } = action {
-                self.timers.push((self.now + after.0, *id));
+        let mut actions = Vec::new();
+        self.gateway.handle(Micros(self.now), event, &mut actions);
+        for action in &actions {
+            if let Action::SetTimer { timer, after } = action {
+                self.timers.push((self.now + after.0, *timer));
             }
         }
-        self.all_actions.extend(out.iter().cloned());
-        out
+        self.all_actions.extend(actions.iter().cloned());
+        actions
     }
-    /// Lets time pass, firing timers as they come due, and returns what they led to.
+    /// Advances the clock, fires the timers that come due, and returns the resulting actions.
     pub fn advance(&mut self, span: u64) -> Vec<Action> {
-        let (end, mut led) = (self.now + span, Vec::new());
-        while let Some(&(at, id)) = self.timers.iter().filter(|t| t.0 <= end).min_by_key(|t| t.0) {
-            self.timers.retain(|t| t.1 != id);
-            self.now = self.now.max(at);
-            led.extend(self.handle(Event::TimerFired { timer: id }));
+        let (end, mut actions) = (self.now + span, Vec::new());
+        while let Some(&(due, timer)) =
+            self.timers.iter().filter(|timer| timer.0 <= end).min_by_key(|timer| timer.0)
+        {
+            self.timers.retain(|entry| entry.1 != timer);
+            self.now = self.now.max(due);
+            actions.extend(self.handle(Event::TimerFired { timer }));
         }
         self.now = end;
-        led
+        actions
     }
     pub fn request(
         &mut self,
@@ -148,10 +152,10 @@
         };
         (id, self.handle(Event::RequestArrived(arrival)))
     }
-    /// A request without quota, forwarded at once; returns where it went.
+    /// Sends a request of a plan without quota and returns the endpoint that it was forwarded to.
     pub fn send_without_quota(&mut self, class: usize) -> (RequestId, EndpointId) {
-        let (id, out) = self.request(class, 3, 1, 1.0);
-        (id, sent_attempts(&out).first().expect("it is forwarded").1)
+        let (id, actions) = self.request(class, 3, 1, 1.0);
+        (id, sent_attempts(&actions).first().expect("the request is forwarded").1)
     }
     pub fn end_attempt(
         &mut self,
@@ -160,63 +164,65 @@
         endpoint: EndpointId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        let (took, ended) = (Micros(50 * MS), outcome == Outcome::Success);
-        let report = LoadReport::default();
+        let (elapsed, request_finished) = (Micros(50 * MS), outcome == Outcome::Success);
+        let load = LoadReport::default();
         let end = AttemptEnded {
             request: id,
             attempt,
             endpoint,
             outcome,
-            elapsed: took,
-            request_finished: ended,
+            elapsed,
+            request_finished,
             settled_units: None,
-            load: report,
+            load,
         };
         self.handle(Event::AttemptEnded(end))
     }
 }
 
-pub fn endpoint_update(i: u32, listed: EndpointStatus, started: Option<u64>) -> EndpointUpdate {
+pub fn endpoint_update(number: u32, status: EndpointStatus, started_at: Option<u64>) -> EndpointUpdate {
     EndpointUpdate {
-        endpoint: EndpointId(u64::from(i)),
+        endpoint: EndpointId(u64::from(number)),
         zone: ZoneId(0),
-        cell: CellId(u64::from(i) / 2),
-        status: listed,
+        cell: CellId(u64::from(number) / 2),
+        status,
         weight: 1.0,
-        started_at: started.map(Micros),
+        started_at: started_at.map(Micros),
         label: LabelId::default(),
     }
 }
 
-pub fn counter_calls(out: &[Action]) -> Vec<(CounterKey, f64)> {
-    out.iter()
-        .filter_map(|a| {
-            if let Action::IncrementCounter { key: n, amount: x, .. } = a {
-                Some((*n, *x))
+pub fn counter_calls(actions: &[Action]) -> Vec<(CounterKey, f64)> {
+    actions
+        .iter()
+        .filter_map(|action| {
+            if let Action::IncrementCounter { key, amount, .. } = action {
+                Some((*key, *amount))
             } else {
                 None
             }
         })
         .collect()
 }
-/// The counter calls whose amount is not zero.
-pub fn nonzero_counter_calls(out: &[Action]) -> Vec<(CounterKey, f64)> {
-    counter_calls(out).into_iter().filter(|(_, x)| *x != 0.0).collect()
+/// Counter calls with an amount other than zero.
+pub fn nonzero_counter_calls(actions: &[Action]) -> Vec<(CounterKey, f64)> {
+    counter_calls(actions).into_iter().filter(|(_, amount)| *amount != 0.0).collect()
 }
-pub fn sent_attempts(out: &[Action]) -> Vec<(RequestId, EndpointId)> {
-    out.iter()
-        .filter_map(|a| {
-            if let Action::SendAttempt { request: r, endpoint: s, .. } = a {
-                Some((*r, *s))
+pub fn sent_attempts(actions: &[Action]) -> Vec<(RequestId, EndpointId)> {
+    actions
+        .iter()
+        .filter_map(|action| {
+            if let Action::SendAttempt { request, endpoint, .. } = action {
+                Some((*request, *endpoint))
             } else {
                 None
             }
         })
         .collect()
 }
-pub fn is_rejected(out: &[Action], id: RequestId) -> bool {
-    out.iter().any(|a| matches!(a, Action::Reject { request: r, .. } if *r == id))
+pub fn is_rejected(actions: &[Action], id: RequestId) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Reject { request, .. } if *request == id))
 }
-pub fn is_failed(out: &[Action], id: RequestId) -> bool {
-    out.iter().any(|a| matches!(a, Action::Fail { request: r, .. } if *r == id))
+pub fn is_failed(actions: &[Action], id: RequestId) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Fail { request, .. } if *request == id))
 }
--- a/tests/decision_fixtures/model/surroundings.rs
+++ b/tests/decision_fixtures/model/environment.rs
@@ -1,37 +1,37 @@
-//! What surrounds the gateways: the counter service, the endpoints, the requests, and what changes.
+//! State of the environment: the counter service, the endpoints and the requests, and changes of it.
 
-use super::terms::{ArrivalLine, EndpointLine, Status, Stimulus};
+use super::messages::{ArrivalLine, EndpointLine, GatewayInput, Status};
 
-/// How the counter service works at present.
+/// Behaviour of the counter service.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum CounterState {
     Healthy,
     Slow,
     Mixed,
-    Full,
+    Rejecting,
     Unreachable,
     Errors,
 }
 
-/// How an endpoint works at present.
+/// Behaviour of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Fault {
     None,
-    Refuses,
-    Silent,
-    Errors,
+    RefusesConnections,
+    Unresponsive,
+    ReturnsErrors,
     Slow,
-    Full,
-    Resets,
+    Overloaded,
+    ResetsConnections,
 }
 
-/// What changes around the gateways.
+/// A change in the environment of the gateways.
 #[derive(Clone, Debug)]
 pub(super) enum Change {
     NextArrival,
     Random,
     Counter(CounterState),
-    ForgetCounts,
+    ResetCounts,
     EndpointFault { endpoint: usize, fault: Fault },
     EndpointStatus { endpoint: usize, status: Status },
     EndpointRestart { endpoint: usize },
@@ -40,9 +40,9 @@
     Restart { gateway: u32 },
 }
 
-pub(super) enum Item {
+pub(super) enum QueuedEvent {
     Change(Change),
-    Tell { gateway: u32, incarnation: u32, stimulus: Stimulus },
+    Deliver { gateway: u32, incarnation: u32, input: GatewayInput },
 }
 
 pub(super) struct Endpoint {
@@ -54,7 +54,7 @@
 pub(super) struct Attempt {
     pub(super) endpoint: u64,
     pub(super) sent: u64,
-    /// Place in the queue of its end.
+    /// Key of the attempt's end in the event queue.
     pub(super) ends: Option<(u64, u64)>,
 }
 
--- a/tests/decision_fixtures/model/terms.rs
+++ b/tests/decision_fixtures/model/messages.rs
@@ -1,14 +1,17 @@
-//! What gateways are told and do, in the words of the recorded files. They never change.
+//! Inputs and actions of gateways, independent of the decision module's own types.
+//!
+//! The recorded traces contain the debug output of `GatewayInput`, `LoadLine`, `CallOutcome` and `ListScope`, so the
+//! names of their variants and fields must not change.
 
-/// What an endpoint list event holds.
+/// Scope of an endpoint list event.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Scope {
+pub enum ListScope {
     Incremental,
     Complete,
     Failed,
 }
 
-/// Whether an endpoint takes new work.
+/// Status of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Status {
     InService,
@@ -16,7 +19,7 @@
     Removed,
 }
 
-/// One line of an endpoint list.
+/// One entry of an endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointLine {
     pub endpoint: u64,
@@ -28,9 +31,9 @@
     pub label: u32,
 }
 
-/// How an attempt or a call to the counter ended.
+/// Outcome of an attempt or of a call to the counter.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum How {
+pub enum CallOutcome {
     Success,
     ServerError,
     Rejected,
@@ -41,7 +44,7 @@
     NotSent,
 }
 
-/// The figures of a load report.
+/// Figures of a load report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadLine {
     pub in_flight: Option<f64>,
@@ -49,7 +52,7 @@
     pub busy: Option<f64>,
 }
 
-/// A request that comes in.
+/// A request that arrives.
 #[derive(Clone, Debug)]
 pub struct ArrivalLine {
     pub request: u64,
@@ -57,31 +60,31 @@
     pub plan: usize,
     pub customer: u64,
     pub spread: u32,
-    pub first: u32,
+    pub first_gateway: u32,
     pub deadline: u64,
     pub units: f64,
-    pub resent: bool,
+    pub is_retry: bool,
     pub upload: bool,
-    /// Endpoint and time of attempts that other gateways made.
-    pub prior: Vec<(u64, u64)>,
-    pub counted: bool,
+    /// Endpoints and send times of the attempts that other gateways made.
+    pub prior_attempts: Vec<(u64, u64)>,
+    pub already_counted: bool,
 }
 
-/// What a gateway is told.
+/// An input of a gateway.
 #[derive(Clone, Debug)]
-pub enum Stimulus {
+pub enum GatewayInput {
     Start,
     Stop,
     HandOver { to: u32 },
-    Endpoints { scope: Scope, endpoints: Vec<EndpointLine> },
+    Endpoints { scope: ListScope, endpoints: Vec<EndpointLine> },
     Arrival(ArrivalLine),
     Timer { timer: u64 },
     StreamStarted { request: u64 },
     ResponseStarted { request: u64, attempt: usize, elapsed: u64 },
     RequestBodyEnded { request: u64, deadline: u64 },
     ClientDisconnected { request: u64 },
-    Pong { endpoint: u64, how: How, load: LoadLine },
-    CounterReplied { key: u64, how: How, total: f64 },
+    Pong { endpoint: u64, how: CallOutcome, load: LoadLine },
+    CounterReplied { key: u64, how: CallOutcome, total: f64 },
     AttemptEnded(AttemptLine),
     Maintenance { endpoint: u64, active: bool },
     PeerProcessExited,
@@ -95,16 +98,16 @@
     pub request: u64,
     pub attempt: usize,
     pub endpoint: u64,
-    pub how: How,
+    pub how: CallOutcome,
     pub elapsed: u64,
     pub final_answer: bool,
     pub settled: f64,
     pub load: LoadLine,
 }
 
-/// What a gateway does.
+/// An action of a gateway.
 #[derive(Clone, Debug)]
-pub enum Response {
+pub enum GatewayAction {
     Send { request: u64, endpoint: u64, give_up_at: u64 },
     Reject { request: u64, retry_after: Option<u64> },
     Fail { request: u64 },
--- a/tests/decision_fixtures/model/mod.rs
+++ b/tests/decision_fixtures/model/mod.rs
@@ -1,44 +1,45 @@
-//! A small model of what surrounds gateways: clients, endpoints, discovery and the counter service.
+//! A small model of the environment of gateways: clients, endpoints, discovery and the counter service.
 //!
-//! It answers the actions of the decision module, so that a recorded run visits what real runs visit. It is
-//! deterministic by its seed. Its own types and names are those of the recorded files and never change.
+//! The model carries out the actions of the decision module, so that a recorded run covers the same cases as real
+//! runs. It is deterministic for a given seed, so the order of its random draws must not change. Its debug output is
+//! part of the recorded files.
 
 mod changes;
 mod clients;
+mod environment;
+pub mod messages;
 mod scenario;
 mod services;
 pub mod site;
-mod surroundings;
-pub mod terms;
 
 pub use scenario::Scenario;
 
+use environment::{Change, CounterState, Endpoint, Fault, QueuedEvent, Request};
+use messages::{CallOutcome, EndpointLine, GatewayInput, ListScope, Status};
 use site::{MS, S, TICK};
 use std::collections::{BTreeMap, BTreeSet};
-use surroundings::{Change, CounterState, Endpoint, Fault, Item, Request};
-use terms::{EndpointLine, How, Scope, Status, Stimulus};
 
-/// The model in motion.
+/// State of a running model.
 pub struct Model {
     pub scenario: Scenario,
     rng: fastrand::Rng,
     now: u64,
-    queue: BTreeMap<(u64, u64), Item>,
-    serial: u64,
+    event_queue: BTreeMap<(u64, u64), QueuedEvent>,
+    last_sequence_number: u64,
     endpoints: Vec<Endpoint>,
     counts: BTreeMap<u64, f64>,
     counter: CounterState,
     requests: BTreeMap<(u32, u64), Request>,
     next_request: u64,
     incarnations: BTreeMap<u32, u32>,
-    /// The gateways that new requests come to.
-    open: Vec<u32>,
-    /// The gateways that run, also those that only end what they have.
+    /// Gateways that receive new requests.
+    accepting_gateways: Vec<u32>,
+    /// Gateways that are running, including those that only finish their requests.
     running: BTreeSet<u32>,
 }
 
-/// What one step tells the gateways, in order.
-pub type Step = (u64, Vec<(u32, Stimulus)>);
+/// Time of a step, and the inputs of the gateways in that step, in order.
+pub type Step = (u64, Vec<(u32, GatewayInput)>);
 
 impl Model {
     pub fn new(scenario: Scenario) -> Model {
@@ -58,95 +59,106 @@
         let mut model = Model {
             rng: fastrand::Rng::with_seed(scenario.seed),
             now: 1_000 * S,
-            queue: BTreeMap::new(),
-            serial: 0,
+            event_queue: BTreeMap::new(),
+            last_sequence_number: 0,
             endpoints: (0..scenario.endpoints).map(endpoint).collect(),
             counts: BTreeMap::new(),
             counter: CounterState::Healthy,
             requests: BTreeMap::new(),
             next_request: 1,
             incarnations: BTreeMap::new(),
-            open: scenario.played.clone(),
+            accepting_gateways: scenario.simulated_gateways.clone(),
             running: BTreeSet::new(),
             scenario,
         };
-        let begin = model.now;
-        for gateway in model.scenario.played.clone() {
-            model.start(gateway, begin);
+        let start_time = model.now;
+        for gateway in model.scenario.simulated_gateways.clone() {
+            model.start(gateway, start_time);
         }
-        model.put(begin + 100 * MS, Item::Change(Change::NextArrival));
-        model.put(begin + 2 * S, Item::Change(Change::Random));
+        model.enqueue(start_time + 100 * MS, QueuedEvent::Change(Change::NextArrival));
+        model.enqueue(start_time + 2 * S, QueuedEvent::Change(Change::Random));
         if let Some((endpoint, from, until)) = model.scenario.outage {
-            let fault = Fault::Refuses;
-            model.put(begin + from * S, Item::Change(Change::EndpointFault { endpoint, fault }));
+            let fault = Fault::RefusesConnections;
+            model.enqueue(
+                start_time + from * S,
+                QueuedEvent::Change(Change::EndpointFault { endpoint, fault }),
+            );
             let fault = Fault::None;
-            model.put(begin + until * S, Item::Change(Change::EndpointFault { endpoint, fault }));
+            model.enqueue(
+                start_time + until * S,
+                QueuedEvent::Change(Change::EndpointFault { endpoint, fault }),
+            );
         }
-        for (at, gateway, stimulus) in model.scenario.schedule.clone() {
-            model.put(begin + at, Item::Tell { gateway, incarnation: 0, stimulus });
+        for (at, gateway, input) in model.scenario.schedule.clone() {
+            model.enqueue(start_time + at, QueuedEvent::Deliver { gateway, incarnation: 0, input });
         }
         model
     }
 
     fn start(&mut self, gateway: u32, at: u64) {
-        self.tell(gateway, at, Stimulus::Start);
+        self.enqueue_input(gateway, at, GatewayInput::Start);
         if !self.scenario.must_subscribe {
             let list = self.complete_list();
-            self.tell(gateway, at, list);
+            self.enqueue_input(gateway, at, list);
         }
     }
 
-    fn put(&mut self, at: u64, item: Item) -> (u64, u64) {
-        self.serial += 1;
-        let place = (at.max(self.now), self.serial);
-        self.queue.insert(place, item);
-        place
+    fn enqueue(&mut self, at: u64, event: QueuedEvent) -> (u64, u64) {
+        self.last_sequence_number += 1;
+        let key = (at.max(self.now), self.last_sequence_number);
+        self.event_queue.insert(key, event);
+        key
     }
 
-    fn tell(&mut self, gateway: u32, at: u64, stimulus: Stimulus) -> (u64, u64) {
+    fn enqueue_input(&mut self, gateway: u32, at: u64, input: GatewayInput) -> (u64, u64) {
         let incarnation = self.incarnations.get(&gateway).copied().unwrap_or(0);
-        self.put(at, Item::Tell { gateway, incarnation, stimulus })
+        self.enqueue(at, QueuedEvent::Deliver { gateway, incarnation, input })
     }
 
-    fn complete_list(&self) -> Stimulus {
+    fn complete_list(&self) -> GatewayInput {
         let listed = self.endpoints.iter().filter(|e| e.line.status != Status::Removed);
-        Stimulus::Endpoints { scope: Scope::Complete, endpoints: listed.map(|e| e.line.clone()).collect() }
+        GatewayInput::Endpoints {
+            scope: ListScope::Complete,
+            endpoints: listed.map(|e| e.line.clone()).collect(),
+        }
     }
 
-    /// The next step in which anything happens; `None` at the end of the run.
+    /// Advances to the next step with inputs or changes; `None` at the end of the run.
     pub fn step(&mut self) -> Option<Step> {
         let end = 1_000 * S + self.scenario.rates.last().map_or(0, |r| r.0 * S);
-        let first = *self.queue.keys().next()?;
+        let first = *self.event_queue.keys().next()?;
         self.now = first.0.max(self.now + TICK).div_ceil(TICK) * TICK;
         if self.now > end {
             return None;
         }
-        let mut told = Vec::new();
-        while let Some(entry) = self.queue.first_entry() {
+        let mut inputs = Vec::new();
+        while let Some(entry) = self.event_queue.first_entry() {
             if entry.key().0 > self.now {
                 break;
             }
             match entry.remove() {
-                Item::Change(change) => self.change(change),
-                Item::Tell { gateway, incarnation, stimulus } => {
+                QueuedEvent::Change(change) => self.apply_change(change),
+                QueuedEvent::Deliver { gateway, incarnation, input } => {
                     let current = self.incarnations.get(&gateway).copied().unwrap_or(0);
-                    // Some of what was meant for an earlier process still comes.
-                    let late = matches!(
-                        stimulus,
-                        Stimulus::AttemptEnded(_) | Stimulus::CounterReplied { .. } | Stimulus::Stop
+                    // Some inputs for an earlier process are still delivered after a restart.
+                    let is_delivered_after_restart = matches!(
+                        input,
+                        GatewayInput::AttemptEnded(_)
+                            | GatewayInput::CounterReplied { .. }
+                            | GatewayInput::Stop
                     );
-                    if incarnation == current || late {
-                        self.deliver(gateway, stimulus, &mut told);
+                    if incarnation == current || is_delivered_after_restart {
+                        self.deliver(gateway, input, &mut inputs);
                     }
                 }
             }
         }
-        Some((self.now, told))
+        Some((self.now, inputs))
     }
 
-    fn deliver(&mut self, gateway: u32, mut stimulus: Stimulus, told: &mut Vec<(u32, Stimulus)>) {
-        match &mut stimulus {
-            Stimulus::AttemptEnded(end) => {
+    fn deliver(&mut self, gateway: u32, mut input: GatewayInput, inputs: &mut Vec<(u32, GatewayInput)>) {
+        match &mut input {
+            GatewayInput::AttemptEnded(end) => {
                 if let Some(endpoint) = self.endpoints.get_mut(end.endpoint as usize) {
                     endpoint.in_flight = (endpoint.in_flight - 1.0).max(0.0);
                 }
@@ -154,37 +166,39 @@
                     if let Some(attempt) = request.attempts.get_mut(end.attempt) {
                         attempt.ends = None;
                     }
-                    request.closed |= end.how == How::Success;
+                    request.closed |= end.how == CallOutcome::Success;
                     end.final_answer = request.closed;
                 }
             }
-            Stimulus::ClientDisconnected { request } => {
+            GatewayInput::ClientDisconnected { request } => {
                 let Some(request) = self.requests.get_mut(&(gateway, *request)) else { return };
                 if std::mem::replace(&mut request.closed, true) {
                     return;
                 }
             }
-            Stimulus::HandOver { to } => {
+            GatewayInput::HandOver { to } => {
                 let to = *to;
-                self.open.retain(|g| *g != gateway);
-                self.open.push(to);
+                self.accepting_gateways.retain(|g| *g != gateway);
+                self.accepting_gateways.push(to);
             }
-            Stimulus::Start => {
+            GatewayInput::Start => {
                 self.running.insert(gateway);
                 if self.scenario.module_only {
-                    told.push((gateway, stimulus));
-                    stimulus = self.complete_list();
+                    inputs.push((gateway, input));
+                    input = self.complete_list();
                 }
             }
-            Stimulus::Stop => {
+            GatewayInput::Stop => {
                 self.running.remove(&gateway);
                 if self.scenario.module_only {
-                    self.open.retain(|g| *g != gateway);
+                    self.accepting_gateways.retain(|g| *g != gateway);
                 }
             }
-            Stimulus::PeerProcessExited if !self.open.contains(&gateway) => self.open.push(gateway),
+            GatewayInput::PeerProcessExited if !self.accepting_gateways.contains(&gateway) => {
+                self.accepting_gateways.push(gateway)
+            }
             _ => {}
         }
-        told.push((gateway, stimulus));
+        inputs.push((gateway, input));
     }
 }
--- a/tests/decision_fixtures/model/scenario.rs
+++ b/tests/decision_fixtures/model/scenario.rs
@@ -1,30 +1,31 @@
-//! What a recorded run is made of.
+//! Parameters of a recorded run.
 
-use super::terms::Stimulus;
+use super::messages::GatewayInput;
 
-/// What a run is made of.
+/// Parameters of a recorded run.
 #[derive(Clone)]
 pub struct Scenario {
     pub name: &'static str,
     pub seed: u64,
-    /// Number of gateways of the site, and those that are played.
+    /// Number of gateways of the site.
     pub gateways: u32,
-    pub played: Vec<u32>,
+    /// Numbers of the gateways that the run simulates.
+    pub simulated_gateways: Vec<u32>,
     pub endpoints: usize,
     pub customers: u64,
-    /// Requests a second over all played gateways, each until the given time in seconds.
+    /// Requests per second over all simulated gateways, each rate until the given time in seconds.
     pub rates: Vec<(u64, f64)>,
-    /// Events that only the module's own interface carries are played too.
+    /// Whether events occur that only the module's own interface supports, not the simulator's protocol.
     pub module_only: bool,
     pub counter: bool,
-    pub second_copies: bool,
+    pub hedging: bool,
     pub may_cancel: bool,
     pub retry_after: bool,
     pub must_subscribe: bool,
-    /// Usual time of an answer.
-    pub work: u64,
-    /// An endpoint that refuses connections for long: its number, and from when to when in seconds.
+    /// Typical time in which an endpoint responds, in microseconds.
+    pub service_time: u64,
+    /// Long outage of an endpoint that refuses connections: its number, start and end in seconds.
     pub outage: Option<(usize, u64, u64)>,
-    /// Events at fixed times.
-    pub schedule: Vec<(u64, u32, Stimulus)>,
+    /// Inputs of gateways at fixed times.
+    pub schedule: Vec<(u64, u32, GatewayInput)>,
 }
--- a/tests/decision_fixtures/model/site.rs
+++ b/tests/decision_fixtures/model/site.rs
@@ -1,17 +1,18 @@
-//! The classes and plans of the recorded sites, and the units of time. They never change.
+//! Classes and plans of the recorded sites, and units of time. The recorded files depend on these values, so they
+//! must not change.
 
 /// Length of one step of the model, in microseconds.
 pub const TICK: u64 = 2_000;
-/// Microseconds in a millisecond and in a second.
+/// One millisecond and one second in microseconds.
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
-/// Number of classes and plans that the adapters define; see `CLASSES` and `PLANS`.
+/// Lengths of `CLASSES` and `PLANS`.
 pub const CLASS_COUNT: usize = 6;
 pub const PLAN_COUNT: usize = 5;
-/// How long a call to the counter stays unanswered at most.
+/// Time-out of a call to the counter.
 pub const COUNTER_TIMEOUT: u64 = 80 * MS;
 
-/// A class of requests as both adapters define it.
+/// A class of requests, with the setting keys of the simulator's protocol as field names.
 pub struct ClassLine {
     pub name: &'static str,
     /// `pure`, `token` or `side_effect`.
@@ -49,7 +50,7 @@
     ClassLine { window: 4 * S, credit: 0.2, ..class("tag", "token", "zone") },
 ];
 
-/// A plan as both adapters define it.
+/// A plan, with the setting keys of the simulator's protocol as field names.
 pub struct PlanLine {
     pub name: &'static str,
     pub per_second: f64,
--- a/tests/decision_fixtures/simulator.rs
+++ b/tests/decision_fixtures/simulator.rs
@@ -1,39 +1,41 @@
-//! The model played against the simulator's adapter, over its text wire.
+//! Runs the model against the simulator's adapter, through its text protocol.
 
+use crate::model::messages::{
+    AttemptLine, CallOutcome, EndpointLine, GatewayAction, GatewayInput, ListScope, LoadLine, Status,
+};
 use crate::model::site::{CLASSES, PLANS, TICK};
-use crate::model::terms::{AttemptLine, EndpointLine, How, LoadLine, Response, Scope, Status, Stimulus};
 use crate::model::{Model, Scenario};
 use quota_gateway::simulator::Host;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// The batches of one run and what the adapter replied.
+/// Batches of one run, and the replies of the adapter.
 pub struct Recording {
     pub input: String,
     pub replies: String,
 }
 
-/// Plays a scenario and records both sides.
+/// Runs a scenario and records the batches and the replies.
 pub fn record(scenario: Scenario) -> Recording {
     let mut host = Host::default();
     let mut recording = Recording { input: String::new(), replies: String::new() };
     let mut model = Model::new(scenario);
-    while let Some((now, told)) = model.step() {
-        let mut by_gateway: BTreeMap<u32, Vec<Stimulus>> = BTreeMap::new();
-        for (gateway, stimulus) in told {
-            by_gateway.entry(gateway).or_default().push(stimulus);
+    while let Some((now, inputs)) = model.step() {
+        let mut by_gateway: BTreeMap<u32, Vec<GatewayInput>> = BTreeMap::new();
+        for (gateway, input) in inputs {
+            by_gateway.entry(gateway).or_default().push(input);
         }
         let mut batch = format!("TICK now={now}\n");
-        for (gateway, stimuli) in by_gateway {
+        for (gateway, inputs) in by_gateway {
             let _ = writeln!(batch, "FOR who={gateway}");
-            for stimulus in stimuli {
-                write_stimulus(&mut batch, &model.scenario, gateway, &stimulus);
+            for input in inputs {
+                write_input(&mut batch, &model.scenario, gateway, &input);
             }
         }
         batch.push_str("FLUSH\n");
-        let reply = reply_of(&mut host, &batch).expect("a reply ends each batch");
-        for (gateway, response) in responses(&reply) {
-            model.react(gateway, response);
+        let reply = reply_to(&mut host, &batch).expect("a reply ends each batch");
+        for (gateway, action) in parse_reply(&reply) {
+            model.carry_out(gateway, action);
         }
         recording.input.push_str(&batch);
         recording.replies.push_str(&reply);
@@ -41,54 +43,54 @@
     recording
 }
 
-/// What the adapter replies to recorded input.
+/// Returns the adapter's replies to recorded input.
 pub fn replay(input: &str) -> String {
     let mut host = Host::default();
-    let replies = input.lines().filter_map(|line| host.handle_line(line).expect("recorded lines are sound"));
+    let replies = input.lines().filter_map(|line| host.handle_line(line).expect("recorded lines are valid"));
     let replies = replies.collect();
     host.finish().expect("the last batch is complete");
     replies
 }
 
-/// What the adapter says of each field of each kind of line when its value makes no sense or is missing.
-pub fn errors_of_bad_values(input: &str) -> String {
+/// Returns the adapter's errors for each field of each message when its value is invalid or missing.
+pub fn errors_for_invalid_values(input: &str) -> String {
     let mut errors = String::new();
     let lines: Vec<&str> = input.lines().collect();
-    let mut seen = std::collections::BTreeSet::new();
+    let mut tested_messages = std::collections::BTreeSet::new();
     for (i, line) in lines.iter().enumerate() {
         let message = line.split(' ').next().unwrap_or("");
-        if !seen.insert(message) {
+        if !tested_messages.insert(message) {
             continue;
         }
         let fields: Vec<&str> = line.split(' ').skip(1).collect();
         for (n, field) in fields.iter().enumerate() {
             let name = field.split('=').next().unwrap_or("");
             for value in [Some("?"), Some("-1"), None] {
-                let mut changed: Vec<String> = fields.iter().map(|f| f.to_string()).collect();
+                let mut changed_fields: Vec<String> = fields.iter().map(|f| f.to_string()).collect();
                 match value {
-                    Some(value) => changed[n] = format!("{name}={value}"),
-                    None => drop(changed.remove(n)),
+                    Some(value) => changed_fields[n] = format!("{name}={value}"),
+                    None => drop(changed_fields.remove(n)),
                 }
-                let bad = format!("{message} {}", changed.join(" "));
-                let said = first_error(&lines[..i], bad.trim_end());
-                let _ = writeln!(errors, "{message} {name} {}: {said}", value.unwrap_or("missing"));
+                let invalid_line = format!("{message} {}", changed_fields.join(" "));
+                let error = first_error(&lines[..i], invalid_line.trim_end());
+                let _ = writeln!(errors, "{message} {name} {}: {error}", value.unwrap_or("missing"));
             }
         }
     }
     errors
 }
 
-/// The error of one line after others, or that there is none.
+/// Returns the error of a line that follows valid lines, or `accepted`.
 fn first_error(before: &[&str], line: &str) -> String {
     let mut host = Host::default();
     for line in before {
-        host.handle_line(line).expect("recorded lines are sound");
+        host.handle_line(line).expect("recorded lines are valid");
     }
     host.handle_line(line).map_or_else(|e| e.to_string(), |_| "accepted".into())
 }
 
-fn reply_of(host: &mut Host, batch: &str) -> Option<String> {
-    batch.lines().filter_map(|line| host.handle_line(line).expect("the model writes sound lines")).last()
+fn reply_to(host: &mut Host, batch: &str) -> Option<String> {
+    batch.lines().filter_map(|line| host.handle_line(line).expect("the model writes valid lines")).last()
 }
 
 fn backend_name(endpoint: u64) -> String {
@@ -100,37 +102,37 @@
     parts[2] * 200 + parts[3]
 }
 
-fn write_stimulus(out: &mut String, scenario: &Scenario, gateway: u32, stimulus: &Stimulus) {
+fn write_input(out: &mut String, scenario: &Scenario, gateway: u32, input: &GatewayInput) {
     // Writing to a String cannot fail.
-    let _ = match stimulus {
-        Stimulus::Start => return write_start(out, scenario, gateway),
-        Stimulus::Stop => writeln!(out, "DOWN"),
-        Stimulus::Endpoints { scope, endpoints } => return write_list(out, *scope, endpoints),
-        Stimulus::Arrival(a) => {
-            let _ = write!(out, "KNOCK ref={} kind={}", a.request, CLASSES[a.class].name);
-            let _ = write!(out, " user_key={:016x} doors={}", a.customer, a.spread);
-            let _ = write!(out, " plan={} price_units={}", PLANS[a.plan].name, a.units);
-            // Some leave the deadline and the mark of a repeat to their defaults.
-            if a.request % 7 != 0 {
-                let _ = write!(out, " drop_dead={}", a.deadline);
+    let _ = match input {
+        GatewayInput::Start => return write_start(out, scenario, gateway),
+        GatewayInput::Stop => writeln!(out, "DOWN"),
+        GatewayInput::Endpoints { scope, endpoints } => return write_list(out, *scope, endpoints),
+        GatewayInput::Arrival(arrival) => {
+            let _ = write!(out, "KNOCK ref={} kind={}", arrival.request, CLASSES[arrival.class].name);
+            let _ = write!(out, " user_key={:016x} doors={}", arrival.customer, arrival.spread);
+            let _ = write!(out, " plan={} price_units={}", PLANS[arrival.plan].name, arrival.units);
+            // Some requests use the defaults of the deadline and of the retry flag.
+            if arrival.request % 7 != 0 {
+                let _ = write!(out, " drop_dead={}", arrival.deadline);
             }
-            if a.resent || a.request % 5 == 0 {
-                let _ = write!(out, " resent={}", u8::from(a.resent));
+            if arrival.is_retry || arrival.request % 5 == 0 {
+                let _ = write!(out, " resent={}", u8::from(arrival.is_retry));
             }
             writeln!(out)
         }
-        Stimulus::Timer { timer } => writeln!(out, "RING ref={timer}"),
-        Stimulus::StreamStarted { request } => writeln!(out, "FIRST_BYTE ref={request}"),
-        Stimulus::ClientDisconnected { request } => writeln!(out, "TIMED_OUT_CLIENT ref={request}"),
-        Stimulus::Pong { endpoint, how, load } => {
-            let (name, how, load) = (backend_name(*endpoint), code(*how), report(load));
+        GatewayInput::Timer { timer } => writeln!(out, "RING ref={timer}"),
+        GatewayInput::StreamStarted { request } => writeln!(out, "FIRST_BYTE ref={request}"),
+        GatewayInput::ClientDisconnected { request } => writeln!(out, "TIMED_OUT_CLIENT ref={request}"),
+        GatewayInput::Pong { endpoint, how, load } => {
+            let (name, how, load) = (backend_name(*endpoint), status_code(*how), load_report_field(load));
             writeln!(out, "PONG backend={name} how={how}{load}\nSOMETHING_NEW of=later")
         }
-        Stimulus::CounterReplied { key, how, total } => {
-            writeln!(out, "COUNT_RESULT book={key} how={} result_value={total} took=900", code(*how))
+        GatewayInput::CounterReplied { key, how, total } => {
+            writeln!(out, "COUNT_RESULT book={key} how={} result_value={total} took=900", status_code(*how))
         }
-        Stimulus::AttemptEnded(end) => return write_attempt(out, end),
-        other => panic!("{other:?} is not on the simulator's wire"),
+        GatewayInput::AttemptEnded(end) => return write_attempt(out, end),
+        other => panic!("{other:?} has no message in the simulator's protocol"),
     };
 }
 
@@ -144,7 +146,7 @@
         ("zone".into(), format!("z{}", gateway % 3)),
         ("tick".into(), TICK.to_string()),
         ("bounds.max_attempts".into(), "4".into()),
-        ("bounds.second_copies".into(), flag(scenario.second_copies).to_string()),
+        ("bounds.second_copies".into(), flag(scenario.hedging).to_string()),
         ("bounds.may_cancel".into(), flag(scenario.may_cancel).to_string()),
         ("bounds.probing".into(), "1".into()),
         ("bounds.retry_after".into(), flag(scenario.retry_after).to_string()),
@@ -197,47 +199,63 @@
     out.push('\n');
 }
 
-fn write_list(out: &mut String, scope: Scope, endpoints: &[EndpointLine]) {
+fn write_list(out: &mut String, scope: ListScope, endpoints: &[EndpointLine]) {
     let scope = match scope {
-        Scope::Incremental => "incr",
-        Scope::Complete if endpoints.len().is_multiple_of(2) => "total",
-        Scope::Complete => "warm_copy",
-        Scope::Failed => "lost",
+        ListScope::Incremental => "incr",
+        ListScope::Complete if endpoints.len().is_multiple_of(2) => "total",
+        ListScope::Complete => "warm_copy",
+        ListScope::Failed => "lost",
     };
     let _ = writeln!(out, "FLEET gen=1 scope={scope} items={}", endpoints.len());
-    for e in endpoints {
-        let status = match e.status {
+    for endpoint in endpoints {
+        let status = match endpoint.status {
             Status::InService => "in_service",
             Status::Draining => "terminating",
             Status::Removed => "terminated",
         };
-        let _ = write!(out, "ITEM backend={} rack_zone=z{} model=m", backend_name(e.endpoint), e.zone);
-        let _ = write!(out, " pod={} status={status} heft={}", e.cell, e.weight);
-        let _ = writeln!(out, " last_start={}", e.started);
+        let _ = write!(
+            out,
+            "ITEM backend={} rack_zone=z{} model=m",
+            backend_name(endpoint.endpoint),
+            endpoint.zone
+        );
+        let _ = write!(out, " pod={} status={status} heft={}", endpoint.cell, endpoint.weight);
+        let _ = writeln!(out, " last_start={}", endpoint.started);
     }
 }
 
 fn write_attempt(out: &mut String, end: &AttemptLine) {
     let _ = write!(out, "OUTCOME ref={} trial={}", end.request, end.attempt);
-    let _ = write!(out, " backend={} how={} took={}", backend_name(end.endpoint), code(end.how), end.elapsed);
-    let _ =
-        writeln!(out, " ended={} settled={}{}", u8::from(end.final_answer), end.settled, report(&end.load));
+    let _ = write!(
+        out,
+        " backend={} how={} took={}",
+        backend_name(end.endpoint),
+        status_code(end.how),
+        end.elapsed
+    );
+    let _ = writeln!(
+        out,
+        " ended={} settled={}{}",
+        u8::from(end.final_answer),
+        end.settled,
+        load_report_field(&end.load)
+    );
 }
 
-fn code(how: How) -> u32 {
+fn status_code(how: CallOutcome) -> u32 {
     match how {
-        How::Success => 200,
-        How::ServerError => 500,
-        How::Rejected => 503,
-        How::Timeout => 504,
-        How::ConnectFailed => 502,
-        How::ConnectionReset => 598,
-        How::Cancelled => 499,
-        How::NotSent => 410,
+        CallOutcome::Success => 200,
+        CallOutcome::ServerError => 500,
+        CallOutcome::Rejected => 503,
+        CallOutcome::Timeout => 504,
+        CallOutcome::ConnectFailed => 502,
+        CallOutcome::ConnectionReset => 598,
+        CallOutcome::Cancelled => 499,
+        CallOutcome::NotSent => 410,
     }
 }
 
-fn report(load: &LoadLine) -> String {
+fn load_report_field(load: &LoadLine) -> String {
     let figures = [("concurrent", load.in_flight), ("depth", load.queued), ("load_share", load.busy)];
     let pairs: Vec<String> =
         figures.iter().filter_map(|(name, v)| v.map(|v| format!("{name}:{v}"))).collect();
@@ -247,7 +265,7 @@
     format!(" report={}", pairs.join(","))
 }
 
-fn responses(reply: &str) -> Vec<(u32, Response)> {
+fn parse_reply(reply: &str) -> Vec<(u32, GatewayAction)> {
     let mut found = Vec::new();
     let mut gateway = 0;
     for line in reply.lines() {
@@ -256,7 +274,7 @@
         let pairs: BTreeMap<&str, &str> = words.filter_map(|w| w.split_once('=')).collect();
         let number = |name: &str| pairs[name].parse::<u64>().expect("a number");
         let request = pairs.get("ref").map_or(0, |r| r.parse().expect("a number"));
-        let response = match message {
+        let action = match message {
             "AS" => {
                 gateway = number("who") as u32;
                 continue;
@@ -264,22 +282,23 @@
             "EOR" => continue,
             "ROUTE" => {
                 let endpoint = backend_number(pairs["backend"]);
-                Response::Send { request, endpoint, give_up_at: number("abandon_at") }
+                GatewayAction::Send { request, endpoint, give_up_at: number("abandon_at") }
             }
             "REJECT" => {
                 let retry_after = pairs.contains_key("backoff").then(|| number("backoff"));
-                Response::Reject { request, retry_after }
+                GatewayAction::Reject { request, retry_after }
             }
-            "FINISH_ERROR" => Response::Fail { request },
-            "ABANDON" => Response::Cancel { request, attempt: number("trial") as usize },
-            "ADD_AND_GET" => {
-                Response::Count { key: number("book"), amount: pairs["amount"].parse().expect("a number") }
-            }
-            "WAKE_ME" => Response::SetTimer { timer: request, after: number("in") },
-            "LISTEN" => Response::Subscribe,
-            other => panic!("unknown reply {other}"),
+            "FINISH_ERROR" => GatewayAction::Fail { request },
+            "ABANDON" => GatewayAction::Cancel { request, attempt: number("trial") as usize },
+            "ADD_AND_GET" => GatewayAction::Count {
+                key: number("book"),
+                amount: pairs["amount"].parse().expect("a number"),
+            },
+            "WAKE_ME" => GatewayAction::SetTimer { timer: request, after: number("in") },
+            "LISTEN" => GatewayAction::Subscribe,
+            other => panic!("unknown message {other} in a reply"),
         };
-        found.push((gateway, response));
+        found.push((gateway, action));
     }
     found
 }
