--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -1,4 +1,4 @@
-//! Attempts at a backend and the pool of connections, on loopback sockets.
+//! Attempts at a backend and the connection pool, on loopback sockets.
 #[path = "sockets/world/mod.rs"]
 mod world;
 
@@ -32,27 +32,27 @@
     ForwardedRequest::new(method, uri, hyper::HeaderMap::new(), RequestPayload::Buffered("hello".into()))
 }
 
-/// An attempt that may take so long and is never called off.
+/// Makes an attempt with this time limit that is never cancelled.
 async fn attempt(pool: &Rc<ConnectionPool>, backend: &Backend, limit: Duration) -> AttemptResult {
-    let (_call_off, called_off) = oneshot::channel();
-    pool.attempt(backend, &post(), Instant::now() + limit, called_off).await
+    let (_cancel, cancelled) = oneshot::channel();
+    pool.attempt(backend, &post(), Instant::now() + limit, cancelled).await
 }
 
 #[test]
-fn a_drain_stops_an_attempt_whose_connection_has_just_come_up() {
+fn attempt_is_not_sent_if_the_backend_drains_while_connecting() {
     let stub = Stub::start(|_| http("200 OK", "ok"));
     let (pool, backend) = (pool(8, LONG), backend(&stub));
     backend.open.set(false);
-    let ended = on_runtime(attempt(&pool, &backend, LONG));
-    assert_eq!(ended.outcome, Outcome::NotSent);
-    stub.wait_for("the connection's end", |log| log.opened == 1 && log.closed == 1);
+    let result = on_runtime(attempt(&pool, &backend, LONG));
+    assert_eq!(result.outcome, Outcome::NotSent);
+    stub.wait_for("the connection to close", |log| log.opened == 1 && log.closed == 1);
     assert_eq!(stub.requests().len(), 0, "nothing was written");
 }
 
 #[test]
-fn a_kept_connection_that_breaks_after_the_request_may_have_carried_it() {
-    let seen = std::sync::atomic::AtomicUsize::new(0);
-    let stub = Stub::start(move |_| match seen.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
+fn request_reset_on_an_idle_connection_is_not_retried() {
+    let request_count = std::sync::atomic::AtomicUsize::new(0);
+    let stub = Stub::start(move |_| match request_count.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
         0 => http("200 OK", "ok"),
         _ => Reply::RawThenClose(String::new()),
     });
@@ -61,15 +61,15 @@
         assert_eq!(attempt(&pool, &backend, LONG).await.outcome, Outcome::Success);
         assert_eq!(attempt(&pool, &backend, LONG).await.outcome, Outcome::ConnectionReset);
     });
-    let seen = stub.requests();
-    assert_eq!(seen.len(), 2, "it is not sent again");
-    assert_eq!(seen[1].connection, seen[0].connection, "it went out on the kept connection");
+    let requests = stub.requests();
+    assert_eq!(requests.len(), 2, "the request is not sent again");
+    assert_eq!(requests[1].connection, requests[0].connection, "the request was sent on the idle connection");
 }
 
 #[test]
-fn where_a_kept_connection_broke_others_are_not_kept_so_long() {
-    let seen = std::sync::atomic::AtomicUsize::new(0);
-    let stub = Stub::start(move |_| match seen.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
+fn reset_on_an_idle_connection_shortens_the_idle_time_of_others() {
+    let request_count = std::sync::atomic::AtomicUsize::new(0);
+    let stub = Stub::start(move |_| match request_count.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
         1 => Reply::RawThenClose(String::new()),
         _ => http("200 OK", "ok"),
     });
@@ -81,36 +81,36 @@
             tokio::time::sleep(idle).await;
         }
     });
-    let connections: Vec<usize> = stub.requests().iter().map(|r| r.connection).collect();
-    assert_eq!(connections, [0, 0, 1, 2], "after the break none is used that stood idle for as long");
+    let connections: Vec<usize> = stub.requests().iter().map(|request| request.connection).collect();
+    assert_eq!(connections, [0, 0, 1, 2], "after the reset, no connection is used that was idle for as long");
 }
 
 #[test]
-fn an_attempt_given_up_or_called_off_leaves_no_connection_open() {
+fn timed_out_or_cancelled_attempt_closes_its_connection() {
     let stub = Stub::start(|_| Reply::Silence);
     let (pool, backend) = (pool(8, LONG), backend(&stub));
     on_runtime(async {
-        let ended = attempt(&pool, &backend, Duration::from_millis(50)).await;
-        assert_eq!(ended.outcome, Outcome::Timeout);
-        let (call_off, called_off) = oneshot::channel();
+        let result = attempt(&pool, &backend, Duration::from_millis(50)).await;
+        assert_eq!(result.outcome, Outcome::Timeout);
+        let (cancel, cancelled) = oneshot::channel();
         let forward = post();
-        let out = pool.attempt(&backend, &forward, Instant::now() + LONG, called_off);
-        let (ended, ()) = tokio::join!(out, async {
+        let attempt = pool.attempt(&backend, &forward, Instant::now() + LONG, cancelled);
+        let (result, ()) = tokio::join!(attempt, async {
             while stub.requests().len() < 2 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            call_off.send(()).expect("it is out");
+            cancel.send(()).expect("the attempt is in flight");
         });
-        assert_eq!(ended.outcome, Outcome::Cancelled);
+        assert_eq!(result.outcome, Outcome::Cancelled);
     });
-    stub.wait_for("both connections' end", |log| log.opened == 2 && log.closed == 2);
+    stub.wait_for("both connections to close", |log| log.opened == 2 && log.closed == 2);
 }
 
 #[test]
-fn an_unreachable_backend_never_ran_anything() {
+fn unreachable_backend_gives_connect_failed() {
     let refusing = Refusing::start();
-    let gone = refusing.address();
-    let backend = Backend { address: gone, started_at_unix_ms: 0, open: Cell::new(true) };
+    let unused_address = refusing.address();
+    let backend = Backend { address: unused_address, started_at_unix_ms: 0, open: Cell::new(true) };
     let pool = pool(8, LONG);
     assert_eq!(on_runtime(attempt(&pool, &backend, LONG)).outcome, Outcome::ConnectFailed);
 }
@@ -124,16 +124,16 @@
         tokio::time::sleep(Duration::from_millis(25)).await;
         pool.retire();
     });
-    stub.wait_for("the idle connection's end", |log| log.closed == 1);
+    stub.wait_for("the idle connection to close", |log| log.closed == 1);
 }
 
 #[test]
-fn the_number_of_connections_is_bounded() {
+fn number_of_connections_is_limited() {
     let (busy, other) = (Stub::start(|_| Reply::Silence), Stub::start(|_| http("200 OK", "ok")));
     let pool = pool(1, LONG);
     let (to_busy, to_other) = (backend(&busy), backend(&other));
     on_runtime(async {
-        // An idle connection gives way to one that is needed.
+        // An idle connection is closed when another one is needed.
         assert_eq!(attempt(&pool, &to_other, LONG).await.outcome, Outcome::Success);
         let (first, second) = tokio::join!(
             attempt(&pool, &to_busy, Duration::from_millis(50)),
@@ -141,21 +141,24 @@
         );
         assert_eq!((first.outcome, second.outcome), (Outcome::Timeout, Outcome::NotSent));
     });
-    other.wait_for("the idle connection's end", |log| log.closed == 1);
+    other.wait_for("the idle connection to close", |log| log.closed == 1);
     assert_eq!(other.requests().len(), 1);
 }
 
 #[test]
-fn a_long_answer_began_with_its_first_bytes() {
+fn response_of_unknown_length_starts_with_its_first_bytes() {
     let stub = Stub::start(|_| {
         Reply::Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n".to_string())
     });
     let (pool, backend) = (pool(8, LONG), backend(&stub));
     on_runtime(async {
-        // Nothing says how long it is, and no more comes: it has begun all the same.
-        let ended = attempt(&pool, &backend, LONG).await;
-        let begun = ended.response_started_at.expect("it has begun");
-        assert_eq!(ended.outcome, Outcome::Success);
-        assert!(ended.request_sent_at.is_some_and(|whole| whole <= begun) && begun < Instant::now());
+        // The length is unknown and no further bytes arrive, but the response has started.
+        let result = attempt(&pool, &backend, LONG).await;
+        let started_at = result.response_started_at.expect("the response has started");
+        assert_eq!(result.outcome, Outcome::Success);
+        assert!(
+            result.request_sent_at.is_some_and(|sent_at| sent_at <= started_at)
+                && started_at < Instant::now()
+        );
     });
 }
--- a/tests/prior_attempts.rs
+++ b/tests/prior_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that other gateways made of a request bound what this one sends and answers.
+//! Attempts that other gateways made of a request limit what this gateway sends and answers.
 mod common;
 use common::{counter_calls, is_failed, is_rejected, sent_attempts, settings, GatewayHarness, MS, S};
 use quota_gateway::decision::{
@@ -6,15 +6,15 @@
     PriorAttempt, RequestId,
 };
 
-/// A request of this class whose prior attempts were sent so long ago, to these endpoints.
-fn taken_over(
+/// Sends a request of this class whose prior attempts went to these endpoints, this long ago.
+fn send_with_prior_attempts(
     harness: &mut GatewayHarness,
     class: usize,
-    earlier: &[(u64, u64)],
+    prior_attempts: &[(u64, u64)],
 ) -> (RequestId, Vec<Action>) {
     let id = RequestId(1_000_000 + harness.next_request);
     harness.next_request += 1;
-    let sent = |&(endpoint, ago): &(u64, u64)| PriorAttempt {
+    let prior_attempt = |&(endpoint, ago): &(u64, u64)| PriorAttempt {
         endpoint: EndpointId(endpoint),
         sent_at: Micros(harness.now - ago),
     };
@@ -24,7 +24,7 @@
         deadline: Micros(harness.now + 3 * S),
         spread: 2,
         units: 1.0,
-        prior_attempts: earlier.iter().map(sent).collect(),
+        prior_attempts: prior_attempts.iter().map(prior_attempt).collect(),
         already_counted: true,
         ..Arrival::default()
     };
@@ -32,79 +32,87 @@
 }
 
 #[test]
-fn counted_request_is_forwarded_within_its_window_without_being_counted_again() {
+fn request_already_counted_is_forwarded_within_its_window_without_counting_it_again() {
     let mut harness = GatewayHarness::new(settings(), 4);
-    let (id, out) = taken_over(&mut harness, 3, &[(0, 100 * MS)]);
+    let (id, out) = send_with_prior_attempts(&mut harness, 3, &[(0, 100 * MS)]);
     assert_eq!(sent_attempts(&out).len(), 1, "{out:?}");
-    assert_eq!(counter_calls(&out), [], "its units were counted by its first owner");
+    assert_eq!(counter_calls(&out), [], "the first owner has already counted the units");
     let endpoint = sent_attempts(&out)[0].1;
-    // Its attempts go on in number after those of the earlier owner.
+    // The numbers of this gateway's attempts follow those of the previous owner.
     assert!(
         sent_attempts(&harness.end_attempt(id, 0, endpoint, Outcome::Success)).is_empty(),
-        "that is not its own attempt"
+        "attempt 0 is not an attempt of this gateway"
     );
     harness.end_attempt(id, 1, endpoint, Outcome::Success);
     harness.advance(4 * S);
     assert!(
         !is_failed(&harness.all_actions, id) && !is_rejected(&harness.all_actions, id),
-        "it was answered"
+        "the request was answered"
     );
 }
 
 #[test]
-fn neither_sends_nor_rejects_request_with_prior_attempts_beyond_the_window() {
+fn request_with_prior_attempts_beyond_the_window_is_neither_sent_nor_rejected() {
     let mut harness = GatewayHarness::new(settings(), 4);
     let window = settings().classes[3].deduplication_window.0;
-    let (id, out) = taken_over(&mut harness, 3, &[(0, window - 100 * MS), (1, 20 * MS)]);
+    let (id, out) = send_with_prior_attempts(&mut harness, 3, &[(0, window - 100 * MS), (1, 20 * MS)]);
     let endpoint = sent_attempts(&out)[0].1;
     harness.advance(200 * MS);
     let out = harness.end_attempt(id, 2, endpoint, Outcome::ServerError);
-    assert!(sent_attempts(&out).is_empty(), "counted from the first attempt of all owners");
+    assert!(sent_attempts(&out).is_empty(), "the window begins with the first attempt of any owner");
     harness.advance(3 * S);
     assert!(
         is_failed(&harness.all_actions, id) && !is_rejected(&harness.all_actions, id),
-        "a client that came again would have it run twice"
+        "a retry of the client would run the request twice"
     );
 }
 
 #[test]
-fn prior_attempts_never_lead_to_a_forbidden_retry() {
+fn retries_after_prior_attempts_respect_idempotency_window_and_cell() {
     let mut rng = fastrand::Rng::with_seed(11);
-    let set = settings();
+    let test_settings = settings();
     for round in 0..2_000 {
         let mut harness = GatewayHarness::seeded(round, settings(), 4);
-        let class = rng.usize(0..set.classes.len());
-        let of = &set.classes[class];
-        let earlier: Vec<(u64, u64)> = (0..rng.usize(0..5))
-            .map(|_| (rng.u64(0..4), rng.u64(0..2 * of.deduplication_window.0.max(S))))
+        let class = rng.usize(0..test_settings.classes.len());
+        let class_settings = &test_settings.classes[class];
+        let prior_attempts: Vec<(u64, u64)> = (0..rng.usize(0..5))
+            .map(|_| (rng.u64(0..4), rng.u64(0..2 * class_settings.deduplication_window.0.max(S))))
             .collect();
-        let oldest = earlier.iter().map(|(_, ago)| *ago).max().unwrap_or(0);
-        let (id, _) = taken_over(&mut harness, class, &earlier);
+        let oldest = prior_attempts.iter().map(|(_, ago)| *ago).max().unwrap_or(0);
+        let (id, _) = send_with_prior_attempts(&mut harness, class, &prior_attempts);
         harness.advance(3 * S);
         let sent = sent_attempts(&harness.all_actions);
-        let what = format!("class {class} after {earlier:?}: {sent:?}");
-        assert!(earlier.len() + sent.len() <= set.max_attempts.max(earlier.len()), "{what}");
+        let context = format!("class {class} after {prior_attempts:?}: {sent:?}");
+        assert!(
+            prior_attempts.len() + sent.len() <= test_settings.max_attempts.max(prior_attempts.len()),
+            "{context}"
+        );
         assert_eq!(
             u32::from(is_failed(&harness.all_actions, id)) + u32::from(is_rejected(&harness.all_actions, id)),
             1,
-            "{what}"
+            "{context}"
         );
-        if earlier.is_empty() {
+        if prior_attempts.is_empty() {
             continue;
         }
-        match of.idempotency {
+        match class_settings.idempotency {
             Idempotency::Idempotent => {}
             Idempotency::NotIdempotent => {
-                assert!(sent.is_empty() && !is_rejected(&harness.all_actions, id), "{what}")
+                assert!(sent.is_empty() && !is_rejected(&harness.all_actions, id), "{context}")
             }
             Idempotency::WithKey => {
-                assert!(sent.is_empty() || oldest < of.deduplication_window.0, "{what}");
-                let same_cell = sent.iter().all(|(_, to)| earlier.iter().all(|(by, _)| by / 2 == to.0 / 2));
-                assert!(of.deduplication_scope == DeduplicationScope::All || same_cell, "{what}");
+                assert!(sent.is_empty() || oldest < class_settings.deduplication_window.0, "{context}");
+                let same_cell = sent
+                    .iter()
+                    .all(|(_, endpoint)| prior_attempts.iter().all(|(prior, _)| prior / 2 == endpoint.0 / 2));
+                assert!(
+                    class_settings.deduplication_scope == DeduplicationScope::All || same_cell,
+                    "{context}"
+                );
                 assert!(
-                    of.deduplication_scope == DeduplicationScope::All
+                    class_settings.deduplication_scope == DeduplicationScope::All
                         || !is_rejected(&harness.all_actions, id),
-                    "{what}"
+                    "{context}"
                 );
             }
         }
--- a/tests/quota_lease.rs
+++ b/tests/quota_lease.rs
@@ -1,4 +1,4 @@
-//! Quota leases: what the gateways admit together by their local buckets while the counter is down.
+//! Quota leases: units that the gateways admit together by their local buckets while the counter is down.
 
 use quota_gateway::decision::Gateway;
 use quota_gateway::decision::{
@@ -11,7 +11,7 @@
 const RATE: f64 = 40.0;
 const SECOND: Micros = Micros(1_000_000);
 
-fn gateway(me: u32) -> Gateway {
+fn gateway(gateway_number: u32) -> Gateway {
     let class = Class {
         latency_objective: SECOND,
         deadline: Micros(4_000_000),
@@ -33,9 +33,9 @@
         ceiling_burst: 0.0,
         ceiling_overdraft: 0.0,
     };
-    let set = Settings {
+    let settings = Settings {
         gateways: GATEWAYS,
-        gateway_number: me,
+        gateway_number,
         classes: vec![class],
         plans: vec![plan],
         max_attempts: 3,
@@ -46,9 +46,9 @@
         overload_multiple: 2.0,
         ..Settings::default()
     };
-    let mut new = Gateway::new(u64::from(me), set).expect("sound settings");
-    let entry = |n| EndpointUpdate {
-        endpoint: EndpointId(n),
+    let mut gateway = Gateway::new(u64::from(gateway_number), settings).expect("valid settings");
+    let endpoint_update = |number| EndpointUpdate {
+        endpoint: EndpointId(number),
         zone: ZoneId(0),
         cell: CellId(0),
         status: EndpointStatus::InService,
@@ -56,19 +56,29 @@
         started_at: None,
         label: LabelId::default(),
     };
-    let endpoints = (0..20).map(entry).collect();
-    new.handle(SECOND, Event::EndpointsChanged { scope: WatchScope::Complete, endpoints }, &mut Vec::new());
-    new
+    let endpoints = (0..20).map(endpoint_update).collect();
+    gateway.handle(
+        SECOND,
+        Event::EndpointsChanged { scope: WatchScope::Complete, endpoints },
+        &mut Vec::new(),
+    );
+    gateway
 }
 
-/// Offers far more than the quota for so many seconds; every call to the counter fails, every attempt is answered
-/// at once. Returns the units forwarded.
-fn play(gateway: &mut Gateway, from: Micros, seconds: u64, spread: u32, serial: &mut u64) -> f64 {
+/// Offers far more than the quota for this many seconds. Every call to the counter fails and every attempt is
+/// answered at once. Returns the units forwarded.
+fn run_overload(
+    gateway: &mut Gateway,
+    from: Micros,
+    seconds: u64,
+    spread: u32,
+    next_request: &mut u64,
+) -> f64 {
     let (mut sent, mut out) = (0.0, Vec::new());
     for step in 0..seconds * 50 {
         let now = from + Micros(step * 20_000);
-        *serial += 1;
-        let id = RequestId(*serial);
+        *next_request += 1;
+        let id = RequestId(*next_request);
         let arrival =
             Arrival { id, spread, units: 1.0, deadline: now + Micros(4_000_000), ..Arrival::default() };
         let mut events = vec![Event::RequestArrived(arrival)];
@@ -76,11 +86,9 @@
             gateway.handle(now, event, &mut out);
             for action in out.drain(..) {
                 match action {
-                    Action::IncrementCounter { key: name, .. } => events.push(Event::CounterReplied {
-                        key: name,
-                        outcome: Outcome::Rejected,
-                        total: 0.0,
-                    }),
+                    Action::IncrementCounter { key, .. } => {
+                        events.push(Event::CounterReplied { key, outcome: Outcome::Rejected, total: 0.0 })
+                    }
                     Action::SendAttempt { request: id, endpoint, .. } => {
                         sent += 1.0;
                         events.push(Event::AttemptEnded(AttemptEnded {
@@ -102,43 +110,56 @@
     sent
 }
 
-/// What all gateways forward in 40 s, a minute after the outage began, in parts of the quota.
-fn parts(lent: impl Fn(u32) -> Option<QuotaLease>, who: &[u32], spread: u32) -> f64 {
-    let mut sum = 0.0;
-    for &me in who {
-        let (mut gateway, mut serial) = (gateway(me), 0);
-        let tell = |gateway: &mut Gateway, at: Micros| {
-            lent(me)
+/// Returns the units that these gateways forward in 40 s, a minute after the outage began, as a fraction of
+/// the quota.
+fn forwarded_fraction(
+    lease_of: impl Fn(u32) -> Option<QuotaLease>,
+    gateway_numbers: &[u32],
+    spread: u32,
+) -> f64 {
+    let mut units = 0.0;
+    for &gateway_number in gateway_numbers {
+        let (mut gateway, mut next_request) = (gateway(gateway_number), 0);
+        let apply_lease = |gateway: &mut Gateway, at: Micros| {
+            lease_of(gateway_number)
                 .into_iter()
-                .for_each(|l| gateway.handle(at, Event::QuotaLeaseChanged(l), &mut Vec::new()));
+                .for_each(|lease| gateway.handle(at, Event::QuotaLeaseChanged(lease), &mut Vec::new()));
         };
-        tell(&mut gateway, SECOND);
-        play(&mut gateway, Micros(2_000_000), 60, spread, &mut serial);
-        tell(&mut gateway, Micros(62_000_000));
-        sum += play(&mut gateway, Micros(62_000_000), 40, spread, &mut serial);
+        apply_lease(&mut gateway, SECOND);
+        run_overload(&mut gateway, Micros(2_000_000), 60, spread, &mut next_request);
+        apply_lease(&mut gateway, Micros(62_000_000));
+        units += run_overload(&mut gateway, Micros(62_000_000), 40, spread, &mut next_request);
     }
-    sum / (RATE * 40.0)
+    units / (RATE * 40.0)
 }
 
 #[test]
-fn present_gateways_use_leased_shares_and_all_together_never_more_than_the_quota() {
-    let whole = |away: &[u32]| QuotaLease {
+fn gateways_use_leased_quota_shares_and_together_stay_within_the_quota() {
+    let valid_lease = |absent: &[u32]| QuotaLease {
         fraction: 1.0,
         valid_until: Micros(u64::MAX),
-        absent_gateways: away.to_vec(),
+        absent_gateways: absent.to_vec(),
     };
-    let alone = || QuotaLease { fraction: 1.0, ..QuotaLease::default() };
-    let near = |found: f64, wanted: f64| assert!((found - wanted).abs() < 0.03, "{found}, not {wanted}");
-    // One of four is absent: fixed shares leave a quarter of the quota unused, of which half can be leased, as the
-    // other half of a share goes by what each was seen to carry.
-    near(parts(|_| None, &[0, 1, 2], 4), 0.75);
-    near(parts(|_| Some(whole(&[3])), &[0, 1, 2], 4), 0.875);
-    // It runs, cut off, and knows it: the sum stays at one.
-    near(parts(|me| Some(if me == 3 { alone() } else { whole(&[3]) }), &[0, 1, 2, 3], 4), 1.0);
-    // A customer that does not come through the absent one has nothing to be leased.
-    near(parts(|_| Some(whole(&[3])), &[0, 1], 2), 1.0);
-    // A lease that ran out is not used any more.
-    let over =
+    let lapsed_lease = || QuotaLease { fraction: 1.0, ..QuotaLease::default() };
+    let assert_near =
+        |found: f64, expected: f64| assert!((found - expected).abs() < 0.03, "{found}, expected {expected}");
+    // One of four is absent. Fixed shares leave a quarter of the quota unused. Half of that can be leased, as
+    // the other half of a share depends on the traffic that each gateway has carried.
+    assert_near(forwarded_fraction(|_| None, &[0, 1, 2], 4), 0.75);
+    assert_near(forwarded_fraction(|_| Some(valid_lease(&[3])), &[0, 1, 2], 4), 0.875);
+    // The absent gateway runs without a valid lease: the sum stays at one.
+    assert_near(
+        forwarded_fraction(
+            |gateway_number| Some(if gateway_number == 3 { lapsed_lease() } else { valid_lease(&[3]) }),
+            &[0, 1, 2, 3],
+            4,
+        ),
+        1.0,
+    );
+    // No share is leased for a customer whose requests do not come through the absent gateway.
+    assert_near(forwarded_fraction(|_| Some(valid_lease(&[3])), &[0, 1], 2), 1.0);
+    // An expired lease is no longer used.
+    let expired_lease =
         |_| Some(QuotaLease { fraction: 1.0, valid_until: Micros(30_000_000), absent_gateways: vec![3] });
-    near(parts(over, &[0, 1, 2], 4), 0.375);
+    assert_near(forwarded_fraction(expired_lease, &[0, 1, 2], 4), 0.375);
 }
--- a/tests/quota_window.rs
+++ b/tests/quota_window.rs
@@ -1,17 +1,21 @@
-//! The quota window: its edges, rejections, late replies, lost additions, and the local bucket.
+//! The quota window: allowance, rejections, late replies, lost increments, and the local bucket.
 mod common;
 use common::{
     counter_calls, is_rejected, nonzero_counter_calls, sent_attempts, settings, GatewayHarness, MS, S,
 };
 use quota_gateway::decision::{Action, CounterKey, Event, Outcome, RequestId};
 
-/// One request whose call is answered with this total.
-fn with_total(harness: &mut GatewayHarness, units: f64, total: f64) -> (RequestId, Vec<Action>) {
+/// Sends a request whose counter call is answered with this total.
+fn request_with_counter_total(
+    harness: &mut GatewayHarness,
+    units: f64,
+    total: f64,
+) -> (RequestId, Vec<Action>) {
     let (id, out) = harness.request(0, 0, 1, units);
-    let add = nonzero_counter_calls(&out);
-    assert_eq!(add.len(), 1, "one call before forwarding");
+    let calls = nonzero_counter_calls(&out);
+    assert_eq!(calls.len(), 1, "expected one counter call before forwarding");
     assert!(sent_attempts(&out).is_empty(), "nothing is forwarded before the reply");
-    (id, harness.handle(Event::CounterReplied { key: add[0].0, outcome: Outcome::Success, total }))
+    (id, harness.handle(Event::CounterReplied { key: calls[0].0, outcome: Outcome::Success, total }))
 }
 
 #[test]
@@ -30,15 +34,15 @@
 #[test]
 fn total_equal_to_the_allowance_is_admitted() {
     let mut harness = GatewayHarness::new(settings(), 4);
-    let (_, out) = with_total(&mut harness, 2.0, 20.0);
+    let (_, out) = request_with_counter_total(&mut harness, 2.0, 20.0);
     assert_eq!(sent_attempts(&out).len(), 1);
 }
 
 #[test]
-fn request_beyond_the_allowance_is_rejected_given_back_and_gets_a_retry_after() {
+fn request_beyond_the_allowance_is_rejected_with_retry_after_and_no_refund_call() {
     let mut harness = GatewayHarness::new(settings(), 4);
-    // Far beyond what the quota can save up: twice the burst and more.
-    let (id, out) = with_total(&mut harness, 4.0, 43.0);
+    // More than the quota can save up: over twice the burst.
+    let (id, out) = request_with_counter_total(&mut harness, 4.0, 43.0);
     let Some(Action::Reject { retry_after: Some(wait), .. }) =
         out.iter().find(|a| matches!(a, Action::Reject { request: r, .. } if *r == id))
     else {
@@ -46,14 +50,15 @@
     };
     assert!(wait.0 > 0 && wait.0 <= 2 * S);
     assert!(sent_attempts(&out).is_empty());
-    // Nobody could use what the add takes up: it goes back with the next call, no call is spent on it.
+    // No gateway could use the units that the increment takes up, so they are taken back with the next call
+    // instead of a separate one.
     assert!(nonzero_counter_calls(&out).is_empty());
 }
 
 #[test]
 fn known_exhausted_window_rejects_without_a_counter_call() {
     let mut harness = GatewayHarness::new(settings(), 4);
-    with_total(&mut harness, 2.0, 43.0);
+    request_with_counter_total(&mut harness, 2.0, 43.0);
     let (id, out) = harness.request(0, 0, 1, 2.0);
     assert!(is_rejected(&out, id) && nonzero_counter_calls(&out).is_empty());
 }
@@ -70,69 +75,70 @@
 }
 
 #[test]
-fn units_spent_in_the_last_window_do_not_come_back() {
+fn units_spent_in_the_last_window_are_not_admitted_again() {
     let mut harness = GatewayHarness::new(settings(), 4);
-    let told = std::cell::Cell::new(0.0);
-    let name = |harness: &mut GatewayHarness| {
+    let counted_total = std::cell::Cell::new(0.0);
+    let send_one_unit = |harness: &mut GatewayHarness| {
         let (_, out) = harness.request(0, 0, 1, 1.0);
-        told.set(told.get() + 1.0);
-        let add = nonzero_counter_calls(&out);
+        counted_total.set(counted_total.get() + 1.0);
+        let calls = nonzero_counter_calls(&out);
         let (id, endpoint) = sent_attempts(&harness.handle(Event::CounterReplied {
-            key: add[0].0,
+            key: calls[0].0,
             outcome: Outcome::Success,
-            total: told.get(),
+            total: counted_total.get(),
         }))[0];
         harness.end_attempt(id, 0, endpoint, Outcome::Success);
-        add[0].0
+        calls[0].0
     };
-    // To the first quarter second of a window; the one before leaves the burst unspent.
-    let first = name(&mut harness);
-    while name(&mut harness) == first {
+    // Advances to the first quarter second of a window. The previous window leaves the burst unspent.
+    let first = send_one_unit(&mut harness);
+    while send_one_unit(&mut harness) == first {
         harness.advance(250 * MS);
     }
     harness.advance(1_500 * MS);
-    let (_, out) = with_total(&mut harness, 2.0, 35.0);
+    let (_, out) = request_with_counter_total(&mut harness, 2.0, 35.0);
     assert_eq!(
         sent_attempts(&out).len(),
         1,
-        "an unspent burst and what has come in since hold that much: {out:?}"
+        "the unspent burst and the units accrued since allow this request: {out:?}"
     );
-    // Early in the next window five units are left, and at the most three and a half have come in.
+    // Early in the next window five units are left, and at most three and a half have accrued.
     harness.advance(600 * MS);
-    let (id, out) = with_total(&mut harness, 4.0, 9.0);
-    assert!(is_rejected(&out, id), "a plain window would hold twenty: {out:?}");
-    let back = nonzero_counter_calls(&out);
-    harness.handle(Event::CounterReplied { key: back[0].0, outcome: Outcome::Success, total: 3.0 });
-    let (_, out) = with_total(&mut harness, 2.0, 5.0);
-    assert_eq!(sent_attempts(&out).len(), 1, "what is there goes on");
+    let (id, out) = request_with_counter_total(&mut harness, 4.0, 9.0);
+    assert!(is_rejected(&out, id), "a plain window would admit twenty units: {out:?}");
+    let refund = nonzero_counter_calls(&out);
+    harness.handle(Event::CounterReplied { key: refund[0].0, outcome: Outcome::Success, total: 3.0 });
+    let (_, out) = request_with_counter_total(&mut harness, 2.0, 5.0);
+    assert_eq!(sent_attempts(&out).len(), 1, "the remaining units are still admitted");
 }
 
 #[test]
 fn gateways_agree_on_the_counter_key() {
-    let mut other = settings();
-    other.gateway_number = 1;
-    let (mut a, mut b) = (GatewayHarness::new(settings(), 4), GatewayHarness::new(other, 2));
+    let mut other_settings = settings();
+    other_settings.gateway_number = 1;
+    let (mut first, mut second) =
+        (GatewayHarness::new(settings(), 4), GatewayHarness::new(other_settings, 2));
     assert_eq!(
-        nonzero_counter_calls(&a.request(0, 0, 1, 2.0).1)[0].0,
-        nonzero_counter_calls(&b.request(0, 0, 1, 2.0).1)[0].0
+        nonzero_counter_calls(&first.request(0, 0, 1, 2.0).1)[0].0,
+        nonzero_counter_calls(&second.request(0, 0, 1, 2.0).1)[0].0
     );
 }
 
 #[test]
-fn counter_that_lost_its_memory_gets_own_spending_again() {
+fn spending_is_counted_again_after_the_counter_lost_its_data() {
     let mut harness = GatewayHarness::new(settings(), 4);
-    with_total(&mut harness, 4.0, 4.0);
-    with_total(&mut harness, 4.0, 8.0);
-    // The memory is lost: only this add is there.
-    let (_, out) = with_total(&mut harness, 2.0, 2.0);
+    request_with_counter_total(&mut harness, 4.0, 4.0);
+    request_with_counter_total(&mut harness, 4.0, 8.0);
+    // The counter lost its data: it includes only this increment.
+    let (_, out) = request_with_counter_total(&mut harness, 2.0, 2.0);
     assert_eq!(nonzero_counter_calls(&out).iter().map(|a| a.1).sum::<f64>(), 8.0);
 }
 
 #[test]
-fn rejected_units_are_given_back_at_once_where_others_could_use_them() {
+fn rejected_units_are_refunded_at_once_if_other_gateways_could_use_them() {
     let mut harness = GatewayHarness::new(settings(), 4);
-    with_total(&mut harness, 1.0, 40.0);
-    harness.advance(2 * S); // A full window before: nothing is left over.
+    request_with_counter_total(&mut harness, 1.0, 40.0);
+    harness.advance(2 * S); // The previous window was full: nothing is left over.
     let (id, out) = harness.request(0, 0, 1, 4.0);
     let out = harness.handle(Event::CounterReplied {
         key: nonzero_counter_calls(&out)[0].0,
@@ -147,7 +153,7 @@
 fn local_spending_is_counted_with_the_next_call() {
     let mut harness = GatewayHarness::new(settings(), 4);
     let (_, out) = harness.request(0, 0, 1, 2.0);
-    // Rejected: nothing was added, the local bucket admits it.
+    // The counter rejected the call, so nothing was added, and the local bucket admits the request.
     let out = harness.handle(Event::CounterReplied {
         key: nonzero_counter_calls(&out)[0].0,
         outcome: Outcome::Rejected,
@@ -156,48 +162,51 @@
     assert_eq!(sent_attempts(&out).len(), 1);
     let next =
         (0..50).find_map(|_| nonzero_counter_calls(&harness.request(0, 0, 1, 1.0).1).first().map(|a| a.1));
-    assert!(next.expect("somebody asks") >= 3.0, "its own unit and what was admitted without the counter");
+    assert!(
+        next.expect("some request calls the counter") >= 3.0,
+        "the unit of the request and the units admitted without the counter"
+    );
 }
 
 #[test]
-fn without_a_counter_the_quota_share_decides() {
-    let mut set = settings();
-    set.counter_enabled = false;
-    let mut harness = GatewayHarness::new(set, 8);
-    let mut through = 0;
+fn without_a_counter_the_quota_share_limits_requests() {
+    let mut settings = settings();
+    settings.counter_enabled = false;
+    let mut harness = GatewayHarness::new(settings, 8);
+    let mut admitted = 0;
     for _ in 0..400 {
         harness.advance(100 * MS);
         let (id, out) = harness.request(0, 0, 1, 1.0);
         assert!(counter_calls(&out).is_empty());
         if let Some((_, endpoint)) = sent_attempts(&out).first() {
-            through += 1;
+            admitted += 1;
             harness.end_attempt(id, 0, *endpoint, Outcome::Success);
         }
     }
-    // 40 s at a share of 5 units a second, and at most one burst's share on top.
-    assert!((190..=212).contains(&through), "{through}");
+    // 40 s at a share of 5 units a second, plus at most the share of one burst.
+    assert!((190..=212).contains(&admitted), "{admitted}");
 }
 
 #[test]
 fn concurrency_quota_is_counted_and_released() {
     let mut harness = GatewayHarness::new(settings(), 4);
     let (id, out) = harness.request(0, 2, 1, 1.0);
-    let (name, one) = nonzero_counter_calls(&out)[0];
-    assert_eq!(one, 1.0);
-    let out = harness.handle(Event::CounterReplied { key: name, outcome: Outcome::Success, total: 1.0 });
+    let (key, amount) = nonzero_counter_calls(&out)[0];
+    assert_eq!(amount, 1.0);
+    let out = harness.handle(Event::CounterReplied { key, outcome: Outcome::Success, total: 1.0 });
     let endpoint = sent_attempts(&out)[0].1;
     let out = harness.end_attempt(id, 0, endpoint, Outcome::Success);
-    assert_eq!(nonzero_counter_calls(&out), [(name, -1.0)]);
-    harness.handle(Event::CounterReplied { key: name, outcome: Outcome::Success, total: 0.0 });
+    assert_eq!(nonzero_counter_calls(&out), [(key, -1.0)]);
+    harness.handle(Event::CounterReplied { key, outcome: Outcome::Success, total: 0.0 });
     let (id, out) = harness.request(0, 2, 1, 1.0);
-    assert_eq!(nonzero_counter_calls(&out), [(name, 1.0)]);
-    let out = harness.handle(Event::CounterReplied { key: name, outcome: Outcome::Success, total: 3.0 });
+    assert_eq!(nonzero_counter_calls(&out), [(key, 1.0)]);
+    let out = harness.handle(Event::CounterReplied { key, outcome: Outcome::Success, total: 3.0 });
     assert!(is_rejected(&out, id), "two are in flight elsewhere");
-    assert_eq!(nonzero_counter_calls(&out), [(name, -1.0)], "and the slot is given back");
+    assert_eq!(nonzero_counter_calls(&out), [(key, -1.0)], "the attempt is no longer counted");
 }
 
 #[test]
-fn reply_to_a_call_never_made_changes_nothing() {
+fn reply_to_an_unknown_call_is_ignored() {
     let mut harness = GatewayHarness::new(settings(), 4);
     assert!(harness
         .handle(Event::CounterReplied { key: CounterKey(5), outcome: Outcome::Success, total: 1.0 })
@@ -206,56 +215,59 @@
 
 #[test]
 fn gateway_with_most_of_the_traffic_gets_the_larger_local_share() {
-    let passed = |others: f64| {
+    let admitted_with_others = |units_of_others: f64| {
         let mut harness = GatewayHarness::new(settings(), 8);
-        // Four windows in which this gateway adds four units of a total that others raise.
+        // Four windows in which this gateway adds four units to a total that also includes those of other
+        // gateways.
         for _ in 0..4 {
             harness.advance(2 * S);
             let (id, out) = harness.request(0, 0, 1, 4.0);
-            for (name, amount) in counter_calls(&out) {
-                let total = if amount > 0.0 { 4.0 + others } else { 0.0 };
-                let out =
-                    harness.handle(Event::CounterReplied { key: name, outcome: Outcome::Success, total });
+            for (key, amount) in counter_calls(&out) {
+                let total = if amount > 0.0 { 4.0 + units_of_others } else { 0.0 };
+                let out = harness.handle(Event::CounterReplied { key, outcome: Outcome::Success, total });
                 sent_attempts(&out)
                     .iter()
-                    .for_each(|(_, s)| drop(harness.end_attempt(id, 0, *s, Outcome::Success)));
+                    .for_each(|(_, endpoint)| drop(harness.end_attempt(id, 0, *endpoint, Outcome::Success)));
             }
         }
-        let mut passed = 0;
+        let mut admitted = 0;
         for _ in 0..300 {
             harness.advance(100 * MS);
             let (id, mut out) = harness.request(0, 0, 1, 1.0);
-            for (name, _) in counter_calls(&out.clone()) {
+            for (key, _) in counter_calls(&out.clone()) {
                 out.extend(harness.handle(Event::CounterReplied {
-                    key: name,
+                    key,
                     outcome: Outcome::Rejected,
                     total: 0.0,
                 }));
             }
-            passed += sent_attempts(&out).len();
+            admitted += sent_attempts(&out).len();
             sent_attempts(&out)
                 .iter()
-                .for_each(|(_, s)| drop(harness.end_attempt(id, 0, *s, Outcome::Success)));
+                .for_each(|(_, endpoint)| drop(harness.end_attempt(id, 0, *endpoint, Outcome::Success)));
         }
-        passed
+        admitted
     };
-    let (alone, beside) = (passed(0.0), passed(12.0));
-    assert!(alone * 4 > beside * 5, "{alone} against {beside}");
+    let (alone, with_others) = (admitted_with_others(0.0), admitted_with_others(12.0));
+    assert!(alone * 4 > with_others * 5, "{alone} against {with_others}");
 }
 
 #[test]
-fn units_to_be_given_back_later_are_taken_off_once() {
+fn units_refunded_with_a_later_call_are_subtracted_once() {
     let mut harness = GatewayHarness::new(settings(), 4);
-    with_total(&mut harness, 1.0, 40.0);
-    harness.advance(2 * S); // A full window before: nothing is left over.
-    let (id, out) = with_total(&mut harness, 4.0, 24.0);
+    request_with_counter_total(&mut harness, 1.0, 40.0);
+    harness.advance(2 * S); // The previous window was full: nothing is left over.
+    let (id, out) = request_with_counter_total(&mut harness, 4.0, 24.0);
     assert!(
         is_rejected(&out, id) && nonzero_counter_calls(&out).is_empty(),
-        "nobody could use what goes back: {out:?}"
+        "no gateway could use the units that are taken back: {out:?}"
     );
-    // Others have spent the whole allowance of 20.
+    // Other gateways have spent the whole allowance of 20.
     let (id, out) = harness.request(0, 0, 1, 3.0);
-    assert!(is_rejected(&out, id) && nonzero_counter_calls(&out).is_empty(), "known full: {out:?}");
+    assert!(
+        is_rejected(&out, id) && nonzero_counter_calls(&out).is_empty(),
+        "the quota is known to be exhausted: {out:?}"
+    );
 }
 
 #[test]
@@ -270,7 +282,7 @@
     assert_eq!(sent_attempts(&out).len(), 1, "the local bucket admits it");
     let next =
         (0..50).find_map(|_| nonzero_counter_calls(&harness.request(0, 0, 1, 1.0).1).first().map(|a| a.1));
-    // Those that went unasked in between are owed; the two units are not.
-    let unasked = harness.next_request - 3;
-    assert_eq!(next.expect("somebody asks"), 1.0 + unasked as f64);
+    // Requests that were admitted without a call in between are owed; the two units are not.
+    let admitted_without_call = harness.next_request - 3;
+    assert_eq!(next.expect("some request calls the counter"), 1.0 + admitted_without_call as f64);
 }
