--- a/tests/endpoint_list_form.rs
+++ b/tests/endpoint_list_form.rs
@@ -1,5 +1,5 @@
-//! Discovery's list of backends in all the forms that it comes in. The files are in `tests/fixtures/control`; they
-//! name values by their keys in the list, so that they hold whatever the fields are called.
+//! The JSON forms of discovery's list of backends. The files in `tests/fixtures/control` name values by their
+//! keys in the list, so they don't depend on the names of the fields.
 
 #[path = "common/fixture.rs"]
 mod fixture;
@@ -20,22 +20,22 @@
     }
 }
 
-fn described(list: &EndpointList) -> String {
+fn describe(list: &EndpointList) -> String {
     let mut out = format!("revision = {}\ncomplete = {}\n", list.revision, list.complete);
-    for member in &list.endpoints {
+    for endpoint in &list.endpoints {
         writeln!(
             out,
             "id = {:?}, host_port = {}, locality = {:?}, flavor = {:?}, cell = {}, phase = {}, size = {:?}, up_since_ms = {}",
-            member.name,
-            member.address,
-            member.zone,
-            member.release_label,
-            member.cell,
-            phase(member.status),
-            member.weight,
-            member.started_at_unix_ms,
+            endpoint.name,
+            endpoint.address,
+            endpoint.zone,
+            endpoint.release_label,
+            endpoint.cell,
+            phase(endpoint.status),
+            endpoint.weight,
+            endpoint.started_at_unix_ms,
         )
-        .expect("a text grows");
+        .expect("writing to a string succeeds");
     }
     out
 }
@@ -49,8 +49,8 @@
     "list_unknown_fields.json",
 ];
 
-/// A part of the complete list, and what stands there in its place.
-const WRONG: [(&str, &str); 14] = [
+/// Parts of the complete list, each with an invalid replacement.
+const INVALID_REPLACEMENTS: [(&str, &str); 14] = [
     ("\"revision\":7,", ""),
     ("\"revision\":7", "\"revision\":-7"),
     ("\"complete\":true", "\"complete\":\"yes\""),
@@ -68,33 +68,33 @@
 ];
 
 #[test]
-fn every_field_of_a_list_is_read() {
+fn every_field_of_a_list_is_parsed() {
     let mut out = String::new();
     for name in LISTS {
         let list: EndpointList = serde_json::from_str(&list_text(name)).expect(name);
-        writeln!(out, "{name}\n{}", described(&list)).expect("a text grows");
+        writeln!(out, "{name}\n{}", describe(&list)).expect("writing to a string succeeds");
     }
     fixture::assert_same("control/lists.read.txt", &out);
 }
 
 #[test]
-fn a_list_is_written_to_the_bytes_that_it_was_read_from() {
+fn list_is_serialized_to_the_bytes_that_it_was_parsed_from() {
     for name in ["list_complete.json", "list_incremental.json", "list_no_news.json"] {
         let text = list_text(name);
         let list: EndpointList = serde_json::from_str(&text).expect(name);
-        assert_eq!(serde_json::to_string(&list).expect("a text") + "\n", text);
+        assert_eq!(serde_json::to_string(&list).expect("a list in JSON") + "\n", text);
     }
 }
 
 #[test]
-fn a_wrong_value_of_a_list_is_an_error_with_its_place() {
+fn invalid_value_in_a_list_is_an_error_with_its_position() {
     let text = list_text("list_complete.json");
     let mut out = String::new();
-    for (part, wrong) in WRONG {
+    for (part, replacement) in INVALID_REPLACEMENTS {
         assert_eq!(text.matches(part).count(), 1, "{part}");
-        let read = serde_json::from_str::<EndpointList>(&text.replacen(part, wrong, 1));
-        let error = read.err().map_or_else(|| "accepted".to_string(), |e| e.to_string());
-        writeln!(out, "{part}  ->  {wrong}\n    {error}").expect("a text grows");
+        let parsed = serde_json::from_str::<EndpointList>(&text.replacen(part, replacement, 1));
+        let error = parsed.err().map_or_else(|| "accepted".to_string(), |error| error.to_string());
+        writeln!(out, "{part}  ->  {replacement}\n    {error}").expect("writing to a string succeeds");
     }
     fixture::assert_same("control/lists.errors.txt", &out);
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! `.ci/known-red`: which failed tests a run may have, and which failures end it all the same.
+//! `.ci/known-red`: which failed tests a run may have, and which failures make it fail regardless.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -12,7 +12,7 @@
     error: 1 target failed:\n";
 const ENTRY: &str = "rules::retries_once | cargo test --test rules, seed 7 | two retries | 31\n";
 
-/// Two files of one case, removed at its end.
+/// The log and the list of one case, in a folder that is removed when the case is dropped.
 struct Case {
     folder: PathBuf,
 }
@@ -26,8 +26,8 @@
         Case { folder }
     }
 
-    /// Whether the run passes, and what is printed of it.
-    fn judge(&self, status: u8) -> (bool, String) {
+    /// Runs the script. Returns whether it passes the run, and its output.
+    fn run_script(&self, status: u8) -> (bool, String) {
         let script = Path::new(env!("CARGO_MANIFEST_DIR")).join(".ci/known-red");
         let output = Command::new("bash")
             .arg(script)
@@ -42,35 +42,35 @@
 
 impl Drop for Case {
     fn drop(&mut self) {
-        // A folder that stays hurts no other case.
+        // A folder that remains does not affect other cases.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
 #[test]
-fn passes_over_listed_failure_and_prints_it() {
-    let (passes, printed) = Case::new("listed", FAILED, ENTRY).judge(101);
+fn accepts_listed_failure_and_prints_it() {
+    let (passes, printed) = Case::new("listed", FAILED, ENTRY).run_script(101);
     assert!(passes, "{printed}");
     assert!(printed.contains("known red, fails: rules::retries_once"), "{printed}");
 }
 
 #[test]
-fn takes_any_number_of_entries() {
+fn accepts_several_entries() {
     let mut log = String::from("     Running tests/rules.rs (target/debug/deps/rules-0123456789abcdef)\n");
-    let mut list = String::from("# tests that fail for a fault that is known\n\n");
+    let mut list = String::from("# tests that fail because of a known fault\n\n");
     for number in 0..9 {
         log.push_str(&format!("test case_{number} ... FAILED\n"));
         list.push_str(&format!("rules::case_{number} | cargo test, seed {number} | late | 31\n"));
     }
     log.push_str("test result: FAILED. 0 passed; 9 failed\nerror: 1 target failed:\n");
-    let (passes, printed) = Case::new("many", &log, &list).judge(101);
+    let (passes, printed) = Case::new("many", &log, &list).run_script(101);
     assert!(passes, "{printed}");
     assert_eq!(printed.matches("known red, fails").count(), 9);
 }
 
 #[test]
-fn says_where_listed_test_passes() {
-    let (passes, printed) = Case::new("passes", PASSED, ENTRY).judge(0);
+fn reports_listed_test_that_passes() {
+    let (passes, printed) = Case::new("passes", PASSED, ENTRY).run_script(0);
     assert!(passes, "{printed}");
     assert!(printed.contains("but it passes"), "{printed}");
 }
@@ -78,15 +78,15 @@
 #[test]
 fn fails_on_listed_test_that_did_not_run() {
     let entry = "rules::gone | cargo test | hangs | 31\n";
-    let (passes, printed) = Case::new("gone", PASSED, entry).judge(0);
+    let (passes, printed) = Case::new("gone", PASSED, entry).run_script(0);
     assert!(!passes);
     assert!(printed.contains("no such test ran: rules::gone"), "{printed}");
 }
 
 #[test]
-fn fails_on_failure_that_is_not_listed() {
+fn fails_on_unlisted_failure() {
     let log = FAILED.replace("test result", "test drains ... FAILED\ntest result");
-    let (passes, printed) = Case::new("unlisted", &log, ENTRY).judge(101);
+    let (passes, printed) = Case::new("unlisted", &log, ENTRY).run_script(101);
     assert!(!passes);
     assert!(printed.contains("not known: rules::drains"), "{printed}");
 }
@@ -94,14 +94,14 @@
 #[test]
 fn fails_on_target_that_ended_without_summary() {
     let log = FAILED.replace("test result: FAILED. 0 passed; 1 failed\n", "");
-    let (passes, printed) = Case::new("crashed", &log, ENTRY).judge(101);
+    let (passes, printed) = Case::new("crashed", &log, ENTRY).run_script(101);
     assert!(!passes);
     assert!(printed.contains("no listed test explains"), "{printed}");
 }
 
 #[test]
-fn fails_on_entry_of_another_form() {
-    let (passes, printed) = Case::new("form", FAILED, "rules::retries_once | late | 31\n").judge(101);
+fn fails_on_malformed_entry() {
+    let (passes, printed) = Case::new("form", FAILED, "rules::retries_once | late | 31\n").run_script(101);
     assert!(!passes);
     assert!(printed.contains("expected 'TEST | COMMAND AND SEED"), "{printed}");
 }
--- a/tests/memory_budget.rs
+++ b/tests/memory_budget.rs
@@ -1,15 +1,15 @@
-//! The budget of memory for buffers and buffered messages.
+//! The memory budget for buffers and buffered messages.
 
 use quota_gateway::proxy::control_plane::config::SocketLimits;
 use quota_gateway::proxy::memory_budget::MemoryBudget;
 
 #[test]
-fn buffered_messages_stay_within_their_part_of_the_memory() {
+fn buffered_messages_stay_within_their_share_of_the_memory() {
     let sockets = SocketLimits { clients: 64, backends: 32, counter: 4 };
     let memory = MemoryBudget::new(16.0, sockets);
-    let held: Vec<_> = std::iter::from_fn(|| memory.hold(64 * 1024)).collect();
-    assert!((30..=47).contains(&held.len()), "{}", held.len());
-    drop(held);
+    let reservations: Vec<_> = std::iter::from_fn(|| memory.hold(64 * 1024)).collect();
+    assert!((30..=47).contains(&reservations.len()), "{}", reservations.len());
+    drop(reservations);
     assert!(memory.hold(64 * 1024).is_some());
     let buffers = 3 * memory.buffer() * (sockets.clients + sockets.backends);
     assert!(buffers <= 8_000_000, "{buffers}");
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -19,9 +19,9 @@
     drop((served, rejected, disconnected));
     metrics.attempts_sent.increment();
     let text = process_lines(&metrics, EndpointCounts { known: 4, excluded: 1 });
-    let told: Vec<&str> = text.lines().take(10).collect();
+    let first_lines: Vec<&str> = text.lines().take(10).collect();
     assert_eq!(
-        told,
+        first_lines,
         [
             "edge_node.requests.look.served=1",
             "edge_node.requests.look.refused=0",
--- a/tests/rollout_documents.rs
+++ b/tests/rollout_documents.rs
@@ -1,15 +1,15 @@
-//! What operators write of a rollout is read as the build before read it (`tests/fixtures/rollout`).
+//! Rollout documents of operators are parsed as an earlier build parsed them (`tests/fixtures/rollout`).
 
 use quota_gateway::cluster::rollout::{RolloutRequest, RolloutSettings, RuleConfig, RuleSet};
 
-fn read(name: &str) -> RolloutRequest {
+fn parse_fixture(name: &str) -> RolloutRequest {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/rollout").join(name);
-    RolloutRequest::parse(&std::fs::read_to_string(path).expect("a fixture")).expect("it is sound")
+    RolloutRequest::parse(&std::fs::read_to_string(path).expect("a fixture")).expect("a valid rollout")
 }
 
 #[test]
-fn every_key_of_a_rollout_is_read() {
-    let first = RuleConfig {
+fn every_key_of_a_rollout_is_parsed() {
+    let first_rule = RuleConfig {
         class: Some("look".into()),
         plan: Some("team".into()),
         zone: Some("a".into()),
@@ -19,8 +19,8 @@
         give_up_percent: Some(33),
         slow_start_percent: Some(70),
     };
-    let rules = RuleSet(vec![first, RuleConfig { max_attempts: Some(1), ..RuleConfig::default() }]);
-    let terms = RolloutSettings {
+    let rules = RuleSet(vec![first_rule, RuleConfig { max_attempts: Some(1), ..RuleConfig::default() }]);
+    let settings = RolloutSettings {
         stage_shares: vec![50, 1_225, 10_000],
         bake_s: 2,
         max_stage_s: 77,
@@ -28,12 +28,12 @@
         margin: 0.15,
         min_canary_requests: 9,
     };
-    assert_eq!(read("start-all-keys.toml"), RolloutRequest { rules, settings: terms });
+    assert_eq!(parse_fixture("start-all-keys.toml"), RolloutRequest { rules, settings });
 }
 
 #[test]
-fn keys_that_a_rollout_leaves_out_have_their_defaults() {
-    let terms = RolloutSettings {
+fn missing_keys_of_a_rollout_have_their_defaults() {
+    let settings = RolloutSettings {
         stage_shares: vec![100, 500, 2_500, 10_000],
         bake_s: 60,
         max_stage_s: 1_800,
@@ -42,7 +42,7 @@
         min_canary_requests: 300,
     };
     assert_eq!(
-        read("start-defaults.toml"),
-        RolloutRequest { rules: RuleSet(vec![RuleConfig::default()]), settings: terms }
+        parse_fixture("start-defaults.toml"),
+        RolloutRequest { rules: RuleSet(vec![RuleConfig::default()]), settings }
     );
 }
--- a/tests/start_errors.rs
+++ b/tests/start_errors.rs
@@ -1,4 +1,4 @@
-//! What the program says where its environment or its files make no sense: one line, and an end with an error.
+//! Errors at start: an invalid environment or file ends the program with one line and a failure status.
 
 #[path = "common/fixture.rs"]
 mod fixture;
@@ -10,22 +10,22 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_quota-gateway");
-/// A program that still runs then has found nothing wrong.
-const LONGEST_START: Duration = Duration::from_secs(10);
+/// A program that still runs after this time has accepted its configuration.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A folder with a gateway's configuration and a fleet's file that fit together.
-struct Files {
+/// A folder with a gateway's configuration and a matching cluster file.
+struct ConfigurationFolder {
     folder: PathBuf,
 }
 
-impl Files {
-    fn new() -> Files {
+impl ConfigurationFolder {
+    fn new() -> ConfigurationFolder {
         let folder = std::env::temp_dir().join(format!("start-errors-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let files = Files { folder };
+        let files = ConfigurationFolder { folder };
         files.write("gateway.json", &fixture::text("control/gateway.json"));
-        let fleet = fixture::text("control/fleet.toml").replace("dir = \"/var/lib/gate-2\"\n", "");
-        files.write("fleet.toml", &fleet);
+        let cluster_file = fixture::text("control/fleet.toml").replace("dir = \"/var/lib/gate-2\"\n", "");
+        files.write("fleet.toml", &cluster_file);
         files
     }
 
@@ -37,7 +37,8 @@
         std::fs::write(self.folder.join(name), text).expect("a file");
     }
 
-    /// Starts the program with this environment; the line that it ends with, without its own name and the folder's.
+    /// Starts the program with this environment. Returns the line that the program ends with, without the
+    /// program's name and the folder.
     fn start(&self, environment: &[(&str, &str)]) -> String {
         let mut command = Command::new(PROGRAM);
         command.env_clear().env("NODE_LOG", "error");
@@ -45,29 +46,33 @@
             command.env(name, value.replace('@', &format!("{}/", self.folder.display())));
         }
         let mut program = command.stderr(Stdio::piped()).spawn().expect("the program starts");
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let status = loop {
-            match program.try_wait().expect("its status") {
+            match program.try_wait().expect("the program's status") {
                 Some(status) => break Some(status),
-                None if begun.elapsed() > LONGEST_START => break None,
+                None if started_at.elapsed() > START_TIMEOUT => break None,
                 None => sleep(Duration::from_millis(2)),
             }
         };
         if status.is_none() {
-            program.kill().expect("it is ended");
+            program.kill().expect("the program can be killed");
         }
-        let output = program.wait_with_output().expect("what it said");
-        assert_eq!(status.map(|status| status.success()), Some(false), "{environment:?}: it ends by itself");
-        let said = String::from_utf8(output.stderr).expect("a text");
-        assert_eq!(said.lines().count(), 1, "{said}");
-        let (_, problem) = said.split_once(": ").expect("the program's name first");
+        let output = program.wait_with_output().expect("the program's output");
+        assert_eq!(
+            status.map(|status| status.success()),
+            Some(false),
+            "{environment:?}: the program must end with an error within the time limit"
+        );
+        let error_output = String::from_utf8(output.stderr).expect("UTF-8 output");
+        assert_eq!(error_output.lines().count(), 1, "{error_output}");
+        let (_, problem) = error_output.split_once(": ").expect("the program's name before the message");
         problem.replace(&format!("{}/", self.folder.display()), "@").trim_end().to_string()
     }
 }
 
-impl Drop for Files {
+impl Drop for ConfigurationFolder {
     fn drop(&mut self) {
-        // What stays is in the folder for temporary files.
+        // The folder is in the directory for temporary files, so it may remain.
         let _ = std::fs::remove_dir_all(Path::new(&self.folder));
     }
 }
@@ -75,25 +80,25 @@
 const CONFIGURED: (&str, &str) = ("NODE_CONFIG", "@gateway.json");
 
 #[test]
-fn a_wrong_environment_ends_the_program_with_one_line() {
-    let files = Files::new();
+fn invalid_environment_ends_the_program_with_one_error_line() {
+    let files = ConfigurationFolder::new();
     files.write("no_listen.json", r#"{"discovery":"127.0.0.1:1","seed":"1","settings":{}}"#);
     files.write("no_seat.toml", &fixture::text("control/fleet_fewest.toml"));
-    let fleet = std::fs::read_to_string(files.path("fleet.toml")).expect("the file");
+    let cluster_file = std::fs::read_to_string(files.path("fleet.toml")).expect("the file");
     let changes = [
         ("two_seats.toml", "\"gate-1\", \"gate-2\", \"gate-3\", ", "\"gate-2\", "),
         ("folder.toml", "wait_ms = 25", "dir = \"/nowhere\""),
         ("key.toml", "wait_ms = 25", "wait = 25"),
     ];
-    for (name, part, other) in changes {
-        assert!(fleet.contains(part), "{part}");
-        files.write(name, &fleet.replacen(part, other, 1));
+    for (name, part, replacement) in changes {
+        assert!(cluster_file.contains(part), "{part}");
+        files.write(name, &cluster_file.replacen(part, replacement, 1));
     }
     let seats = "seats = [\"gate-1\", \"gate-2\", \"gate-3\", \"gate-4\", \"gate-5\"]";
-    let seven =
+    let seven_seats =
         "seats = [\"gate-1\", \"gate-3\", \"gate-4\", \"gate-2\", \"gate-5\", \"gate-6\", \"gate-7\"]";
-    assert!(fleet.contains(seats));
-    let fleet = fleet.replacen(seats, seven, 1);
+    assert!(cluster_file.contains(seats));
+    let cluster_file = cluster_file.replacen(seats, seven_seats, 1);
     let classes = [
         ("branch_class.toml", "classes = [\"order\", \"pay\"]", "classes = [\"order\", \"none\"]"),
         ("branch_stop.toml", "pay = \"go on\"", "none = \"stop\""),
@@ -101,9 +106,9 @@
         ("rule_class.toml", "class = \"look\"", "class = \"none\""),
         ("rule_plan.toml", "plan = \"team\"", "plan = \"none\""),
     ];
-    for (name, part, other) in classes {
-        assert!(fleet.contains(part), "{part}");
-        files.write(name, &fleet.replacen(part, other, 1));
+    for (name, part, replacement) in classes {
+        assert!(cluster_file.contains(part), "{part}");
+        files.write(name, &cluster_file.replacen(part, replacement, 1));
     }
     let cases: &[&[(&str, &str)]] = &[
         &[],
@@ -132,7 +137,8 @@
     let mut out = String::new();
     for environment in cases {
         let named: Vec<String> = environment.iter().map(|(name, value)| format!("{name}={value}")).collect();
-        writeln!(out, "{}\n    {}", named.join(" "), files.start(environment)).expect("a text grows");
+        writeln!(out, "{}\n    {}", named.join(" "), files.start(environment))
+            .expect("writing to a string succeeds");
     }
     fixture::assert_same("control/start_errors.txt", &out);
 }
