--- a/src/decision/admission/call_fraction.rs
+++ b/src/decision/admission/call_fraction.rs
@@ -35,7 +35,7 @@
 
     /// Increases the fraction after a successful call.
     pub(crate) fn call_succeeded(&mut self, was_probe: bool) {
-        let least = if was_probe { FRACTION_AFTER_PROBE } else { 0.0 };
-        self.0 = (self.0 * FACTOR_AFTER_SUCCESS).min(1.0).max(least);
+        let lower_bound = if was_probe { FRACTION_AFTER_PROBE } else { 0.0 };
+        self.0 = (self.0 * FACTOR_AFTER_SUCCESS).min(1.0).max(lower_bound);
     }
 }
--- a/src/decision/admission/customer.rs
+++ b/src/decision/admission/customer.rs
@@ -64,8 +64,8 @@
     pub(crate) fn request_arrived(&mut self, arrival: &Arrival, now: Micros, admitting_since: Micros) {
         if self.last_used == Micros(0) {
             // The bucket is empty at the start of this process, as an earlier process may have spent it. It
-            // has filled since then, even if the customer arrives only now: with many gateways, most of them
-            // see a customer's first request late.
+            // has filled since then, even if the customer arrives only now: with many gateways, a customer is
+            // new to most of them.
             self.ceiling_bucket.filled_at = admitting_since.max(now - CUSTOMER_IDLE_TIMEOUT);
         }
         self.plan = arrival.plan;
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Begins a window. Carries over what the last window left if this gateway counted in it, otherwise a
-    /// share of the burst: gateways that rarely see a customer must not each assume that the whole burst is
+    /// Begins a window. Carries over what the last window left if this gateway tracked that window, otherwise
+    /// a share of the burst: gateways that rarely see a customer must not each assume that the whole burst is
     /// unspent.
     fn begin_window(&mut self, number: u64, window_units: f64, burst: f64) {
         let previous = &self.window;
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Returns the same as [`Customer::quota_left`] for gateways that may not know the last window's total.
+    /// Returns the units that the quota still admits at gateways that may not know the last window's total.
     pub(crate) fn quota_left_elsewhere(&self, id: CustomerId, plan: &Plan, now: Micros, total: f64) -> f64 {
         self.accrued_units(id, plan, now).max(QuotaWindow::of(plan).units) - total
     }
--- a/src/decision/load_balancing/concurrency_limit.rs
+++ b/src/decision/load_balancing/concurrency_limit.rs
@@ -27,12 +27,12 @@
 /// the endpoints, otherwise lower the more gateways do. `sharing_gateways` is the average number of gateways
 /// whose subsets contain one endpoint.
 pub(super) fn limit_scale(sharing_gateways: f64, role: ProcessRole) -> f64 {
-    let process = match role {
+    let process_share = match role {
         ProcessRole::Single => 1.0,
         ProcessRole::Predecessor => PREDECESSOR_SHARE,
         ProcessRole::Successor => 1.0 - PREDECESSOR_SHARE,
     };
-    (INITIAL_LIMIT_OF_ALL_GATEWAYS / INITIAL_LIMIT / sharing_gateways.max(1e-9)).min(1.0) * process
+    (INITIAL_LIMIT_OF_ALL_GATEWAYS / INITIAL_LIMIT / sharing_gateways.max(1e-9)).min(1.0) * process_share
 }
 
 /// Returns whether so many gateways share the endpoints that limits start below one attempt and bound little.
--- a/src/decision/load_balancing/outcome.rs
+++ b/src/decision/load_balancing/outcome.rs
@@ -40,8 +40,8 @@
         }
         self.release_slot(id);
         self.adjust_limit(id, &attempt, scale);
-        let bad = if attempt.failed_or_missed_objective() { 1.0 } else { 0.0 };
-        update_average(&mut self.averages.failure_fraction, bad, ALL_ENDPOINTS_SAMPLE_WEIGHT);
+        let sample = if attempt.failed_or_missed_objective() { 1.0 } else { 0.0 };
+        update_average(&mut self.averages.failure_fraction, sample, ALL_ENDPOINTS_SAMPLE_WEIGHT);
         if attempt.outcome == Outcome::Success {
             self.record_latency(id, attempt.elapsed);
             self.record_success(id, now);
--- a/src/decision/load_balancing/selection.rs
+++ b/src/decision/load_balancing/selection.rs
@@ -131,8 +131,8 @@
         let expected_load = self.average_load.expected_at(endpoint.reported_load, context.now);
         let attempts = &inputs.request.attempts;
         let attempts_here = attempts.iter().filter(|attempt| attempt.endpoint == id).count() as f64;
-        let is_far = endpoint.zone != context.settings.zone;
-        let zone_penalty = if is_far { OTHER_ZONE_PENALTY * inputs.limit_scale } else { 0.0 };
+        let is_other_zone = endpoint.zone != context.settings.zone;
+        let zone_penalty = if is_other_zone { OTHER_ZONE_PENALTY * inputs.limit_scale } else { 0.0 };
 
         let wait = (endpoint.in_flight + 1.0 + others_share * expected_load) * self.latency_factor(endpoint);
         let mut score = wait / endpoint.weight * (1.0 + FAILURE_FACTOR * endpoint.failure_fraction)
--- a/src/decision/load_balancing/slow_start.rs
+++ b/src/decision/load_balancing/slow_start.rs
@@ -141,17 +141,17 @@
     /// are warm.
     fn subset_capacity(&self, context: &Context, subset: &[EndpointId]) -> f64 {
         let now = context.now;
-        let (mut warm, mut present, mut all) = (0.0, 0.0, 0.0);
+        let (mut warm, mut current, mut all) = (0.0, 0.0, 0.0);
         let endpoints = subset.iter().map(|id| &self.endpoints[id]);
         for endpoint in endpoints.filter(|endpoint| !endpoint.is_ejected(now)) {
             let since = endpoint.slow_start_since;
             let fraction = since.map_or(1.0, |at| capacity_fraction(&context.settings, now - at));
             all += endpoint.weight;
-            present += endpoint.weight * fraction;
+            current += endpoint.weight * fraction;
             warm += if endpoint.is_in_slow_start() { 0.0 } else { endpoint.weight };
         }
         if warm * MIN_WARM_DIVISOR >= all {
-            present
+            current
         } else {
             all
         }
--- a/tests/request_guards.rs
+++ b/tests/request_guards.rs
@@ -214,8 +214,8 @@
     lowest_hard_limit_level_with(|call, _| answer(call), |_, _| true)
 }
 
-/// The same, where `answer` also gets the amount of each call and `has_traffic` says at which steps a gateway has
-/// traffic.
+/// The same, where `answer` also gets the amount of each call and `has_traffic` says at which steps a
+/// gateway has traffic.
 fn lowest_hard_limit_level_with(
     answer: impl Fn(u64, f64) -> Option<f64>,
     has_traffic: impl Fn(usize, u64) -> bool,
