--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
-//! One real gateway. The environment says where and how it runs. It reads its configuration again at SIGHUP and ends at
-//! SIGTERM.
+//! The gateway program. Environment variables name its addresses and configuration files. SIGHUP reloads the
+//! configuration; SIGTERM shuts the program down.
 #![forbid(unsafe_code)]
 
 use quota_gateway::proxy;
@@ -14,11 +14,11 @@
 use tracing::level_filters::LevelFilter;
 use tracing::{info, warn};
 
-/// The least severe level that is logged: `error`, `warn`, `info`, `debug` or `trace`. At `debug` each request, attempt and
-/// change of an endpoint has its lines.
+/// Environment variable with the least severe level that is logged: `error`, `warn`, `info`, `debug` or `trace`. At
+/// `debug` each request, each attempt and each change of an endpoint is logged.
 const LOG_LEVEL: &str = "NODE_LOG";
 
-/// Why the program ends with a failure.
+/// Error that ends the program.
 #[derive(Debug, Error)]
 enum ProgramError {
     #[error("{LOG_LEVEL}: expected a level such as info, found '{0}'")]
@@ -38,7 +38,7 @@
     }
 }
 
-/// Reads the configuration again at each SIGHUP.
+/// Reloads the configuration at each SIGHUP.
 async fn reload_at_hang_up(mut hang_up: Signal, services: watch::Sender<ServiceAddresses>) {
     while hang_up.recv().await.is_some() {
         match Config::reload() {
@@ -46,7 +46,7 @@
                 info!(discovery = %reloaded.discovery, "configuration reloaded");
                 services.send_replace(reloaded);
             }
-            Err(error) => warn!(%error, "configuration not reloaded; the one before stays in force"),
+            Err(error) => warn!(%error, "configuration not reloaded; the previous one stays in force"),
         }
     }
 }
@@ -54,8 +54,8 @@
 /// Stops the gateway at the first SIGTERM.
 async fn stop_at_terminate(mut terminate: Signal, stop: watch::Sender<bool>) {
     if terminate.recv().await.is_some() {
-        info!("stopping");
-        // The gateway may have ended by itself.
+        info!("SIGTERM received; shutting down");
+        // Sending fails if the gateway has already ended by itself.
         let _ = stop.send(true);
         std::future::pending::<()>().await;
     }
--- a/src/proxy/lifecycle/drain.rs
+++ b/src/proxy/lifecycle/drain.rs
@@ -1,40 +1,40 @@
-//! Whether the process serves, drains or ends: one state for `/_health`, the operators, the accept loop and the
-//! connections that clients keep.
+//! State of the process: serving, draining or shutting down. `/_health`, the admin server, the accept loop and the
+//! clients' persistent connections all follow this one state.
 
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long a client's connection may be idle: clients are promised 2 s.
+/// Idle time-out of a client connection: clients are promised 2 s.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
-/// The same while the gateway drains, which must be over within 4 s: longer than a busy client's connection is idle
-/// between two requests, and less than half of that time.
+/// Idle time-out of a client connection while an operator drains the gateway, which must be over within 4 s: longer
+/// than a busy client pauses between two requests, and less than half of those 4 s.
 const DRAINING_IDLE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// How near its end the process is. It only goes on.
+/// Phase of the shutdown. A process never returns to an earlier phase.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// No end in sight.
+    /// No shutdown was requested.
     #[default]
     Running,
-    /// SIGTERM came: every connection is closed after its response.
+    /// SIGTERM was received: each connection is closed after its response.
     Stopping,
-    /// The last moments after SIGTERM: what is still in flight is failed.
+    /// The grace period after SIGTERM is over: requests still in flight are failed.
     Final,
 }
 
-/// What the process is doing.
+/// Lifecycle state of the process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LifecycleState {
-    /// The endpoint list is known.
+    /// Whether the endpoint list is known.
     pub endpoints_known: bool,
-    /// It may serve: its predecessor, if there was one, has handed over.
+    /// Whether the process may serve: its predecessor, if there was one, has handed over.
     pub serving: bool,
-    /// An operator drains the gateway: requests are still served, and connections are closed. After SIGTERM it is
-    /// `shutdown` that tells.
+    /// Whether an operator drains the gateway: requests are still served, and connections are closed after the
+    /// response. Not set by SIGTERM, which advances `shutdown`.
     pub operator_drain: bool,
-    /// Another process accepts the new connections.
+    /// Whether another process accepts the new connections.
     pub replaced: bool,
-    /// How near the end is.
+    /// Phase of the shutdown.
     pub shutdown: ShutdownPhase,
 }
 
@@ -48,20 +48,21 @@
         self.may_serve() && self.shutdown == ShutdownPhase::Running
     }
 
-    /// Whether clients should come to the gateway. While another process accepts the new connections, the end of this
-    /// one is not the gateway's.
+    /// Whether clients should use the gateway. While another process accepts the new connections, the shutdown of
+    /// this process does not make the gateway unhealthy.
     fn is_healthy(&self) -> bool {
         self.may_serve() && (self.replaced || self.shutdown == ShutdownPhase::Running)
     }
 
-    /// Whether a response is the last on its connection.
+    /// Whether connections are closed after their current response.
     fn closes_connections(&self) -> bool {
         self.operator_drain || self.replaced || self.shutdown > ShutdownPhase::Running
     }
 
-    /// How long a client's connection may be idle. At the end new connections are still accepted, so a request that
-    /// crosses the close is retried on one of them; where another process accepts them there is time to wait until a
-    /// connection is idle for as long as ever.
+    /// Returns the idle time-out of client connections. During shutdown it is zero: new connections are still
+    /// accepted, so a request that crosses the close is retried on a new connection. A replaced process keeps the
+    /// ordinary time-out, because the other process accepts the new connections and there is no hurry to close the
+    /// old ones.
     fn idle_timeout(&self) -> Duration {
         match self {
             LifecycleState { replaced: true, .. } => IDLE_TIMEOUT,
@@ -72,14 +73,14 @@
     }
 }
 
-/// The state of the process, and who waits for it to change.
+/// Lifecycle state that tasks can read and subscribe to.
 #[derive(Default)]
 pub struct Lifecycle {
     state: watch::Sender<LifecycleState>,
 }
 
 impl Lifecycle {
-    /// Changes the state. Returns whether that made a difference.
+    /// Updates the state and notifies subscribers if it changed. Returns whether it changed.
     fn update(&self, change: impl FnOnce(&mut LifecycleState)) -> bool {
         self.state.send_if_modified(|state| {
             let before = *state;
@@ -88,32 +89,32 @@
         })
     }
 
-    /// The endpoint list is known. Returns whether it was not before.
+    /// Marks the endpoint list as known. Returns whether it was unknown before.
     pub fn mark_endpoints_known(&self) -> bool {
         self.update(|state| state.endpoints_known = true)
     }
-    /// The process may serve.
+    /// Allows the process to serve.
     pub fn start_serving(&self) {
         self.update(|state| state.serving = true);
     }
-    /// An operator drains the gateway, or puts it back into service.
+    /// Starts or ends a drain by an operator.
     pub fn set_operator_drain(&self, operator_drain: bool) {
         self.update(|state| state.operator_drain = operator_drain);
     }
-    /// Another process has taken over, or is gone again.
+    /// Sets whether another process has taken over and accepts the new connections.
     pub fn set_replaced(&self, replaced: bool) {
         self.update(|state| state.replaced = replaced);
     }
-    /// Goes on towards the end, never back.
+    /// Advances the shutdown to a phase; an earlier phase is ignored.
     pub fn advance_shutdown(&self, phase: ShutdownPhase) {
         self.update(|state| state.shutdown = state.shutdown.max(phase));
     }
 
-    /// The state now.
+    /// Returns the current state.
     pub fn state(&self) -> LifecycleState {
         *self.state.borrow()
     }
-    /// Reports each change.
+    /// Returns a receiver that is notified of each change.
     pub fn subscribe(&self) -> watch::Receiver<LifecycleState> {
         self.state.subscribe()
     }
@@ -126,15 +127,15 @@
     pub fn is_ready(&self) -> bool {
         self.state().is_ready()
     }
-    /// Whether clients should come to the gateway, which may be another process by now.
+    /// Whether clients should use the gateway, which may be served by another process by now.
     pub fn is_healthy(&self) -> bool {
         self.state().is_healthy()
     }
-    /// Whether a response is the last on its connection.
+    /// Whether connections are closed after their current response.
     pub fn closes_connections(&self) -> bool {
         self.state().closes_connections()
     }
-    /// How long a client's connection may be idle now.
+    /// Returns the current idle time-out of client connections.
     pub fn idle_timeout(&self) -> Duration {
         self.state().idle_timeout()
     }
--- a/src/proxy/lifecycle/drain/tests.rs
+++ b/src/proxy/lifecycle/drain/tests.rs
@@ -1,12 +1,12 @@
-//! What the process answers of itself while it starts, drains, is replaced and ends.
+//! Readiness and health of the process while it starts, drains, is replaced and shuts down.
 
 use super::{Lifecycle, ShutdownPhase, IDLE_TIMEOUT};
 
 #[test]
-fn a_drain_is_undone_and_a_shutdown_is_not() {
+fn drain_is_reversible_and_shutdown_is_not() {
     let lifecycle = Lifecycle::default();
     assert!(lifecycle.mark_endpoints_known() && !lifecycle.mark_endpoints_known());
-    assert!(!lifecycle.is_ready(), "not before it may serve");
+    assert!(!lifecycle.is_ready(), "not ready before the process may serve");
     lifecycle.start_serving();
     assert!(lifecycle.is_ready() && lifecycle.is_healthy() && !lifecycle.closes_connections());
     lifecycle.set_operator_drain(true);
@@ -20,12 +20,12 @@
 }
 
 #[test]
-fn a_replaced_process_is_healthy_until_its_end() {
+fn replaced_process_stays_healthy_during_shutdown() {
     let lifecycle = Lifecycle::default();
     lifecycle.mark_endpoints_known();
     lifecycle.start_serving();
     lifecycle.set_replaced(true);
     lifecycle.advance_shutdown(ShutdownPhase::Stopping);
     assert!(lifecycle.is_healthy() && !lifecycle.is_ready() && lifecycle.closes_connections());
-    assert_eq!(lifecycle.idle_timeout(), IDLE_TIMEOUT, "no connection is closed in a hurry");
+    assert_eq!(lifecycle.idle_timeout(), IDLE_TIMEOUT, "idle connections keep the ordinary time-out");
 }
--- a/src/proxy/lifecycle/handover.rs
+++ b/src/proxy/lifecycle/handover.rs
@@ -1,8 +1,10 @@
-//! The replacement of the process under load. The predecessor, which serves, listens on a socket in `$TMPDIR`; the
-//! successor connects there when it is about to serve, and both form one gateway until the predecessor's end.
+//! Replacement of a serving process without interruption. The predecessor, which serves, listens on a Unix socket in
+//! `$TMPDIR`. The successor connects to that socket when it is about to serve, and both processes form one gateway
+//! until the predecessor exits.
 //!
-//! Lines of JSON go both ways over that one connection. Nothing here keeps a process from serving: another process that
-//! is dead, silent or sends garbage costs a moment, and then this one goes on alone.
+//! The processes exchange lines of JSON over this connection. A failed hand-over never keeps a process from serving:
+//! if the other process has exited, does not respond or sends invalid messages, this process goes on alone after a
+//! time-out.
 
 mod connection;
 pub mod message;
@@ -24,27 +26,27 @@
 use tokio::time::interval;
 use tracing::{info, warn};
 
-/// The longest wait for the first bytes of the snapshot, which the predecessor has to put together with what it has of
-/// a core.
+/// Time-out for the first bytes of the snapshot. The predecessor has to build the snapshot while it shares a core.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(3);
-/// How often the predecessor reports how many connections it still has.
+/// How often the predecessor reports its number of client connections.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// Messages of the runtime that may wait to be written to the other process.
+/// Capacity of the queue of messages from the runtime to the other process.
 const MAX_QUEUED_MESSAGES: usize = 64;
 
-/// One process's part in a replacement.
+/// Hand-over between this process and its predecessor or successor.
 pub struct Handover {
     socket_path: PathBuf,
     runtime: AdminSender,
     lifecycle: Rc<Lifecycle>,
-    /// Taken for each connection of a client.
+    /// Permits for client connections.
     client_permits: Rc<Permits>,
-    /// Reports how many the other process has, on which this one must not count.
+    /// Publishes the number of client connections of the other process, whose permits this process must not use.
     other_process_connections: watch::Sender<usize>,
 }
 
 impl Handover {
-    /// For the gateway whose clients come to this address; others have their sockets in the folder as well.
+    /// Creates the hand-over of the gateway with this client address. The socket's name contains the address because
+    /// other gateways may use the same folder.
     pub fn new(
         folder: &Path,
         address: SocketAddr,
@@ -53,12 +55,12 @@
         client_permits: Rc<Permits>,
         other_process_connections: watch::Sender<usize>,
     ) -> Handover {
-        // An older build looks for its successor or predecessor by this name.
+        // Must not change: older builds use this name to find the other process.
         let socket_path = folder.join(format!("starlinghill-{address}.sock"));
         Handover { socket_path, runtime, lifecycle, client_permits, other_process_connections }
     }
 
-    /// Takes over from the process that serves, if there is one. Returns once this one may serve.
+    /// Takes over from the serving process, if there is one. Returns once this process may serve.
     pub async fn take_over(self: &Rc<Handover>) {
         let connecting = UnixStream::connect(&self.socket_path);
         let Ok(Ok(stream)) = within(STEP_TIMEOUT, connecting).await else { return };
@@ -82,27 +84,27 @@
         tokio::task::spawn_local(self.clone().follow_predecessor(connection, outgoing));
     }
 
-    /// Forms one gateway with the predecessor until its end.
+    /// Exchanges messages with the predecessor until it exits.
     async fn follow_predecessor(
         self: Rc<Handover>,
         connection: HandoverConnection,
         outgoing: mpsc::Receiver<HandoverMessage>,
     ) {
         self.relay(connection, outgoing).await;
-        info!("the predecessor process has ended");
+        info!("the predecessor process has exited");
         self.other_process_connections.send_replace(0);
         self.command(AdminCommand::PeerProcessExited).await;
     }
 
-    /// Sends the runtime a command and waits for its reply; none once the runtime is gone.
+    /// Sends a command to the runtime and waits for the reply. Returns `None` if the runtime has ended.
     async fn command<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> AdminCommand) -> Option<T> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, reply_receiver) = oneshot::channel();
         self.runtime.send(command(reply)).await.ok()?;
-        answer.await.ok()
+        reply_receiver.await.ok()
     }
 
-    /// Binds the socket under another name first, so that it takes the place of a stale one, or of the other process's,
-    /// in one step.
+    /// Binds the socket under a temporary name and renames it, which atomically replaces a stale socket or that of
+    /// the other process.
     fn bind_socket(&self) -> io::Result<UnixListener> {
         let temporary = self.socket_path.with_extension(format!("{}", std::process::id()));
         match std::fs::remove_file(&temporary) {
@@ -114,33 +116,33 @@
         Ok(listener)
     }
 
-    /// Waits for processes that take over from this one, for ever.
+    /// Accepts successors until the process exits. Ends early only if the socket can't be bound.
     pub async fn serve_successors(self: Rc<Handover>) {
         loop {
             let listener = match self.bind_socket() {
                 Ok(listener) => listener,
                 Err(error) => {
-                    return warn!(%error, path = %self.socket_path.display(), "no process can take over");
+                    return warn!(%error, path = %self.socket_path.display(), "no process can take over: socket not bound");
                 }
             };
-            // Until another's socket stands in the place of this one's.
+            // Returns after a successor has exited. Its socket has replaced this one, so the socket is bound again.
             self.accept_successor(&listener).await;
         }
     }
 
-    /// Returns once a process has taken over from this one and is gone again.
+    /// Returns once a process has taken over from this one and has exited again.
     async fn accept_successor(&self, listener: &UnixListener) {
-        let mut accepting = AcceptBackoff::default();
+        let mut backoff = AcceptBackoff::default();
         loop {
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    accepting.failed(&error).await;
+                    backoff.failed(&error).await;
                     continue;
                 }
             };
-            accepting.succeeded();
-            // One at a time: another one waits, and gives up in time.
+            backoff.succeeded();
+            // One successor at a time: a second one waits in the backlog until its own time-out.
             let mut connection = HandoverConnection::new(stream);
             match connection.receive_within(STEP_TIMEOUT).await {
                 Ok(HandoverMessage::Hello) => {}
@@ -156,7 +158,8 @@
         }
     }
 
-    /// Hands the gateway over and returns when the other process is gone; an error where it never took over.
+    /// Hands the gateway over and returns when the successor has exited. Returns an error if the snapshot could not
+    /// be sent.
     async fn hand_over(&self, mut connection: HandoverConnection) -> Result<(), HandoverError> {
         let (messages, outgoing) = mpsc::channel(MAX_QUEUED_MESSAGES);
         self.lifecycle.set_replaced(true);
@@ -168,14 +171,14 @@
         if sent.is_ok() {
             info!("handing over to the successor process");
             self.relay(connection, outgoing).await;
-            warn!("the successor process is gone; serving again");
+            warn!("the successor process has exited; this process accepts connections again");
         }
         self.command(AdminCommand::PeerProcessExited).await;
         self.lifecycle.set_replaced(false);
         sent
     }
 
-    /// Passes messages on, both ways, until the other process is gone.
+    /// Relays messages in both directions until the other process exits or breaks the protocol.
     async fn relay(&self, mut connection: HandoverConnection, mut outgoing: mpsc::Receiver<HandoverMessage>) {
         let mut report = interval(REPORT_INTERVAL);
         loop {
@@ -204,7 +207,7 @@
         }
     }
 
-    /// Carries out an operator's order that the other process received.
+    /// Carries out an operator's command that the other process has relayed.
     async fn set_maintenance(&self, endpoint: String, in_maintenance: bool) {
         let command = |reply| AdminCommand::SetMaintenance { endpoint, in_maintenance, relayed: true, reply };
         self.command(command).await;
--- a/src/proxy/lifecycle/handover/connection.rs
+++ b/src/proxy/lifecycle/handover/connection.rs
@@ -1,4 +1,4 @@
-//! The connection between two processes of one gateway: messages as lines of JSON, with limits on time and length.
+//! Connection between two processes of one gateway: messages as lines of JSON, limited in time and length.
 
 use super::message::HandoverMessage;
 use crate::proxy::control_plane::discovery::endpoint_list::MAX_ENDPOINTS;
@@ -12,71 +12,72 @@
 use tokio::time::timeout;
 use tracing::warn;
 
-/// The longest wait for any one step of the other process: for its next bytes, or for it to take some.
+/// Time-out of one step: until the other process sends its next bytes, or accepts a chunk.
 pub(super) const STEP_TIMEOUT: Duration = Duration::from_millis(500);
-/// The longest wait for a whole line, however long: as long as a process may take until it is ready.
+/// Time-out of a complete line, whatever its length: as long as a process may take to become ready.
 const LINE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The most bytes of an endpoint and of a customer in a snapshot.
+/// Limit on the size of one endpoint in a snapshot, in bytes.
 const MAX_ENDPOINT_BYTES: usize = 1200;
+/// Limit on the size of one customer in a snapshot, in bytes.
 const MAX_CUSTOMER_BYTES: usize = 800;
-/// Customers of a gateway within the two minutes in which it remembers them, at 250 new ones a second.
+/// Limit on the customers in a snapshot: a gateway keeps each for two minutes, with 250 new customers per second.
 const MAX_CUSTOMERS: usize = 30_000;
-/// A rolling release doubles the endpoint list for a while.
+/// A rolling release temporarily doubles the endpoint list.
 const MAX_ENTRIES_PER_ENDPOINT: usize = 2;
-/// The longest line, in bytes: 31.7 MB, the snapshot of a gateway of the largest deployment. Read as it comes, so that
-/// no more memory is taken than the line has.
+/// Limit on the length of a line, in bytes: 31.7 MB, the snapshot of a gateway in the largest deployment. The buffer
+/// grows as bytes arrive, so it never takes more memory than the line needs.
 const MAX_LINE_BYTES: usize =
     MAX_ENTRIES_PER_ENDPOINT * MAX_ENDPOINTS * MAX_ENDPOINT_BYTES + MAX_CUSTOMERS * MAX_CUSTOMER_BYTES;
-/// Bytes that are written in one step.
+/// Size of the chunks in which a line is written, in bytes.
 const WRITE_CHUNK_BYTES: usize = 64 * 1024;
 
-/// Why the exchange with the other process can't go on.
+/// Error that ends the exchange with the other process.
 #[derive(Debug, Error)]
 pub(super) enum HandoverError {
-    /// The other process has ended.
+    /// The other process closed the connection.
     #[error("the other process closed the connection")]
     Closed,
-    /// The other process is silent, or does not read.
-    #[error("the other process did nothing within {0:?}")]
+    /// The other process did not send or did not read in time.
+    #[error("the other process made no progress within {0:?}")]
     TimedOut(Duration),
-    /// The connection broke.
+    /// The connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A line that never ends.
-    #[error("a message of {bytes} bytes, longer than {limit}")]
+    /// A line exceeded the limit.
+    #[error("message too long: got {bytes} bytes, limit {limit}")]
     TooLong {
-        /// Bytes that had come.
+        /// Bytes received so far.
         bytes: usize,
-        /// The limit.
+        /// Limit in bytes.
         limit: usize,
     },
-    /// A line that this build does not know.
-    #[error("a message of {bytes} bytes that is unknown or malformed: {error}")]
+    /// A line is not a message known to this build.
+    #[error("unknown or malformed message of {bytes} bytes: {error}")]
     Malformed {
-        /// The length of the line.
+        /// Length of the line in bytes.
         bytes: usize,
-        /// Why.
+        /// Reason given by the JSON parser.
         error: serde_json::Error,
     },
-    /// A message that could not be put into a line.
-    #[error("a message could not be written: {0}")]
+    /// A message could not be serialized.
+    #[error("message not serialized: {0}")]
     Unwritable(serde_json::Error),
 }
 
 impl HandoverError {
-    /// Logs what only a fault of one of the two builds explains. That the other process has gone is no fault.
+    /// Logs errors that only a fault in one of the two builds explains. An exit of the other process is not a fault.
     pub fn log(&self) {
         if matches!(self, HandoverError::TooLong { .. } | HandoverError::Malformed { .. }) {
-            warn!(error = %self, "invalid hand-over message from the other process");
+            warn!(error = %self, "invalid hand-over message from the other process; closing the connection");
         }
     }
 }
 
-/// The two ends of the connection.
+/// Connection to the other process of the gateway.
 pub(super) struct HandoverConnection {
     reader: BufReader<OwnedReadHalf>,
     writer: OwnedWriteHalf,
-    /// What has come of the next line.
+    /// Bytes of the next line received so far.
     partial_line: Vec<u8>,
 }
 
@@ -86,18 +87,21 @@
         HandoverConnection { reader: BufReader::new(reader), writer, partial_line: Vec::new() }
     }
 
-    /// The next message. Cancel safe: what has come of it is kept for the next call.
+    /// Receives the next message. Cancel safe: a partially received message is kept for the next call.
     pub async fn receive(&mut self) -> Result<HandoverMessage, HandoverError> {
-        while !self.read_piece().await? {}
+        while !self.read_chunk().await? {}
         self.take_message()
     }
 
-    /// The same where the other process is to begin within this time and then not to pause for longer than
-    /// [`STEP_TIMEOUT`].
-    pub async fn receive_within(&mut self, first: Duration) -> Result<HandoverMessage, HandoverError> {
+    /// Like [`Self::receive`], but fails if the first bytes take longer than `first_timeout`, or if a later pause is
+    /// longer than [`STEP_TIMEOUT`].
+    pub async fn receive_within(
+        &mut self,
+        first_timeout: Duration,
+    ) -> Result<HandoverMessage, HandoverError> {
         let line = async {
-            let mut limit = first;
-            while !within(limit, self.read_piece()).await?? {
+            let mut limit = first_timeout;
+            while !within(limit, self.read_chunk()).await?? {
                 limit = STEP_TIMEOUT;
             }
             self.take_message()
@@ -105,8 +109,8 @@
         within(LINE_TIMEOUT, line).await?
     }
 
-    /// Reads what has come of the next line; whether that is all of it.
-    async fn read_piece(&mut self) -> Result<bool, HandoverError> {
+    /// Appends the bytes that have arrived to the next line. Returns whether the line is complete.
+    async fn read_chunk(&mut self) -> Result<bool, HandoverError> {
         let received = self.reader.fill_buf().await?;
         if received.is_empty() {
             return Err(HandoverError::Closed);
@@ -128,7 +132,7 @@
         message.map_err(|error| HandoverError::Malformed { bytes: line.len(), error })
     }
 
-    /// Writes a message.
+    /// Sends a message.
     pub async fn send(&mut self, message: &HandoverMessage) -> Result<(), HandoverError> {
         let mut text = serde_json::to_vec(message).map_err(HandoverError::Unwritable)?;
         text.push(b'\n');
@@ -139,7 +143,7 @@
     }
 }
 
-/// Waits for no longer than `limit`.
+/// Waits for `step` for at most `limit`.
 pub(super) async fn within<T>(limit: Duration, step: impl Future<Output = T>) -> Result<T, HandoverError> {
     timeout(limit, step).await.map_err(|_| HandoverError::TimedOut(limit))
 }
--- a/src/proxy/lifecycle/handover/message.rs
+++ b/src/proxy/lifecycle/handover/message.rs
@@ -1,39 +1,39 @@
-//! The lines of JSON that two processes of one gateway exchange. Nothing behind this module knows their names; an older
-//! build may be at the other end, so they never change.
+//! Messages, as lines of JSON, that two processes of one gateway exchange. The other process may be an older build,
+//! so the serialized names must never change; they occur in this module only.
 
 use crate::decision::HandoverState;
 use crate::proxy::control_plane::discovery::endpoint_list::EndpointList;
 use serde::{Deserialize, Serialize};
 
-/// What the predecessor hands over.
+/// State that the predecessor hands over.
 #[derive(Serialize, Deserialize)]
 pub struct HandoverSnapshot {
-    /// The endpoint list as it last had it.
+    /// The predecessor's latest endpoint list.
     #[serde(rename = "members")]
     pub endpoints: EndpointList,
-    /// What the decision module must know.
+    /// State of the predecessor's decision module.
     #[serde(rename = "estate")]
     pub decision_state: HandoverState,
 }
 
-/// What the two processes send each other.
+/// Message between the two processes.
 #[derive(Serialize, Deserialize)]
 pub enum HandoverMessage {
-    /// The successor's first: it is about to serve.
+    /// First message of the successor: it is about to serve.
     Hello,
-    /// The predecessor's reply. From here on it accepts no new connections.
+    /// Reply of the predecessor, which has stopped accepting new connections.
     #[serde(rename = "Will")]
     Snapshot(Box<HandoverSnapshot>),
-    /// The predecessor's: so many connections of clients it still has.
+    /// Number of client connections that the predecessor still has.
     #[serde(rename = "Held")]
     ClientConnections(usize),
-    /// An operator's order to the other process.
+    /// Operator's command, relayed to the other process.
     #[serde(rename = "Maintain")]
     SetMaintenance {
-        /// The endpoint's name.
+        /// Name of the endpoint.
         #[serde(rename = "id")]
         endpoint: String,
-        /// Out of service, or back.
+        /// Whether the endpoint is taken out of service rather than put back.
         #[serde(rename = "out")]
         in_maintenance: bool,
     },
--- a/src/proxy/lifecycle/handover/tests.rs
+++ b/src/proxy/lifecycle/handover/tests.rs
@@ -1,6 +1,7 @@
-//! The lines of a hand-over as an older build wrote them: read, written again to the same bytes, and taken over.
+//! Compatibility with the hand-over messages of older builds: they are parsed, serialized to the same bytes, and
+//! taken over.
 //!
-//! The files are in `tests/fixtures/control`. An older build may be at the other end, so they never change.
+//! The fixtures are in `tests/fixtures/control`. The other process may be an older build, so they must never change.
 
 use super::{HandoverConnection, HandoverMessage, HandoverSnapshot};
 use crate::decision::ClassId;
@@ -14,72 +15,73 @@
 const OTHER_BUILDS: &str = include_str!("../../../../tests/fixtures/control/handover_other_builds.jsonl");
 const CONFIGURATION: &str = include_str!("../../../../tests/fixtures/control/gateway.json");
 
-fn state_of(line: &str) -> Box<HandoverSnapshot> {
+fn parse_snapshot(line: &str) -> Box<HandoverSnapshot> {
     match serde_json::from_str(line) {
         Ok(HandoverMessage::Snapshot(snapshot)) => snapshot,
-        other => panic!("expected the state that is handed over, found {:?}", other.err()),
+        other => panic!("expected a snapshot, found {:?}", other.err()),
     }
 }
 
-/// What a gateway hands on that took this over, its lists in the order of their ids.
-fn handed_on(line: &str) -> String {
-    let config = Config::parse(CONFIGURATION, None, None).expect("a configuration");
+/// Takes over the snapshot in this line and returns the state that the gateway hands over in turn, its lists sorted
+/// by id.
+fn take_over_and_hand_over(line: &str) -> String {
+    let config = Config::parse(CONFIGURATION, None, None).expect("valid configuration");
     let mut gateway = Gateway::new(config.seed, config.site.settings).expect("settings");
-    gateway.take_over(state_of(line).decision_state);
+    gateway.take_over(parse_snapshot(line).decision_state);
     let mut state = gateway.hand_over();
     state.endpoints.sort_by_key(|(id, _)| *id);
     state.customers.sort_by_key(|(id, _)| *id);
-    serde_json::to_string_pretty(&state).expect("a text") + "\n"
+    serde_json::to_string_pretty(&state).expect("serialized state") + "\n"
 }
 
 #[test]
-fn messages_are_written_to_the_bytes_that_they_were_read_from() {
+fn parsed_messages_serialize_to_the_same_bytes() {
     for line in PREDECESSOR.lines().chain(SUCCESSOR.lines()) {
-        let message: HandoverMessage = serde_json::from_str(line).expect("a message");
-        assert_eq!(serde_json::to_string(&message).expect("a text"), line);
+        let message: HandoverMessage = serde_json::from_str(line).expect("known message");
+        assert_eq!(serde_json::to_string(&message).expect("serialized message"), line);
     }
 }
 
 #[tokio::test]
-async fn a_connection_carries_the_same_bytes_both_ways() {
-    for side in [PREDECESSOR, SUCCESSOR] {
-        let (near, far) = UnixStream::pair().expect("two sockets");
-        let mut reading = HandoverConnection::new(far);
-        let mut writing = HandoverConnection::new(near);
-        let mut written = String::new();
-        for line in side.lines() {
-            writing.send(&serde_json::from_str(line).expect("a message")).await.expect("it is taken");
-            let heard = reading.receive().await.expect("a message");
-            written += &(serde_json::to_string(&heard).expect("a text") + "\n");
+async fn connection_preserves_messages_of_both_sides() {
+    for lines in [PREDECESSOR, SUCCESSOR] {
+        let (near, far) = UnixStream::pair().expect("socket pair");
+        let mut receiver = HandoverConnection::new(far);
+        let mut sender = HandoverConnection::new(near);
+        let mut received = String::new();
+        for line in lines.lines() {
+            sender.send(&serde_json::from_str(line).expect("known message")).await.expect("message sent");
+            let message = receiver.receive().await.expect("message received");
+            received += &(serde_json::to_string(&message).expect("serialized message") + "\n");
         }
-        assert_eq!(written, side);
-        drop(writing);
-        assert!(reading.receive().await.is_err(), "the end of the connection ends the conversation");
+        assert_eq!(received, lines);
+        drop(sender);
+        assert!(receiver.receive().await.is_err(), "receiving must fail once the sender is closed");
     }
 }
 
 #[tokio::test]
-async fn a_message_that_this_build_does_not_know_ends_the_conversation() {
+async fn unknown_message_is_an_error() {
     for line in [&b"{\"Later\":1}\n"[..], b"hello\n", b"{\"Held\":-1}\n", b"\xff\n"] {
-        let (near, far) = UnixStream::pair().expect("two sockets");
-        near.try_write(line).expect("it is taken");
+        let (near, far) = UnixStream::pair().expect("socket pair");
+        near.try_write(line).expect("line written");
         assert!(HandoverConnection::new(far).receive().await.is_err(), "{line:?}");
     }
 }
 
 #[test]
-fn a_gateway_hands_on_what_it_took_over() {
-    let first = PREDECESSOR.lines().next().expect("a line");
-    fixture::assert_same("control/handover_handed_on.json", &handed_on(first));
+fn gateway_hands_over_the_state_that_it_took_over() {
+    let first = PREDECESSOR.lines().next().expect("first line");
+    fixture::assert_same("control/handover_handed_on.json", &take_over_and_hand_over(first));
 }
 
 #[test]
-fn a_state_without_the_later_fields_or_with_unknown_ones_is_taken_over() {
-    let state = state_of(OTHER_BUILDS);
-    assert!(!state.endpoints.complete);
-    assert!(state.decision_state.customers.iter().all(|(_, customer)| customer.first_gateway == 0));
-    let refused =
-        state.decision_state.customers.iter().filter_map(|(_, customer)| customer.last_rejection.as_ref());
-    assert_eq!(refused.map(|refusal| refusal.class).collect::<Vec<_>>(), [ClassId(1), ClassId(0)]);
-    handed_on(OTHER_BUILDS);
+fn state_with_missing_or_unknown_fields_is_taken_over() {
+    let snapshot = parse_snapshot(OTHER_BUILDS);
+    assert!(!snapshot.endpoints.complete);
+    assert!(snapshot.decision_state.customers.iter().all(|(_, customer)| customer.first_gateway == 0));
+    let rejections =
+        snapshot.decision_state.customers.iter().filter_map(|(_, customer)| customer.last_rejection.as_ref());
+    assert_eq!(rejections.map(|rejection| rejection.class).collect::<Vec<_>>(), [ClassId(1), ClassId(0)]);
+    take_over_and_hand_over(OTHER_BUILDS);
 }
--- a/src/proxy/lifecycle/mod.rs
+++ b/src/proxy/lifecycle/mod.rs
@@ -1,5 +1,5 @@
-//! The life of a process: its listening socket, serving, drain and end, and its replacement by another process of the
-//! same gateway.
+//! Lifecycle of a process: inherited listening socket, readiness, drain, shutdown, and replacement by another process
+//! of the same gateway.
 
 pub mod drain;
 pub mod handover;
--- a/src/proxy/lifecycle/permits.rs
+++ b/src/proxy/lifecycle/permits.rs
@@ -1,53 +1,53 @@
-//! Permits for connections and memory, and how two processes of one gateway share them.
+//! Permits for connections and memory, shared between two processes of one gateway.
 
 use std::cell::Cell;
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// While another process has permits, this one keeps at least one of so many.
+/// While permits are reserved for another process, this process keeps at least `1 / MIN_KEPT_DIVISOR` of the total.
 const MIN_KEPT_DIVISOR: usize = 8;
 
-/// A fixed number of permits, some of which may be the other process's.
+/// Fixed number of permits, some of which may be reserved for the other process.
 pub struct Permits {
     available: Arc<Semaphore>,
     total: usize,
-    /// The other process's.
+    /// Number of permits reserved for the other process.
     reserved: Cell<usize>,
 }
 
 impl Permits {
-    /// So many permits, all available.
+    /// Creates `total` permits, all of them available.
     pub fn new(total: usize) -> Permits {
         Permits { available: Arc::new(Semaphore::new(total)), total, reserved: Cell::new(0) }
     }
 
-    /// How many there are, the other process's included.
+    /// Number of permits, including those reserved for the other process.
     pub fn total(&self) -> usize {
         self.total
     }
 
-    /// How many this process may still take.
+    /// Number of permits that this process may still acquire.
     pub fn available(&self) -> usize {
         self.available.available_permits()
     }
 
-    /// How many this process has taken.
+    /// Number of permits that this process has acquired.
     pub fn in_use(&self) -> usize {
         self.total.saturating_sub(self.reserved.get() + self.available())
     }
 
-    /// A permit, if one is available.
+    /// Acquires a permit if one is available.
     pub fn try_acquire(&self) -> Option<OwnedSemaphorePermit> {
         self.try_acquire_many(1)
     }
 
-    /// So many permits, if they are available.
+    /// Acquires the given number of permits if all are available.
     pub fn try_acquire_many(&self, permits: usize) -> Option<OwnedSemaphorePermit> {
         let permits = u32::try_from(permits).ok()?;
         self.available.clone().try_acquire_many_owned(permits).ok()
     }
 
-    /// A permit, once one is available.
+    /// Acquires a permit, waiting until one is available.
     pub async fn acquire(&self) -> OwnedSemaphorePermit {
         match self.available.clone().acquire_owned().await {
             Ok(permit) => permit,
@@ -56,7 +56,8 @@
         }
     }
 
-    /// So many permits are the other process's from now on, as far as they are available here and an eighth stays.
+    /// Sets the number of permits reserved for the other process. Only available permits are reserved, and this
+    /// process keeps at least an eighth of the total.
     pub fn reserve_for_other_process(&self, permits: usize) {
         let permits = permits.min(self.total - self.total.div_ceil(MIN_KEPT_DIVISOR));
         let reserved = self.reserved.get();
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Returns when this process has taken none.
+    /// Returns once this process holds no permit.
     pub async fn wait_until_unused(&self) {
         let own = u32::try_from(self.total - self.reserved.get()).unwrap_or(u32::MAX);
         // The semaphore is never closed.
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,9 +1,9 @@
-//! The real gateway: the decision module on sockets.
+//! The gateway itself: connects the decision module to sockets, clocks and signals.
 //!
-//! [`downstream`] accepts clients' requests and hands them to [`runtime`], the one owner of the decision module, which
-//! sends attempts through [`upstream`]. [`control_plane`] brings the configuration, the endpoint list and the counter's
-//! replies, [`cluster_transport`] the messages of other gateways, [`admin`] the operators' calls. [`lifecycle`] holds
-//! whether the process serves, drains or ends, and hands over to its successor.
+//! [`downstream`] accepts requests of clients and passes them to [`runtime`], the owner of the decision module, which
+//! sends attempts through [`upstream`]. [`control_plane`] reads the configuration, watches the endpoint list and
+//! calls the counter. [`cluster_transport`] exchanges datagrams with other gateways, and [`admin`] serves operators.
+//! [`lifecycle`] tracks whether the process serves, drains or shuts down, and hands over to a successor.
 
 pub mod admin;
 pub mod cluster_transport;
--- a/src/proxy/startup.rs
+++ b/src/proxy/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a gateway in their order, and serves until the end.
+//! Starts the components of a gateway in dependency order, and serves until shutdown.
 
 use super::admin::call::AdminContext;
 use super::admin::known_names::KnownNames;
@@ -35,52 +35,52 @@
 use tokio::task::spawn_local;
 use tracing::info;
 
-/// The most writes of a branch that wait to be forwarded.
+/// Limit on the queued writes of a branch that wait to be forwarded.
 const MAX_QUEUED_WRITES: usize = 1000;
-/// The most requests of gateways that are gone that wait to be finished.
+/// Limit on the abandoned requests of failed gateways that wait to be finished.
 const MAX_ABANDONED_REQUESTS: usize = 100;
 
-/// Why a gateway could not start or go on.
+/// Error that keeps a gateway from starting or from running on.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// Its configuration makes no sense.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// It could not listen.
+    /// A socket could not be opened.
     #[error("can't listen on {address}: {error}")]
     Listen {
-        /// Where.
+        /// Address of the socket.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// Its runtime ended.
+    /// The runtime ended.
     #[error("the runtime ended")]
     RuntimeEnded,
 }
 
-/// Turns the error of a socket into one that names its address.
+/// Returns a conversion of I/O errors to errors that name the address.
 fn cannot_listen(address: SocketAddr) -> impl Fn(io::Error) -> RunError {
     move |error| RunError::Listen { address, error }
 }
 
-/// Runs a gateway until `stopping` turns true and all that it accepted is answered. It calls discovery and the counter
-/// at the addresses that `services` holds last.
+/// Runs a gateway until `stopping` becomes true and all accepted requests are answered. Discovery and the counter are
+/// called at the latest addresses in `services`.
 ///
 /// # Errors
-/// The gateway could not start, or its runtime ended.
+/// Returns an error if the gateway could not start, or if its runtime ended.
 pub async fn run(
     config: Config,
     services: watch::Receiver<ServiceAddresses>,
     stopping: watch::Receiver<bool>,
 ) -> Result<(), RunError> {
-    let plan = StartPlan::of(&config)?;
+    let plan = StartPlan::from_config(&config)?;
     let parts = shared_parts(&config);
     let (runtime, commands) = Runtime::new(config, parts.clone())?;
     let sender = runtime.sender();
-    let (queued_writes, writes_to_send) = mpsc::channel(MAX_QUEUED_WRITES);
-    let (abandoned, requests_to_finish) = mpsc::channel(MAX_ABANDONED_REQUESTS);
-    let senders = RequestSenders { queued_writes, abandoned_requests: abandoned };
+    let (queued_writes, writes_to_forward) = mpsc::channel(MAX_QUEUED_WRITES);
+    let (abandoned_sender, requests_to_finish) = mpsc::channel(MAX_ABANDONED_REQUESTS);
+    let senders = RequestSenders { queued_writes, abandoned_requests: abandoned_sender };
     let transport = plan.cluster_transport(&parts, &sender, senders);
     let listener = plan.listen().await?;
     let address = listener.local_addr().map_err(cannot_listen(plan.listen))?;
@@ -92,15 +92,15 @@
     spawn_local(begin_shutdown(stopping, parts.lifecycle.clone()));
     let (runtime_sender, metrics) = (sender.clone(), parts.metrics.clone());
     spawn_local(follow_services(services, plan.known_revision, plan.timing, runtime_sender, metrics));
-    let running = spawn_local(runtime.run());
+    let runtime_task = spawn_local(runtime.run());
     let permits = Rc::new(Permits::new(plan.max_client_connections));
-    let (other_process, other_process_connections) = watch::channel(0);
-    let handover = plan.handover(address, commands, &parts, permits.clone(), other_process);
+    let (other_process_sender, other_process_connections) = watch::channel(0);
+    let handover = plan.handover(address, commands, &parts, permits.clone(), other_process_sender);
     let ledger = transport.filter(|transport| transport.keeps_ledger());
     let context = Rc::new(plan.proxy_context(&parts, sender, permits, ledger.clone()));
     if let Some(ledger) = ledger {
         if plan.queues_writes() {
-            spawn_local(forward_writes(context.clone(), ledger.clone(), writes_to_send));
+            spawn_local(forward_writes(context.clone(), ledger.clone(), writes_to_forward));
             parts.outcomes.start_recording_reachability();
             spawn_local(check_uplink(parts.outcomes.clone()));
         }
@@ -115,14 +115,14 @@
         parts.lifecycle.start_serving();
         server::serve(listener, context, other_process_connections).await;
     };
-    // Guards against living on without a runtime, accepting requests that nobody decides.
+    // Without the runtime, requests would be accepted that are never answered, so the process ends with it.
     tokio::select! {
         () = serving => Ok(()),
-        _ = running => Err(RunError::RuntimeEnded),
+        _ = runtime_task => Err(RunError::RuntimeEnded),
     }
 }
 
-/// What the runtime shares with the rest of the process.
+/// Creates the components that the runtime shares with the rest of the process.
 fn shared_parts(config: &Config) -> SharedParts {
     SharedParts {
         clock: Clock::start(),
@@ -133,7 +133,7 @@
     }
 }
 
-/// What of the configuration the start needs beside the runtime's.
+/// Values of the configuration that the start needs after the runtime has consumed it.
 struct StartPlan {
     name: String,
     listen: SocketAddr,
@@ -149,8 +149,9 @@
 }
 
 impl StartPlan {
-    /// Takes what it needs, and checks what needs the whole configuration.
-    fn of(config: &Config) -> Result<StartPlan, ConfigError> {
+    /// Copies the values from the configuration, and checks the routing rules, which refer to names in other parts of
+    /// it.
+    fn from_config(config: &Config) -> Result<StartPlan, ConfigError> {
         let (site, settings) = (&config.site, &config.site.settings);
         let class = |(name, number): (&String, &usize)| {
             let class = &settings.classes[*number];
@@ -181,7 +182,7 @@
         Ok(plan)
     }
 
-    /// The names that routing rules may use.
+    /// Returns the names that routing rules may refer to.
     fn known_names(&self) -> KnownNames {
         KnownNames {
             classes: self.rules.classes.keys().cloned().collect(),
@@ -189,7 +190,7 @@
         }
     }
 
-    /// What all connections of clients share.
+    /// Creates the context that all client connections share.
     fn proxy_context(
         &self,
         parts: &SharedParts,
@@ -206,23 +207,23 @@
             memory: parts.memory.clone(),
             rules: self.rules.clone(),
             request_ids: RequestIds::default(),
-            // The runtime's turns at the begin and at the end of a request.
+            // One tick of the runtime at the start of a request and one at its end.
             response_margin: self.tick + self.tick,
             cluster: ledger,
         }
     }
 
-    /// This gateway forwards the writes that its branch accepted.
+    /// Whether this gateway forwards the queued writes of its branch.
     fn queues_writes(&self) -> bool {
         self.cluster.as_ref().is_some_and(|cluster| cluster.settings.branch.is_some())
     }
 
-    /// This gateway finishes requests of gateways that are gone.
+    /// Whether this gateway finishes abandoned requests of failed gateways.
     fn finishes_requests(&self) -> bool {
         self.cluster.as_ref().is_some_and(|cluster| !cluster.finish_classes.is_empty())
     }
 
-    /// The gateway's place in its cluster, where it has one.
+    /// Creates the cluster transport if the gateway belongs to a cluster.
     fn cluster_transport(
         &self,
         parts: &SharedParts,
@@ -241,7 +242,7 @@
         ))
     }
 
-    /// The clients' listening socket, inherited or its own.
+    /// Returns the client listening socket, which is inherited or opened here.
     async fn listen(&self) -> Result<TcpListener, RunError> {
         let listener = match self.accept_descriptor {
             Some(descriptor) => inherited_listener::adopt(descriptor).and_then(TcpListener::from_std),
@@ -256,18 +257,18 @@
         transport: &Rc<ClusterTransport>,
         services: &watch::Receiver<ServiceAddresses>,
     ) -> Result<(), RunError> {
-        // A process that takes another's place opens the cluster's socket once that one has let go of it.
-        let opened: Option<UdpSocket> = match self.accept_descriptor {
+        // A process that replaces another opens the cluster's socket only after the predecessor has closed it.
+        let socket: Option<UdpSocket> = match self.accept_descriptor {
             Some(_) => None,
             None => Some(transport.open().await.map_err(cannot_listen(transport.listen()))?),
         };
         let (peer_sender, peer_addresses) = watch::channel(services.borrow().peers.clone());
         spawn_local(follow_peers(services.clone(), peer_sender));
-        spawn_local(transport.clone().run(opened, peer_addresses));
+        spawn_local(transport.clone().run(socket, peer_addresses));
         Ok(())
     }
 
-    /// Serves operators, where they have an address.
+    /// Starts the admin server if an address is configured.
     async fn start_admin(
         &self,
         parts: &SharedParts,
@@ -277,7 +278,7 @@
         let Some(operators) = self.operators else { return Ok(()) };
         let listener = TcpListener::bind(operators).await.map_err(cannot_listen(operators))?;
         let ops = listener.local_addr().map_err(cannot_listen(operators))?;
-        info!(%ops, "operators");
+        info!(%ops, "admin server listening");
         let context = AdminContext {
             commands: commands.clone(),
             metrics: parts.metrics.clone(),
@@ -289,22 +290,30 @@
         Ok(())
     }
 
-    /// This process's part in replacements. Only an inherited socket can be shared with another process.
+    /// Creates the hand-over between processes. Returns `None` without an inherited socket, because only such a
+    /// socket can be shared with another process.
     fn handover(
         &self,
         address: SocketAddr,
         commands: AdminSender,
         parts: &SharedParts,
         client_permits: Rc<Permits>,
-        other_process: watch::Sender<usize>,
+        other_process_connections: watch::Sender<usize>,
     ) -> Option<Rc<Handover>> {
         let folder = self.handover_folder.as_ref().filter(|_| self.accept_descriptor.is_some())?;
         let lifecycle = parts.lifecycle.clone();
-        Some(Rc::new(Handover::new(folder, address, commands, lifecycle, client_permits, other_process)))
+        Some(Rc::new(Handover::new(
+            folder,
+            address,
+            commands,
+            lifecycle,
+            client_permits,
+            other_process_connections,
+        )))
     }
 }
 
-/// Passes what the cluster changes on to the runtime.
+/// Returns a listener that passes updates of the cluster to the runtime.
 fn update_listener(runtime: RuntimeSender) -> UpdateListener {
     Box::new(move |update| {
         let event = match update {
@@ -315,22 +324,22 @@
     })
 }
 
-/// The names of the classes in the order of their numbers.
+/// Returns the names of the classes, ordered by number.
 fn class_names(site: &Site) -> Vec<String> {
     let mut classes: Vec<(&String, &usize)> = site.classes.iter().collect();
     classes.sort_by_key(|(_, number)| **number);
     classes.into_iter().map(|(name, _)| name.clone()).collect()
 }
 
-/// Begins the shutdown once the process is to stop.
+/// Starts the shutdown once `stopping` becomes true.
 async fn begin_shutdown(mut stopping: watch::Receiver<bool>, lifecycle: Rc<Lifecycle>) {
     if stopping.wait_for(|stop| *stop).await.is_ok() {
         lifecycle.advance_shutdown(ShutdownPhase::Stopping);
     }
 }
 
-/// Takes over from the process that serves the clients until now, if there is one, and waits for a successor from then
-/// on.
+/// Takes over from the serving process, if there is one, once the endpoint list is known, and accepts successors from
+/// then on.
 async fn take_over_when_ready(handover: Rc<Handover>, lifecycle: &Lifecycle) {
     let mut state = lifecycle.subscribe();
     let is_ready = state.wait_for(|state| state.endpoints_known || state.shutdown > ShutdownPhase::Running);
