--- a/src/proxy/control_plane/config.rs
+++ b/src/proxy/control_plane/config.rs
@@ -1,4 +1,4 @@
-//! A gateway's configuration: the environment, the configuration file, and the cluster's file.
+//! Configuration of a gateway, from the environment, the configuration file and the cluster file.
 
 mod cluster;
 mod cluster_file;
@@ -19,46 +19,47 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The configuration of a gateway.
+/// Configuration of a gateway.
 pub struct Config {
-    /// Its place in a cluster, where it has one.
+    /// Configuration of the cluster, if the gateway belongs to one.
     pub(crate) cluster: Option<ClusterConfig>,
-    /// The gateway's name, for logs.
+    /// Name of the gateway, for logs.
     pub(crate) name: String,
-    /// Where clients connect.
+    /// Listening address for clients.
     pub(crate) listen: SocketAddr,
-    /// Where discovery listens.
+    /// Address of discovery.
     pub(crate) discovery: SocketAddr,
-    /// Where the counter listens, if there is one.
+    /// Address of the counter, if there is one.
     pub(crate) counter: Option<SocketAddr>,
-    /// Where operators connect, if they do.
+    /// Listening address for operators, if there is one.
     pub(crate) operators: Option<SocketAddr>,
-    /// The clients' listening socket, where it is inherited.
+    /// Descriptor of the client listening socket, if it is inherited.
     pub(crate) accept_descriptor: Option<RawFd>,
-    /// The folder that a process of this gateway shares with the one that takes its place.
+    /// Folder of the hand-over socket, shared by the processes of this gateway.
     pub(crate) handover_folder: Option<PathBuf>,
-    /// The seed of the decision module's random draws.
+    /// Seed of the decision module's random draws.
     pub(crate) seed: u64,
-    /// The endpoint list that this gateway had last.
+    /// Last known endpoint list of this gateway.
     pub(crate) known_endpoints: EndpointList,
-    /// The site's settings and names.
+    /// Settings and names of the site.
     pub(crate) site: Site,
-    /// The most connections of each kind.
+    /// Limits on the connections of each kind.
     pub(crate) sockets: SocketLimits,
-    /// The machine's memory, in millions of bytes.
+    /// Memory of the machine, in millions of bytes.
     pub(crate) memory_mb: f64,
-    /// A backend closes a connection that was idle for this long.
+    /// Time after which backends close an idle connection.
     pub(crate) backend_idle_timeout: Duration,
 }
 
-/// What a running gateway takes over from a configuration that is read again.
+/// Addresses of the services that a gateway calls. Only these take effect when a running gateway reloads its
+/// configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceAddresses {
-    /// Where discovery listens.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where the counter listens, if there is one.
+    /// Address of the counter, if there is one.
     pub counter: Option<SocketAddr>,
-    /// Where other gateways listen, by their names.
+    /// Addresses of the other gateways by name.
     pub peers: BTreeMap<String, SocketAddr>,
 }
 
@@ -66,10 +67,10 @@
     /// Reads the environment and the files that it names.
     ///
     /// # Errors
-    /// The first value that is missing or makes no sense.
+    /// Returns an error for the first missing or invalid value.
     pub fn from_environment() -> Result<Config, ConfigError> {
         let path = environment::config_path()?;
-        let text = read(&path)?;
+        let text = read_file(&path)?;
         let operators = environment::operators()?;
         let accept_descriptor = environment::accept_descriptor()?;
         let cluster = ClusterConfig::from_environment()?;
@@ -90,24 +91,26 @@
         Ok(config)
     }
 
-    /// Reads the files again, with the environment of the start.
+    /// Reads the files again. The environment is that of the start.
     ///
     /// # Errors
-    /// The first value that is missing or makes no sense.
+    /// Returns an error for the first missing or invalid value.
     pub fn reload() -> Result<ServiceAddresses, ConfigError> {
         let path = environment::config_path()?;
-        let text = read(&path)?;
-        // Where it listens does not change, and may be known from the environment alone.
+        let text = read_file(&path)?;
+        // The listening address can't change at a reload and may be set in the environment only, so a placeholder is
+        // given in case the file has none.
         let listen = Some(SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)));
         let config = Config::parse(&text, listen, None).map_err(|error| error.in_file(&path))?;
         let cluster = ClusterConfig::from_environment()?;
         Ok(Config { cluster, ..config }.services())
     }
 
-    /// Reads the text of a configuration file; addresses from the environment go before its own.
+    /// Parses the text of a configuration file. The addresses given here, which come from the environment, take
+    /// precedence over those in the file.
     ///
     /// # Errors
-    /// The first value that is missing or makes no sense.
+    /// Returns an error for the first missing or invalid value.
     pub fn parse(
         text: &str,
         listen: Option<SocketAddr>,
@@ -116,26 +119,26 @@
         document::parse(text, listen, discovery)
     }
 
-    /// The revision of the endpoint list that this gateway had last, if it had one.
+    /// Returns the revision of the last known endpoint list, unless that list is empty.
     pub fn known_revision(&self) -> Option<u64> {
         let known = &self.known_endpoints;
         (!known.endpoints.is_empty()).then_some(known.revision)
     }
 
-    /// Where the services are that a gateway calls.
+    /// Returns the addresses of the services that a gateway calls.
     pub fn services(&self) -> ServiceAddresses {
         let peers = self.cluster.as_ref().map(|cluster| cluster.settings.peers.clone()).unwrap_or_default();
         ServiceAddresses { discovery: self.discovery, counter: self.counter, peers }
     }
 
-    /// The seats of the cluster have to be the gateways in the order of their numbers, or leased quota shares would be
-    /// others'.
+    /// Checks that the seats of the cluster are the gateways in the order of their numbers; otherwise quota shares
+    /// would be leased under the wrong gateway.
     fn check_seats(&self) -> Result<(), ConfigError> {
         let Some(cluster) = &self.cluster else { return Ok(()) };
         let (seats, settings) = (&cluster.settings.seats, &self.site.settings);
         let own_seat = seats.get(settings.gateway_number as usize);
-        let fits = seats.len() == settings.gateways as usize && own_seat == Some(&cluster.settings.name);
-        match seats.is_empty() || fits {
+        let is_valid = seats.len() == settings.gateways as usize && own_seat == Some(&cluster.settings.name);
+        match seats.is_empty() || is_valid {
             true => Ok(()),
             false => Err(ConfigError::WrongSeats {
                 gateways: settings.gateways,
@@ -145,7 +148,7 @@
     }
 }
 
-fn read(path: &Path) -> Result<String, ConfigError> {
+fn read_file(path: &Path) -> Result<String, ConfigError> {
     std::fs::read_to_string(path)
         .map_err(|error| ConfigError::Unreadable { path: path.display().to_string(), error })
 }
--- a/src/proxy/control_plane/config/cluster.rs
+++ b/src/proxy/control_plane/config/cluster.rs
@@ -1,4 +1,4 @@
-//! A gateway's place in its cluster, as the cluster's file defines it.
+//! Configuration of a gateway's membership in a cluster, from the cluster file.
 
 use super::{cluster_file, environment, ConfigError};
 use crate::cluster;
@@ -8,40 +8,40 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// This gateway's place in its cluster.
+/// Configuration of the gateway's membership in its cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterConfig {
-    /// Where other gateways' datagrams come in.
+    /// Listening address for datagrams of other gateways.
     pub listen: SocketAddr,
-    /// The fraction of each quota share that may be leased; 0: shares are fixed.
+    /// Fraction of each quota share that may be leased; 0 if shares are fixed.
     pub lendable_part: f64,
-    /// For how long a request waits for the ledger at the most, each time.
+    /// Time-out of each wait of a request for the ledger.
     pub ledger_timeout: Duration,
-    /// The classes of which requests are finished where their gateway dies and no client retries them.
+    /// Classes whose requests are finished by another gateway if their gateway fails and no client retries them.
     pub finish_classes: Vec<String>,
-    /// The folder on the disk that outlives the process, where it has one.
+    /// Folder for persistent storage, if there is one.
     pub storage_dir: Option<PathBuf>,
-    /// The classes of which the branch accepts writes.
+    /// Classes whose writes the branch accepts while it is cut off.
     pub write_queue_classes: Vec<String>,
-    /// Those of them after which, where one was not done, no later write of its object is forwarded.
+    /// Classes for which, after a write that was not done, no later write to the same object is forwarded.
     pub write_queue_stop_classes: Vec<String>,
-    /// The cluster node's settings.
+    /// Settings of the cluster node.
     pub settings: cluster::Settings,
 }
 
 impl ClusterConfig {
-    /// Reads the text of a cluster's file, for a gateway whose environment gives this name.
+    /// Parses the text of a cluster file. `name` is the gateway's name in the environment.
     ///
     /// # Errors
-    /// The first value that is missing or makes no sense.
+    /// Returns an error for the first missing or invalid value.
     pub fn parse(text: &str, name: &str) -> Result<ClusterConfig, ConfigError> {
         cluster_file::parse(text, name)
     }
 
-    /// Reads the file that the environment names, if it names one.
+    /// Reads the cluster file that the environment names, if it names one.
     pub(super) fn from_environment() -> Result<Option<ClusterConfig>, ConfigError> {
         let Some(path) = environment::cluster_path() else { return Ok(None) };
-        let text = super::read(&path)?;
+        let text = super::read_file(&path)?;
         let config = ClusterConfig::parse(&text, &environment::name());
         let config = config.and_then(ClusterConfig::check_storage_dir);
         config.map(Some).map_err(|error| error.in_file(&path))
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Finds the classes that the file names among the site's, and takes from them how long a write may take.
+    /// Resolves the names of classes in the cluster file, and sets the time-out of a write from the site's classes.
     pub(super) fn resolve_classes(&mut self, site: &Site) -> Result<(), ConfigError> {
         let unknown =
             |key, name: &String| ConfigError::UnknownName { key, kind: "class", name: name.clone() };
@@ -66,7 +66,7 @@
         if let Some(settings) = &mut self.settings.branch {
             let number =
                 |name: &String| site.classes.get(name).and_then(|number| u16::try_from(*number).ok());
-            settings.send_timeout = longest_write(site);
+            settings.send_timeout = max_write_time(site);
             settings.blocking_classes = self.write_queue_stop_classes.iter().filter_map(number).collect();
         }
         match self.finish_classes.iter().find(is_unknown) {
@@ -76,8 +76,9 @@
     }
 }
 
-/// An attempt of any class has ended after this, the runtime's turns at its begin and its end included.
-fn longest_write(site: &Site) -> Micros {
+/// Returns the time after which an attempt of any class has ended, including one tick of the runtime at its start and
+/// one at its end.
+fn max_write_time(site: &Site) -> Micros {
     let settings = &site.settings;
     let longest = settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
     longest + settings.tick + settings.tick
--- a/src/proxy/control_plane/config/cluster_file.rs
+++ b/src/proxy/control_plane/config/cluster_file.rs
@@ -1,4 +1,4 @@
-//! The TOML of the cluster's file. Nothing behind this module knows its keys.
+//! TOML form of the cluster file. Its keys occur in this module only.
 
 use super::{ClusterConfig, ConfigError};
 use crate::cluster::rollout::{RuleConfig, RuleSet};
@@ -11,16 +11,16 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The longest wait for the ledger, in milliseconds.
+/// Upper bound on the time-out of a wait for the ledger, in milliseconds.
 const MAX_LEDGER_WAIT_MS: u64 = 100;
-/// The time between two probes where the file does not say, in milliseconds.
+/// Default time between two probes, in milliseconds.
 const DEFAULT_PERIOD_MS: u64 = 1000;
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1000;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// The file.
+/// The cluster file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ClusterDocument {
@@ -49,7 +49,7 @@
     DEFAULT_PERIOD_MS
 }
 
-/// The write queue of a branch that accepts writes while it is cut off; without it none are.
+/// Write queue of a branch that accepts writes while it is cut off. Without this table no writes are accepted then.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct WriteQueueDocument {
@@ -84,7 +84,7 @@
     }
 }
 
-/// What becomes of writes that come after one that was not done.
+/// What happens to later writes after a write that was not done.
 #[derive(Deserialize, PartialEq)]
 enum AfterFailure {
     #[serde(rename = "go on")]
@@ -93,7 +93,7 @@
     Stop,
 }
 
-/// The same for all classes, or for each that is named; others continue.
+/// The `on_failure` key: one value for all classes, or a value per class. Classes that are not named continue.
 #[derive(Deserialize)]
 #[serde(untagged, expecting = "expected \"go on\", \"stop\", or a table of classes with one of these")]
 enum OnFailure {
@@ -102,7 +102,7 @@
 }
 
 impl OnFailure {
-    /// The classes after whose writes, where one was not done, no later one is forwarded.
+    /// Returns the classes for which no later write is forwarded after a write that was not done.
     fn stop_classes(&self, classes: &[String]) -> Vec<String> {
         match self {
             OnFailure::AllClasses(AfterFailure::Continue) => Vec::new(),
@@ -116,10 +116,10 @@
 }
 
 impl WriteQueueDocument {
-    /// The write queue's settings; its gateways have to be seats of the cluster.
+    /// Converts to the settings of the write queue. Its gateways must be among `seats`, the seats of the cluster.
     fn settings(&self, seats: &[String]) -> Result<write_queue::WriteQueueSettings, ConfigError> {
         let seat_number = |name: &String| match seats.iter().position(|seat| seat == name) {
-            // More seats than that are an error of their own.
+            // A cluster with more seats than `u16::MAX` is rejected by the check of the cluster's settings.
             Some(number) => Ok(u16::try_from(number).unwrap_or(u16::MAX)),
             None => Err(ConfigError::UnknownName { key: "branch.seats", kind: "seat", name: name.clone() }),
         };
@@ -129,7 +129,7 @@
             max_pending_per_customer: self.max_writes_per_customer,
             max_age: Micros(self.max_age_s.saturating_mul(MICROS_PER_SECOND)),
             uplink_timeout: micros(self.cut_after_ms),
-            // Both known once the site's classes are.
+            // `ClusterConfig::resolve_classes` sets both, once the classes of the site are known.
             send_timeout: Micros(0),
             blocking_classes: Vec::new(),
             max_in_flight: self.max_in_flight,
@@ -138,16 +138,16 @@
     }
 }
 
-/// Rollouts of routing rules; without it there are none.
+/// Rollouts of routing rules. Without this table there are no rollouts.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
 struct RolloutDocument {
-    /// The rules in force before any rollout.
+    /// Rules in force before the first rollout.
     #[serde(rename = "rule")]
     rules: Vec<RuleConfig>,
 }
 
-/// The ledger of requests in flight; without it none is kept.
+/// Ledger of requests in flight. Without this table no ledger is kept.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct LedgerDocument {
@@ -185,7 +185,7 @@
     }
 }
 
-/// Reads the text of a cluster's file, for a gateway whose environment gives this name.
+/// Parses the text of a cluster file. `name` is the gateway's name in the environment.
 pub(super) fn parse(text: &str, name: &str) -> Result<ClusterConfig, ConfigError> {
     let document: ClusterDocument = toml::from_str(text).map_err(|error| toml_error(text, &error))?;
     let write_queue = document.write_queue.as_ref();
@@ -222,7 +222,7 @@
     })
 }
 
-/// The cluster node's settings.
+/// Converts to the settings of the cluster node.
 fn node_settings(
     document: &ClusterDocument,
     branch: Option<write_queue::WriteQueueSettings>,
@@ -260,9 +260,9 @@
     Micros(milliseconds.saturating_mul(MICROS_PER_MILLI))
 }
 
-/// The error on one line, with the line of the file.
+/// Converts a TOML error to a one-line message with the line number in the file.
 fn toml_error(text: &str, error: &toml::de::Error) -> ConfigError {
-    let lines_before = |at: usize| text[..at.min(text.len())].matches('\n').count();
+    let lines_before = |offset: usize| text[..offset.min(text.len())].matches('\n').count();
     let line = error.span().map_or(1, |span| 1 + lines_before(span.start));
     ConfigError::Toml { line, problem: error.message().lines().collect::<Vec<_>>().join(" ") }
 }
--- a/src/proxy/control_plane/config/document.rs
+++ b/src/proxy/control_plane/config/document.rs
@@ -1,4 +1,4 @@
-//! The JSON of the configuration file. Nothing behind this module knows its keys, those of `settings` apart, which
+//! JSON form of the configuration file. Its keys occur in this module only, except those of `settings`, which
 //! [`crate::site_settings`] reads for the simulator as well.
 
 use super::{Config, ConfigError, SocketLimits};
@@ -9,9 +9,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a backend keeps an idle connection where the settings do not say, in microseconds.
+/// Default time after which a backend closes an idle connection, in microseconds.
 const DEFAULT_BACKEND_IDLE_TIMEOUT_US: u64 = 15_000_000;
-/// The seed is written in this base.
+/// Base in which the seed is written.
 const SEED_RADIX: u32 = 16;
 
 #[derive(Deserialize)]
@@ -43,13 +43,13 @@
     }
 }
 
-/// What `settings` holds for the gateway.
+/// Values that the gateway reads from `settings`.
 struct SiteSettings {
     site: Site,
     backend_idle_timeout: Duration,
 }
 
-/// Reads a configuration; addresses from the environment go before its own.
+/// Parses a configuration. Addresses from the environment take precedence over those in the file.
 pub(super) fn parse(
     text: &str,
     listen: Option<SocketAddr>,
@@ -74,7 +74,7 @@
         seed,
         known_endpoints: document.known_endpoints,
         site,
-        sockets: SocketLimits::of(document.limits.descriptors),
+        sockets: SocketLimits::from_descriptors(document.limits.descriptors),
         memory_mb: document.limits.memory_mb,
         backend_idle_timeout,
     })
--- a/src/proxy/control_plane/config/environment.rs
+++ b/src/proxy/control_plane/config/environment.rs
@@ -1,4 +1,4 @@
-//! The variables of the environment by which the platform configures a gateway.
+//! Environment variables with which the platform configures a gateway.
 
 use super::ConfigError;
 use std::env;
@@ -6,57 +6,57 @@
 use std::os::fd::RawFd;
 use std::path::PathBuf;
 
-/// The path of the configuration file.
+/// Path of the configuration file.
 const CONFIG_PATH: &str = "NODE_CONFIG";
-/// The path of the cluster's file.
+/// Path of the cluster file.
 const CLUSTER_PATH: &str = "NODE_FLEET";
-/// The gateway's name.
+/// Name of the gateway.
 const NAME: &str = "NODE_NAME";
-/// Where clients connect; goes before the file's.
+/// Listening address for clients; takes precedence over the file.
 const LISTEN: &str = "NODE_LISTEN";
-/// Where discovery listens; goes before the file's.
+/// Address of discovery; takes precedence over the file.
 const DISCOVERY: &str = "NODE_DISCOVERY";
-/// Where operators connect; goes before the file's.
+/// Listening address for operators; takes precedence over the file.
 const OPERATORS: &str = "NODE_OPS";
-/// The descriptor of the clients' listening socket, where the platform holds it.
+/// Descriptor of the client listening socket, if the platform has opened it.
 const ACCEPT_DESCRIPTOR: &str = "NODE_ACCEPT_FD";
-/// The folder of the socket over which two processes of a gateway hand over.
+/// Folder of the hand-over socket.
 const FOLDER: &str = "TMPDIR";
 
-/// Descriptors up to this one are the standard streams.
+/// Highest descriptor of the standard streams.
 const LAST_STANDARD_DESCRIPTOR: RawFd = 2;
 
-/// The path of the configuration file.
+/// Returns the path of the configuration file.
 pub(super) fn config_path() -> Result<PathBuf, ConfigError> {
     env::var(CONFIG_PATH).map(PathBuf::from).map_err(|_| ConfigError::MissingVariable(CONFIG_PATH))
 }
 
-/// The path of the cluster's file, where the gateway is in a cluster.
+/// Returns the path of the cluster file, if the gateway belongs to a cluster.
 pub(super) fn cluster_path() -> Option<PathBuf> {
     env::var_os(CLUSTER_PATH).map(PathBuf::from)
 }
 
-/// The gateway's name; empty where it has none.
+/// Returns the name of the gateway, which is empty if none is set.
 pub(super) fn name() -> String {
     env::var(NAME).unwrap_or_default()
 }
 
-/// Where clients connect.
+/// Returns the listening address for clients, if set.
 pub(super) fn listen() -> Result<Option<SocketAddr>, ConfigError> {
     address(LISTEN)
 }
 
-/// Where discovery listens.
+/// Returns the address of discovery, if set.
 pub(super) fn discovery() -> Result<Option<SocketAddr>, ConfigError> {
     address(DISCOVERY)
 }
 
-/// Where operators connect.
+/// Returns the listening address for operators, if set.
 pub(super) fn operators() -> Result<Option<SocketAddr>, ConfigError> {
     address(OPERATORS)
 }
 
-/// The descriptor of the inherited listening socket.
+/// Returns the descriptor of the inherited listening socket, if set.
 pub(super) fn accept_descriptor() -> Result<Option<RawFd>, ConfigError> {
     let Ok(text) = env::var(ACCEPT_DESCRIPTOR) else { return Ok(None) };
     match text.parse() {
@@ -65,7 +65,7 @@
     }
 }
 
-/// The folder of the hand-over socket.
+/// Returns the folder of the hand-over socket, if set.
 pub(super) fn handover_folder() -> Option<PathBuf> {
     env::var_os(FOLDER).map(PathBuf::from)
 }
--- a/src/proxy/control_plane/config/error.rs
+++ b/src/proxy/control_plane/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration can't be used. Each error is one plain line that names the place.
+//! Errors of the configuration. Each is displayed as one line that names the faulty value or place.
 
 use crate::decision::SettingsError;
 use crate::proxy::admin::known_names::UnknownName;
@@ -8,57 +8,57 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// A configuration that a gateway can't start with.
+/// Error in the configuration that keeps a gateway from starting.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// A variable of the environment that has to be set.
+    /// A required environment variable is not set.
     #[error("{0} is not set")]
     MissingVariable(&'static str),
-    /// A file that can't be read.
+    /// A file can't be read.
     #[error("{path}: {error}")]
     Unreadable {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// A file whose text makes no sense.
+    /// A file has invalid contents.
     #[error("{path}: {error}")]
     InFile {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// What is wrong in it.
+        /// Error in the file.
         error: Box<ConfigError>,
     },
-    /// A text that is not JSON in the configuration's form; the error has line and column.
+    /// The text is not JSON in the form of the configuration file; the error has line and column.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A text that is not TOML in the form of the cluster's file.
+    /// The text is not TOML in the form of the cluster file.
     #[error("line {line}: {problem}")]
     Toml {
-        /// Where it stopped to make sense, from 1.
+        /// Line of the error, counted from 1.
         line: usize,
-        /// Why.
+        /// Description by the parser.
         problem: String,
     },
-    /// A value of another kind than its key has, or none.
+    /// A value is invalid or missing.
     #[error("{key}: expected {expected}, found {found}")]
     WrongValue {
-        /// The key, or the variable of the environment.
+        /// The key, or the environment variable.
         key: &'static str,
-        /// What it takes.
+        /// Description of a valid value.
         expected: String,
-        /// What it has.
+        /// The value found.
         found: String,
     },
-    /// A name that a key refers to and that the configuration does not define.
+    /// A key refers to a name that the configuration does not define.
     #[error("{key}: there is no {kind} '{name}'")]
     UnknownName {
-        /// The key.
+        /// Key with the reference.
         key: &'static str,
-        /// A class, or a seat.
+        /// Kind of the name: class or seat.
         kind: &'static str,
-        /// The name.
+        /// The undefined name.
         name: String,
     },
     /// The seats of the cluster are not the gateways of the site.
@@ -66,32 +66,32 @@
         "seats: expected the names of all {gateways} gateways by their numbers, this one's as number {own_number}"
     )]
     WrongSeats {
-        /// How many gateways there are.
+        /// Number of gateways of the site.
         gateways: u32,
-        /// This gateway's number.
+        /// Number of this gateway.
         own_number: u32,
     },
-    /// A value of the site's settings that can't be read.
+    /// A value of the site's settings can't be read.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// Settings of the site that contradict each other.
+    /// The settings of the site contradict each other.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// Settings of the cluster that contradict each other.
+    /// The settings of the cluster contradict each other.
     #[error("{0}")]
     ClusterSettings(SettingsError),
-    /// Routing rules that name what the site does not have.
+    /// The routing rules use a name that the site does not define.
     #[error(transparent)]
     RoutingRules(#[from] UnknownName),
 }
 
 impl ConfigError {
-    /// The same error, of a file with this path.
+    /// Adds the path of the file to the error.
     pub(super) fn in_file(self, path: &Path) -> ConfigError {
         ConfigError::InFile { path: path.display().to_string(), error: Box::new(self) }
     }
 
-    /// A value between quotes where another is expected.
+    /// Creates an error for a wrong value, which is displayed in quotes.
     pub(super) fn wrong_text(key: &'static str, expected: &str, found: impl Display) -> ConfigError {
         ConfigError::WrongValue { key, expected: expected.to_string(), found: format!("'{found}'") }
     }
--- a/src/proxy/control_plane/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -1,7 +1,7 @@
-//! Every key of the gateway's configuration and of the fleet's file, and the errors for wrong values.
+//! Every key of the configuration file and of the cluster file, and the errors for invalid values.
 //!
-//! The files are in `tests/fixtures/control`. They name values by their keys in the file, so that they hold
-//! whatever the fields are called.
+//! The expected results are in `tests/fixtures/control`. They name each value by its key in the file, so that they do
+//! not depend on the names of the fields.
 
 use super::{ClusterConfig, Config, SocketLimits};
 use crate::cluster::rollout::RuleConfig;
@@ -10,66 +10,66 @@
 use std::fmt::{Debug, Write};
 
 const GATEWAY: &str = include_str!("../../../../tests/fixtures/control/gateway.json");
-const GATEWAY_FEWEST: &str = include_str!("../../../../tests/fixtures/control/gateway_fewest.json");
-const FLEET: &str = include_str!("../../../../tests/fixtures/control/fleet.toml");
-const FLEET_FEWEST: &str = include_str!("../../../../tests/fixtures/control/fleet_fewest.toml");
+const MINIMAL_GATEWAY: &str = include_str!("../../../../tests/fixtures/control/gateway_fewest.json");
+const CLUSTER: &str = include_str!("../../../../tests/fixtures/control/fleet.toml");
+const MINIMAL_CLUSTER: &str = include_str!("../../../../tests/fixtures/control/fleet_fewest.toml");
 
-/// Lines of `key = value`.
+/// List of the values that were read, as lines of `key = value`.
 #[derive(Default)]
-struct Listing(String);
+struct ValueList(String);
 
-impl Listing {
-    fn put(&mut self, key: &str, value: impl Debug) {
-        writeln!(self.0, "{key} = {value:?}").expect("a text grows");
+impl ValueList {
+    fn add(&mut self, key: &str, value: impl Debug) {
+        writeln!(self.0, "{key} = {value:?}").expect("write to string");
     }
 }
 
-fn effect(effect: Idempotency) -> &'static str {
-    match effect {
+fn effect(idempotency: Idempotency) -> &'static str {
+    match idempotency {
         Idempotency::Idempotent => "pure",
         Idempotency::WithKey => "token",
         Idempotency::NotIdempotent => "side_effect",
     }
 }
 
-fn key_scope(group: DeduplicationScope) -> &'static str {
-    match group {
+fn key_scope(scope: DeduplicationScope) -> &'static str {
+    match scope {
         DeduplicationScope::All => "all",
         DeduplicationScope::Zone => "zone",
         DeduplicationScope::Cell => "cell",
     }
 }
 
-fn put_class(out: &mut Listing, at: usize, name: &str, class: &Class) {
-    let key = |key: &str| format!("settings.classes.{at}.{key}");
-    out.put(&key("name"), name);
-    out.put(&key("effect"), effect(class.idempotency));
-    out.put(&key("deadline"), class.deadline.0);
-    out.put(&key("on_time"), class.latency_objective.0);
-    out.put(&key("credit"), class.priority_weight);
-    out.put(&key("late_share"), class.late_weight_fraction);
-    out.put(&key("key_scope"), key_scope(class.deduplication_scope));
-    out.put(&key("window"), class.deduplication_window.0);
-    out.put(&key("streaming"), class.streaming);
+fn add_class(out: &mut ValueList, index: usize, name: &str, class: &Class) {
+    let key = |key: &str| format!("settings.classes.{index}.{key}");
+    out.add(&key("name"), name);
+    out.add(&key("effect"), effect(class.idempotency));
+    out.add(&key("deadline"), class.deadline.0);
+    out.add(&key("on_time"), class.latency_objective.0);
+    out.add(&key("credit"), class.priority_weight);
+    out.add(&key("late_share"), class.late_weight_fraction);
+    out.add(&key("key_scope"), key_scope(class.deduplication_scope));
+    out.add(&key("window"), class.deduplication_window.0);
+    out.add(&key("streaming"), class.streaming);
 }
 
-fn put_plan(out: &mut Listing, at: usize, name: &str, plan: &Plan) {
-    let key = |key: &str| format!("settings.plans.{at}.{key}");
-    out.put(&key("name"), name);
-    out.put(&key("per_second"), plan.rate);
-    out.put(&key("peak_units"), plan.burst);
-    out.put(&key("open"), plan.concurrency_quota);
-    out.put(&key("price"), plan.weight_factor);
-    out.put(&key("extra_worth"), plan.overage_weight_fraction);
-    out.put(&key("excess_cost"), plan.overage_cost_fraction);
-    out.put(&key("ceiling_rate"), plan.ceiling_rate);
-    out.put(&key("cap_depth"), plan.ceiling_burst);
-    out.put(&key("tolerance"), plan.ceiling_overdraft);
+fn add_plan(out: &mut ValueList, index: usize, name: &str, plan: &Plan) {
+    let key = |key: &str| format!("settings.plans.{index}.{key}");
+    out.add(&key("name"), name);
+    out.add(&key("per_second"), plan.rate);
+    out.add(&key("peak_units"), plan.burst);
+    out.add(&key("open"), plan.concurrency_quota);
+    out.add(&key("price"), plan.weight_factor);
+    out.add(&key("extra_worth"), plan.overage_weight_fraction);
+    out.add(&key("excess_cost"), plan.overage_cost_fraction);
+    out.add(&key("ceiling_rate"), plan.ceiling_rate);
+    out.add(&key("cap_depth"), plan.ceiling_burst);
+    out.add(&key("tolerance"), plan.ceiling_overdraft);
 }
 
-fn name_of(names: &std::collections::HashMap<String, usize>, at: usize) -> &str {
-    let found = names.iter().find(|(_, place)| **place == at);
-    found.map(|(name, _)| name.as_str()).expect("a name for each")
+fn name_by_number(names: &std::collections::HashMap<String, usize>, number: usize) -> &str {
+    let entry = names.iter().find(|(_, other)| **other == number);
+    entry.map(|(name, _)| name.as_str()).expect("name for each number")
 }
 
 fn phase(status: EndpointStatus) -> &'static str {
@@ -80,138 +80,142 @@
     }
 }
 
-fn put_known(out: &mut Listing, config: &Config) {
-    out.put("known.revision", config.known_endpoints.revision);
-    out.put("known.complete", config.known_endpoints.complete);
-    for (at, member) in config.known_endpoints.endpoints.iter().enumerate() {
-        let key = |key: &str| format!("known.members.{at}.{key}");
-        out.put(&key("id"), &member.name);
-        out.put(&key("host_port"), member.address);
-        out.put(&key("locality"), &member.zone);
-        out.put(&key("flavor"), &member.release_label);
-        out.put(&key("cell"), member.cell);
-        out.put(&key("phase"), phase(member.status));
-        out.put(&key("size"), member.weight);
-        out.put(&key("up_since_ms"), member.started_at_unix_ms);
+fn add_known_endpoints(out: &mut ValueList, config: &Config) {
+    out.add("known.revision", config.known_endpoints.revision);
+    out.add("known.complete", config.known_endpoints.complete);
+    for (index, endpoint) in config.known_endpoints.endpoints.iter().enumerate() {
+        let key = |key: &str| format!("known.members.{index}.{key}");
+        out.add(&key("id"), &endpoint.name);
+        out.add(&key("host_port"), endpoint.address);
+        out.add(&key("locality"), &endpoint.zone);
+        out.add(&key("flavor"), &endpoint.release_label);
+        out.add(&key("cell"), endpoint.cell);
+        out.add(&key("phase"), phase(endpoint.status));
+        out.add(&key("size"), endpoint.weight);
+        out.add(&key("up_since_ms"), endpoint.started_at_unix_ms);
     }
-    out.put("known revision in use", config.known_revision());
+    out.add("known revision in use", config.known_revision());
 }
 
-fn read_gateway(text: &str) -> String {
-    let mut config = Config::parse(text, None, None).expect("a configuration");
-    let mut out = Listing::default();
-    out.put("listen", config.listen);
-    out.put("discovery", config.discovery);
-    out.put("counter", config.counter);
-    out.put("ops", config.operators);
-    out.put("seed", format!("{:x}", config.seed));
-    out.put("limits.sockets, for clients", config.sockets.clients);
-    out.put("limits.sockets, for backends", config.sockets.backends);
-    out.put("limits.sockets, for the counter", config.sockets.counter);
-    out.put("limits.memory_mb", config.memory_mb);
-    put_known(&mut out, &config);
+fn list_gateway_values(text: &str) -> String {
+    let mut config = Config::parse(text, None, None).expect("valid configuration");
+    let mut out = ValueList::default();
+    out.add("listen", config.listen);
+    out.add("discovery", config.discovery);
+    out.add("counter", config.counter);
+    out.add("ops", config.operators);
+    out.add("seed", format!("{:x}", config.seed));
+    out.add("limits.sockets, for clients", config.sockets.clients);
+    out.add("limits.sockets, for backends", config.sockets.backends);
+    out.add("limits.sockets, for the counter", config.sockets.counter);
+    out.add("limits.memory_mb", config.memory_mb);
+    add_known_endpoints(&mut out, &config);
     let settings = config.site.settings.clone();
-    out.put("settings.balancers", settings.gateways);
-    out.put("settings.my_number", settings.gateway_number);
-    out.put("settings.zone", settings.zone.0);
+    out.add("settings.balancers", settings.gateways);
+    out.add("settings.my_number", settings.gateway_number);
+    out.add("settings.zone", settings.zone.0);
     for zone in ["north", "south", "west", ""] {
-        out.put(&format!("settings.zones, number of '{zone}'"), config.site.zone(zone).0);
+        out.add(&format!("settings.zones, number of '{zone}'"), config.site.zone(zone).0);
     }
-    out.put("settings.tick", settings.tick.0);
-    out.put("settings.membership_mode is subscribe", settings.must_subscribe);
-    out.put("settings.bounds.max_attempts", settings.max_attempts);
-    out.put("settings.bounds.second_copies", settings.hedging);
-    out.put("settings.bounds.may_cancel", settings.may_cancel);
-    out.put("settings.bounds.probing", settings.health_checks);
-    out.put("settings.bounds.retry_after", settings.retry_after);
-    out.put("settings.bounds.max_retry_after", settings.max_retry_after.0);
-    out.put("settings.bounds.dial_timeout", settings.connect_timeout.0);
-    out.put("settings.bounds.conn_idle", config.backend_idle_timeout.as_micros());
-    out.put("settings.specifics.counter", settings.counter_enabled);
-    out.put("settings.specifics.count_limit", settings.counter_timeout.0);
-    out.put("settings.specifics.units_top", settings.max_request_units);
-    out.put("settings.rules.answer_slack", settings.answer_slack.0);
-    out.put("settings.rules.cold_from", settings.slow_start_min_capacity);
-    out.put("settings.rules.cold", settings.slow_start_window.0);
-    out.put("settings.rules.fall_multiple", settings.overload_multiple);
-    out.put("settings.rules.tip_after", settings.overload_after.0);
-    for (at, class) in settings.classes.iter().enumerate() {
-        put_class(&mut out, at, name_of(&config.site.classes, at), class);
+    out.add("settings.tick", settings.tick.0);
+    out.add("settings.membership_mode is subscribe", settings.must_subscribe);
+    out.add("settings.bounds.max_attempts", settings.max_attempts);
+    out.add("settings.bounds.second_copies", settings.hedging);
+    out.add("settings.bounds.may_cancel", settings.may_cancel);
+    out.add("settings.bounds.probing", settings.health_checks);
+    out.add("settings.bounds.retry_after", settings.retry_after);
+    out.add("settings.bounds.max_retry_after", settings.max_retry_after.0);
+    out.add("settings.bounds.dial_timeout", settings.connect_timeout.0);
+    out.add("settings.bounds.conn_idle", config.backend_idle_timeout.as_micros());
+    out.add("settings.specifics.counter", settings.counter_enabled);
+    out.add("settings.specifics.count_limit", settings.counter_timeout.0);
+    out.add("settings.specifics.units_top", settings.max_request_units);
+    out.add("settings.rules.answer_slack", settings.answer_slack.0);
+    out.add("settings.rules.cold_from", settings.slow_start_min_capacity);
+    out.add("settings.rules.cold", settings.slow_start_window.0);
+    out.add("settings.rules.fall_multiple", settings.overload_multiple);
+    out.add("settings.rules.tip_after", settings.overload_after.0);
+    for (index, class) in settings.classes.iter().enumerate() {
+        add_class(&mut out, index, name_by_number(&config.site.classes, index), class);
     }
-    for (at, plan) in settings.plans.iter().enumerate() {
-        put_plan(&mut out, at, name_of(&config.site.plans, at), plan);
+    for (index, plan) in settings.plans.iter().enumerate() {
+        add_plan(&mut out, index, name_by_number(&config.site.plans, index), plan);
     }
     out.0
 }
 
-fn put_rule(out: &mut Listing, at: usize, rule: &RuleConfig) {
-    let key = |key: &str| format!("rollout.rule.{at}.{key}");
-    out.put(&key("class"), &rule.class);
-    out.put(&key("plan"), &rule.plan);
-    out.put(&key("zone"), &rule.zone);
-    out.put(&key("zones"), &rule.zone_weights);
-    out.put(&key("labels"), &rule.label_weights);
-    out.put(&key("attempts"), rule.max_attempts);
-    out.put(&key("give_up"), rule.give_up_percent);
-    out.put(&key("cold"), rule.slow_start_percent);
+fn add_rule(out: &mut ValueList, index: usize, rule: &RuleConfig) {
+    let key = |key: &str| format!("rollout.rule.{index}.{key}");
+    out.add(&key("class"), &rule.class);
+    out.add(&key("plan"), &rule.plan);
+    out.add(&key("zone"), &rule.zone);
+    out.add(&key("zones"), &rule.zone_weights);
+    out.add(&key("labels"), &rule.label_weights);
+    out.add(&key("attempts"), rule.max_attempts);
+    out.add(&key("give_up"), rule.give_up_percent);
+    out.add(&key("cold"), rule.slow_start_percent);
 }
 
-fn read_fleet(text: &str) -> String {
-    let config = ClusterConfig::parse(text, "named-by-the-environment").expect("a fleet's file");
-    let mut out = Listing::default();
+fn list_cluster_values(text: &str) -> String {
+    let config = ClusterConfig::parse(text, "named-by-the-environment").expect("valid cluster file");
+    let mut out = ValueList::default();
     let settings = &config.settings;
-    out.put("fleet", &settings.cluster);
-    out.put("listen", config.listen);
-    out.put("advertise", settings.metadata.advertise);
-    out.put("name", &settings.name);
-    out.put("zone", &settings.metadata.zone);
-    out.put("capabilities", settings.metadata.capabilities);
-    out.put("period_ms", settings.probe_period.as_micros() as f64 / 1000.0);
-    out.put("seats", &settings.seats);
-    out.put("lend", config.lendable_part);
-    out.put("peers", &settings.peers);
+    out.add("fleet", &settings.cluster);
+    out.add("listen", config.listen);
+    out.add("advertise", settings.metadata.advertise);
+    out.add("name", &settings.name);
+    out.add("zone", &settings.metadata.zone);
+    out.add("capabilities", settings.metadata.capabilities);
+    out.add("period_ms", settings.probe_period.as_micros() as f64 / 1000.0);
+    out.add("seats", &settings.seats);
+    out.add("lend", config.lendable_part);
+    out.add("peers", &settings.peers);
     let ledger = settings.ledger.as_ref();
-    out.put("ledger.holders", ledger.map(|l| l.replicas));
-    out.put("ledger.lease_ms", ledger.map(|l| l.lease.0 as f64 / 1000.0));
-    out.put("ledger.life_ms", ledger.map(|l| l.record_lifetime.0 as f64 / 1000.0));
-    out.put("ledger.wait_ms", config.ledger_timeout.as_micros() as f64 / 1000.0);
-    out.put("ledger.dir", &config.storage_dir);
-    out.put("ledger.finish", &config.finish_classes);
+    out.add("ledger.holders", ledger.map(|ledger| ledger.replicas));
+    out.add("ledger.lease_ms", ledger.map(|ledger| ledger.lease.0 as f64 / 1000.0));
+    out.add("ledger.life_ms", ledger.map(|ledger| ledger.record_lifetime.0 as f64 / 1000.0));
+    out.add("ledger.wait_ms", config.ledger_timeout.as_micros() as f64 / 1000.0);
+    out.add("ledger.dir", &config.storage_dir);
+    out.add("ledger.finish", &config.finish_classes);
     let branch = settings.branch.as_ref();
-    out.put("branch.seats", branch.map(|b| b.seats.clone()));
-    out.put("branch.classes", &config.write_queue_classes);
-    out.put("branch.writes", branch.map(|b| b.max_pending));
-    out.put("branch.of_one", branch.map(|b| b.max_pending_per_customer));
-    out.put("branch.longest_s", branch.map(|b| b.max_age.0 as f64 / 1e6));
-    out.put("branch.cut_after_ms", branch.map(|b| b.uplink_timeout.0 as f64 / 1000.0));
-    out.put("branch.out", branch.map(|b| b.max_in_flight));
-    out.put("branch.per_s", branch.map(|b| b.max_sends_per_second));
-    out.put("branch.on_failure, classes that stop", &config.write_queue_stop_classes);
-    out.put("rollout.rule", settings.rules.as_ref().map(|rules| rules.0.len()));
-    for (at, rule) in settings.rules.iter().flat_map(|rules| &rules.0).enumerate() {
-        put_rule(&mut out, at, rule);
+    out.add("branch.seats", branch.map(|branch| branch.seats.clone()));
+    out.add("branch.classes", &config.write_queue_classes);
+    out.add("branch.writes", branch.map(|branch| branch.max_pending));
+    out.add("branch.of_one", branch.map(|branch| branch.max_pending_per_customer));
+    out.add("branch.longest_s", branch.map(|branch| branch.max_age.0 as f64 / 1e6));
+    out.add("branch.cut_after_ms", branch.map(|branch| branch.uplink_timeout.0 as f64 / 1000.0));
+    out.add("branch.out", branch.map(|branch| branch.max_in_flight));
+    out.add("branch.per_s", branch.map(|branch| branch.max_sends_per_second));
+    out.add("branch.on_failure, classes that stop", &config.write_queue_stop_classes);
+    out.add("rollout.rule", settings.rules.as_ref().map(|rules| rules.0.len()));
+    for (index, rule) in settings.rules.iter().flat_map(|rules| &rules.0).enumerate() {
+        add_rule(&mut out, index, rule);
     }
     out.0
 }
 
-/// Each text with one part of it replaced, and what becomes of it.
-fn errors(text: &str, replacements: &[(&str, &str)], read: impl Fn(&str) -> Result<(), String>) -> String {
+/// Makes each replacement on its own and lists the result of parsing the text: accepted, or the one-line error.
+fn list_errors(
+    text: &str,
+    replacements: &[(&str, &str)],
+    parse: impl Fn(&str) -> Result<(), String>,
+) -> String {
     let mut out = String::new();
     for (part, wrong) in replacements {
         assert_eq!(text.matches(part).count(), 1, "{part}");
-        let became = match read(&text.replacen(part, wrong, 1)) {
+        let result = match parse(&text.replacen(part, wrong, 1)) {
             Ok(()) => "accepted".to_string(),
             Err(error) => error,
         };
-        assert_eq!(became.lines().count(), 1, "{became}");
+        assert_eq!(result.lines().count(), 1, "{result}");
         let (part, wrong) = (part.replace('\n', "\\n"), wrong.replace('\n', "\\n"));
-        writeln!(out, "{part}  ->  {wrong}\n    {became}").expect("a text grows");
+        writeln!(out, "{part}  ->  {wrong}\n    {result}").expect("write to string");
     }
     out
 }
 
-/// A part of the gateway's configuration, and what stands there in its place.
-const GATEWAY_WRONG: &[(&str, &str)] = &[
+/// Parts of the configuration file, each with a replacement that is invalid or, in a few cases, accepted.
+const INVALID_GATEWAY_VALUES: &[(&str, &str)] = &[
     ("\"listen\": \"127.0.0.1:7001\"", "\"listen\": \"here\""),
     ("\"listen\": \"127.0.0.1:7001\",", ""),
     ("\"discovery\": \"127.0.0.2:7002\"", "\"discovery\": 7002"),
@@ -280,8 +284,8 @@
     ("\"tick\": 4100,", "\"tick\": 4100"),
 ];
 
-/// A part of the fleet's file, and what stands there in its place.
-const FLEET_WRONG: &[(&str, &str)] = &[
+/// Parts of the cluster file, each with a replacement that is invalid or, in a few cases, accepted.
+const INVALID_CLUSTER_VALUES: &[(&str, &str)] = &[
     ("fleet = \"harbour\"", "fleet = \"the harbour\""),
     ("fleet = \"harbour\"\n", ""),
     ("listen = \"127.0.0.1:7100\"", "listen = \"127.0.0.1\""),
@@ -333,36 +337,37 @@
 ];
 
 #[test]
-fn every_key_of_the_configuration_is_read() {
-    fixture::assert_same("control/gateway.read.txt", &read_gateway(GATEWAY));
-    fixture::assert_same("control/gateway_fewest.read.txt", &read_gateway(GATEWAY_FEWEST));
+fn all_keys_of_the_configuration_file_are_read() {
+    fixture::assert_same("control/gateway.read.txt", &list_gateway_values(GATEWAY));
+    fixture::assert_same("control/gateway_fewest.read.txt", &list_gateway_values(MINIMAL_GATEWAY));
 }
 
 #[test]
-fn a_wrong_value_of_the_configuration_is_one_plain_line() {
-    let read = |text: &str| Config::parse(text, None, None).map(drop).map_err(|e| e.to_string());
-    fixture::assert_same("control/gateway.errors.txt", &errors(GATEWAY, GATEWAY_WRONG, read));
+fn errors_of_the_configuration_file_are_one_line() {
+    let parse = |text: &str| Config::parse(text, None, None).map(drop).map_err(|error| error.to_string());
+    fixture::assert_same("control/gateway.errors.txt", &list_errors(GATEWAY, INVALID_GATEWAY_VALUES, parse));
 }
 
 #[test]
-fn every_key_of_the_fleets_file_is_read() {
-    fixture::assert_same("control/fleet.read.txt", &read_fleet(FLEET));
-    fixture::assert_same("control/fleet_fewest.read.txt", &read_fleet(FLEET_FEWEST));
+fn all_keys_of_the_cluster_file_are_read() {
+    fixture::assert_same("control/fleet.read.txt", &list_cluster_values(CLUSTER));
+    fixture::assert_same("control/fleet_fewest.read.txt", &list_cluster_values(MINIMAL_CLUSTER));
 }
 
 #[test]
-fn a_wrong_value_of_the_fleets_file_is_one_plain_line() {
-    let read = |text: &str| ClusterConfig::parse(text, "gate-1").map(drop).map_err(|e| e.to_string());
-    fixture::assert_same("control/fleet.errors.txt", &errors(FLEET, FLEET_WRONG, read));
+fn errors_of_the_cluster_file_are_one_line() {
+    let parse =
+        |text: &str| ClusterConfig::parse(text, "gate-1").map(drop).map_err(|error| error.to_string());
+    fixture::assert_same("control/fleet.errors.txt", &list_errors(CLUSTER, INVALID_CLUSTER_VALUES, parse));
 }
 
 #[test]
-fn clients_have_what_the_others_leave_and_the_sum_fits() {
+fn descriptors_are_divided_within_the_limit() {
     for sockets in [24, 256, 384, 1024] {
-        let limits = SocketLimits::of(sockets);
+        let limits = SocketLimits::from_descriptors(sockets);
         let all = limits.clients + limits.backends + limits.counter;
         assert!(all + 11 <= sockets, "{sockets}: {limits:?}");
-        // A third is for clients; as much again may be held by peers that send nothing.
+        // A third is for clients; peers that send nothing may take as much again.
         assert!(sockets < 256 || limits.clients * 8 >= sockets * 5, "{sockets}: {limits:?}");
     }
 }
--- a/src/proxy/control_plane/counter.rs
+++ b/src/proxy/control_plane/counter.rs
@@ -1,4 +1,4 @@
-//! The client of the shared counter: calls over a few connections, each made at most once.
+//! Client of the shared counter. Calls share a few connections, and each is made at most once.
 
 mod reply_order;
 mod wire;
@@ -15,32 +15,32 @@
 use tokio::time::{timeout, Instant};
 use tracing::warn;
 
-/// An idle connection is closed after this; the counter closes it after 10 s or less.
+/// Idle time-out of a connection, shorter than that of the counter, which is at most 10 s.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The longest head of a response.
+/// Limit on the head of a response, in bytes.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// The connections are shared out between two processes of a gateway in parts of this size.
+/// Connections are divided between two processes of a gateway in quarters.
 const QUARTERS: usize = 4;
 
-/// What one call adds.
+/// Increment of the counter by one call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Increment {
-    /// The counter.
+    /// Key of the counter.
     pub key: CounterKey,
-    /// What is added to it; negative to give back.
+    /// Amount added to the counter; negative to return an earlier amount.
     pub amount: f64,
-    /// The counter is forgotten after this time.
+    /// Time after which the counter is discarded.
     pub lifetime: Micros,
 }
 
-/// How one call ended.
+/// Result of one call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CounterReply {
-    /// The outcome.
+    /// Outcome of the call.
     pub outcome: Outcome,
-    /// The total after this call, where it succeeded; else 0.
+    /// Total after this call if it succeeded, otherwise 0.
     pub total: f64,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// The client of the counter.
+/// Client of the counter.
 pub struct CounterClient {
     address: SocketAddr,
     timeout: Duration,
@@ -61,7 +61,7 @@
 }
 
 impl CounterClient {
-    /// Calls go over at most so many connections and are given up after `timeout`.
+    /// Creates a client that uses at most `max_connections` connections and gives up calls after `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration, max_connections: usize) -> CounterClient {
         CounterClient {
             address,
@@ -73,19 +73,19 @@
         }
     }
 
-    /// The same client for a counter at another address, over new connections.
+    /// Returns a client with the same limits for another address, with its own connections.
     pub fn with_address(&self, address: SocketAddr) -> CounterClient {
         CounterClient::new(address, self.timeout, self.max_connections)
     }
 
-    /// Leaves so many quarters of the connections to the other process of this gateway.
+    /// Reserves the given quarters of the connections for the other process of this gateway.
     pub fn reserve_for_other_process(&self, quarters: usize) {
         self.permits.reserve_for_other_process(self.max_connections * quarters / QUARTERS);
         self.idle.borrow_mut().truncate(self.permits.available());
     }
 
-    /// Makes one call. One that is not answered in time closes its connection, so that a late response is not taken
-    /// for a later call's.
+    /// Makes one call. A call that times out closes its connection, so that a late response is not taken for that of
+    /// a later call.
     pub async fn increment(&self, increment: Increment) -> CounterReply {
         let was_written = Cell::new(false);
         match timeout(self.timeout, self.exchange(increment, &was_written)).await {
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Makes the call over an idle connection or a new one. A call that an idle connection did not take is made
-    /// again.
+    /// Makes the call over an idle connection or a new one. If an idle connection fails before the call is sent, the
+    /// call is made again.
     async fn exchange(&self, increment: Increment, was_written: &Cell<bool>) -> CounterReply {
         let _permit = self.permits.acquire().await;
         loop {
@@ -111,15 +111,15 @@
             match connection.call(wire::request(self.address, increment)).await {
                 Ok(response) => match wire::reply(&response) {
                     Ok(reply) => {
-                        self.give_back(connection);
+                        self.return_idle(connection);
                         return reply;
                     }
                     Err(problem) => {
                         if self.protocol_error_log.allows(Instant::now()) {
                             warn!(status = %response.status(), %problem, "call to the counter failed");
                         }
-                        // Guards against taking what is left of a broken response for the next call's: the connection
-                        // is closed.
+                        // The connection is closed, because the rest of a malformed response could be taken for the
+                        // response to the next call.
                         return Outcome::ServerError.into();
                     }
                 },
@@ -142,7 +142,7 @@
         None
     }
 
-    fn give_back(&self, mut connection: Connection) {
+    fn return_idle(&self, mut connection: Connection) {
         if connection.is_usable() {
             connection.idle_since = Instant::now();
             self.idle.borrow_mut().push(connection);
--- a/src/proxy/control_plane/counter/reply_order.rs
+++ b/src/proxy/control_plane/counter/reply_order.rs
@@ -1,21 +1,21 @@
-//! Replies of the counter in the order of their calls, as the decision module expects them for each key, though they
-//! come over several connections.
+//! Orders the replies of the counter. The decision module expects the replies for a key in the order of the calls,
+//! but replies arrive over several connections in any order.
 
 use super::CounterReply;
 use crate::decision::CounterKey;
 use std::collections::{HashMap, VecDeque};
 
-/// Names one call.
+/// Number of a call, unique within the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallNumber(u64);
 
 struct PendingCall {
     number: CallNumber,
-    /// The reply, where it came before that of an earlier call.
+    /// Reply that arrived before that of an earlier call.
     reply: Option<CounterReply>,
 }
 
-/// The calls whose replies were not passed on yet.
+/// Calls whose replies have not been passed on yet.
 #[derive(Default)]
 pub struct ReplyOrder {
     last_number: u64,
@@ -23,7 +23,7 @@
 }
 
 impl ReplyOrder {
-    /// Notes a call and names it.
+    /// Registers a call and returns its number.
     pub fn call_made(&mut self, key: CounterKey) -> CallNumber {
         self.last_number += 1;
         let number = CallNumber(self.last_number);
@@ -31,7 +31,7 @@
         number
     }
 
-    /// Takes a reply; returns those for its key whose turn has come.
+    /// Records a reply. Returns the replies for the key that are next in order.
     pub fn reply_received(
         &mut self,
         key: CounterKey,
--- a/src/proxy/control_plane/counter/wire.rs
+++ b/src/proxy/control_plane/counter/wire.rs
@@ -1,5 +1,5 @@
-//! The shared counter's HTTP form: `POST /v1/count/<key>?add=<amount>&ttl_ms=<lifetime>`, answered with the total as a
-//! decimal number in plain text.
+//! HTTP form of calls to the shared counter: `POST /v1/count/<key>?add=<amount>&ttl_ms=<lifetime>`, answered with the
+//! total as a decimal number in plain text.
 
 use super::{CounterReply, Increment};
 use crate::decision::Outcome;
@@ -12,13 +12,13 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1000;
 
-/// The request of one call.
+/// Builds the request of a call.
 pub(super) fn request(address: SocketAddr, increment: Increment) -> Request<OutboundBody> {
     let Increment { key, amount, lifetime } = increment;
     let ttl_ms = (lifetime.0 / MICROS_PER_MILLI).max(1);
     let mut request = Request::new(OutboundBody::empty());
     *request.method_mut() = Method::POST;
-    // Digits and signs alone: always a valid URI.
+    // The inserted values consist of digits and signs only, so the URI is always valid.
     if let Ok(uri) = format!("/v1/count/{}?add={amount}&ttl_ms={ttl_ms}", key.0).parse() {
         *request.uri_mut() = uri;
     }
@@ -28,23 +28,23 @@
     request
 }
 
-/// A response that the counter's protocol does not know.
+/// Response that the counter's protocol does not define.
 #[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ProtocolError {
-    /// A success without a total.
-    #[error("the counter answered 200 without a number")]
+    /// A successful response without a total.
+    #[error("response 200 without a valid total")]
     NotANumber,
-    /// A status that the protocol has no meaning for.
-    #[error("the counter answered with an unexpected status")]
+    /// A status that the protocol does not define.
+    #[error("unexpected response status")]
     UnexpectedStatus,
 }
 
-/// What a response says of its call.
+/// Interprets the response to a call.
 pub(super) fn reply(response: &Response<Bytes>) -> Result<CounterReply, ProtocolError> {
     match response.status() {
         StatusCode::OK => total(response.body()),
         StatusCode::SERVICE_UNAVAILABLE => Ok(Outcome::Rejected.into()),
-        // No such call: nothing was added.
+        // The counter did not accept the request, so nothing was added.
         StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND => Ok(Outcome::NotSent.into()),
         _ => Err(ProtocolError::UnexpectedStatus),
     }
--- a/src/proxy/control_plane/discovery/call.rs
+++ b/src/proxy/control_plane/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One call to discovery: the complete endpoint list, or the changes since a revision.
+//! A single call to discovery, which returns the complete endpoint list or the changes since a revision.
 
 use super::endpoint_list::{EndpointList, MAX_LIST_BYTES};
 use crate::proxy::downstream::request_body::OutboundBody;
@@ -15,73 +15,73 @@
 use thiserror::Error;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// The buffer of a connection to discovery, in bytes: as long as the head of a response may be.
+/// Size of the read buffer of a connection to discovery, in bytes; also the limit on the head of a response.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// The longest pause between two pieces of a list.
+/// Time-out between two chunks of a list.
 const MAX_PAUSE: Duration = Duration::from_secs(3);
-/// The lowest rate of a list over all of it, in bytes a second: a tenth of the slowest discovery known of. Guards
-/// against a peer that sends a byte now and then and so holds a call for ever.
+/// Minimum average rate of a list, in bytes per second: a tenth of the rate of the slowest known discovery. Without
+/// this limit a peer that sends a byte now and then could keep a call open for ever.
 const MIN_BYTES_PER_SECOND: u32 = 2_000;
 
-/// Why a call brought no list.
+/// Error of a call that returned no list.
 #[derive(Debug, Error)]
 pub enum CallFailure {
-    /// No connection came up.
+    /// The connection could not be opened.
     #[error("no connection: {0}")]
     Unreachable(io::Error),
-    /// No connection, or nothing of a response, in time.
-    #[error("no answer within {0:?}")]
+    /// The connection was not opened, or the response did not start, in time.
+    #[error("no response within {0:?}")]
     Silent(Duration),
-    /// The response stopped coming, or came too slowly.
-    #[error("the list stopped coming after {received} bytes")]
+    /// The response stalled, or arrived too slowly.
+    #[error("the endpoint list stalled after {received} bytes")]
     Stalled {
-        /// Bytes of the list that had come.
+        /// Bytes of the list received so far.
         received: usize,
     },
-    /// The connection ended before the response did.
-    #[error("the connection broke after {received} bytes of the list")]
+    /// The connection failed before the end of the response.
+    #[error("the connection failed after {received} bytes of the endpoint list")]
     Broken {
-        /// Bytes of the list that had come.
+        /// Bytes of the list received so far.
         received: usize,
     },
-    /// The list is longer than one may be.
-    #[error("the list is longer than {limit} bytes")]
+    /// The list exceeds the limit.
+    #[error("the endpoint list is longer than {limit} bytes")]
     TooLong {
-        /// The limit in bytes.
+        /// Limit in bytes.
         limit: usize,
     },
-    /// Another status than 200.
-    #[error("answered with {0}")]
+    /// The status of the response is not 200.
+    #[error("unexpected response status {0}")]
     Status(StatusCode),
-    /// Not a list in discovery's form; the error has line and column.
-    #[error("not a list of members: {0}")]
+    /// The response is not an endpoint list; the error has line and column.
+    #[error("invalid endpoint list: {0}")]
     Malformed(serde_json::Error),
 }
 
-/// The kinds of failures, as `/stats` counts them.
+/// Kind of failure, as counted in `/stats`. The names of the variants are part of its keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, IntoStaticStr, VariantArray)]
 #[strum(serialize_all = "snake_case")]
 pub enum FailureKind {
-    /// No connection came up.
+    /// The connection could not be opened.
     Unreachable,
-    /// Nothing of a response in time.
+    /// The response did not start in time.
     Silent,
-    /// The response stopped coming.
+    /// The response stalled, or arrived too slowly.
     Stalled,
-    /// The connection ended before the response did.
+    /// The connection failed before the end of the response.
     Broken,
-    /// Longer than a list may be.
+    /// The list exceeds the limit on its length.
     TooLong,
-    /// Another status than 200.
+    /// The status of the response is not 200.
     Status,
-    /// Not a list.
+    /// The response is not an endpoint list.
     Malformed,
-    /// A list that does not follow the one that is held.
+    /// The list is older than the current one, or contains changes to an unknown list.
     OutOfOrder,
 }
 
 impl CallFailure {
-    /// What the failure counts as.
+    /// Returns the kind under which the failure is counted.
     pub fn kind(&self) -> FailureKind {
         match self {
             CallFailure::Unreachable(_) => FailureKind::Unreachable,
@@ -95,24 +95,24 @@
     }
 }
 
-/// A list, and the connection that it came over.
+/// Endpoint list, and the connection over which it was received.
 pub struct ListResponse {
-    /// The list.
+    /// The endpoint list.
     pub list: EndpointList,
-    /// Its length in bytes.
+    /// Length of the response body in bytes.
     pub length: usize,
-    /// Can carry the next call.
+    /// Connection that can be reused by the next call.
     pub connection: Connection,
 }
 
-/// One call.
+/// Parameters of one call to discovery.
 #[derive(Clone, Copy)]
 pub struct Call {
-    /// Where discovery listens.
+    /// Address of discovery.
     pub address: SocketAddr,
-    /// Asks for the changes since this revision; for the complete list without one.
+    /// Revision since which changes are requested; `None` requests the complete list.
     pub since: Option<u64>,
-    /// How long discovery may hold the call while there is no change.
+    /// How long discovery may hold the call while the list does not change.
     pub hold: Duration,
 }
 
@@ -121,7 +121,7 @@
         let path = match self.since {
             None => "/catalog/members".to_string(),
             Some(revision) => {
-                // The protocol knows no hold of 0.
+                // The protocol does not allow a hold of 0.
                 let hold_ms = self.hold.as_millis().max(1);
                 format!("/catalog/members?from={revision}&hold_ms={hold_ms}")
             }
@@ -133,26 +133,26 @@
         Some(request)
     }
 
-    /// Makes the call, over an idle connection if there is one. Its response has to begin within `patience` after the
-    /// hold; from then on it is waited for as long as it makes progress.
+    /// Makes the call, over the idle connection if one is given. The response must start within `response_timeout`
+    /// after the hold; once started, it may take as long as it makes progress.
     ///
     /// # Errors
-    /// Where no list came, and at which point the call failed.
+    /// Returns an error that says at which step the call failed if no list was received.
     pub async fn make(
         self,
         idle: Option<Connection>,
-        patience: Duration,
+        response_timeout: Duration,
         progress: Rc<Progress>,
     ) -> Result<ListResponse, CallFailure> {
-        let limit = self.hold + patience;
-        let begun = timeout(limit, self.begin(idle)).await;
-        let (mut connection, body) = begun.unwrap_or(Err(CallFailure::Silent(limit)))?;
+        let limit = self.hold + response_timeout;
+        let started = timeout(limit, self.begin(idle)).await;
+        let (mut connection, body) = started.unwrap_or(Err(CallFailure::Silent(limit)))?;
         let text = read_body(&mut connection, body, &progress).await?;
         let list = serde_json::from_slice(&text).map_err(CallFailure::Malformed)?;
         Ok(ListResponse { list, length: text.len(), connection })
     }
 
-    /// Writes the call and reads the head of its response.
+    /// Sends the request and reads the head of the response.
     async fn begin(self, idle: Option<Connection>) -> Result<(Connection, Incoming), CallFailure> {
         let mut connection = match idle {
             Some(connection) => connection,
@@ -171,45 +171,45 @@
     }
 }
 
-/// When any of the calls in flight last brought a piece of a list.
+/// Time at which any call in flight last received a chunk of a list.
 #[derive(Debug, Default)]
 pub struct Progress {
     last: Cell<Option<Instant>>,
 }
 
 impl Progress {
-    /// When a piece last came; `None` before the first.
+    /// Returns when a chunk was last received, or `None` before the first.
     pub fn last(&self) -> Option<Instant> {
         self.last.get()
     }
-    /// As if nothing had come.
-    pub fn forget(&self) {
+    /// Clears the time, as if no chunk had been received.
+    pub fn reset(&self) {
         self.last.set(None);
     }
 }
 
-/// Reads a response's body to its end, for as long as it makes progress.
+/// Reads the body of a response to its end, as long as it makes progress.
 async fn read_body(
     connection: &mut Connection,
     mut body: Incoming,
     progress: &Progress,
 ) -> Result<Vec<u8>, CallFailure> {
     let mut text = Vec::new();
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         let received = text.len();
-        let slowest = begun + MAX_PAUSE + Duration::from_secs(received as u64) / MIN_BYTES_PER_SECOND;
-        let due = slowest.min(Instant::now() + MAX_PAUSE);
-        let frame = timeout_at(due, connection.drive(body.frame())).await;
+        let rate_deadline = started + MAX_PAUSE + Duration::from_secs(received as u64) / MIN_BYTES_PER_SECOND;
+        let chunk_deadline = rate_deadline.min(Instant::now() + MAX_PAUSE);
+        let frame = timeout_at(chunk_deadline, connection.drive(body.frame())).await;
         let frame = frame.map_err(|_| CallFailure::Stalled { received })?;
         let Some(frame) = frame.ok_or(CallFailure::Broken { received })? else { return Ok(text) };
         let frame = frame.map_err(|_| CallFailure::Broken { received })?;
-        // Trailers carry nothing of the list.
-        let piece = frame.into_data().unwrap_or_default();
-        if received + piece.len() > MAX_LIST_BYTES {
+        // Trailers contain no part of the list.
+        let chunk = frame.into_data().unwrap_or_default();
+        if received + chunk.len() > MAX_LIST_BYTES {
             return Err(CallFailure::TooLong { limit: MAX_LIST_BYTES });
         }
-        text.extend_from_slice(&piece);
+        text.extend_from_slice(&chunk);
         progress.last.set(Some(Instant::now()));
     }
 }
--- a/src/proxy/control_plane/discovery/calls_in_flight.rs
+++ b/src/proxy/control_plane/discovery/calls_in_flight.rs
@@ -1,4 +1,4 @@
-//! The calls that are in flight together while discovery is silent, and how long each is waited for.
+//! Set of concurrent calls to discovery, and their time-outs. Hedged calls are made while discovery does not respond.
 
 use super::call::{Call, CallFailure, ListResponse, Progress};
 use crate::proxy::upstream::connection::Connection;
@@ -8,41 +8,43 @@
 use tokio::time::Instant;
 use tracing::warn;
 
-/// The most calls in flight at once; each takes a descriptor.
+/// Limit on concurrent calls; each takes a descriptor.
 pub(super) const MAX_CALLS: usize = 3;
 
-/// How long one of the calls in flight is waited for beside its hold, however slow or crowded discovery is. The others
-/// are given up sooner, as what they wait for may be a connection that is dead.
-const LONG_PATIENCE: Duration = Duration::from_secs(20);
+/// Response time-out, beyond the hold, of one of the calls in flight, so that a slow or overloaded discovery can
+/// answer. The other calls time out sooner, because their connection may be dead.
+const LONG_RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A call that ended.
+/// Result of a call that ended.
 struct EndedCall {
-    /// It was the one with the long patience.
-    was_patient: bool,
+    /// Whether the call had the long time-out.
+    had_long_timeout: bool,
     result: Result<ListResponse, CallFailure>,
 }
 
-/// The calls in flight. Dropping it ends them and closes their connections.
+/// The calls in flight. Dropping the set aborts them and closes their connections.
 #[derive(Default)]
 pub(super) struct CallsInFlight {
     running: JoinSet<EndedCall>,
-    /// The call with the long patience is among them.
-    has_patient: bool,
+    /// Whether a call in flight has the long time-out.
+    has_long_timeout_call: bool,
     progress: Rc<Progress>,
 }
 
 impl CallsInFlight {
-    /// Makes a call. One of those in flight has the long patience, the others have this one.
-    pub fn start(&mut self, call: Call, idle: Option<Connection>, patience: Duration) {
-        let is_patient = !self.has_patient;
-        self.has_patient = true;
-        let patience = if is_patient { LONG_PATIENCE } else { patience };
-        let making = call.make(idle, patience, self.progress.clone());
-        self.running.spawn_local(async move { EndedCall { was_patient: is_patient, result: making.await } });
+    /// Starts a call with this response time-out, or with [`LONG_RESPONSE_TIMEOUT`] if no call in flight has that.
+    pub fn start(&mut self, call: Call, idle: Option<Connection>, response_timeout: Duration) {
+        let has_long_timeout = !self.has_long_timeout_call;
+        self.has_long_timeout_call = true;
+        let response_timeout = if has_long_timeout { LONG_RESPONSE_TIMEOUT } else { response_timeout };
+        let response = call.make(idle, response_timeout, self.progress.clone());
+        self.running.spawn_local(async move {
+            EndedCall { had_long_timeout: has_long_timeout, result: response.await }
+        });
     }
 
-    /// Whether another call may be made.
-    pub fn have_room(&self) -> bool {
+    /// Whether another call may be started.
+    pub fn has_capacity(&self) -> bool {
         self.running.len() < MAX_CALLS
     }
 
@@ -51,27 +53,27 @@
         self.running.is_empty()
     }
 
-    /// When any of them last brought a piece of a list.
+    /// Returns when any call last received a chunk of a list.
     pub fn last_progress(&self) -> Option<Instant> {
         self.progress.last()
     }
 
-    /// The next call that ends; `None` where none is in flight.
+    /// Waits for the next call to end and returns its result, or `None` if no call is in flight.
     pub async fn next(&mut self) -> Option<Result<ListResponse, CallFailure>> {
         match self.running.join_next().await? {
             Ok(ended) => {
-                if ended.was_patient {
-                    self.has_patient = false;
+                if ended.had_long_timeout {
+                    self.has_long_timeout_call = false;
                 }
                 if ended.result.is_err() {
-                    // What it had brought is no reason to wait longer for the others.
-                    self.progress.forget();
+                    // Progress of a failed call is no reason to wait longer for the others.
+                    self.progress.reset();
                 }
                 Some(ended.result)
             }
             Err(error) => {
-                warn!(%error, "the task of a call to discovery ended");
-                self.has_patient = false;
+                warn!(%error, "task of a call to discovery panicked or was cancelled; the call counts as failed");
+                self.has_long_timeout_call = false;
                 Some(Err(CallFailure::Broken { received: 0 }))
             }
         }
--- a/src/proxy/control_plane/discovery/endpoint_list.rs
+++ b/src/proxy/control_plane/discovery/endpoint_list.rs
@@ -1,45 +1,46 @@
-//! Discovery's list of endpoints (the servers behind the gateway), and the bounds on its size.
+//! Discovery's list of endpoints, the servers behind the gateway, and the limits on its size.
 
 use crate::decision::EndpointStatus;
 use std::net::SocketAddr;
 
-/// The most endpoints of a deployment, from the operators' page.
+/// Limit on the endpoints of a deployment, as documented for operators.
 pub const MAX_ENDPOINTS: usize = 3200;
-/// During a rolling release the list holds both the old and the new instance of each endpoint for a while.
+/// During a rolling release the list temporarily contains the old and the new instance of each endpoint.
 const MAX_ENTRIES_PER_ENDPOINT: usize = 2;
-/// The longest entry, in bytes: indented, with every field at its longest. One of the operators' sites takes about 230.
+/// Limit on the size of an entry, in bytes: indented JSON with every field at its maximum length. An entry of a real
+/// site takes about 230 bytes.
 const MAX_ENTRY_BYTES: usize = 512;
-/// The longest list, in bytes: 3.3 MB. A complete list of the largest deployment, indented, takes 0.7 MB.
+/// Limit on the size of a list, in bytes: 3.3 MB. A complete list of the largest deployment, indented, takes 0.7 MB.
 pub const MAX_LIST_BYTES: usize = MAX_ENDPOINTS * MAX_ENTRIES_PER_ENDPOINT * MAX_ENTRY_BYTES;
 
-/// The list of endpoints, complete or as the changes since an earlier revision. `wire` reads and writes it.
+/// List of endpoints, complete or as changes since an earlier revision. The `wire` module has its JSON form.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointList {
-    /// The list's revision; it rises with each change.
+    /// Revision of the list, which increases with each change.
     pub revision: u64,
-    /// It holds every endpoint, not just those that changed.
+    /// Whether the list contains every endpoint rather than only those that changed.
     pub complete: bool,
-    /// The entries.
+    /// Entries of the list.
     pub endpoints: Vec<DiscoveredEndpoint>,
 }
 
-/// One endpoint, as discovery describes it.
+/// Endpoint as described by discovery.
 #[derive(Debug, Clone)]
 pub struct DiscoveredEndpoint {
-    /// Its name, the same at every gateway.
+    /// Name of the endpoint, the same at every gateway.
     pub name: String,
-    /// Where it listens, as seen from this gateway.
+    /// Address of the endpoint, as reachable from this gateway.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: String,
-    /// Its release label.
+    /// Release label of the endpoint.
     pub release_label: String,
-    /// Its cell.
+    /// Cell of the endpoint.
     pub cell: u64,
-    /// Whether it takes work.
+    /// Whether the endpoint accepts requests.
     pub status: EndpointStatus,
-    /// Its size against the others.
+    /// Capacity relative to the other endpoints.
     pub weight: f64,
-    /// When it last started, Unix time in milliseconds; 0: long ago.
+    /// Time of the last start, Unix time in milliseconds; 0 if long ago or unknown.
     pub started_at_unix_ms: u64,
 }
--- a/src/proxy/control_plane/discovery/mod.rs
+++ b/src/proxy/control_plane/discovery/mod.rs
@@ -1,13 +1,13 @@
-//! The watch on discovery's endpoint list: a long poll that is repeated for ever, and that may fall silent at any time.
+//! Watches discovery's endpoint list by long polling, with hedged calls while discovery does not respond.
 //!
-//! Each call but the first is held by discovery until the list changes or the hold is over. A call without a response by
-//! then counts as silent: further calls, not held, are made beside it, each over a connection of its own, until one is
-//! answered. The others are dropped with their connections, so that the late response of an abandoned call is never
-//! read. At most `MAX_CALLS` calls are in flight at once. A call whose list comes slowly, but comes, is waited for, and
-//! no other is made beside it.
+//! Discovery holds each call but the first until the list changes or the hold is over. If a call has no response some
+//! time after its hold, hedged calls without a hold are made, each over its own connection, until one is answered.
+//! The other calls are then dropped with their connections, so that a late response of an abandoned call is never
+//! read. At most `MAX_CALLS` calls are in flight at once. While a list arrives slowly but makes progress, no hedged
+//! call is made.
 //!
-//! Bound: while discovery can be reached, a change is in the runtime's channel at most hold + silence + one round trip
-//! after discovery has it, which is below the 6 s after which it counts as announced.
+//! Bound: while discovery can be reached, a change reaches the runtime's channel at most hold + hedge delay + one
+//! round trip after discovery has it, which is less than the 6 s after which a change counts as announced.
 
 pub(in crate::proxy) mod call;
 mod calls_in_flight;
@@ -30,52 +30,53 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use tracing::{info, warn};
 
-/// The pause before a failed call is retried; a watch goes on if its next call comes within 200 ms.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// The backoff doubles with each failure in a row, up to this where the connection or the service may be back at any
-/// moment, so that a change is heard well within the grace of a drain.
-const MAX_RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// The same where a response came and can't be used: the next one is likely to be like it.
-const MAX_UNUSABLE_PAUSE: Duration = Duration::from_secs(2);
-/// The backoff stops doubling after so many failures, before its factor could overflow.
+/// Initial backoff before a failed call is retried. Discovery continues a watch if its next call comes within 200 ms.
+const RETRY_BACKOFF: Duration = Duration::from_millis(100);
+/// Upper bound on the backoff, which doubles with each consecutive failure. Used where the connection or the service
+/// may recover at any moment, so that a change arrives well within the grace period of a drain.
+const MAX_RETRY_BACKOFF: Duration = Duration::from_millis(300);
+/// Upper bound on the backoff after an unusable response, since the next response is likely to be unusable too.
+const MAX_UNUSABLE_RESPONSE_BACKOFF: Duration = Duration::from_secs(2);
+/// Limit on the doublings of the backoff, which keeps its factor from overflowing.
 const MAX_DOUBLINGS: u32 = 8;
-/// A retry comes after a random part of its pause, from this part of it to [`MAX_JITTER`], so that the gateways of a
-/// fleet do not all come at once.
+/// Lower bound on the random factor of a backoff, which reaches up to [`MAX_JITTER`]. Jitter keeps the gateways of a
+/// cluster from retrying all at once.
 const MIN_JITTER: f64 = 0.75;
-/// See [`MIN_JITTER`].
+/// Upper bound on the random factor of a backoff.
 const MAX_JITTER: f64 = 1.25;
 
-/// How often and for how long discovery is polled.
+/// Timing of the calls to discovery.
 #[derive(Debug, Clone, Copy)]
 pub struct PollTiming {
-    /// How long discovery is asked to hold a call while the list does not change.
+    /// How long discovery may hold a call while the list does not change.
     hold: Duration,
-    /// A call counts as silent so long after its hold is over.
-    silence: Duration,
-    /// Calls beside a silent one are made at intervals that double from `silence` to this.
-    max_interval: Duration,
-    /// A silent call is given up so long after its hold is over, but for the one that is waited for longest.
-    patience: Duration,
+    /// Delay after the hold of an unanswered call until the first hedged call.
+    hedge_delay: Duration,
+    /// Upper bound on the interval between hedged calls, which doubles from `hedge_delay`.
+    max_hedge_interval: Duration,
+    /// Time after the hold at which an unanswered call is given up, except for the one call with the long time-out.
+    response_timeout: Duration,
 }
 
 impl PollTiming {
-    /// Where lists are pushed, an agent on this machine answers at once and at no cost.
+    /// Timing for pushed lists: an agent on this machine answers at once and at no cost.
     const PUSHED: PollTiming = PollTiming {
         hold: Duration::from_secs(2),
-        silence: Duration::from_millis(500),
-        max_interval: Duration::from_millis(500),
-        patience: Duration::from_secs(1),
+        hedge_delay: Duration::from_millis(500),
+        max_hedge_interval: Duration::from_millis(500),
+        response_timeout: Duration::from_secs(1),
     };
-    /// Where lists are polled, one service answers all gateways in turn: an early retry would only make it slower.
+    /// Timing for polled lists: one service answers all gateways in turn, so an early hedged call would only slow it
+    /// down.
     const POLLED: PollTiming = PollTiming {
         hold: Duration::from_secs(3),
-        silence: Duration::from_secs(2),
-        max_interval: Duration::from_secs(4),
-        patience: Duration::from_secs(2),
+        hedge_delay: Duration::from_secs(2),
+        max_hedge_interval: Duration::from_secs(4),
+        response_timeout: Duration::from_secs(2),
     };
 
-    /// The timing for a deployment.
-    pub fn of(settings: &Settings) -> PollTiming {
+    /// Returns the timing for a deployment.
+    pub fn from_settings(settings: &Settings) -> PollTiming {
         match settings.must_subscribe {
             true => PollTiming::POLLED,
             false => PollTiming::PUSHED,
@@ -83,11 +84,11 @@
     }
 }
 
-/// Brings the list up to date, from the revision that the runtime holds if there is one, then watches it for ever and
-/// passes each change on to the runtime.
+/// Fetches the endpoint list, as changes since the revision that the runtime already has, if any. Then watches the
+/// list and passes each change to the runtime. Returns only when the runtime has ended.
 pub async fn watch(
     address: SocketAddr,
-    held_revision: Option<u64>,
+    last_known_revision: Option<u64>,
     timing: PollTiming,
     runtime: RuntimeSender,
     metrics: Rc<Metrics>,
@@ -95,10 +96,10 @@
     let mut watch = EndpointWatch {
         address,
         timing,
-        revision: held_revision,
-        answered: false,
-        failing: None,
-        failures: 0,
+        revision: last_known_revision,
+        has_received_list: false,
+        last_failure: None,
+        consecutive_failures: 0,
         log_limit: LogRateLimiter::default(),
         metrics,
     };
@@ -106,12 +107,12 @@
     loop {
         let ListResponse { list, length, connection } = watch.next_response(idle.take()).await;
         idle = Some(connection);
-        if !watch.follows(&list) {
+        if !watch.is_applicable(&list) {
             watch.reject(&list);
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_BACKOFF).await;
             continue;
         }
-        watch.answered = true;
+        watch.has_received_list = true;
         watch.revision = Some(list.revision);
         watch.metrics.discovery.list_applied(list.revision, length);
         if runtime.send(RuntimeEvent::EndpointsChanged(list)).await.is_err() {
@@ -120,28 +121,29 @@
     }
 }
 
-/// Where the watch stands.
+/// State of the watch on the endpoint list.
 struct EndpointWatch {
     address: SocketAddr,
     timing: PollTiming,
-    /// The revision of the list that the runtime holds.
+    /// Revision of the runtime's list; `None` requests the complete list.
     revision: Option<u64>,
-    /// This watch has brought a list.
-    answered: bool,
-    /// How the last call failed, if it did.
-    failing: Option<FailureKind>,
-    /// Failures since the last list.
-    failures: u32,
+    /// Whether this watch has received a list.
+    has_received_list: bool,
+    /// Kind of the last failure, until discovery answers again.
+    last_failure: Option<FailureKind>,
+    /// Failed calls since the last response.
+    consecutive_failures: u32,
     log_limit: LogRateLimiter,
     metrics: Rc<Metrics>,
 }
 
 impl EndpointWatch {
-    /// Guards against a stale response that would undo a drain already announced, and against changes to a list that is
-    /// not held. The complete list, which is fetched anew, is what discovery has.
-    fn follows(&self, list: &EndpointList) -> bool {
+    /// Whether the list may be applied to the runtime's list. Rejects a stale list, which would undo a drain already
+    /// announced, and changes to a list that the runtime does not have. After a rejection the complete list is
+    /// fetched and applied whatever its revision.
+    fn is_applicable(&self, list: &EndpointList) -> bool {
         match self.revision {
-            Some(held) => list.revision >= held,
+            Some(current) => list.revision >= current,
             None => list.complete,
         }
     }
@@ -151,99 +153,99 @@
             revision = list.revision,
             complete = list.complete,
             held = self.revision,
-            "endpoint list does not follow the one that is held; asking for the complete list"
+            "endpoint list is stale or incomplete; requesting the complete list"
         );
         self.metrics.discovery.call_failed(FailureKind::OutOfOrder);
         self.revision = None;
     }
 
-    /// The call for the list as it is, without a hold.
-    fn prompt_call(&self) -> Call {
+    /// Returns a call without a hold, which discovery answers at once.
+    fn immediate_call(&self) -> Call {
         Call { address: self.address, since: self.revision, hold: Duration::ZERO }
     }
 
-    /// How long discovery may hold the next call. A list from before this watch may be old: the first call brings what
-    /// there is at once.
+    /// Returns how long discovery may hold the next call. The first call has no hold, because a list from before this
+    /// watch may be stale.
     fn hold(&self) -> Duration {
-        match self.answered && self.revision.is_some() {
+        match self.has_received_list && self.revision.is_some() {
             true => self.timing.hold,
             false => Duration::ZERO,
         }
     }
 
-    /// The first response to any of as many calls as it takes.
+    /// Makes calls, with hedged calls and retries as needed, until one is answered.
     async fn next_response(&mut self, idle: Option<Connection>) -> ListResponse {
         let idle = idle.and_then(|mut connection| connection.is_usable().then_some(connection));
         let hold = self.hold();
-        // Dropped with the response, which ends the other calls and closes their connections.
+        // Dropped at return, which aborts the other calls and closes their connections.
         let mut calls = CallsInFlight::default();
         self.metrics.discovery.call_started();
-        calls.start(Call { hold, ..self.prompt_call() }, idle, self.timing.patience);
-        let mut interval = self.timing.silence;
-        let mut next_call = Instant::now() + hold + interval;
+        calls.start(Call { hold, ..self.immediate_call() }, idle, self.timing.response_timeout);
+        let mut hedge_interval = self.timing.hedge_delay;
+        let mut next_call_at = Instant::now() + hold + hedge_interval;
         loop {
             tokio::select! {
                 biased;
                 Some(ended) = calls.next() => match ended {
                     Ok(response) => {
-                        self.note_recovery();
+                        self.record_recovery();
                         return response;
                     }
                     Err(failure) => {
-                        self.note_failure(&failure);
-                        let retry_at = Instant::now() + self.retry_pause();
-                        next_call = if calls.is_empty() { retry_at } else { next_call.min(retry_at) };
+                        self.record_failure(&failure);
+                        let retry_at = Instant::now() + self.retry_backoff();
+                        next_call_at = if calls.is_empty() { retry_at } else { next_call_at.min(retry_at) };
                     }
                 },
-                () = sleep_until(next_call) => {
+                () = sleep_until(next_call_at) => {
                     let now = Instant::now();
-                    // A list that comes slowly is not silent: another call would only make it slower.
-                    let silent_at = calls.last_progress().map(|last| last + self.timing.silence);
-                    if let Some(later) = silent_at.filter(|at| now < *at) {
-                        next_call = later;
+                    // No hedged call while a list makes progress: another call would only slow it down.
+                    let hedge_at = calls.last_progress().map(|last| last + self.timing.hedge_delay);
+                    if let Some(later) = hedge_at.filter(|at| now < *at) {
+                        next_call_at = later;
                         continue;
                     }
-                    if calls.have_room() {
+                    if calls.has_capacity() {
                         self.metrics.discovery.call_started();
-                        calls.start(self.prompt_call(), None, self.timing.patience);
+                        calls.start(self.immediate_call(), None, self.timing.response_timeout);
                     }
-                    next_call = now + interval;
-                    interval = (interval * 2).min(self.timing.max_interval);
+                    next_call_at = now + hedge_interval;
+                    hedge_interval = (hedge_interval * 2).min(self.timing.max_hedge_interval);
                 }
             }
         }
     }
 
-    /// How long after the last failure a call is retried: exponential backoff with jitter.
-    fn retry_pause(&self) -> Duration {
-        let longest = match self.failing {
-            Some(FailureKind::TooLong | FailureKind::Malformed) => MAX_UNUSABLE_PAUSE,
-            _ => MAX_RETRY_PAUSE,
+    /// Returns the delay before a failed call is retried: exponential backoff with jitter.
+    fn retry_backoff(&self) -> Duration {
+        let max_backoff = match self.last_failure {
+            Some(FailureKind::TooLong | FailureKind::Malformed) => MAX_UNUSABLE_RESPONSE_BACKOFF,
+            _ => MAX_RETRY_BACKOFF,
         };
-        let doublings = self.failures.saturating_sub(1).min(MAX_DOUBLINGS);
-        let pause = (RETRY_PAUSE * (1 << doublings)).min(longest);
-        pause.mul_f64(MIN_JITTER + (MAX_JITTER - MIN_JITTER) * fastrand::f64())
+        let doublings = self.consecutive_failures.saturating_sub(1).min(MAX_DOUBLINGS);
+        let backoff = (RETRY_BACKOFF * (1 << doublings)).min(max_backoff);
+        backoff.mul_f64(MIN_JITTER + (MAX_JITTER - MIN_JITTER) * fastrand::f64())
     }
 
-    fn note_failure(&mut self, failure: &CallFailure) {
+    fn record_failure(&mut self, failure: &CallFailure) {
         let kind = failure.kind();
         self.metrics.discovery.call_failed(kind);
-        self.failures += 1;
-        let is_new = self.failing.replace(kind) != Some(kind);
+        self.consecutive_failures += 1;
+        let is_new = self.last_failure.replace(kind) != Some(kind);
         if self.log_limit.allows(Instant::now()) || is_new {
             warn!(
                 problem = %failure,
-                failures = self.failures,
+                failures = self.consecutive_failures,
                 held = self.revision,
-                "call to discovery failed; the endpoint list stays as it is"
+                "call to discovery failed; the current endpoint list stays in use"
             );
         }
     }
 
-    fn note_recovery(&mut self) {
-        if self.failing.take().is_some() {
-            info!(failures = self.failures, "discovery answers again");
-            self.failures = 0;
+    fn record_recovery(&mut self) {
+        if self.last_failure.take().is_some() {
+            info!(failures = self.consecutive_failures, "discovery answers again");
+            self.consecutive_failures = 0;
         }
     }
 }
--- a/src/proxy/control_plane/discovery/wire.rs
+++ b/src/proxy/control_plane/discovery/wire.rs
@@ -1,12 +1,12 @@
-//! The JSON of discovery's endpoint list, as it travels, as the configuration repeats it, and as two processes of one
-//! gateway hand it over. Nothing behind this module knows the wire's names.
+//! JSON form of the endpoint list, as used by discovery, in the configuration file and in hand-over messages. The
+//! names on the wire occur in this module only.
 
 use super::endpoint_list::{DiscoveredEndpoint, EndpointList};
 use crate::decision::EndpointStatus;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::net::SocketAddr;
 
-/// The list, complete or as the changes since an earlier revision.
+/// JSON form of [`EndpointList`].
 #[derive(Serialize, Deserialize)]
 struct WireEndpointList {
     revision: u64,
@@ -16,7 +16,7 @@
     endpoints: Vec<WireEndpoint>,
 }
 
-/// One endpoint.
+/// JSON form of [`DiscoveredEndpoint`].
 #[derive(Serialize, Deserialize)]
 struct WireEndpoint {
     #[serde(rename = "id")]
@@ -37,7 +37,7 @@
     started_at_unix_ms: u64,
 }
 
-/// Whether an endpoint takes work.
+/// JSON form of [`EndpointStatus`].
 #[derive(Serialize, Deserialize)]
 enum WireStatus {
     #[serde(rename = "ready")]
--- a/src/proxy/control_plane/mod.rs
+++ b/src/proxy/control_plane/mod.rs
@@ -1,4 +1,4 @@
-//! What a gateway learns from outside: its configuration, discovery's endpoint list, and the shared counter.
+//! Configuration of the gateway, and clients of the services it depends on: discovery and the shared counter.
 
 pub mod config;
 pub mod counter;
--- a/src/proxy/control_plane/service_watch.rs
+++ b/src/proxy/control_plane/service_watch.rs
@@ -1,4 +1,5 @@
-//! Follows the addresses of discovery, of the counter and of other gateways, which a reload of the configuration changes.
+//! Applies changes of the addresses of discovery, the counter and the other gateways after a reload of the
+//! configuration.
 
 use super::config::ServiceAddresses;
 use super::discovery::{self, PollTiming};
@@ -9,19 +10,20 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// Watches discovery from the revision that is held from before, and after a change of the services' addresses calls
-/// discovery and the counter at the new ones. Another discovery may count its revisions otherwise: there the complete
-/// list is fetched.
+/// Watches discovery, starting from the last known revision, and switches discovery and the counter to their new
+/// addresses when these change. At a new address the complete list is fetched, because another discovery may number
+/// its revisions differently.
 pub async fn follow_services(
     mut services: watch::Receiver<ServiceAddresses>,
-    mut held_revision: Option<u64>,
+    mut last_known_revision: Option<u64>,
     timing: PollTiming,
     runtime: RuntimeSender,
     metrics: Rc<Metrics>,
 ) {
     loop {
         let address = services.borrow_and_update().discovery;
-        let watch = discovery::watch(address, held_revision.take(), timing, runtime.clone(), metrics.clone());
+        let watch =
+            discovery::watch(address, last_known_revision.take(), timing, runtime.clone(), metrics.clone());
         tokio::select! {
             () = watch => return,
             changed = services.changed() => if changed.is_err() {
@@ -30,25 +32,25 @@
         }
         let counter = services.borrow().counter;
         if let Some(address) = counter {
-            // Without a runtime the gateway ends.
+            // Sending fails only if the runtime has ended, and then the gateway exits.
             let _ = runtime.send(RuntimeEvent::CounterAddressChanged(address)).await;
         }
     }
 }
 
-/// Passes on where other gateways listen, when that changes.
+/// Passes on the addresses of the other gateways when they change.
 pub async fn follow_peers(
     mut services: watch::Receiver<ServiceAddresses>,
     peer_addresses: watch::Sender<BTreeMap<String, SocketAddr>>,
 ) {
     while services.changed().await.is_ok() {
         let peers = services.borrow_and_update().peers.clone();
-        peer_addresses.send_if_modified(|held| {
-            let is_changed = *held != peers;
-            *held = peers;
+        peer_addresses.send_if_modified(|current| {
+            let is_changed = *current != peers;
+            *current = peers;
             is_changed
         });
     }
-    // The receiver takes an end for the end of the gateway.
+    // Keeps the sender alive: the receiver takes a closed channel for the end of the gateway.
     std::future::pending::<()>().await;
 }
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -45,7 +45,7 @@
 const MAX_QUEUED_COMMANDS: usize = 16;
 /// How often idle connections to backends are checked.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a gateway with a cached endpoint list waits for discovery before it becomes ready with that list.
+/// How long a gateway that has a last known endpoint list waits for discovery before it becomes ready with that list.
 const DISCOVERY_WAIT: Duration = Duration::from_secs(1);
 /// Lower bound on the tick interval: calling the decision module without a pause would only waste CPU time.
 const MIN_TICK: Duration = Duration::from_millis(1);
@@ -94,7 +94,7 @@
     actions: Vec<Action>,
     lifecycle: Rc<Lifecycle>,
     metrics: Rc<Metrics>,
-    /// When the gateway becomes ready with the cached endpoint list, even if discovery has not answered.
+    /// When the gateway becomes ready with the last known endpoint list, even if discovery has not answered.
     ready_at: Option<Instant>,
     rollout: Option<ActiveRollout>,
     outcomes: Rc<OutcomeRecorder>,
@@ -150,7 +150,7 @@
             outcomes,
         };
         runtime.start_quota_lease(cluster.map_or(0.0, |cluster| cluster.lendable_part));
-        runtime.start_from_cached_list(known_endpoints);
+        runtime.start_from_last_known_list(known_endpoints);
         Ok((runtime, admin_sender))
     }
 
@@ -163,11 +163,11 @@
         }
     }
 
-    /// Starts with the cached endpoint list, which may be stale but is the only one until discovery answers.
+    /// Starts with the last known endpoint list, which may be stale but is the only one until discovery answers.
     /// Readiness is delayed by [`DISCOVERY_WAIT`] to give discovery a chance to answer first.
-    fn start_from_cached_list(&mut self, cached: EndpointList) {
-        if !cached.endpoints.is_empty() {
-            self.apply_endpoint_list(EndpointList { complete: true, ..cached });
+    fn start_from_last_known_list(&mut self, last_known: EndpointList) {
+        if !last_known.endpoints.is_empty() {
+            self.apply_endpoint_list(EndpointList { complete: true, ..last_known });
             self.ready_at = Some(Instant::now() + DISCOVERY_WAIT);
         }
     }
--- a/src/proxy/startup.rs
+++ b/src/proxy/startup.rs
@@ -166,7 +166,7 @@
             handover_folder: config.handover_folder.clone(),
             max_client_connections: config.sockets.clients,
             known_revision: config.known_revision(),
-            timing: PollTiming::of(settings),
+            timing: PollTiming::from_settings(settings),
             rules: RequestRules {
                 classes: site.classes.iter().map(class).collect(),
                 plans: site.plans.iter().map(|(name, number)| (name.clone(), PlanId(*number))).collect(),
