--- a/src/cluster/membership_node.rs
+++ b/src/cluster/membership_node.rs
@@ -158,7 +158,7 @@
                 self.answer_view_request(from, seat_list, token, out);
                 Ok(())
             }
-            Payload::ViewReply { seat_list, token, table } => self.take_view_reply(seat_list, token, &table),
+            Payload::ViewReply { seat_list, token, table } => self.on_view_reply(seat_list, token, &table),
         }
     }
 
--- a/src/cluster/quota_lease/mod.rs
+++ b/src/cluster/quota_lease/mod.rs
@@ -1,7 +1,11 @@
-//! Quota leases: the quota shares of gateways that are gone are used by the others, and never by both.
+//! Quota leases: while a gateway is down or has left, the others use its quota share; both never use it at the same
+//! time.
+//!
+//! - [`view`]: the statements of one member on all seats.
+//! - [`view_gossip`]: the exchange of statements, and their ages.
+//! - [`seat_lease`]: which statements are allowed when, and which quota shares follow from them.
+//! - [`agreement`]: whether all members agree.
 //!
-//! [`view`]: what one member states of all seats. [`view_gossip`]: how statements spread, and how old they are.
-//! [`seat_lease`]: what may be stated when, and which shares follow from it. [`agreement`]: whether all agree.
 //! `docs/decisions/0001-membership.md` gives the invariants and why they hold.
 
 pub mod agreement;
@@ -19,21 +23,21 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The mean time between two requests to members drawn at random: twenty while a statement counts.
+/// Mean time between two requests, each to a random member: 20 requests within the validity of a statement.
 const REQUEST_INTERVAL: Micros = Micros(500_000);
-/// The most requests whose replies are still taken.
+/// Maximum number of requests whose replies are still accepted.
 const MAX_PENDING_REQUESTS: usize = 16;
 
-/// All other members, by name.
+/// Records of all other members, by name.
 type MemberRecords = BTreeMap<Rc<str>, MemberRecord>;
 
-/// A request whose reply is waited for.
+/// A request that waits for its reply.
 struct PendingRequest {
     token: u64,
     requested_at: Micros,
 }
 
-/// The quota leases of all seats, as one member has them.
+/// Quota leases of all seats, as seen by one member.
 pub struct QuotaLeases {
     seat_numbers: BTreeMap<String, usize>,
     own_seat: usize,
@@ -44,29 +48,29 @@
     pending: VecDeque<PendingRequest>,
     last_shares: Option<QuotaShares>,
     /// Requests and replies of members that have another list of seats.
-    differing: u64,
+    seat_list_mismatches: u64,
 }
 
-/// The state of the quota leases, for people.
+/// State of the quota leases, for operators.
 #[derive(Debug, Clone)]
 pub struct QuotaLeaseStatus {
-    /// The view's number.
+    /// Number of the view.
     pub number: u64,
-    /// Its digest.
+    /// Digest of the view.
     pub digest: u64,
-    /// Whether the cluster agrees.
+    /// Agreement of the cluster.
     pub agreement: Agreement,
-    /// The counts that this follows from.
+    /// Seat counts from which the agreement is derived.
     pub counts: SeatCounts,
-    /// The shares that may be used now.
+    /// Quota shares that this gateway may use now.
     pub shares: QuotaShares,
     /// Requests and replies of members that have another list of seats.
-    pub differing: u64,
+    pub seat_list_mismatches: u64,
 }
 
 impl QuotaLeases {
-    /// For the gateway of this name in a list of seats, which is the same at every gateway. None where the name has no
-    /// seat, or there are more than `MAX_SEATS`.
+    /// Creates the quota leases of the gateway called `name`. The list of seats has to be the same at every gateway.
+    /// Returns `None` if the name has no seat, or if there are more than `MAX_SEATS`.
     pub fn new(seats: &[String], name: &str, now: Micros, random: u64) -> Option<QuotaLeases> {
         let own_seat = seats.iter().position(|seat| seat == name).filter(|_| seats.len() <= MAX_SEATS)?;
         Some(QuotaLeases {
@@ -78,33 +82,33 @@
             next_request_at: now + Micros(random % REQUEST_INTERVAL.0),
             pending: VecDeque::new(),
             last_shares: None,
-            differing: 0,
+            seat_list_mismatches: 0,
         })
     }
 
-    /// This gateway's seat.
+    /// Seat number of this gateway.
     pub fn own_seat(&self) -> u16 {
         self.own_seat as u16
     }
 
-    /// How many seats there are.
+    /// Number of seats.
     pub fn seat_count(&self) -> usize {
         self.seat_numbers.len()
     }
 
-    /// The digest of the list of seats.
+    /// Digest of the list of seats.
     pub fn seat_list(&self) -> u64 {
         self.seat_list
     }
 
-    /// Brings this member's statements to what membership knows.
+    /// Updates this member's statements from the membership records.
     pub fn update(&mut self, now: Micros, own_incarnation: u64, records: &MemberRecords) {
         let occupants = self.occupants(own_incarnation, records);
-        if let Some(number) = self.gossip.higher_number_of_same(self.leases.view()) {
+        if let Some(number) = self.gossip.higher_number_of_same_statements(self.leases.view()) {
             self.leases.raise_number(number);
         }
         self.leases.update(now, &occupants, self.gossip.highest_number());
-        if !self.leases.is_silent(now) {
+        if !self.leases.is_abstaining(now) {
             self.gossip.state(self.own_seat, self.leases.view(), now);
         }
     }
@@ -120,7 +124,7 @@
         occupants
     }
 
-    /// The token of a request, if one is due.
+    /// Returns the token of the next request, if one is due.
     pub fn next_request(&mut self, now: Micros, random: u64) -> Option<u64> {
         if now < self.next_request_at {
             return None;
@@ -133,29 +137,29 @@
         Some(random)
     }
 
-    /// The reply to a request of a member with this list of seats; none where that differs.
+    /// Returns the reply to a request, or `None` if the requesting member has another list of seats.
     pub fn reply(&mut self, seat_list: u64, now: Micros) -> Option<Table> {
         if seat_list != self.seat_list {
-            self.differing += 1;
+            self.seat_list_mismatches += 1;
             return None;
         }
         Some(self.gossip.table(now, self.leases.view()))
     }
 
-    /// A reply came. Returns whether it was requested and valid.
-    pub fn take_reply(&mut self, seat_list: u64, token: u64, table: &Table) -> bool {
-        let Some(place) = self.pending.iter().position(|request| request.token == token) else {
+    /// Processes a reply. Returns whether it was requested and valid.
+    pub fn on_reply(&mut self, seat_list: u64, token: u64, table: &Table) -> bool {
+        let Some(position) = self.pending.iter().position(|request| request.token == token) else {
             return false;
         };
-        let Some(request) = self.pending.remove(place) else { return false };
+        let Some(request) = self.pending.remove(position) else { return false };
         if seat_list != self.seat_list {
-            self.differing += 1;
+            self.seat_list_mismatches += 1;
             return true;
         }
         self.gossip.merge(table, request.requested_at, self.own_seat)
     }
 
-    /// The quota shares, where they are not those that this returned last.
+    /// Returns the quota shares if they changed since the last call that returned any.
     pub fn changed_shares(&mut self, now: Micros, own_incarnation: u64) -> Option<QuotaShares> {
         let shares = self.leases.shares(&self.gossip, own_incarnation, now);
         if self.last_shares.as_ref() == Some(&shares) {
@@ -181,7 +185,7 @@
         }
     }
 
-    /// The state, for people.
+    /// Returns the state for operators.
     pub fn status(&self, now: Micros, own_incarnation: u64, records: &MemberRecords) -> QuotaLeaseStatus {
         let view = self.leases.view();
         let counts = self.counts(now, records);
@@ -191,7 +195,7 @@
             agreement: counts.agreement(),
             counts,
             shares: self.leases.shares(&self.gossip, own_incarnation, now),
-            differing: self.differing,
+            seat_list_mismatches: self.seat_list_mismatches,
         }
     }
 }
--- a/src/cluster/quota_lease/seat_lease.rs
+++ b/src/cluster/quota_lease/seat_lease.rs
@@ -1,86 +1,88 @@
-//! Which quota shares this member may use: each seat's share belongs to its own gateway or is shared out among the
-//! others, never both.
+//! Quota shares that this member may use: the share of each seat is used either by the seat's own gateway or by the
+//! others, never by both.
 //!
-//! A gateway uses the lent part of its share while more than half of all seats state that it holds its seat; others
-//! use it while more than half state that the seat is free. A statement counts for [`STATEMENT_VALIDITY`], and a member
-//! waits longer than that ([`OPPOSITE_STATEMENT_WAIT`]) before it states the opposite. Any two majorities have a member
-//! in common, so both can't hold at one time, whatever is cut, paused, delayed, doubled, lost or forgotten.
+//! A gateway uses the leased part of its share while more than half of all seats state that it holds its seat; the
+//! others use that part while more than half state that the seat is free. A statement is valid for
+//! [`STATEMENT_VALIDITY`], and a member waits longer than that ([`OPPOSITE_STATEMENT_WAIT`]) before it states the
+//! opposite. Any two majorities have a member in common, so the two conditions never hold at the same time, even with
+//! partitions, pauses, restarts, and datagrams that are delayed, duplicated or lost.
 
 use crate::cluster::quota_lease::view::{IncarnationTag, SeatStatement, View};
 use crate::cluster::quota_lease::view_gossip::{ViewGossip, STATEMENT_VALIDITY};
 use crate::decision::Micros;
 
-/// The time between two opposite statements on a seat, and from a start to the first statement: longer than any
-/// statement counts, with room for clocks whose rates differ by a twentieth.
+/// Minimum time between two opposite statements on a seat, and between a start and the first statement. Longer than a
+/// statement is valid, with a margin for clock rates that differ by a twentieth.
 pub const OPPOSITE_STATEMENT_WAIT: Micros = Micros(STATEMENT_VALIDITY.0 + STATEMENT_VALIDITY.0 / 20);
 
-/// Who is in a seat, as membership has it.
+/// Occupant of a seat according to membership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SeatOccupant {
-    /// The incarnation with this tag takes part.
+    /// The incarnation with this tag takes part in the cluster.
     Present(IncarnationTag),
-    /// Nobody.
+    /// The seat's gateway is not present.
     Absent,
 }
 
-/// This member's last statement on a seat, other than `None`.
+/// Last statement of this member on a seat, other than `None`.
 #[derive(Debug, Clone, Copy)]
 struct LastStatement {
     statement: SeatStatement,
-    /// Until when it may still count somewhere.
+    /// Time until which some member may still count the statement.
     counts_until: Micros,
 }
 
-/// The quota shares that a gateway may use.
+/// Quota shares that a gateway may use.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct QuotaShares {
-    /// Until then the own share is whole, and those of `free_seats` are shared out; 0: the own share is cut to the part
-    /// that is never lent.
+    /// Time until which the gateway may use its complete share and its part of the shares of `free_seats`; 0: only the
+    /// part of its own share that is never leased.
     pub until: Micros,
-    /// Seats whose shares are shared out.
+    /// Seats whose shares are divided among the other gateways.
     pub free_seats: Vec<u32>,
 }
 
-/// This member's statements on all seats.
+/// Statements of this member on all seats.
 #[derive(Debug)]
 pub struct SeatLeases {
     own_seat: usize,
     last_statements: Vec<Option<LastStatement>>,
     view: View,
-    /// Before this it states nothing: an earlier process in this seat may have stated the opposite, and forgot it.
-    silent_until: Micros,
+    /// Time before which this member makes no statements, because an earlier process in this seat may have stated the
+    /// opposite, and this one has no record of that.
+    abstains_until: Micros,
 }
 
 impl SeatLeases {
-    /// For a process that starts now in this seat of so many.
+    /// Creates the statements of a process that starts now in seat `own_seat` of `seats`.
     pub fn new(own_seat: usize, seats: usize, now: Micros) -> SeatLeases {
         SeatLeases {
             own_seat,
             last_statements: vec![None; seats],
             view: View::empty(seats),
-            silent_until: now + OPPOSITE_STATEMENT_WAIT,
+            abstains_until: now + OPPOSITE_STATEMENT_WAIT,
         }
     }
 
-    /// What this member states.
+    /// Current view of this member.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Others state the same by a higher number: so does this member.
+    /// Takes a higher view number under which other members make the same statements.
     pub fn raise_number(&mut self, number: u64) {
         self.view.number = number;
     }
 
-    /// Whether it states anything yet.
-    pub fn is_silent(&self, now: Micros) -> bool {
-        now < self.silent_until
+    /// Whether it is too early after the start to make statements.
+    pub fn is_abstaining(&self, now: Micros) -> bool {
+        now < self.abstains_until
     }
 
-    /// Brings the statements to what is known of the seats' occupants, as far as they may be made already. A changed
-    /// view gets a number above `highest_number`.
+    /// Updates the statements to the seats' occupants, as far as they are allowed already. A changed view gets a number
+    /// above `highest_number`.
     pub fn update(&mut self, now: Micros, occupants: &[SeatOccupant], highest_number: u64) {
-        if self.is_silent(now) {
+        if self.is_abstaining(now) {
             return;
         }
         let mut is_changed = false;
@@ -96,11 +98,11 @@
         }
     }
 
-    /// The quota shares that this member may use now.
+    /// Returns the quota shares that this member may use now.
     pub fn shares(&self, gossip: &ViewGossip, own_incarnation: u64, now: Micros) -> QuotaShares {
         let held_by_us = SeatStatement::Held(IncarnationTag::of(own_incarnation));
         let held_until = gossip.majority_until(self.own_seat, held_by_us, now);
-        let Some(mut until) = held_until.filter(|_| !self.is_silent(now)) else {
+        let Some(mut until) = held_until.filter(|_| !self.is_abstaining(now)) else {
             return QuotaShares::default();
         };
         let mut free_seats = Vec::new();
@@ -114,8 +116,8 @@
     }
 }
 
-/// What may be stated of a seat now. The last statement may be made again at once, its opposite only when nobody counts
-/// it any more.
+/// Returns the statement that is allowed on a seat now. The last statement may be repeated at once, its opposite only
+/// when no member counts the last one any more.
 fn next_statement(last: Option<LastStatement>, occupant: SeatOccupant, now: Micros) -> SeatStatement {
     let wanted = match occupant {
         SeatOccupant::Present(tag) => SeatStatement::Held(tag),
--- a/src/cluster/quota_lease/view.rs
+++ b/src/cluster/quota_lease/view.rs
@@ -1,37 +1,37 @@
-//! What one member states of every seat of the cluster: who holds it, that it is free, or neither for now.
+//! View: the statements of one member on all seats of the cluster. A seat is held, free, or neither for now.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The most seats whose quota shares can be leased: a table and two views fit into one datagram.
+/// Maximum number of seats whose quota shares can be leased, so that a table with two views fits into one datagram.
 pub const MAX_SEATS: usize = 300;
 
-/// The bits of a statement's byte that tell its kind; the others hold the incarnation's tag.
+/// Number of low bits of a statement's byte that encode its kind; the others hold the incarnation's tag.
 const KIND_BITS: u8 = 2;
 const KIND_MASK: u8 = (1 << KIND_BITS) - 1;
 const KIND_NONE: u8 = 0;
 const KIND_FREE: u8 = 1;
 const KIND_HELD: u8 = 2;
 
-/// Six bits that tell one process in a seat from the one before it.
+/// Six-bit tag that distinguishes a process in a seat from the previous one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IncarnationTag(u8);
 
 impl IncarnationTag {
-    /// The tag of an incarnation. One pair in 64 has the same.
+    /// Returns the tag of an incarnation. One pair of incarnations in 64 has the same tag.
     pub fn of(incarnation: u64) -> IncarnationTag {
         IncarnationTag((xxh3_64(&incarnation.to_le_bytes()) as u8) >> KIND_BITS)
     }
 }
 
-/// What a member states of a seat.
+/// Statement of a member on a seat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SeatStatement {
-    /// Neither that it is held nor that it is free.
+    /// No statement: neither held nor free.
     None,
-    /// The seat's quota share belongs to this incarnation of its gateway.
+    /// This incarnation of the seat's gateway may use the seat's quota share.
     Held(IncarnationTag),
-    /// Nobody uses the seat's share, and others may.
+    /// The seat's gateway does not use the seat's quota share, and others may.
     Free,
 }
 
@@ -53,31 +53,31 @@
     }
 }
 
-/// A numbered view: one statement for each seat. The order of the fields, and the bytes, are the wire form.
+/// A numbered view with one statement for each seat. The order of the fields, and the bytes, are the wire form.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// Rises with each change; a member never states two different things by one number.
+    /// Number that increases with each change; a member never uses one number for two different views.
     pub number: u64,
     statements: Vec<u8>,
 }
 
 impl View {
-    /// A view of this many seats that states nothing.
+    /// Creates a view without statements.
     pub fn empty(seats: usize) -> View {
         View { number: 0, statements: vec![KIND_NONE; seats] }
     }
 
-    /// How many seats it speaks of.
+    /// Number of seats in the view.
     pub fn seats(&self) -> usize {
         self.statements.len()
     }
 
-    /// What it states of a seat.
+    /// Returns the statement on a seat.
     pub fn statement(&self, seat: usize) -> SeatStatement {
         self.statements.get(seat).map_or(SeatStatement::None, |byte| SeatStatement::from_byte(*byte))
     }
 
-    /// States something of a seat; returns whether that is a change.
+    /// Sets the statement on a seat; returns whether it changed.
     pub fn set(&mut self, seat: usize, statement: SeatStatement) -> bool {
         match self.statements.get_mut(seat) {
             Some(byte) if *byte != statement.to_byte() => {
@@ -88,17 +88,17 @@
         }
     }
 
-    /// Whether both state the same of every seat, by whatever number.
+    /// Whether both views have the same statements, regardless of their numbers.
     pub fn has_same_statements(&self, other: &View) -> bool {
         self.statements == other.statements
     }
 
-    /// A digest of number and statements.
+    /// Digest of the number and the statements.
     pub fn digest(&self) -> u64 {
         xxh3_64(&[&self.number.to_le_bytes()[..], &self.statements].concat())
     }
 
-    /// How many seats are held.
+    /// Number of held seats.
     pub fn held_seats(&self) -> usize {
         let is_held = |byte: &&u8| matches!(SeatStatement::from_byte(**byte), SeatStatement::Held(_));
         self.statements.iter().filter(is_held).count()
--- a/src/cluster/quota_lease/view_gossip.rs
+++ b/src/cluster/quota_lease/view_gossip.rs
@@ -1,44 +1,45 @@
-//! Every member's current view and its age, passed on from member to member.
+//! Gossip of every member's current view and its age.
 //!
-//! Ages need no common clock. Statements travel in replies only, and a reply is made after its request was sent: what it
-//! holds is at most as old as it says plus the time since the request. So a reply that lay in a socket's buffer while
-//! the process was paused is taken for as old as it is.
+//! Ages need no synchronized clocks. Statements are sent in replies only, and a reply is made after its request was
+//! sent: its statements are at most as old as it says plus the time since the request. The age of a reply that waited
+//! in a socket's buffer while the process was paused is therefore not underestimated.
 
 use crate::cluster::quota_lease::view::{SeatStatement, View};
 use crate::decision::Micros;
 use serde::{Deserialize, Serialize};
 
-/// How long a statement counts after it was made.
+/// How long a statement is valid after it was made.
 pub const STATEMENT_VALIDITY: Micros = Micros(10_000_000);
-/// The parts of `STATEMENT_VALIDITY` in which a table gives ages.
-const AGE_PARTS: u64 = 15;
-/// The bits of an entry that hold the age; those above hold the view's place among the digests.
+/// Number of steps into which a table divides `STATEMENT_VALIDITY` to encode ages.
+const AGE_STEPS: u64 = 15;
+/// Number of low bits of an entry that hold the age; the high bits hold the index of the view's digest.
 const AGE_BITS: u8 = 4;
 const AGE_MASK: u8 = (1 << AGE_BITS) - 1;
-/// The entry of a seat that states nothing that still counts.
+/// Entry of a seat without a valid statement.
 const NO_ENTRY: u8 = 0xff;
-/// The most views that are kept, and that a table's entries can point at.
+/// Maximum number of views that are stored, and that the entries of a table can refer to.
 const MAX_VIEWS: usize = 15;
-/// Views that go out whole with a table.
+/// Number of complete views sent with a table.
 const VIEWS_IN_TABLE: usize = 2;
-/// No cluster reaches a view's number above this. A forged higher one would leave no room for the next number.
+/// Maximum accepted view number, which no cluster reaches. A forged higher one could leave no room for the next number.
 const MAX_VIEW_NUMBER: u64 = u64::MAX / 2;
 
-/// What a member knows of all statements. The order of the fields is the wire form.
+/// Table of all statements known to a member. The order of the fields is the wire form.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
-    /// The digests of the views that entries point at; the sender's own is the first.
+    /// Digests of the views that entries refer to; the sender's own is the first.
     digests: Vec<u64>,
-    /// For each seat the view's place among the digests (high four bits) and its age in parts (low four), or 0xff.
+    /// For each seat the index of its view's digest (high four bits) and the view's age in steps (low four bits), or
+    /// 0xff.
     entries: Vec<u8>,
-    /// Some of the views, whole.
+    /// Some of the views, complete.
     views: Vec<View>,
 }
 
-/// A seat's last view that is known here.
+/// Last known view of a seat.
 #[derive(Debug, Clone, Copy)]
 struct SeatEntry {
-    /// It was stated then or later.
+    /// Time at or after which the view was stated.
     stated_at: Micros,
     digest: u64,
 }
@@ -50,7 +51,7 @@
     view: View,
 }
 
-/// All members' views, as far as they are known here.
+/// Views of all members, as far as they are known to this one.
 #[derive(Debug, Default)]
 pub struct ViewGossip {
     seats: Vec<Option<SeatEntry>>,
@@ -58,66 +59,66 @@
 }
 
 impl ViewGossip {
-    /// For this many seats.
+    /// Creates an empty state for `seats` seats.
     pub fn new(seats: usize) -> ViewGossip {
         ViewGossip { seats: vec![None; seats], views: Vec::new() }
     }
 
-    /// This member, in this seat, states its view now.
+    /// Records the current view of this member, which has seat `seat`.
     pub fn state(&mut self, seat: usize, view: &View, now: Micros) {
         let digest = view.digest();
-        self.keep_view(digest, view);
+        self.store_view(digest, view);
         if let Some(entry) = self.seats.get_mut(seat) {
             *entry = Some(SeatEntry { stated_at: now, digest });
         }
     }
 
-    /// Keeps a view; where there are too many, the one that the fewest seats state gives way.
-    fn keep_view(&mut self, digest: u64, view: &View) {
+    /// Stores a view; if there are too many, it replaces the one that the fewest seats state.
+    fn store_view(&mut self, digest: u64, view: &View) {
         if view.seats() != self.seats.len() || self.views.iter().any(|known| known.digest == digest) {
             return;
         }
         if self.views.len() >= MAX_VIEWS {
-            let stated = |i: &usize| self.stated_by(self.views[*i].digest);
-            if let Some(least) = (0..self.views.len()).min_by_key(stated) {
+            let supporters = |index: &usize| self.seats_last_stating(self.views[*index].digest);
+            if let Some(least) = (0..self.views.len()).min_by_key(supporters) {
                 self.views.swap_remove(least);
             }
         }
         self.views.push(KnownView { digest, view: view.clone() });
     }
 
-    /// How many seats stated this view last, at whatever age.
-    fn stated_by(&self, digest: u64) -> usize {
+    /// Number of seats whose last known view is this one, regardless of its age.
+    fn seats_last_stating(&self, digest: u64) -> usize {
         self.seats.iter().flatten().filter(|entry| entry.digest == digest).count()
     }
 
-    /// The highest number of any view that is known.
+    /// Highest number of all known views.
     pub fn highest_number(&self) -> u64 {
         self.views.iter().map(|known| known.view.number).max().unwrap_or(0)
     }
 
-    /// The highest number above this view's under which others state the same.
-    pub fn higher_number_of_same(&self, own: &View) -> Option<u64> {
+    /// Returns the highest number, above that of `own`, under which others make the same statements.
+    pub fn higher_number_of_same_statements(&self, own: &View) -> Option<u64> {
         let views = self.views.iter().map(|known| &known.view);
-        let same = views.filter(|view| view.has_same_statements(own) && view.number > own.number);
-        same.map(|view| view.number).max()
+        let matching = views.filter(|view| view.has_same_statements(own) && view.number > own.number);
+        matching.map(|view| view.number).max()
     }
 
     fn current(&self, now: Micros) -> impl Iterator<Item = &SeatEntry> {
         self.seats.iter().flatten().filter(move |entry| now < entry.stated_at + STATEMENT_VALIDITY)
     }
 
-    /// How many seats' statements still count.
+    /// Number of seats with valid statements.
     pub fn seats_reporting(&self, now: Micros) -> usize {
         self.current(now).count()
     }
 
-    /// How many of them state exactly this view.
+    /// Number of seats whose valid statements are exactly this view.
     pub fn seats_stating(&self, digest: u64, now: Micros) -> usize {
         self.current(now).filter(|entry| entry.digest == digest).count()
     }
 
-    /// Until when more than half of all seats state this of a seat; nothing where they do not.
+    /// Returns the time until which more than half of all seats make this statement on a seat; `None` if they do not.
     pub fn majority_until(&self, seat: usize, statement: SeatStatement, now: Micros) -> Option<Micros> {
         let states_it = |digest: u64| {
             let known = self.views.iter().find(|known| known.digest == digest);
@@ -127,30 +128,30 @@
         let mut times: Vec<Micros> = current.map(|entry| entry.stated_at).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
         let majority = self.seats.len() / 2 + 1;
-        // The majority ends once the oldest of the youngest statements that make it up counts no more.
-        times.get(majority - 1).map(|at| *at + STATEMENT_VALIDITY)
+        // The majority lasts until the oldest of the most recent statements that form it expires.
+        times.get(majority - 1).map(|stated_at| *stated_at + STATEMENT_VALIDITY)
     }
 
-    /// What goes out in a reply.
+    /// Builds the table for a reply.
     pub fn table(&self, now: Micros, own: &View) -> Table {
         let mut digests: Vec<u64> = vec![own.digest()];
         let entries = self.seats.iter().map(|entry| encode_entry(*entry, now, &mut digests)).collect();
         let mut others: Vec<&KnownView> =
             self.views.iter().filter(|known| known.digest != digests[0]).collect();
-        others.sort_by_key(|known| std::cmp::Reverse(self.stated_by(known.digest)));
+        others.sort_by_key(|known| std::cmp::Reverse(self.seats_last_stating(known.digest)));
         let mut views: Vec<View> = vec![own.clone()];
         views.extend(others.into_iter().take(VIEWS_IN_TABLE - 1).map(|known| known.view.clone()));
         Table { digests, entries, views }
     }
 
-    /// Takes the reply to a request that was sent at `requested_at`. The own seat's entry stays as it is. Returns
-    /// whether the table was valid; of an invalid one nothing is taken.
+    /// Merges the table of a reply to a request that was sent at `requested_at`, except for the entry of this member's
+    /// own seat. Returns whether the table was valid; an invalid one is ignored entirely.
     pub fn merge(&mut self, table: &Table, requested_at: Micros, own_seat: usize) -> bool {
         if !self.is_valid(table) {
             return false;
         }
         for view in &table.views {
-            self.keep_view(view.digest(), view);
+            self.store_view(view.digest(), view);
         }
         for (seat, &encoded) in table.entries.iter().enumerate() {
             if seat == own_seat {
@@ -172,23 +173,24 @@
     }
 }
 
-/// A seat's entry in a table. Ages are rounded up: a statement may be taken for older than it is, never for younger.
+/// Encodes a seat's entry of a table. Ages are rounded up, so that a statement is never considered more recent than it
+/// is.
 fn encode_entry(entry: Option<SeatEntry>, now: Micros, digests: &mut Vec<u64>) -> u8 {
     let Some(entry) = entry.filter(|entry| now < entry.stated_at + STATEMENT_VALIDITY) else {
         return NO_ENTRY;
     };
-    let parts = ((now - entry.stated_at).0 * AGE_PARTS).div_ceil(STATEMENT_VALIDITY.0);
-    let Some(place) = place_of(entry.digest, digests) else { return NO_ENTRY };
-    if parts >= AGE_PARTS {
+    let steps = ((now - entry.stated_at).0 * AGE_STEPS).div_ceil(STATEMENT_VALIDITY.0);
+    let Some(index) = index_of_digest(entry.digest, digests) else { return NO_ENTRY };
+    if steps >= AGE_STEPS {
         return NO_ENTRY;
     }
-    (place as u8) << AGE_BITS | parts as u8
+    (index as u8) << AGE_BITS | steps as u8
 }
 
-/// The place of a digest, which is added where there is room for it.
-fn place_of(digest: u64, digests: &mut Vec<u64>) -> Option<usize> {
-    if let Some(place) = digests.iter().position(|known| *known == digest) {
-        return Some(place);
+/// Returns the index of a digest, after adding the digest if it is missing and there is room for it.
+fn index_of_digest(digest: u64, digests: &mut Vec<u64>) -> Option<usize> {
+    if let Some(index) = digests.iter().position(|known| *known == digest) {
+        return Some(index);
     }
     if digests.len() >= MAX_VIEWS {
         return None;
@@ -202,9 +204,9 @@
         return None;
     }
     let digest = *digests.get(usize::from(encoded >> AGE_BITS))?;
-    let parts = u64::from(encoded & AGE_MASK);
-    // One microsecond more than the division yields, as that rounds down.
-    let age = parts * STATEMENT_VALIDITY.0 / AGE_PARTS + u64::from(parts != 0);
+    let steps = u64::from(encoded & AGE_MASK);
+    // Plus one microsecond, because the division rounds down.
+    let age = steps * STATEMENT_VALIDITY.0 / AGE_STEPS + u64::from(steps != 0);
     let stated_at = Micros(requested_at.0.checked_sub(age)?);
     Some(SeatEntry { stated_at, digest })
 }
--- a/src/cluster/quota_lease_node.rs
+++ b/src/cluster/quota_lease_node.rs
@@ -1,4 +1,4 @@
-//! The cluster node's part in the quota leases: requests and replies, and the shares that follow.
+//! Quota lease part of the cluster node: exchange of tables, and the resulting quota shares.
 
 use crate::cluster::datagram::{DatagramError, Payload};
 use crate::cluster::event::Effect;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 impl ClusterNode {
-    /// Brings the statements up to date, reports the shares that follow, and asks another member for its table.
+    /// Updates the statements, reports changed quota shares, and requests the table of a random member if that is due.
     pub(super) fn tick_quota_leases(&mut self, out: &mut Vec<Effect>) {
         let Some(leases) = self.quota_leases.as_mut() else { return };
         let own_incarnation = self.swim.own().incarnation;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Answers a request for this member's table. A member with another list of seats gets no answer.
+    /// Answers a request for this member's table. A member with another list of seats gets no reply.
     pub(super) fn answer_view_request(
         &mut self,
         to: SocketAddr,
@@ -40,15 +40,15 @@
         self.send_payload(to, &Payload::ViewReply { seat_list, token, table }, out);
     }
 
-    /// Takes another member's table, if this one asked for it.
-    pub(super) fn take_view_reply(
+    /// Processes the table of another member, if this one requested it.
+    pub(super) fn on_view_reply(
         &mut self,
         seat_list: u64,
         token: u64,
         table: &Table,
     ) -> Result<(), DatagramError> {
         let leases = self.quota_leases.as_mut().ok_or(DatagramError::Rejected)?;
-        if leases.take_reply(seat_list, token, table) {
+        if leases.on_reply(seat_list, token, table) {
             Ok(())
         } else {
             Err(DatagramError::Rejected)
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -144,7 +144,7 @@
             },
             share_for_ms: milliseconds(status.shares.until - now),
             free_seats: status.shares.free_seats,
-            differing: status.differing,
+            differing: status.seat_list_mismatches,
         }
     }
 }
