--- a/src/cluster/datagram.rs
+++ b/src/cluster/datagram.rs
@@ -1,10 +1,10 @@
-//! The form of a datagram: a prelude with a checksum, a payload, and for some payloads a message behind it.
+//! Wire format of datagrams: a prelude with a checksum, a payload, and for some payloads a message after it.
 //!
-//! Everything here is a wire form: while an upgrade rolls through the cluster, members of two versions read each other's
-//! datagrams. The serialization is positional, so the order of variants and fields counts and their names do not.
+//! During a rolling upgrade members of two versions read each other's datagrams, so the format has to stay compatible.
+//! The serialization is positional: the order of variants and fields matters, their names do not.
 //!
-//! Nothing here is secret: the checksum tells damage from messages, not attackers from members. The network between the
-//! gateways has to be private.
+//! The checksum detects damaged datagrams, but does not authenticate the sender, and nothing is encrypted. The network
+//! between the gateways has to be private.
 
 use crate::cluster::ledger::LedgerMessage;
 use crate::cluster::quota_lease::view_gossip::Table;
@@ -13,88 +13,89 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The longest datagram that is sent or taken, in bytes: it crosses any network without being fragmented.
+/// Maximum length of a datagram, in bytes, which any network carries without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// The version of the protocol. Datagrams of another one are dropped and counted.
+/// Version of the protocol. Datagrams of other versions are dropped and counted.
 pub const VERSION: u8 = 1;
-/// What every datagram of the protocol begins with.
+/// First bytes of every datagram.
 const MAGIC: [u8; 2] = *b"SH";
-/// Where the version stands.
-const VERSION_AT: usize = MAGIC.len();
-/// Where the cluster's tag begins.
-const TAG_AT: usize = VERSION_AT + 1;
-/// Where the checksum over all that follows it begins.
-const CHECKSUM_AT: usize = TAG_AT + size_of::<u32>();
-/// The bytes before the payload.
-const PRELUDE_BYTES: usize = CHECKSUM_AT + size_of::<u32>();
-/// The longest form of `Payload::Swim`: its variant, a `u64` of ten bytes, a flag, and an optional `u16` of three bytes.
+/// Offset of the version.
+const VERSION_OFFSET: usize = MAGIC.len();
+/// Offset of the cluster's tag.
+const TAG_OFFSET: usize = VERSION_OFFSET + 1;
+/// Offset of the checksum, which covers all bytes after it.
+const CHECKSUM_OFFSET: usize = TAG_OFFSET + size_of::<u32>();
+/// Length of the prelude before the payload, in bytes.
+const PRELUDE_BYTES: usize = CHECKSUM_OFFSET + size_of::<u32>();
+/// Maximum encoded length of `Payload::Swim`, in bytes: its variant, a `u64` of up to ten bytes, a flag, and an
+/// optional `u16` of up to three bytes after its own flag.
 const MAX_SWIM_PAYLOAD_BYTES: usize = 1 + 10 + 1 + 4;
-/// The most bytes that a datagram adds to a message of the membership protocol.
+/// Maximum number of bytes that a datagram adds to a message of the membership protocol.
 pub const MAX_OVERHEAD_BYTES: usize = PRELUDE_BYTES + MAX_SWIM_PAYLOAD_BYTES;
 
-/// What a datagram carries. The order of variants and fields is the wire form.
+/// Payload of a datagram. The order of variants and fields is the wire form.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Payload {
-    /// A message of the membership protocol follows.
+    /// Header of a message of the membership protocol, which follows the payload.
     Swim {
-        /// The highest incarnation that the sender knows under the receiver's name; 0: none.
+        /// Highest incarnation that the sender knows under the receiver's name; 0 if none.
         known_incarnation: u64,
-        /// The sender takes that incarnation for present.
+        /// Whether the sender considers that incarnation present.
         is_present: bool,
-        /// The sender suspects the receiver, at this number of the protocol's own incarnations.
+        /// If the sender suspects the receiver: the suspected incarnation number of the protocol itself.
         suspicion: Option<u16>,
     },
-    /// Asks whether the receiver is there.
+    /// Ring probe: asks the receiver for a reply.
     RingProbe {
-        /// Comes back with the reply.
+        /// Token that the reply repeats.
         token: u64,
     },
-    /// Answers that.
+    /// Reply to a ring probe.
     RingProbeReply {
-        /// The probe's.
+        /// Token of the probe.
         token: u64,
     },
-    /// Asks for all statements on the seats.
+    /// Requests the table of all statements on the seats.
     ViewRequest {
-        /// The digest of the sender's list of seats.
+        /// Digest of the sender's list of seats.
         seat_list: u64,
-        /// Comes back with the reply.
+        /// Token that the reply repeats.
         token: u64,
     },
-    /// Answers that.
+    /// Reply to a request for the table.
     ViewReply {
-        /// The digest of the sender's list of seats.
+        /// Digest of the sender's list of seats.
         seat_list: u64,
-        /// The request's.
+        /// Token of the request.
         token: u64,
-        /// The statements.
+        /// Table of all statements known to the sender.
         table: Table,
     },
-    /// A message of the ledger.
+    /// Message of the ledger.
     Ledger {
-        /// The digest of the sender's list of seats.
+        /// Digest of the sender's list of seats.
         seat_list: u64,
-        /// The sender's seat.
+        /// Seat of the sender.
         seat: u16,
-        /// The message.
+        /// Message of the sender.
         message: LedgerMessage,
     },
-    /// A message of a rollout of routing rules.
+    /// Message of a rollout of routing rules.
     Rollout {
-        /// The digest of the sender's list of seats.
+        /// Digest of the sender's list of seats.
         seat_list: u64,
-        /// The sender's seat.
+        /// Seat of the sender.
         seat: u16,
-        /// The message.
+        /// Message of the sender.
         message: RolloutMessage,
     },
-    /// A message among the gateways that share a write queue.
+    /// Message between gateways that share a write queue.
     WriteQueue {
-        /// The digest of the sender's list of seats.
+        /// Digest of the sender's list of seats.
         seat_list: u64,
-        /// The sender's seat.
+        /// Seat of the sender.
         seat: u16,
-        /// The message.
+        /// Message of the sender.
         message: QueueMessage,
     },
 }
@@ -102,25 +103,25 @@
 /// Why a datagram was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DatagramError {
-    /// It is no datagram of this protocol, or a part of one.
-    #[error("not a whole datagram of this protocol")]
+    /// The datagram is damaged, truncated, or not of this protocol.
+    #[error("malformed: damaged, truncated, or not of this protocol")]
     Malformed,
-    /// It is longer than any datagram of this protocol.
+    /// The datagram exceeds `MAX_DATAGRAM_BYTES`.
     #[error("longer than {MAX_DATAGRAM_BYTES} bytes")]
     Oversized,
-    /// Of a version that this program does not speak.
-    #[error("of another version of the protocol than {VERSION}")]
+    /// The datagram has a protocol version that this program does not support.
+    #[error("unsupported protocol version, expected {VERSION}")]
     UnsupportedVersion,
-    /// Of another cluster.
-    #[error("of another cluster")]
+    /// The datagram belongs to another cluster.
+    #[error("belongs to another cluster")]
     OtherCluster,
-    /// Sound, but not for this member: not requested, or of another list of seats.
-    #[error("sound, but not for this member")]
+    /// The datagram is well-formed but not accepted: an invalid message, not requested, or of another list of seats.
+    #[error("well-formed, but not accepted by this member")]
     Rejected,
 }
 
 impl DatagramError {
-    /// All kinds.
+    /// All reasons.
     pub const ALL: [DatagramError; 5] = [
         DatagramError::Malformed,
         DatagramError::Oversized,
@@ -129,7 +130,7 @@
         DatagramError::Rejected,
     ];
 
-    /// Its key in `/stats` and `/fleet`.
+    /// Key of the reason in `/stats` and `/fleet`.
     pub fn key(self) -> &'static str {
         match self {
             DatagramError::Malformed => "rubbish",
@@ -141,7 +142,7 @@
     }
 }
 
-/// What stands for a cluster's name on the wire.
+/// Returns the tag that represents a cluster's name on the wire.
 pub fn cluster_tag(cluster: &str) -> u32 {
     xxh3_64(cluster.as_bytes()) as u32
 }
@@ -150,7 +151,7 @@
     xxh3_64(body) as u32
 }
 
-/// Writes a datagram: a payload, and the message behind it. None where it would be too long.
+/// Encodes a datagram from a payload and the message after it. Returns `None` if it would be too long.
 pub fn encode(cluster_tag: u32, payload: &Payload, message: &[u8]) -> Option<Vec<u8>> {
     let mut bytes = Vec::with_capacity(MAX_OVERHEAD_BYTES + message.len());
     bytes.extend(MAGIC);
@@ -163,19 +164,19 @@
     (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
 }
 
-/// Puts the checksum into a datagram that is complete but for it.
+/// Writes the checksum into a datagram that is otherwise complete.
 pub(super) fn write_checksum(bytes: &mut [u8]) {
     if let Some((prelude, body)) = bytes.split_at_mut_checked(PRELUDE_BYTES) {
-        prelude[CHECKSUM_AT..].copy_from_slice(&checksum(body).to_le_bytes());
+        prelude[CHECKSUM_OFFSET..].copy_from_slice(&checksum(body).to_le_bytes());
     }
 }
 
-/// Reads a datagram: its payload, and the message behind it.
+/// Decodes a datagram into its payload and the message after it.
 ///
 /// # Errors
 ///
-/// Why it is dropped. The cluster's tag is looked at before the checksum, so that another cluster's datagrams are
-/// counted as such and not as damage.
+/// Returns the reason for which the datagram is dropped. The cluster's tag is checked before the checksum, so that
+/// datagrams of another cluster are counted as such and not as damaged.
 pub fn decode(cluster_tag: u32, bytes: &[u8]) -> Result<(Payload, &[u8]), DatagramError> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DatagramError::Oversized);
@@ -184,13 +185,13 @@
     if !prelude.starts_with(&MAGIC) {
         return Err(DatagramError::Malformed);
     }
-    if prelude[VERSION_AT] != VERSION {
+    if prelude[VERSION_OFFSET] != VERSION {
         return Err(DatagramError::UnsupportedVersion);
     }
-    if prelude[TAG_AT..CHECKSUM_AT] != cluster_tag.to_le_bytes() {
+    if prelude[TAG_OFFSET..CHECKSUM_OFFSET] != cluster_tag.to_le_bytes() {
         return Err(DatagramError::OtherCluster);
     }
-    if prelude[CHECKSUM_AT..] != checksum(body).to_le_bytes() {
+    if prelude[CHECKSUM_OFFSET..] != checksum(body).to_le_bytes() {
         return Err(DatagramError::Malformed);
     }
     postcard::take_from_bytes(body).map_err(|_| DatagramError::Malformed)
--- a/src/cluster/event.rs
+++ b/src/cluster/event.rs
@@ -1,4 +1,4 @@
-//! What goes into a gateway's cluster node and what comes out: events, effects, notices for people, and counters.
+//! Inputs and outputs of a cluster node: events, effects, notices for operators, and traffic counters.
 
 use crate::cluster::datagram::DatagramError;
 use crate::cluster::ledger::{AbandonedRequest, ClaimId, ClaimOutcome};
@@ -16,184 +16,186 @@
 pub enum Event<'a> {
     /// A datagram was received.
     Datagram {
-        /// Its source address.
+        /// Source address of the datagram.
         from: SocketAddr,
-        /// The whole datagram.
+        /// Complete datagram.
         bytes: &'a [u8],
     },
-    /// Time has passed; due every `TICK_INTERVAL` at least.
+    /// Periodic tick, due at least every `TICK_INTERVAL`.
     Tick,
-    /// The same for the ledger, where there is one; due every `LEDGER_TICK_INTERVAL`.
+    /// Periodic tick of the ledger, the rollouts and the write queue, due every `LEDGER_TICK_INTERVAL` if there is a
+    /// ledger.
     LedgerTick,
     /// The gateway leaves the cluster on purpose.
     Leave,
     /// The configured addresses of the other gateways changed.
     PeerAddressesChanged {
-        /// All of them, by name.
+        /// Addresses of all other gateways, by name.
         addresses: BTreeMap<String, SocketAddr>,
     },
     /// The storage was opened and read.
     StorageLoaded {
-        /// What it held.
+        /// Stored entries.
         writes: Vec<StorageWrite>,
     },
-    /// The storage holds everything up to this batch, also after a loss of power.
+    /// All batches up to this one are stored durably and would survive a power loss.
     StorageSynced {
-        /// The number that `Effect::PersistBatch` gave it.
+        /// Number of the batch in `Effect::PersistBatch`.
         batch: u64,
     },
-    /// The storage can't be opened, or takes nothing more.
+    /// The storage can't be opened, or a write to it failed.
     StorageFailed,
 }
 
-/// Output of the cluster node: what its owner has to do.
+/// Output of the cluster node: an action for its owner.
 #[derive(Debug)]
 pub enum Effect {
     /// Send a datagram.
     Send {
-        /// Its destination.
+        /// Destination address of the datagram.
         to: SocketAddr,
-        /// The whole datagram.
+        /// Complete datagram.
         bytes: Vec<u8>,
     },
-    /// A line for the log.
+    /// Log a notice.
     Notify(ClusterNotice),
-    /// The quota shares are these from now on.
+    /// Use these quota shares from now on.
     QuotaSharesChanged(QuotaShares),
-    /// Put this batch on the disk, and answer with `Event::StorageSynced` once it would survive a loss of power.
+    /// Write this batch to the disk, and send `Event::StorageSynced` once it would survive a power loss.
     PersistBatch {
-        /// Rises by one with each batch.
+        /// Sequence number of the batch, increasing by one.
         batch: u64,
-        /// Its contents, to be applied in this order.
+        /// Contents of the batch, to be applied in this order.
         writes: Vec<StorageWrite>,
     },
-    /// A claim at the ledger found out.
+    /// A claim at the ledger has an outcome.
     ClaimResolved {
-        /// Which claim.
+        /// Identifier of the claim.
         claim: ClaimId,
-        /// What it found.
+        /// Outcome of the claim.
         outcome: ClaimOutcome,
     },
-    /// A request whose owner is gone and whose client did not come again may be finished.
+    /// Finish an abandoned request: its owner is gone and its client did not retry.
     RequestAbandoned(AbandonedRequest),
-    /// Something is to be done for the write queue.
+    /// Perform an action of the write queue.
     WriteQueue(WriteQueueEffect),
-    /// These routing rules are in force from now on.
+    /// Use these routing rules from now on.
     RoutingChanged(Box<RoutingInForce>),
-    /// What becomes of a rollout, for the log.
+    /// Log the progress of a rollout.
     RolloutNotice(RolloutNotice),
-    /// The rollout that was asked for here has started, or could not.
+    /// The rollout requested at this gateway has started, or could not be started.
     RolloutStarted {
-        /// Its key; none where another one runs or the ledger can't be had.
+        /// Key of the rollout; none if another rollout is running or the ledger is unavailable.
         key: Option<RolloutKey>,
     },
 }
 
-/// What the proxy has to do for the write queue.
+/// Action of the write queue, to be performed by the proxy.
 #[derive(Debug)]
 pub enum WriteQueueEffect {
-    /// A write is accepted under this name, or not.
+    /// Acceptance of a write was decided.
     Decided {
-        /// The write.
+        /// Dot of the write.
         dot: Dot,
-        /// Whether it is accepted.
+        /// Whether the write is accepted.
         accepted: bool,
     },
-    /// Forward this write.
+    /// Forward a write to a backend.
     Forward {
-        /// The write.
+        /// Write to forward.
         write: Box<Write>,
-        /// In which attempt.
+        /// Number of the attempt.
         attempt: u16,
-        /// An attempt of an owner before may have run.
+        /// Whether an earlier attempt, by this or a previous owner, may have been executed.
         may_have_run: bool,
     },
-    /// A write ended otherwise than completed.
+    /// A write ended without being completed.
     NotCompleted {
-        /// The write.
+        /// Dot of the write.
         dot: Dot,
-        /// How it ended.
+        /// Outcome of the write.
         outcome: WriteOutcome,
     },
-    /// The branch is isolated from the backends from now on, or no longer.
+    /// The branch became isolated from the backends, or is no longer isolated.
     IsolationChanged {
-        /// Whether it is.
+        /// Whether the branch is isolated.
         isolated: bool,
-        /// How long ago the last response came.
+        /// Time since the last response of a backend.
         since_response: Micros,
     },
 }
 
-/// The routing rules in force.
+/// Routing rules in force.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RoutingInForce {
-    /// Of which rollout; none where there was none yet.
+    /// Key of the latest rollout; none if there was none yet.
     pub key: Option<RolloutKey>,
-    /// Outcomes are counted.
+    /// Whether outcomes of requests are counted.
     pub counts_outcomes: bool,
-    /// The rules of those customers that do not have the new ones.
+    /// Rules for the customers outside the canary share.
     pub baseline: RuleSet,
-    /// The new rules.
+    /// Rules for the customers in the canary share.
     pub canary: RuleSet,
-    /// The customers, of 10,000, that have the new ones.
+    /// Share of customers with the canary rules, in 1/10,000.
     pub canary_share: u16,
 }
 
-/// A change that people have to know of; the owner logs it.
+/// A change that operators should know of; the owner logs it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClusterNotice {
-    /// A newer process runs under this one's name. This one has yielded its seat to it, and goes on serving.
+    /// A newer process runs under this one's name. This one has yielded its seat to that, and continues to serve
+    /// requests.
     SeatYielded {
-        /// This process's incarnation.
+        /// Incarnation of this process.
         own: u64,
-        /// The newer one's.
+        /// Incarnation of the newer process.
         other: u64,
     },
-    /// Two processes run under one name.
+    /// Two processes run under the same name.
     DuplicateName {
-        /// The name.
+        /// Name of both processes.
         name: String,
-        /// The older process's incarnation.
+        /// Incarnation of the older process.
         older: u64,
-        /// The newer one's.
+        /// Incarnation of the newer process.
         newer: u64,
     },
     /// A member's state changed.
     MemberStateChanged {
-        /// Its name.
+        /// Name of the member.
         name: String,
-        /// Its state from now on.
+        /// New state of the member.
         state: MemberState,
-        /// Why, for people.
+        /// Reason of the change, in words for operators.
         reason: &'static str,
     },
-    /// The storage was read. Where it held all that this gateway ever confirmed in the write queue or at the ledger,
-    /// the gateway has its vote there at once.
+    /// The storage was read. If it held everything that this gateway ever confirmed in the write queue, or at the
+    /// ledger, the gateway has its vote there at once.
     StorageLoaded {
-        /// Writes of the write queue that it held.
+        /// Number of stored writes of the write queue.
         writes: usize,
-        /// Records of the ledger that it held.
+        /// Number of stored records of the ledger.
         records: usize,
-        /// Whether the gateway has its vote in the write queue, and at the ledger.
+        /// Whether the gateway has its vote at once in the write queue, and at the ledger.
         votes: (bool, bool),
     },
-    /// The storage takes nothing more: the gateway has given up its votes, and goes on serving.
+    /// The storage failed: the gateway has given up its votes and continues to serve requests.
     StorageLost,
 }
 
-/// Datagrams and bytes, both ways, and what was dropped.
+/// Counters of datagrams and bytes sent, received and dropped.
 #[derive(Debug, Clone, Default)]
 pub struct TrafficCounters {
-    /// Datagrams that were taken.
+    /// Datagrams received and processed.
     pub received: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams received and processed.
     pub received_bytes: u64,
-    /// Datagrams that were sent.
+    /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Messages that had no address to go to.
+    /// Messages not sent because the receiver's address is unknown.
     pub unaddressed: u64,
-    /// Datagrams that were dropped, by reason.
+    /// Received datagrams that were dropped, by reason.
     pub dropped: BTreeMap<DatagramError, u64>,
 }
--- a/src/cluster/membership/identity.rs
+++ b/src/cluster/membership/identity.rs
@@ -47,8 +47,8 @@
 impl Identity {
     /// Returns the identity of a process that starts now. The incarnation is made of the wall clock, which may have
     /// been set back, and 15 random bits.
-    pub fn at_start(name: &str, metadata: MemberMetadata, unix: Micros, random: u64) -> Identity {
-        let milliseconds = unix.0 / 1000;
+    pub fn at_start(name: &str, metadata: MemberMetadata, wall_clock: Micros, random: u64) -> Identity {
+        let milliseconds = wall_clock.0 / 1000;
         let drawn = random % (INCARNATIONS_PER_MILLISECOND / 2);
         let incarnation = milliseconds.saturating_mul(INCARNATIONS_PER_MILLISECOND) | drawn;
         Identity { name: name.into(), incarnation, leaving: false, metadata: Rc::new(metadata) }
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -1,14 +1,18 @@
-//! What the gateways of a cluster know and do together: who is present, who may use which quota share, records of
-//! requests, writes that wait for the backends, and rollouts of routing rules.
+//! Cooperation of the gateways of a cluster: membership, quota leases, the ledger of requests, the queue of writes that
+//! wait for the backends, and rollouts of routing rules.
 //!
-//! [`ClusterNode`] is one gateway's part. It takes [`Event`]s and appends [`Effect`]s; it has no I/O, no clock and no
-//! global randomness, as times and seeds are passed in. `proxy::cluster_transport` has the socket and the storage.
+//! [`ClusterNode`] is the state machine of one gateway. It handles [`Event`]s and appends [`Effect`]s. It has no I/O,
+//! no clock and no global randomness: times and seeds are passed in. `proxy::cluster_transport` owns the socket and the
+//! storage.
 //!
-//! - `membership`, `quota_lease`: `docs/decisions/0001-membership.md`
-//! - [`ledger`]: `docs/decisions/0004-ledger.md`. [`write_queue`]: `docs/decisions/0006-branch-queue.md`
-//! - [`rollout`]: `docs/decisions/0007-rules-rollout.md`. `storage`: what outlives the process
-//! - `node`, and for each part a `*_node`: how the parts are joined in one node
-//! - `datagram`: the form of datagrams on the wire. `report`: the answer to `/fleet`
+//! - `membership`, `quota_lease`: described in `docs/decisions/0001-membership.md`
+//! - [`ledger`]: described in `docs/decisions/0004-ledger.md`
+//! - [`write_queue`]: described in `docs/decisions/0006-branch-queue.md`
+//! - [`rollout`]: described in `docs/decisions/0007-rules-rollout.md`
+//! - `storage`: state that survives the process
+//! - `node` and the `*_node` modules: integration of these parts into [`ClusterNode`]
+//! - `datagram`: wire format of datagrams
+//! - `report`: response of `/fleet`
 
 mod datagram;
 mod event;
--- a/src/cluster/node.rs
+++ b/src/cluster/node.rs
@@ -1,4 +1,4 @@
-//! One gateway's part in the cluster: its state, and which part takes which event.
+//! State machine of one gateway in the cluster, and the dispatch of events to its parts.
 
 use crate::cluster::datagram;
 use crate::cluster::event::{Effect, Event, TrafficCounters};
@@ -19,56 +19,56 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// One gateway's part in the cluster.
+/// State machine of one gateway in the cluster.
 pub struct ClusterNode {
     pub(super) settings: Settings,
-    /// What stands for the cluster's name in datagrams.
+    /// Tag that represents the cluster's name in datagrams.
     pub(super) cluster_tag: u32,
     pub(super) rng: fastrand::Rng,
-    /// The latest time that was passed in.
+    /// Latest time that was passed in.
     pub(super) now: Micros,
     pub(super) traffic: TrafficCounters,
     pub(super) swim: Swim,
-    /// When absent gateways are called.
+    /// Schedule of the announcements to absent gateways.
     pub(super) join_schedule: JoinSchedule,
     pub(super) address_book: AddressBook,
     pub(super) ring_prober: RingProber,
     pub(super) duplicate_names: DuplicateNameDetector,
-    /// The newer process under this name, once this one has yielded its seat to it.
+    /// Incarnation of the newer process under this name, once this one has yielded its seat to that.
     pub(super) yielded_to: Option<u64>,
-    /// This gateway leaves on purpose.
+    /// Whether this gateway leaves, or has left, on purpose.
     pub(super) left: bool,
-    /// How often it still has to repeat that.
+    /// Number of ticks in which this gateway still has to repeat its departure.
     pub(super) leave_repeats: u32,
-    /// The members' states as they were last notified.
+    /// State of each member in the last notice about it.
     pub(super) notified_states: BTreeMap<Rc<str>, MemberState>,
-    /// The seats, where the settings name them.
+    /// Quota leases, if the settings list the seats.
     pub(super) quota_leases: Option<QuotaLeases>,
-    /// The ledger, where the settings have one.
+    /// Ledger node, if the settings configure the ledger.
     pub(super) ledger: Option<LedgerNode>,
-    /// The part in rollouts, where the settings have one.
+    /// Rollout controller, if the settings configure routing rules.
     pub(super) rollout: Option<RolloutController>,
-    /// When that is due.
+    /// Time of the next tick of the rollout controller.
     pub(super) next_rollout_tick: Micros,
-    /// The write queue, where this gateway is of a branch.
+    /// Write queue, if this gateway belongs to a branch.
     pub(super) write_queue: Option<WriteQueue>,
-    /// The storage, where it has one.
+    /// Persistence, if this gateway has storage.
     pub(super) persistence: Option<Persistence>,
 }
 
-/// The parts that need a seat. They are made together, as each draws from the same random numbers in this order.
-struct SeatedParts {
+/// Parts that need a seat. They are created together, because they draw from one random number generator in this order.
+struct SeatDependentParts {
     quota_leases: Option<QuotaLeases>,
     ledger: Option<LedgerNode>,
     rollout: Option<RolloutController>,
     write_queue: Option<WriteQueue>,
 }
 
-impl SeatedParts {
-    fn new(settings: &Settings, now: Micros, rng: &mut fastrand::Rng) -> SeatedParts {
+impl SeatDependentParts {
+    fn new(settings: &Settings, now: Micros, rng: &mut fastrand::Rng) -> SeatDependentParts {
         let quota_leases = QuotaLeases::new(&settings.seats, &settings.name, now, rng.u64(..));
         let Some(leases) = &quota_leases else {
-            return SeatedParts { quota_leases, ledger: None, rollout: None, write_queue: None };
+            return SeatDependentParts { quota_leases, ledger: None, rollout: None, write_queue: None };
         };
         let own_seat = leases.own_seat();
         let seats = leases.seat_count();
@@ -82,10 +82,10 @@
         let write_queue = settings.branch.clone().map(|queue_settings| {
             WriteQueue::new(QueueReplica::new(own_seat, queue_settings, rng.u64(..), now), now)
         });
-        SeatedParts { quota_leases, ledger, rollout, write_queue }
+        SeatDependentParts { quota_leases, ledger, rollout, write_queue }
     }
 
-    /// Nothing that the storage may hold counts before it was read.
+    /// Withholds the votes of the ledger replica and of the write queue until the storage has been read.
     fn await_storage(&mut self) {
         if let Some(ledger) = self.ledger.as_mut() {
             ledger.replica_mut().await_storage();
@@ -97,25 +97,25 @@
 }
 
 impl ClusterNode {
-    /// A gateway that knows nobody yet. `unix` is the wall clock's time, which is used for nothing but the incarnation;
-    /// `now`, here and everywhere, is of a clock that never goes back.
+    /// Creates a node that knows no other member yet. `wall_clock` is the Unix time and is used only for the
+    /// incarnation; `now`, here and in all other functions, is the time of a monotonic clock.
     ///
     /// # Errors
     ///
-    /// The settings are invalid.
+    /// Fails if the settings are invalid.
     pub fn new(
         settings: Settings,
         now: Micros,
-        unix: Micros,
+        wall_clock: Micros,
         seed: u64,
     ) -> Result<ClusterNode, SettingsError> {
         settings.check()?;
         let mut rng = fastrand::Rng::with_seed(seed);
-        let own = Identity::at_start(&settings.name, settings.metadata.clone(), unix, rng.u64(..));
+        let own = Identity::at_start(&settings.name, settings.metadata.clone(), wall_clock, rng.u64(..));
         let max_message_bytes = datagram::MAX_DATAGRAM_BYTES - datagram::MAX_OVERHEAD_BYTES;
         let swim = Swim::new(own, rng.u64(..), settings.probe_period, max_message_bytes);
         let join_schedule = JoinSchedule::new(now, &mut rng);
-        let mut parts = SeatedParts::new(&settings, now, &mut rng);
+        let mut parts = SeatDependentParts::new(&settings, now, &mut rng);
         let persistence = settings.disk.map(|machine| Persistence::new(machine, now));
         if persistence.is_some() {
             parts.await_storage();
@@ -144,7 +144,7 @@
         })
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting effects.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, out: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         let mut messages = Vec::new();
@@ -170,27 +170,27 @@
         self.send_messages(messages, out);
     }
 
-    /// This process's identity now.
+    /// Current identity of this process.
     pub fn own(&self) -> &Identity {
         self.swim.own()
     }
 
-    /// All other members, by name.
+    /// Records of all other members, ordered by name.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.swim.records().values()
     }
 
-    /// How many members take part, this one among them.
+    /// Number of members that take part, including this one.
     pub fn present(&self) -> usize {
         1 + self.records().filter(|record| record.state.is_present()).count()
     }
 
-    /// Datagrams, bytes and what was dropped.
+    /// Counters of datagrams and bytes sent, received and dropped.
     pub fn traffic(&self) -> &TrafficCounters {
         &self.traffic
     }
 
-    /// The incarnation of the newer process under this name, where this one has yielded its seat to it.
+    /// Incarnation of the newer process under this name, if this one has yielded its seat to that.
     pub fn yielded_to(&self) -> Option<u64> {
         self.yielded_to
     }
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -1,7 +1,7 @@
-//! The answer to `/fleet`: the cluster as one gateway sees it, for operators.
+//! Response of `/fleet`: the cluster as seen by one gateway, for operators.
 //!
-//! The names and forms of the JSON are a public interface. They are mapped here and nowhere else: pairs stay arrays, and
-//! keys keep the names that operators' tools read.
+//! The JSON is a public interface that operators' tools read. Its keys and forms are mapped in this module alone and
+//! stay as they are: pairs are arrays, and renamed fields keep their former keys.
 
 use crate::cluster::datagram::DatagramError;
 use crate::cluster::ledger::ClaimCounts;
@@ -17,25 +17,25 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLISECOND: u64 = 1000;
 
-/// One member, as this gateway sees it.
+/// One member as seen by this gateway.
 #[derive(Debug, Clone, Serialize)]
 pub struct MemberReport {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its incarnation.
+    /// Incarnation of the member.
     pub incarnation: u64,
-    /// Its state.
+    /// State of the member.
     pub state: MemberState,
-    /// For how long it has been in this state, in milliseconds.
+    /// Time in this state, in milliseconds.
     pub since_ms: u64,
-    /// Why.
+    /// Reason of the change to this state.
     #[serde(rename = "why")]
     pub reason: &'static str,
-    /// Its zone.
+    /// Zone of the member; empty if none is configured.
     pub zone: String,
-    /// Its program's version.
+    /// Program version of the member.
     pub version: String,
-    /// What it can do, one bit each.
+    /// Capability bits.
     pub capabilities: u32,
 }
 
@@ -55,12 +55,12 @@
     }
 }
 
-/// Datagrams of one direction. In JSON an array of both.
+/// Datagrams of one direction, in JSON an array `[datagrams, bytes]`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TrafficVolume {
-    /// How many.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Total length of the datagrams, in bytes.
     pub bytes: u64,
 }
 
@@ -70,12 +70,12 @@
     }
 }
 
-/// Calls of the cluster node that came late. In JSON an array of both.
+/// Late calls of the cluster node, in JSON an array `[count, longest_ms]`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LateCalls {
-    /// How many.
+    /// Number of late calls.
     pub count: u64,
-    /// The longest delay, in milliseconds.
+    /// Longest delay beyond the tolerance, in milliseconds.
     pub longest_ms: u64,
 }
 
@@ -85,21 +85,21 @@
     }
 }
 
-/// In JSON an array: the older incarnation, the newer.
+/// In JSON an array of the incarnations `[older, newer]`.
 impl Serialize for DuplicateName {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         (self.older, self.newer).serialize(serializer)
     }
 }
 
-/// How many seats state exactly this view, state anything, and exist. In JSON an array of the three.
+/// Number of seats that support a view, in JSON an array `[stating, reporting, total]`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ViewSupport {
     /// Seats that state exactly this view.
     pub stating: usize,
-    /// Seats whose statements, whatever they are, still count.
+    /// Seats with valid statements, whatever these are.
     pub reporting: usize,
-    /// All seats.
+    /// Number of all seats.
     pub total: usize,
 }
 
@@ -109,21 +109,22 @@
     }
 }
 
-/// The view of the seats, and the quota shares that follow.
+/// View of the seats, and the resulting quota shares.
 #[derive(Debug, Clone, Serialize)]
 pub struct ViewReport {
-    /// The view's number.
+    /// Number of the view.
     pub number: u64,
-    /// Its digest, in hexadecimal digits.
+    /// Digest of the view, in hexadecimal.
     pub digest: String,
-    /// Whether the cluster agrees.
+    /// Agreement of the cluster.
     pub agreement: Agreement,
-    /// How many seats support the view.
+    /// Number of seats that support the view.
     #[serde(rename = "holding")]
     pub support: ViewSupport,
-    /// For how long the own share is whole from now, in milliseconds; 0: it is cut to the part that is never lent.
+    /// Remaining time in which this gateway may use its complete share, in milliseconds; 0: only the part that is never
+    /// leased.
     pub share_for_ms: u64,
-    /// Seats whose shares are shared out.
+    /// Seats whose shares are divided among the other gateways.
     #[serde(rename = "away")]
     pub free_seats: Vec<u32>,
     /// Requests and replies of members that have another list of seats.
@@ -149,43 +150,43 @@
     }
 }
 
-/// The cluster as one gateway sees it.
+/// The cluster as seen by one gateway.
 #[derive(Debug, Clone, Serialize)]
 pub struct ClusterReport {
-    /// The cluster's name.
+    /// Name of the cluster.
     #[serde(rename = "fleet")]
     pub cluster: String,
-    /// This gateway's name.
+    /// Name of this gateway.
     pub name: String,
-    /// This process's incarnation.
+    /// Incarnation of this process.
     pub incarnation: u64,
-    /// The newer process under this name, where this one has yielded its seat to it.
+    /// Incarnation of the newer process under this name, if this one has yielded its seat to that.
     pub yielded_to: Option<u64>,
-    /// Names under which two processes ran.
+    /// Names under which two processes have been confirmed to run.
     #[serde(rename = "rivals")]
     pub duplicate_names: BTreeMap<String, DuplicateName>,
-    /// How badly this process itself runs, 0 to 8; its time-outs are one more than this many times as long.
+    /// Health score of this process, from 0 (healthy) to 8 (worst); its time-outs are multiplied by the score plus one.
     pub health: u32,
-    /// How often it was found late.
+    /// Late calls of the cluster node.
     #[serde(rename = "late")]
     pub late_calls: LateCalls,
-    /// The view and the shares, where the settings name the seats.
+    /// View and quota shares, if the settings list the seats.
     pub view: Option<ViewReport>,
-    /// How claims at the ledger ended, where one is kept.
+    /// Outcomes of claims at the ledger, if there is one.
     pub ledger: Option<ClaimCounts>,
-    /// Gateways that take part, this one among them.
+    /// Number of gateways that take part, including this one.
     pub present: usize,
-    /// Datagrams that were taken.
+    /// Datagrams received and processed.
     #[serde(rename = "heard")]
     pub received: TrafficVolume,
-    /// Datagrams that were sent.
+    /// Datagrams sent.
     pub sent: TrafficVolume,
-    /// Messages that had no address to go to.
+    /// Messages not sent because the receiver's address is unknown.
     pub unaddressed: u64,
-    /// Datagrams that were dropped, by reason.
+    /// Received datagrams that were dropped, by reason.
     #[serde(rename = "strangers")]
     pub dropped: BTreeMap<&'static str, u64>,
-    /// All other members.
+    /// All other members, ordered by name.
     pub members: Vec<MemberReport>,
 }
 
@@ -194,7 +195,7 @@
 }
 
 impl ClusterNode {
-    /// The report for operators.
+    /// Returns the report for operators.
     pub fn report(&self) -> ClusterReport {
         let own_incarnation = self.own().incarnation;
         let health = self.swim.health();
@@ -205,7 +206,9 @@
             name: self.settings.name.clone(),
             incarnation: own_incarnation,
             yielded_to: self.yielded_to,
-            duplicate_names: duplicate_names.map(|(name, both)| (name.clone(), *both)).collect(),
+            duplicate_names: duplicate_names
+                .map(|(name, incarnations)| (name.clone(), *incarnations))
+                .collect(),
             health: health.score(),
             late_calls: LateCalls {
                 count: health.late_calls(),
@@ -219,12 +222,12 @@
             received: TrafficVolume { datagrams: traffic.received, bytes: traffic.received_bytes },
             sent: TrafficVolume { datagrams: traffic.sent, bytes: traffic.sent_bytes },
             unaddressed: traffic.unaddressed,
-            dropped: DatagramError::ALL.into_iter().map(|why| (why.key(), self.dropped(why))).collect(),
+            dropped: DatagramError::ALL.into_iter().map(|error| (error.key(), self.dropped(error))).collect(),
             members: self.records().map(|record| MemberReport::new(record, self.now)).collect(),
         }
     }
 
-    fn dropped(&self, why: DatagramError) -> u64 {
-        self.traffic.dropped.get(&why).copied().unwrap_or(0)
+    fn dropped(&self, error: DatagramError) -> u64 {
+        self.traffic.dropped.get(&error).copied().unwrap_or(0)
     }
 }
--- a/src/cluster/settings.rs
+++ b/src/cluster/settings.rs
@@ -1,6 +1,6 @@
-//! A cluster node's settings, and whether they are valid.
+//! Settings of a cluster node, and their validation.
 //!
-//! Errors name the keys of the cluster's file, so that whoever wrote it finds the line.
+//! Errors name the keys of the cluster's configuration file, so that operators find the line.
 
 use crate::cluster::ledger::LedgerSettings;
 use crate::cluster::membership::identity::{is_valid_name, MemberMetadata};
@@ -15,55 +15,56 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The probe periods that are allowed.
+/// Range of valid probe periods.
 const PROBE_PERIODS: RangeInclusive<Duration> = Duration::from_millis(100)..=Duration::from_secs(60);
-/// The longest safety margin of a lease, in microseconds.
+/// Maximum safety margin of a lease, in microseconds.
 const MAX_LEASE_MARGIN: u64 = 200_000;
-/// The part of a lease that its safety margin is at most.
+/// The safety margin is at most the lease time divided by this.
 const LEASE_MARGIN_DIVISOR: u64 = 4;
 
-/// A cluster node's settings.
+/// Settings of a cluster node.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The cluster's name; datagrams of another are dropped.
+    /// Name of the cluster; datagrams of other clusters are dropped.
     pub cluster: String,
-    /// The gateway's name.
+    /// Name of this gateway.
     pub name: String,
-    /// What it publishes of itself.
+    /// Metadata that this gateway publishes to the other members.
     pub metadata: MemberMetadata,
-    /// The other gateways' addresses, as seen from here, by name.
+    /// Addresses of the other gateways as reachable from this one, by name.
     pub peers: BTreeMap<String, SocketAddr>,
-    /// The time between two probes.
+    /// Time between two probes.
     pub probe_period: Duration,
-    /// The names of all gateways in the order of their seats, the same at each; empty: no quota shares are leased, and
-    /// no ledger is kept.
+    /// Names of all gateways in the order of their seats, identical at every gateway. If empty, quota shares are not
+    /// leased and there is no ledger.
     pub seats: Vec<String>,
-    /// The ledger's settings; none: it keeps none.
+    /// Settings of the ledger; without them this gateway is no ledger node.
     pub ledger: Option<LedgerSettings>,
-    /// The routing rules in force before any rollout; none: it takes no part in rollouts.
+    /// Routing rules in force before any rollout; without them this gateway takes no part in rollouts.
     pub rules: Option<RuleSet>,
-    /// The write queue's settings, where this gateway accepts writes while it is cut off from the backends.
+    /// Settings of the write queue, if this gateway accepts writes while it is isolated from the backends.
     pub branch: Option<WriteQueueSettings>,
-    /// The machine that it runs on, where it has a storage there; none: it forgets everything at its end.
+    /// Machine of this gateway, if the gateway has storage there; without storage its state is lost when the process
+    /// ends.
     pub disk: Option<MachineId>,
 }
 
 impl Settings {
-    /// The safety margin of a lease: what is begun under it is known to the others within this time.
+    /// Safety margin of a lease: time within which the other members learn of an action started under the lease.
     pub(super) fn lease_margin(&self) -> Micros {
         let part_of_lease = self.ledger.map(|settings| settings.lease.0 / LEASE_MARGIN_DIVISOR);
         Micros(part_of_lease.map_or(MAX_LEASE_MARGIN, |part| MAX_LEASE_MARGIN.min(part)))
     }
 
-    /// Checks these settings.
+    /// Validates these settings.
     ///
     /// # Errors
     ///
-    /// The first key that has an invalid value, with what was expected and found.
+    /// Names the first key with an invalid value, the expected value and the value found.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_names()?;
         self.check_seats()?;
-        self.check_parts()?;
+        self.check_ledger_and_dependents()?;
         if !PROBE_PERIODS.contains(&self.probe_period) {
             return fail(format!("period: expected 0.1 s to 60 s, found {:?}", self.probe_period));
         }
@@ -92,13 +93,13 @@
             return fail(format!("seats: expected at most {MAX_SEATS}, found {}", self.seats.len()));
         }
         if self.seats.iter().collect::<BTreeSet<_>>().len() < self.seats.len() {
-            return fail("seats: expected each name once".into());
+            return fail("seats: expected each name once, found a duplicate".into());
         }
         Ok(())
     }
 
-    /// The ledger, and the parts that need one.
-    fn check_parts(&self) -> Result<(), SettingsError> {
+    /// Checks the ledger and the parts that require one.
+    fn check_ledger_and_dependents(&self) -> Result<(), SettingsError> {
         if let Some(ledger) = &self.ledger {
             ledger.check(self.seats.len())?;
         }
@@ -106,24 +107,24 @@
             let own_seat = self.seats.iter().position(|seat| *seat == self.name).unwrap_or(0);
             branch.check(own_seat as u16, self.seats.len())?;
             if self.ledger.is_none() {
-                return fail("branch: expected a ledger beside it".into());
+                return fail("branch: expected a configured ledger, found none".into());
             }
         }
         if self.disk.is_some() && self.ledger.is_none() {
-            return fail("ledger.dir: expected a ledger".into());
+            return fail("ledger.dir: expected a configured ledger, found none".into());
         }
         if let Some(rules) = &self.rules {
             rules.check()?;
             if self.ledger.is_none() {
-                return fail("rollout: expected a ledger beside it".into());
+                return fail("rollout: expected a configured ledger, found none".into());
             }
         }
         Ok(())
     }
 }
 
-fn fail(what: String) -> Result<(), SettingsError> {
-    Err(SettingsError(what))
+fn fail(message: String) -> Result<(), SettingsError> {
+    Err(SettingsError(message))
 }
 
 fn check_name(key: &str, text: &str) -> Result<(), SettingsError> {
--- a/src/cluster/tests.rs
+++ b/src/cluster/tests.rs
@@ -1,7 +1,7 @@
-//! The whole cluster node against datagrams that no member sends.
+//! The cluster node against forged datagrams.
 //!
-//! A member with a fault, or anybody who can send to the port, may send datagrams whose checksum is right and whose
-//! content is not. They must not end the process, nor make it remember more and more.
+//! A faulty member, or anybody who can reach the port, may send datagrams with a valid checksum and invalid content.
+//! They must neither crash the process nor make its memory grow without bound.
 
 use crate::cluster::datagram::{self, DatagramError};
 use crate::cluster::{
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The bytes before the payload, which the checksum is one of.
+/// Length of the prelude before the payload, including the checksum, in bytes.
 const PRELUDE_BYTES: usize = 11;
 const STEP: Micros = Micros(200_000);
 
@@ -35,31 +35,31 @@
 }
 
 fn member(name: &str, seed: u64) -> ClusterNode {
-    ClusterNode::new(settings(name), Micros(0), Micros(1_790_000_000_000_000), seed).expect("sound settings")
+    ClusterNode::new(settings(name), Micros(0), Micros(1_790_000_000_000_000), seed).expect("valid settings")
 }
 
-/// A datagram with some bytes changed, cut somewhere, and its checksum made right again.
+/// Returns a datagram with some bytes modified, truncated at random, and with its checksum corrected.
 fn forged(datagram: &[u8], rng: &mut fastrand::Rng) -> Vec<u8> {
     let mut forged = datagram.to_vec();
     for _ in 0..rng.usize(1..4) {
-        let at = rng.usize(PRELUDE_BYTES..forged.len());
-        forged[at] = if rng.bool() { rng.u8(..) } else { 0xff };
+        let offset = rng.usize(PRELUDE_BYTES..forged.len());
+        forged[offset] = if rng.bool() { rng.u8(..) } else { 0xff };
     }
     forged.truncate(rng.usize(PRELUDE_BYTES..=forged.len()));
     datagram::write_checksum(&mut forged);
     forged
 }
 
-/// Takes the datagrams out of a member's effects, each with the number of the other member that it is for.
-fn take_datagrams(out: &mut Vec<Effect>, sender: usize, under_way: &mut Vec<(usize, Vec<u8>)>) {
-    under_way.extend(out.drain(..).filter_map(|effect| match effect {
+/// Moves the datagrams out of a member's effects, each with the index of the other member, its receiver.
+fn take_datagrams(out: &mut Vec<Effect>, sender: usize, in_transit: &mut Vec<(usize, Vec<u8>)>) {
+    in_transit.extend(out.drain(..).filter_map(|effect| match effect {
         Effect::Send { bytes, .. } => Some((1 - sender, bytes)),
         _ => None,
     }));
 }
 
 #[test]
-fn forged_messages_with_a_right_checksum_end_nothing_and_grow_nothing() {
+fn forged_messages_with_a_valid_checksum_neither_crash_nor_grow_the_member_table() {
     let mut members = [member("a", 1), member("b", 2)];
     let mut target = member("b", 3);
     let mut rng = fastrand::Rng::with_seed(7);
@@ -69,21 +69,21 @@
         let now = Micros(step * STEP.0);
         for i in 0..2 {
             members[i].handle(now, Event::Tick, &mut out);
-            let mut under_way: Vec<(usize, Vec<u8>)> = Vec::new();
-            take_datagrams(&mut out, i, &mut under_way);
-            while let Some((to, bytes)) = under_way.pop() {
+            let mut in_transit: Vec<(usize, Vec<u8>)> = Vec::new();
+            take_datagrams(&mut out, i, &mut in_transit);
+            while let Some((to, bytes)) = in_transit.pop() {
                 for _ in 0..10 {
                     let bytes = forged(&bytes, &mut rng);
                     target.handle(now, Event::Datagram { from: from[0], bytes: &bytes }, &mut Vec::new());
                 }
                 members[to].handle(now, Event::Datagram { from: from[1 - to], bytes: &bytes }, &mut out);
-                take_datagrams(&mut out, i, &mut under_way);
+                take_datagrams(&mut out, i, &mut in_transit);
             }
         }
         target.handle(now, Event::Tick, &mut Vec::new());
     }
     let rejected = target.traffic().dropped.get(&DatagramError::Rejected).copied().unwrap_or(0);
-    assert!(rejected > 1_000, "{rejected} came as far as the protocol and were rejected there");
+    assert!(rejected > 1_000, "only {rejected} datagrams reached the protocol and were rejected there");
     assert!(target.records().count() <= MAX_MEMBERS);
     assert_eq!(members[0].present(), 2);
 }
@@ -103,7 +103,7 @@
 }
 
 impl ClusterNode {
-    /// A gateway with a ledger, a branch and a disk, whose counters all differ, for the test of `/stats`.
+    /// Creates a gateway with a ledger, a branch and a disk whose counters all differ, for the test of `/stats`.
     pub(crate) fn with_distinct_counts() -> ClusterNode {
         let queue_settings = queue_settings();
         let ledger = ledger::LedgerSettings {
@@ -118,10 +118,10 @@
             disk: Some(MachineId { boot: 7, uptime: Micros(0) }),
             ..settings("a")
         };
-        let unix = Micros(1_790_000_000_000_000);
-        let mut node = ClusterNode::new(settings, Micros(0), unix, 1).expect("sound settings");
+        let wall_clock = Micros(1_790_000_000_000_000);
+        let mut node = ClusterNode::new(settings, Micros(0), wall_clock, 1).expect("valid settings");
         node.handle(Micros(0), Event::Tick, &mut Vec::new());
-        // Found late once; its score becomes 4.
+        // One late call raises the health score to 4.
         node.handle(Micros(1_000_000), Event::Tick, &mut Vec::new());
         let ledger = node.ledger.as_mut().expect("a ledger");
         ledger.counts = ledger::ClaimCounts {
