--- a/src/cluster/event.rs
+++ b/src/cluster/event.rs
@@ -143,8 +143,7 @@
 /// A change that operators should know of; the owner logs it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClusterNotice {
-    /// A newer process runs under this one's name. This one has yielded its seat to that, and continues to serve
-    /// requests.
+    /// A newer process runs under the same name. This process has yielded its seat and continues to serve requests.
     SeatYielded {
         /// Incarnation of this process.
         own: u64,
--- a/src/cluster/membership/identity.rs
+++ b/src/cluster/membership/identity.rs
@@ -49,8 +49,8 @@
     /// been set back, and 15 random bits.
     pub fn at_start(name: &str, metadata: MemberMetadata, wall_clock: Micros, random: u64) -> Identity {
         let milliseconds = wall_clock.0 / 1000;
-        let drawn = random % (INCARNATIONS_PER_MILLISECOND / 2);
-        let incarnation = milliseconds.saturating_mul(INCARNATIONS_PER_MILLISECOND) | drawn;
+        let random_part = random % (INCARNATIONS_PER_MILLISECOND / 2);
+        let incarnation = milliseconds.saturating_mul(INCARNATIONS_PER_MILLISECOND) | random_part;
         Identity { name: name.into(), incarnation, leaving: false, metadata: Rc::new(metadata) }
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Returns the identity of the same gateway with an incarnation above both its own and `other`.
-    pub fn above(&self, other: u64) -> Identity {
+    pub fn with_incarnation_above(&self, other: u64) -> Identity {
         let incarnation = self.incarnation.max(other).saturating_add(1);
         Identity { incarnation, leaving: false, ..self.clone() }
     }
@@ -88,7 +88,7 @@
 
     /// A member that was declared down rejoins with its next incarnation.
     fn renew(&self) -> Option<Identity> {
-        Some(self.above(self.incarnation))
+        Some(self.with_incarnation_above(self.incarnation))
     }
 
     fn addr(&self) -> Rc<str> {
--- a/src/cluster/membership/local_health.rs
+++ b/src/cluster/membership/local_health.rs
@@ -1,8 +1,9 @@
 //! Health of this process itself: local health awareness, as in Lifeguard (Dadgar, Phillips, Currey, DSN 2018).
 //!
-//! After a pause or a late event loop, all probes of a process time out at once, and it would suspect healthy members.
-//! Two mechanisms prevent this: protocol time does not advance while the process is paused ([`LocalHealth::advance`]),
-//! and time-outs are scaled by a score of recent delays and missed replies ([`LocalHealth::scaled`]).
+//! After a pause or a late event loop, all probes of a process time out at once, and the process would suspect healthy
+//! members. Two mechanisms prevent this: protocol time does not advance while the process is paused
+//! ([`LocalHealth::advance`]), and time-outs are scaled by a score of recent delays, missed replies and suspicions
+//! against this process ([`LocalHealth::scaled`]).
 
 use crate::decision::Micros;
 
@@ -93,7 +94,7 @@
         self.longest_delay
     }
 
-    /// Returns the time-out multiplied by `score + 1`.
+    /// Returns `timeout` multiplied by `score + 1`.
     pub fn scaled(&self, timeout: Micros) -> Micros {
         Micros(timeout.0.saturating_mul(u64::from(self.score) + 1))
     }
--- a/src/cluster/membership/members.rs
+++ b/src/cluster/membership/members.rs
@@ -11,7 +11,7 @@
 /// Maximum time between two refreshes of the records.
 const MAX_REFRESH_INTERVAL: Micros = Micros(1_000_000);
 /// Members first seen within this time after this one joined count as having joined before it.
-const JOIN_TIME: Micros = Micros(2_000_000);
+const JOIN_DURATION: Micros = Micros(2_000_000);
 
 /// State of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
@@ -19,7 +19,7 @@
 pub enum MemberState {
     /// The member answers, as far as is known.
     Alive,
-    /// Some member received no reply from this one.
+    /// Some member received no reply from the suspect.
     Suspect,
     /// The member did not refute a suspicion in time: it crashed or is unreachable.
     Down,
@@ -28,7 +28,7 @@
 }
 
 impl MemberState {
-    fn of(member: &Member<Identity>) -> MemberState {
+    fn from_protocol_state(member: &Member<Identity>) -> MemberState {
         match member.state() {
             State::Alive => MemberState::Alive,
             State::Suspect => MemberState::Suspect,
@@ -51,7 +51,7 @@
     /// Current state.
     pub state: MemberState,
     /// Time of the change to this state.
-    pub since: Micros,
+    pub changed_at: Micros,
     /// Reason of the change, in words for operators.
     pub reason: &'static str,
 }
@@ -95,7 +95,7 @@
     ) {
         self.is_stale = false;
         self.refreshed_at = now;
-        let is_joining = connected_at.is_none_or(|at| now - at < JOIN_TIME);
+        let is_joining = connected_at.is_none_or(|at| now - at < JOIN_DURATION);
         let mut known = BTreeSet::new();
         for member in members {
             known.insert(member.id().name.clone());
@@ -106,13 +106,13 @@
 
     fn update(&mut self, member: &Member<Identity>, now: Micros, is_joining: bool) {
         let identity = member.id();
-        let state = MemberState::of(member);
+        let state = MemberState::from_protocol_state(member);
         let previous = self.records.get(&identity.name);
         if previous.is_some_and(|record| record.state == state && record.identity == *identity) {
             return;
         }
         let reason = transition_reason(previous, identity, state, is_joining);
-        let record = MemberRecord { identity: identity.clone(), state, since: now, reason };
+        let record = MemberRecord { identity: identity.clone(), state, changed_at: now, reason };
         self.records.insert(identity.name.clone(), record);
     }
 }
--- a/src/cluster/membership/ring_probe.rs
+++ b/src/cluster/membership/ring_probe.rs
@@ -19,7 +19,7 @@
 /// period.
 const MAX_ATTEMPTS: u32 = 3;
 /// How long a suspected incarnation is not probed again. If only the path from this member is cut, others refute the
-/// suspicion, and it would return every period.
+/// suspicion, which would otherwise return every period.
 const PAUSE_AFTER_MISS: Micros = Micros(30_000_000);
 
 /// Action that the caller has to take.
--- a/src/cluster/membership/swim.rs
+++ b/src/cluster/membership/swim.rs
@@ -96,7 +96,7 @@
     }
 
     /// Current identity of this process.
-    pub fn own(&self) -> &Identity {
+    pub fn own_identity(&self) -> &Identity {
         self.foca.identity()
     }
 
@@ -225,7 +225,7 @@
             return;
         }
         self.health.on_suspected();
-        let own = Member::new(self.own().clone(), number, State::Suspect);
+        let own = Member::new(self.own_identity().clone(), number, State::Suspect);
         let _ = self.foca.apply_many(std::iter::once(own), false, &mut self.runtime);
         self.drain_runtime(out);
     }
@@ -247,7 +247,7 @@
         Ok(result?)
     }
 
-    /// Announces this member to one of which only the name is known, to join its cluster.
+    /// Announces this member to another one of which only the name is known, in order to join the cluster.
     pub fn announce_to(&mut self, name: &str, out: &mut Vec<OutgoingMessage>) {
         let _ = self.foca.announce(Identity::unknown(name), &mut self.runtime);
         self.drain_runtime(out);
@@ -255,7 +255,7 @@
 
     /// Takes an incarnation above `other`.
     pub fn raise_incarnation_above(&mut self, other: u64, out: &mut Vec<OutgoingMessage>) {
-        self.change_identity(self.own().above(other), out);
+        self.change_identity(self.own_identity().with_incarnation_above(other), out);
     }
 
     /// Announces that this member leaves on purpose. It answers no messages from then on.
@@ -263,7 +263,7 @@
         if std::mem::replace(&mut self.has_left, true) {
             return;
         }
-        let leaving = Identity { leaving: true, ..self.own().above(0) };
+        let leaving = Identity { leaving: true, ..self.own_identity().with_incarnation_above(0) };
         self.change_identity(leaving, out);
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.drain_runtime(out);
--- a/src/cluster/node.rs
+++ b/src/cluster/node.rs
@@ -34,7 +34,7 @@
     pub(super) address_book: AddressBook,
     pub(super) ring_prober: RingProber,
     pub(super) duplicate_names: DuplicateNameDetector,
-    /// Incarnation of the newer process under this name, once this one has yielded its seat to that.
+    /// Incarnation of the newer process under this name, to which this process has yielded its seat.
     pub(super) yielded_to: Option<u64>,
     /// Whether this gateway leaves, or has left, on purpose.
     pub(super) left: bool,
@@ -172,7 +172,7 @@
 
     /// Current identity of this process.
     pub fn own(&self) -> &Identity {
-        self.swim.own()
+        self.swim.own_identity()
     }
 
     /// Records of all other members, ordered by name.
@@ -190,7 +190,7 @@
         &self.traffic
     }
 
-    /// Incarnation of the newer process under this name, if this one has yielded its seat to that.
+    /// Incarnation of the newer process under this name, to which this process has yielded its seat, if any.
     pub fn yielded_to(&self) -> Option<u64> {
         self.yielded_to
     }
--- a/src/cluster/quota_lease/mod.rs
+++ b/src/cluster/quota_lease/mod.rs
@@ -109,7 +109,7 @@
         }
         self.leases.update(now, &occupants, self.gossip.highest_number());
         if !self.leases.is_abstaining(now) {
-            self.gossip.state(self.own_seat, self.leases.view(), now);
+            self.gossip.record_own_view(self.own_seat, self.leases.view(), now);
         }
     }
 
@@ -117,10 +117,11 @@
         let mut occupants = vec![SeatOccupant::Absent; self.seat_numbers.len()];
         for record in records.values().filter(|record| record.state.is_present()) {
             if let Some(&seat) = self.seat_numbers.get(&*record.identity.name) {
-                occupants[seat] = SeatOccupant::Present(IncarnationTag::of(record.identity.incarnation));
+                occupants[seat] =
+                    SeatOccupant::Present(IncarnationTag::from_incarnation(record.identity.incarnation));
             }
         }
-        occupants[self.own_seat] = SeatOccupant::Present(IncarnationTag::of(own_incarnation));
+        occupants[self.own_seat] = SeatOccupant::Present(IncarnationTag::from_incarnation(own_incarnation));
         occupants
     }
 
--- a/src/cluster/quota_lease/seat_lease.rs
+++ b/src/cluster/quota_lease/seat_lease.rs
@@ -100,7 +100,7 @@
 
     /// Returns the quota shares that this member may use now.
     pub fn shares(&self, gossip: &ViewGossip, own_incarnation: u64, now: Micros) -> QuotaShares {
-        let held_by_us = SeatStatement::Held(IncarnationTag::of(own_incarnation));
+        let held_by_us = SeatStatement::Held(IncarnationTag::from_incarnation(own_incarnation));
         let held_until = gossip.majority_until(self.own_seat, held_by_us, now);
         let Some(mut until) = held_until.filter(|_| !self.is_abstaining(now)) else {
             return QuotaShares::default();
--- a/src/cluster/quota_lease/view.rs
+++ b/src/cluster/quota_lease/view.rs
@@ -19,7 +19,7 @@
 
 impl IncarnationTag {
     /// Returns the tag of an incarnation. One pair of incarnations in 64 has the same tag.
-    pub fn of(incarnation: u64) -> IncarnationTag {
+    pub fn from_incarnation(incarnation: u64) -> IncarnationTag {
         IncarnationTag((xxh3_64(&incarnation.to_le_bytes()) as u8) >> KIND_BITS)
     }
 }
--- a/src/cluster/quota_lease/view_gossip.rs
+++ b/src/cluster/quota_lease/view_gossip.rs
@@ -65,7 +65,7 @@
     }
 
     /// Records the current view of this member, which has seat `seat`.
-    pub fn state(&mut self, seat: usize, view: &View, now: Micros) {
+    pub fn record_own_view(&mut self, seat: usize, view: &View, now: Micros) {
         let digest = view.digest();
         self.store_view(digest, view);
         if let Some(entry) = self.seats.get_mut(seat) {
@@ -80,8 +80,8 @@
         }
         if self.views.len() >= MAX_VIEWS {
             let supporters = |index: &usize| self.seats_last_stating(self.views[*index].digest);
-            if let Some(least) = (0..self.views.len()).min_by_key(supporters) {
-                self.views.swap_remove(least);
+            if let Some(least_stated) = (0..self.views.len()).min_by_key(supporters) {
+                self.views.swap_remove(least_stated);
             }
         }
         self.views.push(KnownView { digest, view: view.clone() });
@@ -104,28 +104,28 @@
         matching.map(|view| view.number).max()
     }
 
-    fn current(&self, now: Micros) -> impl Iterator<Item = &SeatEntry> {
+    fn valid_entries(&self, now: Micros) -> impl Iterator<Item = &SeatEntry> {
         self.seats.iter().flatten().filter(move |entry| now < entry.stated_at + STATEMENT_VALIDITY)
     }
 
     /// Number of seats with valid statements.
     pub fn seats_reporting(&self, now: Micros) -> usize {
-        self.current(now).count()
+        self.valid_entries(now).count()
     }
 
     /// Number of seats whose valid statements are exactly this view.
     pub fn seats_stating(&self, digest: u64, now: Micros) -> usize {
-        self.current(now).filter(|entry| entry.digest == digest).count()
+        self.valid_entries(now).filter(|entry| entry.digest == digest).count()
     }
 
     /// Returns the time until which more than half of all seats make this statement on a seat; `None` if they do not.
     pub fn majority_until(&self, seat: usize, statement: SeatStatement, now: Micros) -> Option<Micros> {
-        let states_it = |digest: u64| {
+        let makes_statement = |digest: u64| {
             let known = self.views.iter().find(|known| known.digest == digest);
             known.is_some_and(|known| known.view.statement(seat) == statement)
         };
-        let current = self.current(now).filter(|entry| states_it(entry.digest));
-        let mut times: Vec<Micros> = current.map(|entry| entry.stated_at).collect();
+        let valid_entries = self.valid_entries(now).filter(|entry| makes_statement(entry.digest));
+        let mut times: Vec<Micros> = valid_entries.map(|entry| entry.stated_at).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
         let majority = self.seats.len() / 2 + 1;
         // The majority lasts until the oldest of the most recent statements that form it expires.
--- a/src/cluster/quota_lease_node.rs
+++ b/src/cluster/quota_lease_node.rs
@@ -11,7 +11,7 @@
     /// Updates the statements, reports changed quota shares, and requests the table of a random member if that is due.
     pub(super) fn tick_quota_leases(&mut self, out: &mut Vec<Effect>) {
         let Some(leases) = self.quota_leases.as_mut() else { return };
-        let own_incarnation = self.swim.own().incarnation;
+        let own_incarnation = self.swim.own_identity().incarnation;
         leases.update(self.now, own_incarnation, self.swim.records());
         out.extend(leases.changed_shares(self.now, own_incarnation).map(Effect::QuotaSharesChanged));
         let seat_list = leases.seat_list();
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -46,7 +46,7 @@
             name: record.identity.name.to_string(),
             incarnation: record.identity.incarnation,
             state: record.state,
-            since_ms: milliseconds(now - record.since),
+            since_ms: milliseconds(now - record.changed_at),
             reason: record.reason,
             zone: metadata.zone.clone(),
             version: metadata.version.clone(),
@@ -160,7 +160,7 @@
     pub name: String,
     /// Incarnation of this process.
     pub incarnation: u64,
-    /// Incarnation of the newer process under this name, if this one has yielded its seat to that.
+    /// Incarnation of the newer process under this name, to which this process has yielded its seat, if any.
     pub yielded_to: Option<u64>,
     /// Names under which two processes have been confirmed to run.
     #[serde(rename = "rivals")]
