--- a/src/cluster/storage/durability_gate.rs
+++ b/src/cluster/storage/durability_gate.rs
@@ -1,129 +1,136 @@
-//! Effects that go out only once this gateway's storage holds the changes that they rest on (a write-ahead log's rule).
+//! Delays effects until the changes that they depend on are stored, as a write-ahead log requires.
 //!
-//! Parts change what they hold at once, in memory; each message and answer that follows waits here, in its order, until
-//! all changes before it are stored. So whatever a process has sent, the next one under its name remembers.
+//! The write queue, the ledger and the rollout change their state in memory at once. Each message or response
+//! that follows waits here, in order, until all earlier changes are stored, so that a restarted process
+//! remembers everything that the process before it sent.
 
 use crate::decision::Micros;
 use std::collections::VecDeque;
 
-/// So many effects wait for the storage at most, each of about 1 kB; one that stands still for longer has failed.
+/// Maximum number of effects waiting for the storage, each of about 1 kB. Storage that falls further behind has
+/// failed.
 pub const MAX_WAITING: usize = 8000;
-/// With so many waiting, no write of a client's is begun.
-pub const BUSY_WAITING: usize = 2000;
+/// Maximum number of waiting effects with which the gateway still begins to accept writes of clients.
+pub const MAX_WAITING_FOR_NEW_WRITES: usize = 2000;
 
-/// The machine's own clock, by which times are stored: the next process on it reads the same one.
+/// Identifies the machine's clock. Stored times are on this clock, as later processes on the machine read the
+/// same one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MachineId {
-    /// Names this start of the machine.
+    /// Identifier of this machine start.
     pub boot: u64,
-    /// How long it was up when this process' part in the cluster began.
+    /// Uptime of the machine when this process created its cluster node.
     pub uptime: Micros,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// It is being opened and read: nothing may be changed before.
+    /// The storage is being opened and read; no state may change yet.
     Opening,
     Working,
     Failed,
 }
 
-/// Holds effects back until the storage has what they rest on.
+/// Queue of effects that wait until the changes they depend on are stored.
 #[derive(Debug)]
 pub struct DurabilityGate<T> {
     state: State,
     machine: MachineId,
-    /// When this process' part in the cluster began.
-    began: Micros,
-    /// The last batch that was given to the storage, and the last that it holds.
+    /// Local time at which this process created its cluster node.
+    started_at: Micros,
+    /// Number of the last batch that was passed to the storage.
     last_batch: u64,
+    /// Number of the last batch that is stored.
     stored_batch: u64,
-    /// Each with the batch that it rests on.
+    /// Waiting effects, each with the last batch that it depends on.
     waiting: VecDeque<(u64, T)>,
 }
 
 impl<T> DurabilityGate<T> {
-    /// For storage that is being opened.
-    pub fn new(machine: MachineId, began: Micros) -> DurabilityGate<T> {
+    /// Creates a gate for storage that is being opened.
+    pub fn new(machine: MachineId, started_at: Micros) -> DurabilityGate<T> {
         DurabilityGate {
             state: State::Opening,
             machine,
-            began,
+            started_at,
             last_batch: 0,
             stored_batch: 0,
             waiting: VecDeque::new(),
         }
     }
 
-    /// Whether the storage is being opened and read.
+    /// Returns whether the storage is being opened and read.
     pub fn is_opening(&self) -> bool {
         self.state == State::Opening
     }
 
-    /// Whether the storage is open, and nothing has gone wrong with it.
+    /// Returns whether the storage is open and has not failed.
     pub fn is_working(&self) -> bool {
         self.state == State::Working
     }
 
-    /// How many effects wait for it.
+    /// Returns the number of waiting effects.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Names this start of the machine.
+    /// Returns the identifier of this machine start.
     pub fn boot(&self) -> u64 {
         self.machine.boot
     }
 
-    /// The storage was opened and read.
+    /// Called when the storage has been opened and read.
     pub fn on_opened(&mut self) {
         self.state = State::Working;
     }
 
-    /// A time of this process on the machine's clock.
-    pub fn local_to_machine_time(&self, at: Micros) -> Micros {
-        self.machine.uptime + (at - self.began)
+    /// Converts a time of this process to the machine's clock.
+    pub fn local_to_machine_time(&self, time: Micros) -> Micros {
+        self.machine.uptime + (time - self.started_at)
     }
 
-    /// A time of the machine's clock on this process' clock; what is older than that clock, at its beginning.
-    pub fn machine_to_local_time(&self, at: Micros) -> Micros {
-        match at > self.machine.uptime {
-            true => self.began + (at - self.machine.uptime),
-            false => self.began - (self.machine.uptime - at),
+    /// Converts a time of the machine's clock to the clock of this process. Times before the zero of the
+    /// process's clock become zero.
+    pub fn machine_to_local_time(&self, time: Micros) -> Micros {
+        match time > self.machine.uptime {
+            true => self.started_at + (time - self.machine.uptime),
+            false => self.started_at - (self.machine.uptime - time),
         }
     }
 
-    /// The number of a next batch of changes.
+    /// Allocates the number of the next batch of changes.
     pub fn next_batch(&mut self) -> u64 {
         self.last_batch += 1;
         self.last_batch
     }
 
-    /// Takes effects, and returns those that rest on nothing that is not stored yet.
-    pub fn pass(&mut self, effects: Vec<T>) -> Vec<T> {
-        let nothing_waits = self.stored_batch == self.last_batch && self.waiting.is_empty();
-        if !self.is_working() || nothing_waits {
+    /// Returns the effects at once if all changes are stored or the storage is not working; otherwise keeps
+    /// them waiting and returns none.
+    pub fn submit(&mut self, effects: Vec<T>) -> Vec<T> {
+        let is_caught_up = self.stored_batch == self.last_batch && self.waiting.is_empty();
+        if !self.is_working() || is_caught_up {
             return effects;
         }
-        let rests_on = self.last_batch;
-        self.waiting.extend(effects.into_iter().map(|effect| (rests_on, effect)));
+        let required_batch = self.last_batch;
+        self.waiting.extend(effects.into_iter().map(|effect| (required_batch, effect)));
         Vec::new()
     }
 
-    /// The storage holds all up to this batch: returns what may go out.
+    /// Called when all batches up to this one are stored. Returns the effects that may now be emitted.
     pub fn on_stored(&mut self, batch: u64) -> Vec<T> {
         self.stored_batch = self.stored_batch.max(batch.min(self.last_batch));
         let stored = self.stored_batch;
-        let released = self.waiting.iter().take_while(|(rests_on, _)| *rests_on <= stored).count();
+        let released =
+            self.waiting.iter().take_while(|(required_batch, _)| *required_batch <= stored).count();
         self.waiting.drain(..released).map(|(_, effect)| effect).collect()
     }
 
-    /// The storage takes nothing any more: what waits never goes out. Returns whether that is news.
+    /// Called when the storage has failed: drops all waiting effects. Returns whether this is the first failure.
     pub fn on_failed(&mut self) -> bool {
-        let is_news = self.state != State::Failed;
+        let is_first_failure = self.state != State::Failed;
         self.waiting.clear();
         self.state = State::Failed;
-        is_news
+        is_first_failure
     }
 }
 
--- a/src/cluster/storage/mod.rs
+++ b/src/cluster/storage/mod.rs
@@ -1,12 +1,12 @@
-//! What a gateway keeps on its disk, and what it sends only once that is there.
+//! Persistent state of a gateway, and the gate that delays effects until the state that they depend on is stored.
 //!
-//! No I/O: `proxy::cluster_transport::disk` holds the file. `docs/decisions/0004-ledger.md` and
-//! `docs/decisions/0006-branch-queue.md` say what outlives a process and a machine.
+//! The module does no I/O: `proxy::cluster_transport::disk` writes the file. `docs/decisions/0004-ledger.md` and
+//! `docs/decisions/0006-branch-queue.md` state which data survives a restart of the process or of the machine.
 
 mod durability_gate;
 mod persistence;
-mod stored_form;
+mod stored_format;
 
-pub use durability_gate::{MachineId, BUSY_WAITING};
+pub use durability_gate::{MachineId, MAX_WAITING_FOR_NEW_WRITES};
 pub use persistence::{GatedEffect, Persistence, StorageStatus};
-pub use stored_form::StorageWrite;
+pub use stored_format::StorageWrite;
--- a/src/cluster/storage/persistence.rs
+++ b/src/cluster/storage/persistence.rs
@@ -1,22 +1,24 @@
-//! What the parts of a gateway store, and what they remember from it at the start.
+//! Stores changes of the write queue, the ledger replica and the rollout, and restores them at start.
 
 use super::durability_gate::{DurabilityGate, MachineId, MAX_WAITING};
-use super::stored_form::{decode, encode, StorageHeader, StorageWrite, StoredKey, StoredWrite, FORM_VERSION};
+use super::stored_format::{
+    decode, encode, StorageHeader, StorageWrite, StoredKey, StoredWrite, FORMAT_VERSION,
+};
 use crate::cluster::ledger::{LedgerEffect, RecordId, Replica, ReplicaEntry};
 use crate::cluster::rollout::RolloutCommand;
 use crate::cluster::write_queue::{LogEntry, QueueEffect, QueueReplica};
 use crate::decision::Micros;
 
-/// An effect that goes out once the storage holds what it rests on.
+/// An effect that is emitted once the changes that it depends on are stored.
 #[derive(Debug)]
 pub enum GatedEffect {
-    /// Of the branch's write queue.
+    /// Effect of the branch's write queue.
     WriteQueue(QueueEffect),
-    /// Of the ledger.
+    /// Effect of the ledger.
     Ledger(LedgerEffect),
 }
 
-/// A gateway's storage, and what is on it that is not asked of the parts again.
+/// Durability gate of a gateway, with the votes and the rollout command that are already stored.
 pub struct Persistence {
     gate: DurabilityGate<GatedEffect>,
     queue_vote_stored: bool,
@@ -24,99 +26,101 @@
     command: Option<RolloutCommand>,
 }
 
-/// How a gateway's storage is doing.
+/// Status of a gateway's storage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StorageStatus {
-    /// It is open, and nothing has gone wrong with it.
+    /// Whether the storage is open and has not failed.
     pub is_working: bool,
-    /// How many effects wait for it.
+    /// Number of effects that wait for the storage.
     pub waiting: usize,
 }
 
-/// What earlier processes of this gateway stored.
+/// State that earlier processes of this gateway stored.
 #[derive(Default)]
 pub struct Restored {
-    /// Writes of the branch.
+    /// Writes of the branch's write queue.
     pub writes: Vec<LogEntry>,
-    /// They are all that was ever acknowledged in the branch, so that it has its vote at once.
+    /// Whether the writes are all that this gateway ever acknowledged in the branch, so that it has its vote at once.
     pub writes_complete: bool,
-    /// Records of the ledger.
+    /// Entries of the ledger replica.
     pub records: Vec<(RecordId, ReplicaEntry)>,
-    /// They are all that was ever promised and accepted at the ledger.
+    /// Whether the entries are all that this gateway's replica ever promised and accepted.
     pub records_complete: bool,
-    /// What was in force of a rollout.
+    /// Rollout command that was in force.
     pub command: Option<RolloutCommand>,
-    /// Something could not be read.
+    /// Whether any stored value could not be decoded.
     has_unreadable: bool,
 }
 
-/// Reads what is stored, with its times converted to this process' clock.
-struct Reader<'a> {
+/// Decodes stored values and converts their times to the clock of this process.
+struct StorageReader<'a> {
     gate: &'a DurabilityGate<GatedEffect>,
     now: Micros,
-    /// It was written by this gateway.
-    is_own: bool,
-    /// It was written since the last start of the machine.
+    /// Whether the storage was written by this gateway.
+    is_same_gateway: bool,
+    /// Whether the storage was written since the last start of the machine.
     is_same_boot: bool,
 }
 
 impl Persistence {
-    /// For storage that is being opened.
-    pub fn new(machine: MachineId, began: Micros) -> Persistence {
+    /// Creates the state for storage that is being opened.
+    pub fn new(machine: MachineId, started_at: Micros) -> Persistence {
         Persistence {
-            gate: DurabilityGate::new(machine, began),
+            gate: DurabilityGate::new(machine, started_at),
             queue_vote_stored: false,
             ledger_vote_stored: false,
             command: None,
         }
     }
 
-    /// Whether the storage is being opened and read: until then nothing that it may hold is answered or changed.
+    /// Returns whether the storage is still being opened and read. Until it is, nothing that it may contain is
+    /// sent or changed.
     pub fn is_opening(&self) -> bool {
         self.gate.is_opening()
     }
 
-    /// Whether the storage is open, and nothing has gone wrong with it.
+    /// Returns whether the storage is open and has not failed.
     pub fn is_working(&self) -> bool {
         self.gate.is_working()
     }
 
-    /// How the storage is doing.
+    /// Returns the status of the storage.
     pub fn status(&self) -> StorageStatus {
         StorageStatus { is_working: self.is_working(), waiting: self.waiting() }
     }
 
-    /// How many effects wait for the storage.
+    /// Returns the number of effects that wait for the storage.
     pub fn waiting(&self) -> usize {
         self.gate.waiting()
     }
 
-    /// Whether more effects wait than a storage that works lets wait.
+    /// Returns whether more than `MAX_WAITING` effects wait, so that the storage is to be treated as failed.
     pub fn is_overrun(&self) -> bool {
         self.gate.waiting() > MAX_WAITING
     }
 
-    /// The number of a next batch of changes.
+    /// Allocates the number of the next batch of changes.
     pub fn next_batch(&mut self) -> u64 {
         self.gate.next_batch()
     }
 
-    /// Takes effects, and returns those that rest on nothing that is not stored yet.
-    pub fn pass(&mut self, effects: Vec<GatedEffect>) -> Vec<GatedEffect> {
-        self.gate.pass(effects)
+    /// Returns the effects at once if all changes are stored or the storage is not working; otherwise keeps
+    /// them waiting and returns none.
+    pub fn submit(&mut self, effects: Vec<GatedEffect>) -> Vec<GatedEffect> {
+        self.gate.submit(effects)
     }
 
-    /// The storage holds all up to this batch: returns what may go out.
+    /// Called when all batches up to this one are stored. Returns the effects that may now be emitted.
     pub fn on_stored(&mut self, batch: u64) -> Vec<GatedEffect> {
         self.gate.on_stored(batch)
     }
 
-    /// The storage takes nothing any more. Returns whether that is news.
+    /// Called when the storage has failed. Returns whether this is the first failure.
     pub fn on_failed(&mut self) -> bool {
         self.gate.on_failed()
     }
 
-    /// What has changed in the branch's write queue and is to be stored.
+    /// Returns the changes of the branch's write queue that are to be stored.
     pub fn queue_changes(&mut self, now: Micros, queue: &mut QueueReplica) -> Vec<StorageWrite> {
         let stored_at = self.gate.local_to_machine_time(now);
         let mut writes = Vec::new();
@@ -134,7 +138,7 @@
         writes
     }
 
-    /// What has changed in the replica of the ledger and is to be stored.
+    /// Returns the changes of the ledger replica that are to be stored.
     pub fn ledger_changes(&mut self, now: Micros, replica: &mut Replica) -> Vec<StorageWrite> {
         let mut writes = Vec::new();
         for (id, entry) in replica.take_changed() {
@@ -149,7 +153,7 @@
         writes
     }
 
-    /// What is in force of a rollout, if it has changed and is to be stored.
+    /// Returns the rollout command to store, or `None` if it has not changed.
     pub fn command_change(&mut self, command: &RolloutCommand) -> Option<StorageWrite> {
         if self.command.as_ref() == Some(command) {
             return None;
@@ -158,9 +162,10 @@
         Some(StoredKey::RolloutCommand.put(encode(command)))
     }
 
-    /// The storage was opened and held this. Returns what earlier processes of this gateway held, and what is to be stored
-    /// for it: the own header, and the removal of what is of other seats or can't be read. Records are removed, too, where
-    /// the machine was started since, as their times say nothing then.
+    /// Called with the contents of the storage once it is open. Returns the state of earlier processes of this
+    /// gateway and the changes to store: the current header, and the removal of entries that belong to other
+    /// seats or cannot be decoded. Ledger records are also removed if the machine was restarted since, as their
+    /// times are then meaningless.
     pub fn restore(
         &mut self,
         now: Micros,
@@ -169,11 +174,11 @@
         stored: &[StorageWrite],
     ) -> (Restored, Vec<StorageWrite>) {
         self.gate.on_opened();
-        let header = StorageHeader { form: FORM_VERSION, seat_list, seat, boot: self.gate.boot() };
-        let before = stored_header(stored);
-        let is_own = before.as_ref().is_some_and(|before| before.is_own(&header));
-        let is_same_boot = is_own && before.is_some_and(|before| before.boot == header.boot);
-        let reader = Reader { gate: &self.gate, now, is_own, is_same_boot };
+        let header = StorageHeader { format: FORMAT_VERSION, seat_list, seat, boot: self.gate.boot() };
+        let previous = stored_header(stored);
+        let is_same_gateway = previous.as_ref().is_some_and(|previous| previous.is_same_gateway(&header));
+        let is_same_boot = is_same_gateway && previous.is_some_and(|previous| previous.boot == header.boot);
+        let reader = StorageReader { gate: &self.gate, now, is_same_gateway, is_same_boot };
         let mut writes = vec![StoredKey::Header.put(encode(&header))];
         let mut restored = Restored::default();
         for StorageWrite { key, value } in stored {
@@ -192,16 +197,16 @@
 }
 
 fn stored_header(stored: &[StorageWrite]) -> Option<StorageHeader> {
-    let header = stored.iter().find(|one| StoredKey::parse(&one.key) == Some(StoredKey::Header))?;
+    let header = stored.iter().find(|write| StoredKey::parse(&write.key) == Some(StoredKey::Header))?;
     decode(header.value.as_deref()?)
 }
 
-impl Reader<'_> {
-    /// Reads one key and its value; whether it stays on the disk.
+impl StorageReader<'_> {
+    /// Adds one stored key and value to the restored state. Returns whether the key is kept in the storage.
     fn read(&self, key: &[u8], value: &[u8], restored: &mut Restored) -> bool {
         match StoredKey::parse(key) {
             Some(StoredKey::Header) => true,
-            Some(StoredKey::QueueVote) if self.is_own => {
+            Some(StoredKey::QueueVote) if self.is_same_gateway => {
                 restored.writes_complete = true;
                 true
             }
@@ -209,23 +214,23 @@
                 restored.records_complete = true;
                 true
             }
-            Some(StoredKey::RolloutCommand) if self.is_own => {
+            Some(StoredKey::RolloutCommand) if self.is_same_gateway => {
                 restored.command = decode(value);
                 restored.command.is_some()
             }
-            Some(StoredKey::Write(_)) if self.is_own => {
+            Some(StoredKey::Write(_)) if self.is_same_gateway => {
                 let write = self.write(value);
                 restored.has_unreadable |= write.is_none();
-                let stays = write.is_some();
+                let is_readable = write.is_some();
                 restored.writes.extend(write);
-                stays
+                is_readable
             }
-            Some(StoredKey::Record(name)) if self.is_same_boot => {
-                let record = self.record(name, value);
+            Some(StoredKey::Record(identifier)) if self.is_same_boot => {
+                let record = self.record(identifier, value);
                 restored.has_unreadable |= record.is_none();
-                let stays = record.is_some();
+                let is_readable = record.is_some();
                 restored.records.extend(record);
-                stays
+                is_readable
             }
             _ => false,
         }
@@ -233,15 +238,15 @@
 
     fn write(&self, value: &[u8]) -> Option<LogEntry> {
         let StoredWrite { stored_at, entry } = decode(value)?;
-        // Over a start of the machine only the time before it is known.
+        // The machine's clock restarts with the machine, so only spans up to the time of storing are known.
         Some(entry.with_times(|time| match self.is_same_boot {
             true => self.gate.machine_to_local_time(time),
             false => self.now - (stored_at - time),
         }))
     }
 
-    fn record(&self, name: &[u8], value: &[u8]) -> Option<(RecordId, ReplicaEntry)> {
+    fn record(&self, identifier: &[u8], value: &[u8]) -> Option<(RecordId, ReplicaEntry)> {
         let entry: ReplicaEntry = decode(value)?;
-        Some((decode(name)?, entry.with_times(|time| self.gate.machine_to_local_time(time))))
+        Some((decode(identifier)?, entry.with_times(|time| self.gate.machine_to_local_time(time))))
     }
 }
--- a/src/cluster/storage_node.rs
+++ b/src/cluster/storage_node.rs
@@ -1,4 +1,4 @@
-//! The storage within a cluster node: what the parts change is stored, and what they send waits for that.
+//! Storage of a cluster node: stores changes of its components and delays their effects until the changes are stored.
 
 use super::event::{ClusterNotice, Effect};
 use super::ledger_node::OwnSeat;
@@ -6,23 +6,24 @@
 use super::storage::{GatedEffect, Persistence, StorageStatus, StorageWrite};
 
 impl ClusterNode {
-    /// How the storage is doing; none where this gateway has none.
+    /// Returns the status of the storage, or `None` if this gateway has none.
     pub fn storage_status(&self) -> Option<StorageStatus> {
         self.persistence.as_ref().map(Persistence::status)
     }
 
-    /// Whether the storage is being opened and read: until then nothing that it may hold is answered or changed.
+    /// Returns whether the storage is still being opened and read. Until it is, nothing that it may contain is
+    /// sent or changed.
     pub(super) fn is_storage_opening(&self) -> bool {
         self.persistence.as_ref().is_some_and(Persistence::is_opening)
     }
 
-    /// Stores what has changed, and lets out of these effects what may go.
+    /// Passes changes to the storage and emits those effects that depend on no unstored change.
     pub(super) fn gate_effects(&mut self, effects: Vec<GatedEffect>, out: &mut Vec<Effect>) {
         self.store_changes(out);
         let Some(persistence) = self.persistence.as_mut() else {
             return self.emit_gated_effects(effects, out);
         };
-        let released = persistence.pass(effects);
+        let released = persistence.submit(effects);
         let is_overrun = persistence.is_overrun();
         self.emit_gated_effects(released, out);
         if is_overrun {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// The storage holds all up to this batch.
+    /// Called when all batches up to this one are stored: emits the effects that waited for them.
     pub(super) fn on_storage_synced(&mut self, batch: u64, out: &mut Vec<Effect>) {
         if let Some(persistence) = self.persistence.as_mut() {
             let released = persistence.on_stored(batch);
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The storage takes nothing any more: the gateway gives up its votes, and serves on.
+    /// Called when the storage has failed: the gateway gives up its votes and continues to serve.
     pub(super) fn on_storage_failed(&mut self, out: &mut Vec<Effect>) {
         if !self.persistence.as_mut().is_some_and(|persistence| persistence.on_failed()) {
             return;
@@ -63,7 +64,7 @@
         self.gate_queue_effects(effects, out);
     }
 
-    /// Gives what has changed to the storage, in one batch.
+    /// Passes all pending changes to the storage in one batch.
     fn store_changes(&mut self, out: &mut Vec<Effect>) {
         let Some(persistence) = self.persistence.as_mut().filter(|persistence| persistence.is_working())
         else {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The storage was opened and held this: the parts take over what earlier processes held.
+    /// Called with the contents of the storage once it is open: restores the state of earlier processes.
     pub(super) fn on_storage_loaded(&mut self, stored: &[StorageWrite], out: &mut Vec<Effect>) {
         let now = self.now;
         let Some(OwnSeat { seat_list, seat }) = self.own_seat() else { return };
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -6,7 +6,7 @@
 use super::ledger::{ClaimId, ClaimOutcome};
 use super::ledger_node::{LeaseProgress, OwnSeat};
 use super::node::ClusterNode;
-use super::storage::{GatedEffect, BUSY_WAITING};
+use super::storage::{GatedEffect, MAX_WAITING_FOR_NEW_WRITES};
 use super::write_queue::{
     queue_record, Dot, ForwardOutcome, QueueEffect, QueueMessage, QueueReplica, WriteQueue, WriteRequest,
     WriteStatus, CLAIM_INTERVAL,
@@ -27,7 +27,11 @@
     /// A write is to be accepted; whether it is comes as `WriteQueueEffect::Decided`. None: it can't be.
     pub fn accept_write(&mut self, now: Micros, request: WriteRequest, out: &mut Vec<Effect>) -> Option<Dot> {
         // Storage that is slow must not be given more than it can hold.
-        if self.persistence.as_ref().is_some_and(|persistence| persistence.waiting() > BUSY_WAITING) {
+        if self
+            .persistence
+            .as_ref()
+            .is_some_and(|persistence| persistence.waiting() > MAX_WAITING_FOR_NEW_WRITES)
+        {
             return None;
         }
         self.with_queue(out, |queue, effects| queue.accept(now, request, effects)).flatten()
