--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -267,5 +267,7 @@
 /// Returns whether the gateway in this seat is present and has the ledger capability.
 fn is_present_replica(seats: &[String], swim: &Swim, seat: u16) -> bool {
     let record = seats.get(usize::from(seat)).and_then(|name| swim.records().get(name.as_str()));
-    record.is_some_and(|r| r.state.is_present() && r.identity.metadata.capabilities & CAPABILITY_LEDGER != 0)
+    record.is_some_and(|record| {
+        record.state.is_present() && record.identity.metadata.capabilities & CAPABILITY_LEDGER != 0
+    })
 }
--- a/src/cluster/write_queue/lease.rs
+++ b/src/cluster/write_queue/lease.rs
@@ -1,14 +1,15 @@
-//! The lease under which a branch's writes are forwarded.
+//! Ledger record that serves as the lease for forwarding the writes of a branch.
 
 use crate::cluster::ledger::RecordId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// No customer has this number.
+/// Customer number that no customer has.
 const NO_CUSTOMER: u64 = u64::MAX;
-/// Keeps the hash apart from those of other kinds of records.
+/// Hash seed that separates these record keys from those of other kinds of records.
 const HASH_SEED: u64 = 2;
 
-/// The ledger record whose owner forwards a branch's writes: each branch has its own. All gateways compute the same.
+/// Returns the ledger record whose owner forwards the writes of the branch with these seats. Every branch has a
+/// separate record, and all gateways compute the same one.
 pub fn queue_record(branch_seats: &[u16]) -> RecordId {
     let mut sorted = branch_seats.to_vec();
     sorted.sort_unstable();
--- a/src/cluster/write_queue/message.rs
+++ b/src/cluster/write_queue/message.rs
@@ -1,98 +1,100 @@
-//! Messages within a branch. A wire form (postcard): the order of variants and fields counts. Times are spans up to the
-//! moment of sending.
+//! Messages between the gateways of a branch.
+//!
+//! They are encoded with postcard, which is positional: variants and fields must keep their order. Times are
+//! sent as spans that end at the moment of sending.
 
 use super::write::{Dot, Write, WriteState};
 use crate::decision::Micros;
 use serde::{Deserialize, Serialize};
 
-/// A write, and what its sender knows of it.
+/// A write with its state at the sender.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReplicatedWrite {
-    /// The write.
+    /// Replicated write.
     pub write: Box<Write>,
-    /// What became of it.
+    /// State of the write.
     pub state: WriteState,
-    /// How long ago it was accepted.
+    /// Time since the write was accepted.
     pub age: Micros,
-    /// How long ago it was first forwarded; none: it was not.
+    /// Time since the write was first forwarded, or `None` if it was not.
     pub since_first_send: Option<Micros>,
 }
 
-/// A write's name with the rank of its state.
+/// The dot of a write with the rank of its state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DotRank {
-    /// The write.
+    /// Dot of the write.
     pub dot: Dot,
-    /// `WriteState::rank`.
+    /// Rank of the write's state, as returned by `WriteState::rank`.
     pub rank: u32,
 }
 
-/// A part of what a replica holds, in the order of dots.
+/// One page of the writes that a replica holds, in the order of their dots.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LogPage {
-    /// The question's round.
+    /// Round of the `QueryPage` that this page replies to.
     pub round: u64,
-    /// What it holds.
+    /// Writes on the page.
     pub entries: Vec<DotRank>,
-    /// There are more behind these.
+    /// Whether the replica holds writes after this page.
     pub has_more: bool,
-    /// The sender has a vote.
+    /// Whether the sender has a vote.
     pub has_vote: bool,
 }
 
-/// A message within a branch.
+/// A message between two gateways of a branch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum QueueMessage {
-    /// Which are the newest writes of this customer and on this object?
+    /// Asks for the newest writes of a customer and on an object.
     QueryHeads {
-        /// Comes back with the answer.
+        /// Token that the reply repeats.
         token: u64,
-        /// The customer.
+        /// Customer of the new write.
         customer: u64,
-        /// The object.
+        /// Object of the new write.
         object: u64,
     },
-    /// Answers that.
+    /// Replies to `QueryHeads`.
     Heads {
-        /// The question's.
+        /// Token of the query.
         token: u64,
-        /// The newest writes.
+        /// Newest writes of the customer and on the object.
         heads: Vec<Dot>,
-        /// The highest position in the order.
+        /// Highest position that the sender has received.
         position: u64,
-        /// The sender has a vote.
+        /// Whether the sender has a vote.
         has_vote: bool,
     },
-    /// Hold this write.
+    /// Asks the receiver to store a write or to merge its state.
     Replicate(ReplicatedWrite),
-    /// The sender holds the write in this state, and says so with a vote.
+    /// Acknowledges that the sender, which has a vote, holds a write.
     Acknowledge {
-        /// The write.
+        /// Dot of the write.
         dot: Dot,
-        /// Its state there.
+        /// State of the write at the sender.
         state: WriteState,
     },
-    /// The sender has no capacity for the write, or it is too long.
+    /// Rejects a write for which the sender has no capacity, or that is too long.
     Rejected {
-        /// The write.
+        /// Dot of the write.
         dot: Dot,
     },
-    /// What does the receiver hold behind this write?
+    /// Asks for a page of the writes that the receiver holds.
     QueryPage {
-        /// Comes back with the answer.
+        /// Number of the query, which the reply repeats.
         round: u64,
-        /// The last write of the page before; none: from the first.
+        /// Last write of the previous page, or `None` to begin with the first write.
         after: Option<Dot>,
     },
-    /// Answers that.
+    /// Replies to `QueryPage`.
     Page(LogPage),
-    /// Send these writes.
+    /// Asks the receiver to send these writes.
     Fetch(Vec<Dot>),
-    /// The sender's uplink.
+    /// Reports the state of the sender's uplink.
     UplinkStatus {
-        /// How long ago it last had a response from a backend.
+        /// Time since the sender's last response from a backend.
         since_response: Micros,
-        /// It holds the uplink for down.
+        /// Whether the sender considers its uplink down.
         is_down: bool,
     },
 }
--- a/src/cluster/write_queue/mod.rs
+++ b/src/cluster/write_queue/mod.rs
@@ -1,13 +1,15 @@
-//! Writes that a branch office accepts while its uplink to the backends is down, and forwards in causal order once it is
-//! up again.
+//! Queue of the writes that a branch office accepts while its uplink to the backends is down, and forwards in
+//! causal order after the uplink has recovered.
 //!
-//! All gateways of the branch hold all of its writes, and a quorum of them decides. Writes are named by dots of dotted
-//! version vectors (Preguiça et al. 2010), each with the writes that it depends on. No I/O, no clock, no global
-//! randomness. `docs/decisions/0006-branch-queue.md` gives the reasons, which order is promised, and which is not.
+//! All gateways of the branch replicate all of its writes, and a quorum of them accepts each one. Writes are
+//! identified by dots of dotted version vectors (Preguiça et al. 2010) and carry their causal dependencies. The
+//! module does no I/O, reads no clock and uses no global randomness. `docs/decisions/0006-branch-queue.md`
+//! describes the design and which order is guaranteed.
 //!
-//! * [`QueueReplica`] is one gateway's part: it accepts writes, holds those of others, and keeps up with them.
-//! * [`WriteLog`] is what it holds.
-//! * [`UplinkMonitor`] tells whether the branch is isolated from the backends.
+//! * [`QueueReplica`] is the replica at one gateway: it accepts writes, stores those of other gateways, and
+//!   catches up with them.
+//! * [`WriteLog`] contains the writes of a replica.
+//! * [`UplinkMonitor`] determines whether the branch is isolated from the backends.
 
 mod lease;
 mod message;
--- a/src/cluster/write_queue/queue.rs
+++ b/src/cluster/write_queue/queue.rs
@@ -1,13 +1,14 @@
-//! The write queue as one gateway has it, with its claim of the branch's record.
+//! Write queue of one gateway: its replica and its claim of the branch's ledger record.
 
 use super::replica::QueueReplica;
 use crate::cluster::ledger::ClaimId;
 use crate::decision::Micros;
 
-/// A gateway that does not own the branch's record claims it again after this, and up to as long again.
+/// Minimum time before a gateway that does not own the branch's record claims it again; a random time of up to
+/// the same length is added.
 pub const CLAIM_INTERVAL: Micros = Micros(1_000_000);
 
-/// The write queue as one gateway has it.
+/// Write queue of one gateway.
 pub struct WriteQueue {
     replica: QueueReplica,
     claim: Option<ClaimId>,
@@ -15,45 +16,48 @@
 }
 
 impl WriteQueue {
-    /// With this part in the branch, and without a claim.
+    /// Creates the write queue of this replica, without a claim.
     pub fn new(replica: QueueReplica, now: Micros) -> WriteQueue {
         WriteQueue { replica, claim: None, next_claim: now }
     }
 
-    /// This gateway's part in the branch.
+    /// Returns the replica of this gateway.
     pub fn replica(&self) -> &QueueReplica {
         &self.replica
     }
 
-    /// The same, to be driven.
+    /// Returns the replica of this gateway, to be changed.
     pub fn replica_mut(&mut self) -> &mut QueueReplica {
         &mut self.replica
     }
 
-    /// The claim of the branch's record.
+    /// Returns the open claim of the branch's record.
     pub fn claim(&self) -> Option<ClaimId> {
         self.claim
     }
 
-    /// The record is claimed, if it could be; it is not claimed again before this time.
+    /// Sets the claim of the branch's record, `None` if it could not be opened, and the time before which the
+    /// record is not claimed again.
     pub fn set_claim(&mut self, claim: Option<ClaimId>, next_claim: Micros) {
         self.claim = claim;
         self.next_claim = next_claim;
     }
 
-    /// The claim is given up; when the record is claimed again stays as it was.
+    /// Drops the claim and keeps the time before which the record is not claimed again.
     pub fn drop_claim(&mut self) {
         self.claim = None;
     }
 
-    /// Whether this gateway should claim the branch's record: pending writes wait for somebody to forward them.
-    pub fn wants_claim(&self, now: Micros) -> bool {
+    /// Returns whether this gateway should claim the branch's record: it has no claim, writes are pending, and
+    /// it would be allowed to forward them.
+    pub fn should_claim(&self, now: Micros) -> bool {
         let has_work = self.replica.log().pending_count() > 0;
         let may_forward = self.replica.has_vote() && !self.replica.is_isolated();
         self.claim.is_none() && now >= self.next_claim && has_work && may_forward
     }
 
-    /// Whether it holds the record without a use: nothing is pending, or it may not forward as its storage failed.
+    /// Returns whether the gateway has no use for the branch's record: no write is pending, or the replica has
+    /// lost its vote with its storage and may not forward.
     pub fn is_idle(&self) -> bool {
         self.replica.log().pending_count() == 0 || !self.replica.has_vote()
     }
--- a/src/cluster/write_queue/replay.rs
+++ b/src/cluster/write_queue/replay.rs
@@ -1,4 +1,5 @@
-//! Which writes are forwarded next, once the uplink is back: in causal order, at a bounded rate, each announced first.
+//! Selects the writes to forward after the uplink has recovered: in causal order, at a bounded rate, each
+//! announced to a quorum first.
 
 use super::send_rate::{SendRate, TokenBucket};
 use super::settings::WriteQueueSettings;
@@ -7,10 +8,10 @@
 use crate::decision::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A write that was rejected is tried again after this, doubled each time.
+/// Delay before the first retry of a rejected write; it doubles with each further retry.
 const FIRST_RETRY_DELAY: Micros = Micros(200_000);
 const MAX_RETRY_DELAY: Micros = Micros(2_000_000);
-/// So many pending writes are looked at each time, the earliest first; and so many dependencies of one.
+/// Maximum number of pending writes examined per call, earliest first, and of dependencies examined per write.
 const SCAN_LIMIT: usize = 1000;
 
 /// How a forwarded write ended.
@@ -18,42 +19,42 @@
 pub enum ForwardOutcome {
     /// A backend answered with this status.
     Answered(u16),
-    /// It was rejected here: it surely never ran, and may be tried again.
+    /// The cluster rejected the write: it was certainly not executed and may be retried.
     NotExecuted,
-    /// It may have run, and nobody answered.
+    /// No response came; the write may have been executed.
     Unknown,
 }
 
-/// What is done with a write.
+/// The next step for a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplayStep {
-    /// Announce that it is about to be forwarded in this attempt, then forward it.
+    /// Announce that the write is about to be forwarded, then forward it.
     Forward {
-        /// The write.
+        /// Dot of the write.
         dot: Dot,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u16,
     },
-    /// Announce that it ended.
+    /// Announce that the write has ended with this outcome.
     End {
-        /// The write.
+        /// Dot of the write.
         dot: Dot,
-        /// How.
+        /// Outcome of the write.
         outcome: WriteOutcome,
     },
 }
 
-/// When a write that was rejected may be tried again.
+/// Retry time and delay of a rejected write.
 #[derive(Debug, Clone, Copy)]
 struct Retry {
     not_before: Micros,
     delay: Micros,
 }
 
-/// The forwarding of a branch's writes, at the gateway that owns the branch's record.
+/// Forwarding state of the gateway that owns the branch's record.
 #[derive(Debug, Clone, Default)]
 pub struct Replay {
-    /// Begun and not ended here.
+    /// Writes whose forwarding was started here and has not ended.
     in_flight: BTreeSet<Dot>,
     retries: BTreeMap<Dot, Retry>,
     rate: SendRate,
@@ -61,17 +62,17 @@
 }
 
 impl Replay {
-    /// How many writes are in flight.
+    /// Returns the number of writes in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// One that was begun was not forwarded from here.
-    pub fn forget(&mut self, dot: Dot) {
+    /// Removes a write from those in flight, as it was not forwarded after all.
+    pub fn cancel_in_flight(&mut self, dot: Dot) {
         self.in_flight.remove(&dot);
     }
 
-    /// A forwarded write ended; its state from now on.
+    /// Called when forwarding a write has ended. Returns the new state of the write.
     pub fn on_forwarded(
         &mut self,
         now: Micros,
@@ -81,7 +82,8 @@
         settings: &WriteQueueSettings,
     ) -> WriteState {
         self.in_flight.remove(&dot);
-        // A customer beyond its quota is rejected now and then; a cluster without capacity rejects many.
+        // `SendRate` averages over many sends: a customer over its quota causes occasional rejections, a cluster
+        // without capacity many.
         self.rate.record(now, matches!(outcome, ForwardOutcome::Answered(_)), settings);
         match outcome {
             ForwardOutcome::Answered(status) => WriteState::Ended(WriteOutcome::Completed(status)),
@@ -99,13 +101,14 @@
         self.retries.insert(dot, Retry { not_before: now + delay, delay });
     }
 
-    /// What to do now. `is_void`: no quorum holds this write, so that it was never accepted.
+    /// Returns the steps to take now. `was_never_accepted` tells whether a missing write is known to have never been
+    /// accepted, as no quorum holds it.
     pub fn next_steps(
         &mut self,
         now: Micros,
         log: &WriteLog,
         settings: &WriteQueueSettings,
-        is_void: impl Fn(Dot) -> bool,
+        was_never_accepted: impl Fn(Dot) -> bool,
     ) -> Vec<ReplayStep> {
         if self.in_flight.is_empty() && log.pending_count() == 0 {
             self.rate = SendRate::default();
@@ -119,7 +122,7 @@
             if must_wait || self.in_flight.contains(&dot) {
                 continue;
             }
-            let Some(step) = next_step(now, log, entry, settings, &is_void) else { continue };
+            let Some(step) = next_step(now, log, entry, settings, &was_never_accepted) else { continue };
             if let ReplayStep::Forward { .. } = step {
                 if self.in_flight.len() >= settings.max_in_flight || !self.bucket.try_take() {
                     break;
@@ -132,17 +135,17 @@
     }
 }
 
-/// What is to be done with a write that is not in flight here.
+/// Returns the next step for a write that is not in flight here, or `None` if it has to wait or has ended.
 fn next_step(
     now: Micros,
     log: &WriteLog,
     entry: &LogEntry,
     settings: &WriteQueueSettings,
-    is_void: &impl Fn(Dot) -> bool,
+    was_never_accepted: &impl Fn(Dot) -> bool,
 ) -> Option<ReplayStep> {
     let dot = entry.write.dot;
     let attempt = match entry.state {
-        // An owner before this one may have forwarded it, and may yet learn how that ends.
+        // An earlier owner may have forwarded the write and may still announce its outcome.
         WriteState::Sent(_) if entry.first_sent_at.is_some_and(|at| now - at < settings.send_timeout) => {
             return None
         }
@@ -152,7 +155,7 @@
         WriteState::Pending(attempts) => attempts,
         WriteState::Ended(_) => return None,
     };
-    match readiness(log, &entry.write.dependencies, settings, is_void) {
+    match readiness(log, &entry.write.dependencies, settings, was_never_accepted) {
         Readiness::Ready => {}
         Readiness::Waiting => return None,
         Readiness::Blocked(by) => return Some(ReplayStep::End { dot, outcome: WriteOutcome::Blocked(by) }),
@@ -161,14 +164,15 @@
     if !was_sent && now - entry.accepted_at >= settings.max_age {
         return Some(ReplayStep::End { dot, outcome: WriteOutcome::Expired });
     }
-    if let Some(rival) = superseding(log, entry).filter(|_| !was_sent) {
-        return Some(ReplayStep::End { dot, outcome: WriteOutcome::Superseded(rival) });
+    if let Some(later_write) = superseding_write(log, entry).filter(|_| !was_sent) {
+        return Some(ReplayStep::End { dot, outcome: WriteOutcome::Superseded(later_write) });
     }
     Some(ReplayStep::Forward { dot, attempt })
 }
 
-/// Of two concurrent writes on one object the later position stands, at every gateway alike.
-fn superseding(log: &WriteLog, entry: &LogEntry) -> Option<Dot> {
+/// Returns a pending concurrent write on the same object with a later position, if there is one. Of concurrent
+/// writes on one object the one with the latest position takes precedence, at every gateway alike.
+fn superseding_write(log: &WriteLog, entry: &LogEntry) -> Option<Dot> {
     let own = (entry.write.position, entry.write.dot);
     let mut later = log
         .pending_on_object(entry.write.object)
@@ -177,20 +181,21 @@
     later.next().map(|other| other.write.dot)
 }
 
-/// Whether a write's dependencies let it go.
+/// Whether the dependencies of a write permit forwarding it.
 enum Readiness {
     Ready,
     Waiting,
     Blocked(Dot),
 }
 
-/// Whether all of these have an end, and one that lets the writes behind them go. One that expired before its turn says
-/// nothing of those that it depends on: these are looked at as well.
+/// Returns whether all dependencies have ended in a way that permits forwarding the writes that depend on them.
+/// A dependency that expired before it was forwarded implies nothing about its own dependencies, so those are
+/// checked as well.
 fn readiness(
     log: &WriteLog,
     dependencies: &[Dot],
     settings: &WriteQueueSettings,
-    is_void: &impl Fn(Dot) -> bool,
+    was_never_accepted: &impl Fn(Dot) -> bool,
 ) -> Readiness {
     let mut to_check = dependencies.to_vec();
     let mut checked = BTreeSet::new();
@@ -199,7 +204,7 @@
             continue;
         }
         let Some(entry) = log.get(dot) else {
-            if is_void(dot) {
+            if was_never_accepted(dot) {
                 continue;
             }
             return Readiness::Waiting;
@@ -218,12 +223,13 @@
     Readiness::Ready
 }
 
-/// Whether one of these depends on that write, however far back, or may: what is not held here can't be looked through.
-fn depends_on(log: &WriteLog, dependencies: &[Dot], on: Dot) -> bool {
+/// Returns whether any of these writes is `target` or depends on it, directly or indirectly. A write that is
+/// not held here counts as depending on `target`, as its dependencies are unknown.
+fn depends_on(log: &WriteLog, dependencies: &[Dot], target: Dot) -> bool {
     let mut to_check = dependencies.to_vec();
     let mut checked = BTreeSet::new();
     while let Some(dot) = to_check.pop() {
-        if dot == on {
+        if dot == target {
             return true;
         }
         if checked.insert(dot) {
--- a/src/cluster/write_queue/replica.rs
+++ b/src/cluster/write_queue/replica.rs
@@ -1,5 +1,6 @@
-//! One gateway's part in its branch: it accepts writes with the others' votes, holds theirs, keeps up with them and,
-//! while it owns the branch's record, forwards them.
+//! Replica of the write queue at one gateway of a branch. It accepts writes with the votes of a quorum, stores
+//! the writes of the other gateways, catches up with them and, while it owns the branch's record, forwards
+//! writes.
 
 mod accept;
 mod catch_up;
@@ -15,146 +16,147 @@
 use crate::decision::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is not answered is sent again after this.
+/// Time after which an unanswered message is resent.
 const RESEND_AFTER: Micros = Micros(60_000);
-/// The most writes that are asked for or sent at once.
+/// Maximum number of writes in one fetch.
 const FETCH_LIMIT: usize = 20;
-/// Writes in one page of what a replica holds.
+/// Maximum number of writes in a page.
 const PAGE_LIMIT: usize = 40;
-/// Between two messages on the own uplink.
+/// Interval at which the status of this gateway's uplink is reported.
 const UPLINK_REPORT_INTERVAL: Micros = Micros(250_000);
-/// Between two looks for writes that have expired.
+/// Interval at which expired writes are removed from the log.
 const EXPIRY_INTERVAL: Micros = Micros(1_000_000);
 
-/// What a replica wants done.
+/// An action that a replica asks its caller to perform.
 #[derive(Debug)]
 pub enum QueueEffect {
-    /// Send this to a seat.
+    /// Send a message to another gateway of the branch.
     Send {
-        /// The seat.
+        /// Seat of the receiver.
         to: u16,
-        /// The message.
+        /// Message to send.
         message: QueueMessage,
     },
-    /// A write that was asked for here is accepted under this name, or not.
+    /// A write submitted at this gateway was accepted or rejected.
     Decided {
-        /// The write.
+        /// Dot of the write.
         dot: Dot,
-        /// Whether it is accepted.
+        /// Whether the write was accepted.
         accepted: bool,
     },
-    /// Forward this write.
+    /// Forward a write to a backend.
     Forward {
-        /// The write.
+        /// Write to forward.
         write: Write,
-        /// In which attempt.
+        /// Number of the attempt.
         attempt: u16,
-        /// When it was first forwarded, where an owner before may have done so.
+        /// Time of the first attempt, if an earlier owner may have forwarded the write.
         first_sent_at: Option<Micros>,
     },
-    /// A write that was accepted ended otherwise than completed.
+    /// An accepted write ended without being completed.
     NotCompleted {
-        /// The write.
+        /// Dot of the write.
         dot: Dot,
-        /// How it ended.
+        /// Outcome of the write.
         outcome: WriteOutcome,
     },
-    /// The branch is isolated from now on, or no longer.
+    /// The branch became isolated from the backends, or is no longer isolated.
     IsolationChanged {
-        /// Whether it is.
+        /// Whether the branch is isolated now.
         isolated: bool,
-        /// How long ago the last response came.
+        /// Time since the last response of a backend.
         since_response: Micros,
     },
 }
 
-/// The answer to a client that asks for a write.
+/// Status of a write, as reported to clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteStatus {
-    /// What is known of it.
+    /// The write is held here, in this state.
     Known(WriteState),
-    /// Nobody here knows it: too old, lost with all that held it, or never accepted.
+    /// The write is not held here: it was removed after its retention period, lost with all replicas that held
+    /// it, or never accepted.
     Lost,
 }
 
-/// How many writes came to what.
+/// Numbers of writes by outcome.
 #[derive(Debug, Clone, Default)]
 pub struct QueueCounts {
-    /// Accepted here.
+    /// Writes accepted at this gateway.
     pub accepted: u64,
-    /// Rejected here for want of votes or capacity.
+    /// Writes rejected at this gateway for lack of votes or capacity.
     pub rejected: u64,
-    /// Forwarded from here.
+    /// Writes forwarded by this gateway.
     pub forwarded: u64,
-    /// Of them, completed.
+    /// Forwarded writes that were completed.
     pub completed: u64,
-    /// Ended otherwise.
+    /// Writes that ended without being completed.
     pub not_completed: u64,
 }
 
-/// What a replica holds for one customer and object.
+/// The newest writes of a customer and on an object at one replica, with its highest position.
 struct Heads {
     newest: Vec<Dot>,
     position: u64,
 }
 
-/// A write that waits for its votes.
+/// A submitted write that waits for the votes of a quorum.
 struct PendingAccept {
     write: Write,
-    since: Micros,
-    /// When its messages were last sent.
+    started_at: Micros,
+    /// Time at which the messages for the write were last sent.
     sent_at: Micros,
-    /// By seat, this one among them.
+    /// Heads received so far, by seat, including those of this gateway.
     heads: BTreeMap<u16, Heads>,
-    /// Who holds the write, once a quorum has sent its heads.
+    /// Seats that hold the write; `None` until a quorum has sent its heads.
     held_by: Option<BTreeSet<u16>>,
 }
 
-/// A state of a write that is announced until a quorum holds it.
+/// A new state of a write that is announced to the branch until a quorum holds it.
 struct Announcement {
     state: WriteState,
     held_by: BTreeSet<u16>,
-    /// When it was last sent.
+    /// Time at which the announcement was last sent.
     sent_at: Micros,
-    /// What follows once a quorum holds it.
-    then: AfterAnnouncement,
+    /// Action to take once a quorum holds the state.
+    follow_up: AfterAnnouncement,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AfterAnnouncement {
     Nothing,
-    /// The write is forwarded.
+    /// Forward the write.
     Forward {
-        /// An owner before this one may have forwarded it already.
+        /// Whether an earlier owner may have forwarded the write already.
         may_have_run: bool,
     },
 }
 
-/// A walk through all that another replica holds, page by page.
+/// Progress of reading all writes that another replica holds, page by page.
 #[derive(Default)]
 struct CatchUp {
-    /// The token of the page that is asked for; 0: none is.
+    /// Token of the requested page; 0 if no catch-up is in progress.
     round: u64,
-    /// Where the page begins.
+    /// Last write before the requested page.
     after: Option<Dot>,
-    /// Where it ends, once it is here.
-    until: Option<Dot>,
-    asked_at: Micros,
-    /// Walks that came to their end, all of it being here then.
+    /// Last write on the requested page, once the page has arrived.
+    page_end: Option<Dot>,
+    requested_at: Micros,
+    /// Number of completed catch-ups, at the end of which every write of the other replica was held here.
     completed: u64,
     peer_has_vote: bool,
-    /// Writes of this page of which the other knows more.
+    /// Writes on the page that are missing here or in an earlier state, until they have been fetched.
     missing: BTreeSet<Dot>,
     is_last_page: bool,
 }
 
 impl CatchUp {
-    fn is_walking(&self) -> bool {
+    fn is_in_progress(&self) -> bool {
         self.round > 0
     }
 }
 
-/// One gateway's part in its branch.
+/// Replica of the write queue at one gateway of a branch.
 pub struct QueueReplica {
     own_seat: u16,
     settings: WriteQueueSettings,
@@ -162,50 +164,50 @@
     last_number: u32,
     last_token: u64,
     log: WriteLog,
-    /// It holds all that it could have held before its start.
+    /// Whether the replica votes: it holds everything that it could have acknowledged before its start.
     has_vote: bool,
-    /// Its storage is not read yet, or takes nothing more: it has no vote, whatever it holds.
-    is_barred: bool,
+    /// Whether the replica may not vote whatever it holds, because its storage is not read yet or has failed.
+    is_vote_suspended: bool,
     started_at: Micros,
     catch_ups: BTreeMap<u16, CatchUp>,
-    /// How many walks a quorum, this one among it, has completed.
-    completed_walks: u64,
+    /// Number of catch-ups completed with enough replicas to form a quorum with this one.
+    completed_catch_ups: u64,
     pending_accepts: BTreeMap<u64, PendingAccept>,
     announcements: BTreeMap<Dot, Announcement>,
     replay: Replay,
-    /// `completed_walks` when this one took the lead.
-    leads_since_walk: Option<u64>,
-    /// `completed_walks` when each missing dependency was first missed.
-    missing_since_walk: BTreeMap<Dot, u64>,
+    /// Value of `completed_catch_ups` when this gateway became the lease holder.
+    leader_since_catch_up: Option<u64>,
+    /// Value of `completed_catch_ups` when each missing dependency was first found missing.
+    missing_since_catch_up: BTreeMap<Dot, u64>,
     uplink: UplinkMonitor,
     uplink_reported_at: Micros,
     next_expiry: Micros,
     is_isolated: bool,
-    /// How many writes came to what.
+    /// Numbers of writes by outcome.
     pub counts: QueueCounts,
 }
 
 impl QueueReplica {
-    /// For the gateway in this seat; `process` is drawn at random.
+    /// Creates the replica of the gateway in this seat. `process` is the random number of this process.
     pub fn new(own_seat: u16, settings: WriteQueueSettings, process: u64, now: Micros) -> QueueReplica {
-        let others = settings.seats.iter().filter(|seat| **seat != own_seat);
+        let other_seats = settings.seats.iter().filter(|seat| **seat != own_seat);
         QueueReplica {
             own_seat,
             has_vote: settings.is_single(),
-            catch_ups: others.map(|seat| (*seat, CatchUp::default())).collect(),
+            catch_ups: other_seats.map(|seat| (*seat, CatchUp::default())).collect(),
             settings,
             process: process as u32,
             last_number: 0,
             last_token: process,
             log: WriteLog::default(),
-            is_barred: false,
+            is_vote_suspended: false,
             started_at: now,
-            completed_walks: 0,
+            completed_catch_ups: 0,
             pending_accepts: BTreeMap::new(),
             announcements: BTreeMap::new(),
             replay: Replay::default(),
-            leads_since_walk: None,
-            missing_since_walk: BTreeMap::new(),
+            leader_since_catch_up: None,
+            missing_since_catch_up: BTreeMap::new(),
             uplink: UplinkMonitor::new(now),
             uplink_reported_at: now,
             next_expiry: now,
@@ -214,76 +216,78 @@
         }
     }
 
-    /// It has no vote until its storage is read, and notes what changes from then on.
+    /// Withholds the replica's vote until `restore` is called, and tracks changes from now on.
     pub fn await_storage(&mut self) {
-        self.is_barred = true;
+        self.is_vote_suspended = true;
         self.has_vote = false;
         self.log.track_changes();
     }
 
-    /// Its storage is read and held these. `complete`: an earlier process had a vote, and all that it acknowledged is among them.
+    /// Restores the entries that were read from storage. They are `complete` if an earlier process had a vote and all
+    /// writes that it acknowledged are among them.
     pub fn restore(&mut self, now: Micros, entries: &[LogEntry], complete: bool) {
         for entry in entries.iter().filter(|entry| entry.write.fits()) {
             self.log.merge(now, &entry.write, entry.state, entry.accepted_at, entry.first_sent_at);
         }
-        // It is stored already.
+        // The restored entries are stored already.
         self.log.take_changed();
-        self.is_barred = false;
+        self.is_vote_suspended = false;
         self.started_at = now;
         self.has_vote = complete || self.settings.is_single();
     }
 
-    /// Its storage takes nothing more: it gives up its vote, and keeps what it holds. Writes that wait for votes are
-    /// rejected, and what was not forwarded by now is not forwarded from here: its own announcement of them was never stored.
+    /// Called when the storage has failed: gives up the replica's vote and keeps the log. Writes that wait for
+    /// votes are rejected, and writes not forwarded yet are not forwarded by this gateway, as their
+    /// announcements were never stored here.
     pub fn lose_storage(&mut self, now: Micros, out: &mut Vec<QueueEffect>) {
-        self.is_barred = true;
+        self.is_vote_suspended = true;
         self.has_vote = false;
         self.log.stop_tracking_changes();
         self.cancel_forwards();
         for pending in self.pending_accepts.values_mut() {
-            pending.since = Micros(0);
+            pending.started_at = Micros(0);
         }
         self.tick_accepts(now, out);
     }
 
-    /// What has changed since this was last called, and what is held of it now.
+    /// Returns the writes changed since the last call with their current entries, `None` for removed ones.
     pub fn take_changed(&mut self) -> Vec<(Dot, Option<LogEntry>)> {
         let changed = self.log.take_changed();
         changed.into_iter().map(|dot| (dot, self.log.get(dot).cloned())).collect()
     }
 
-    /// What it holds.
+    /// Returns the log of this replica.
     pub fn log(&self) -> &WriteLog {
         &self.log
     }
 
-    /// Whether it has a vote.
+    /// Returns whether the replica has a vote.
     pub fn has_vote(&self) -> bool {
         self.has_vote
     }
 
-    /// Whether the branch is isolated from the backends.
+    /// Returns whether the branch is isolated from the backends.
     pub fn is_isolated(&self) -> bool {
         self.is_isolated
     }
 
-    /// How many writes are in flight from here.
+    /// Returns the number of writes in flight from this gateway.
     pub fn in_flight(&self) -> usize {
         self.replay.in_flight()
     }
 
-    /// What became of a write.
+    /// Returns the status of a write.
     pub fn status(&self, dot: Dot) -> WriteStatus {
         self.log.get(dot).map_or(WriteStatus::Lost, |entry| WriteStatus::Known(entry.state))
     }
 
-    /// Whether a write is to be queued rather than sent: the branch is isolated, or writes of this customer or on this
-    /// object are pending still.
+    /// Returns whether a write must be queued instead of sent directly: the branch is isolated, or writes of
+    /// this customer or on this object are still pending.
     pub fn should_queue(&self, customer: u64, object: u64) -> bool {
         self.is_isolated || self.log.has_pending_for(customer, object)
     }
 
-    /// An attempt at a backend got a response, or none.
+    /// Records whether an attempt at a backend got a response.
     pub fn record_attempt(&mut self, now: Micros, responded: bool) {
         self.uplink.record_attempt(now, responded, &self.settings);
     }
@@ -297,7 +301,7 @@
         self.last_token
     }
 
-    /// Handles a message of another gateway of the branch.
+    /// Handles a message from another gateway of the branch.
     pub fn on_message(&mut self, now: Micros, from: u16, message: QueueMessage, out: &mut Vec<QueueEffect>) {
         if !self.catch_ups.contains_key(&from) {
             return;
@@ -330,8 +334,15 @@
         }
     }
 
-    /// To be called as time passes. `acts`: the branch's record is surely this one's now; `leads`: and for a while.
-    pub fn tick(&mut self, now: Micros, leads: bool, acts: bool, out: &mut Vec<QueueEffect>) {
+    /// Called on each tick. `has_lease` tells whether this gateway holds the lease of the branch's record now, and
+    /// `has_lease_with_margin` whether it still does after the lease margin.
+    pub fn tick(
+        &mut self,
+        now: Micros,
+        has_lease_with_margin: bool,
+        has_lease: bool,
+        out: &mut Vec<QueueEffect>,
+    ) {
         self.tick_accepts(now, out);
         self.tick_announcements(now, out);
         self.tick_catch_ups(now, out);
@@ -341,11 +352,11 @@
             self.log.remove_expired(now, &self.settings);
         }
         self.update_vote(now);
-        if leads && acts && !self.is_isolated && self.has_vote {
+        if has_lease_with_margin && has_lease && !self.is_isolated && self.has_vote {
             self.forward_next(now, out);
-        } else if !acts {
-            // Whoever leads now may begin the same: what was not forwarded by then is not forwarded from here.
-            self.leads_since_walk = None;
+        } else if !has_lease {
+            // A new lease holder may start to forward the same writes, so those not yet forwarded are cancelled here.
+            self.leader_since_catch_up = None;
             self.cancel_forwards();
         }
     }
--- a/src/cluster/write_queue/replica/accept.rs
+++ b/src/cluster/write_queue/replica/accept.rs
@@ -1,7 +1,8 @@
-//! Writes that wait for their votes: asked for, held by a quorum, then accepted, or rejected.
+//! Acceptance of submitted writes by a quorum of the branch.
 //!
-//! Two rounds: a quorum sends the newest writes of the customer and of the object, on which the new one then depends;
-//! then a quorum holds it with all that it depends on.
+//! There are two rounds. In the first, a quorum sends the newest writes of the customer and on the object,
+//! which become the dependencies of the new write. In the second, a quorum stores the write together with all
+//! of its dependencies.
 
 use super::{Heads, PendingAccept, QueueEffect, QueueReplica};
 use crate::cluster::write_queue::message::{QueueMessage, ReplicatedWrite};
@@ -11,19 +12,20 @@
 use crate::decision::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A write that has not the votes by then is rejected, as without a branch.
+/// Time after which a write without the votes of a quorum is rejected, as it would be without a branch.
 const ACCEPT_TIMEOUT: Micros = Micros(400_000);
-/// The most writes that wait for their votes at once.
+/// Maximum number of writes that wait for votes at once.
 const MAX_PENDING_ACCEPTS: usize = 500;
-/// What dependencies and a position add to a write, in bytes at most.
+/// Maximum size that dependencies and a position add to an encoded write, in bytes.
 const DEPENDENCY_BYTES: usize = 120;
 
 impl QueueReplica {
-    /// A write is to be accepted; whether it is, follows as `QueueEffect::Decided`. None: it can't be.
+    /// Submits a write. The result follows as `QueueEffect::Decided`. Returns the dot of the write, or `None`
+    /// if it cannot be accepted.
     pub fn accept(&mut self, now: Micros, request: WriteRequest, out: &mut Vec<QueueEffect>) -> Option<Dot> {
-        // A client that comes again with its key meets its write, once a quorum holds it.
-        let known = self.log.find_by_key(request.customer, request.key).filter(|_| self.has_vote);
-        if let Some(write) = known.map(|entry| entry.write.clone()) {
+        // A retry with the same idempotency key refers to the existing write, once a quorum holds that.
+        let existing = self.log.find_by_key(request.customer, request.key).filter(|_| self.has_vote);
+        if let Some(write) = existing.map(|entry| entry.write.clone()) {
             return Some(self.accept_again(now, write, out));
         }
         let has_capacity = self.has_vote
@@ -49,19 +51,19 @@
             let message = QueueMessage::QueryHeads { token, customer, object };
             out.push(QueueEffect::Send { to, message });
         }
-        let pending = PendingAccept { write, since: now, sent_at: now, heads, held_by: None };
+        let pending = PendingAccept { write, started_at: now, sent_at: now, heads, held_by: None };
         self.pending_accepts.insert(token, pending);
         self.advance(now, token, out);
         Some(dot)
     }
 
-    /// Asks for the votes of a write that is held already.
+    /// Collects votes for a write that is already in the log.
     fn accept_again(&mut self, now: Micros, write: Write, out: &mut Vec<QueueEffect>) -> Dot {
         let dot = write.dot;
         let token = self.next_token();
         let held_by = Some(BTreeSet::from([self.own_seat]));
-        let (since, sent_at) = (now, Micros(0));
-        let pending = PendingAccept { write, since, sent_at, heads: BTreeMap::new(), held_by };
+        let (started_at, sent_at) = (now, Micros(0));
+        let pending = PendingAccept { write, started_at, sent_at, heads: BTreeMap::new(), held_by };
         self.pending_accepts.insert(token, pending);
         self.advance(now, token, out);
         dot
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Looks whether a pending write has the votes for its next step.
+    /// Takes the next step for a pending write if it has the votes for it.
     fn advance(&mut self, now: Micros, token: u64, out: &mut Vec<QueueEffect>) {
         let quorum = self.settings.quorum();
         let Some(pending) = self.pending_accepts.get(&token) else { return };
@@ -99,27 +101,29 @@
         }
     }
 
-    /// Gives a write its dependencies and its position, and sends it to all; whether it was.
+    /// Assigns a write its dependencies and position and sends it to the other gateways. Returns whether the
+    /// write was sent.
     fn replicate_first(&mut self, now: Micros, token: u64, out: &mut Vec<QueueEffect>) -> bool {
         let Some(pending) = self.pending_accepts.get_mut(&token) else { return false };
-        // Whatever was accepted before is known to one of them.
+        // Any write accepted earlier is known to at least one replica of this quorum.
         let all_heads = pending.heads.values().flat_map(|heads| heads.newest.iter().copied());
         let dependencies: BTreeSet<Dot> = all_heads.collect();
         if dependencies.len() > MAX_DEPENDENCIES {
-            // Too many at one time; the client comes again.
+            // Too many concurrent writes; the client may retry.
             self.reject(token, out);
             return false;
         }
-        // It is held with all that it depends on, or that could be lost behind one that nobody accepted.
-        let mut lacks_any = false;
+        // A replica must hold a write with all of its dependencies; otherwise a dependency that is missing
+        // later could be taken for a write that was never accepted.
+        let mut has_missing = false;
         for (seat, heads) in &pending.heads {
             let missing = self.log.missing(&heads.newest);
-            lacks_any |= !missing.is_empty();
+            has_missing |= !missing.is_empty();
             if !missing.is_empty() && *seat != self.own_seat {
                 out.push(QueueEffect::Send { to: *seat, message: QueueMessage::Fetch(missing) });
             }
         }
-        if lacks_any {
+        if has_missing {
             return false;
         }
         let highest = pending.heads.values().map(|heads| heads.position).max().unwrap_or(0);
@@ -138,7 +142,7 @@
         true
     }
 
-    /// A pending write is not accepted. Returns its name.
+    /// Rejects a pending write and returns its dot.
     fn reject(&mut self, token: u64, out: &mut Vec<QueueEffect>) -> Option<Dot> {
         let dot = self.pending_accepts.remove(&token)?.write.dot;
         self.counts.rejected += 1;
@@ -146,7 +150,7 @@
         Some(dot)
     }
 
-    /// Another gateway holds a write in this state, with a vote.
+    /// Called when another gateway that has a vote holds a write in this state.
     pub(super) fn on_acknowledge(
         &mut self,
         now: Micros,
@@ -155,10 +159,12 @@
         state: WriteState,
         out: &mut Vec<QueueEffect>,
     ) {
-        let of_dot = self.pending_accepts.iter_mut().find(|(_, pending)| pending.write.dot == dot);
-        if let Some((token, held_by)) = of_dot.and_then(|(t, p)| Some((*t, p.held_by.as_mut()?))) {
+        let matching = self.pending_accepts.iter_mut().find(|(_, pending)| pending.write.dot == dot);
+        if let Some((token, held_by)) =
+            matching.and_then(|(token, pending)| Some((*token, pending.held_by.as_mut()?)))
+        {
             if state == WriteState::Ended(WriteOutcome::Expired) {
-                // It was withdrawn meanwhile.
+                // The write was withdrawn in the meantime.
                 self.reject(token, out);
             } else {
                 held_by.insert(from);
@@ -168,30 +174,32 @@
         self.on_announcement_held(from, dot, state, out);
     }
 
-    /// Something that a pending write depends on may be here now.
+    /// Resumes pending writes that may have waited for a dependency that has now arrived.
     pub(super) fn resume_accepts(&mut self, now: Micros, out: &mut Vec<QueueEffect>) {
-        let without_holders = self.pending_accepts.iter().filter(|(_, pending)| pending.held_by.is_none());
-        let tokens: Vec<u64> = without_holders.map(|(token, _)| *token).collect();
+        let awaiting_heads = self.pending_accepts.iter().filter(|(_, pending)| pending.held_by.is_none());
+        let tokens: Vec<u64> = awaiting_heads.map(|(token, _)| *token).collect();
         for token in tokens {
             self.advance(now, token, out);
         }
     }
 
-    /// Rejects what has waited for too long, and sends again what was not answered.
+    /// Rejects writes that have waited longer than `ACCEPT_TIMEOUT` and resends unanswered messages.
     pub(super) fn tick_accepts(&mut self, now: Micros, out: &mut Vec<QueueEffect>) {
-        let is_late = |pending: &PendingAccept| now - pending.since >= ACCEPT_TIMEOUT;
+        let is_late = |pending: &PendingAccept| now - pending.started_at >= ACCEPT_TIMEOUT;
         let late = self.pending_accepts.iter().filter(|(_, pending)| is_late(pending));
         let late: Vec<u64> = late.map(|(token, _)| *token).collect();
         for token in late {
             if let Some(dot) = self.reject(token, out) {
-                // Some may hold it: its client was answered that it was not accepted, and may retry.
+                // Some replicas may hold the write. It must not be forwarded, as its client is told that it was
+                // not accepted and may retry.
                 self.announce(now, dot, WriteState::Ended(WriteOutcome::Expired), out);
             }
         }
-        let unsent = self.pending_accepts.iter();
-        let unsent = unsent.filter(|(_, p)| p.held_by.is_none() && Self::is_due(now, p.sent_at));
-        let unsent: Vec<u64> = unsent.map(|(token, _)| *token).collect();
-        for token in unsent {
+        let awaiting_heads = self.pending_accepts.iter();
+        let awaiting_heads = awaiting_heads
+            .filter(|(_, pending)| pending.held_by.is_none() && Self::is_due(now, pending.sent_at));
+        let awaiting_heads: Vec<u64> = awaiting_heads.map(|(token, _)| *token).collect();
+        for token in awaiting_heads {
             self.advance(now, token, out);
         }
         self.resend_accepts(now, out);
@@ -212,7 +220,7 @@
         }
     }
 
-    /// What a peer has not answered yet of a pending write.
+    /// Returns the message for a pending write that a peer has not answered, or `None` if it has answered all.
     fn accept_message(
         &self,
         now: Micros,
--- a/src/cluster/write_queue/replica/notify.rs
+++ b/src/cluster/write_queue/replica/notify.rs
@@ -1,4 +1,4 @@
-//! What became of writes, announced until a quorum holds it; and, for the branch's owner, what is forwarded next.
+//! Announces state changes of writes until a quorum holds them and, at the lease holder, forwards the next writes.
 
 use super::{AfterAnnouncement, Announcement, QueueEffect, QueueReplica};
 use crate::cluster::write_queue::replay::{ForwardOutcome, ReplayStep};
@@ -6,21 +6,21 @@
 use crate::decision::Micros;
 use std::collections::BTreeSet;
 
-/// A dependency that nobody of a quorum had in so many walks was never accepted.
-const WALKS_UNTIL_VOID: u64 = 2;
+/// Number of catch-ups with a quorum after which a dependency that is still missing counts as never accepted.
+const CATCH_UPS_UNTIL_NEVER_ACCEPTED: u64 = 2;
 
 impl QueueReplica {
-    /// Announces what became of a write, until a quorum holds it.
+    /// Announces a new state of a write until a quorum holds it.
     pub(super) fn announce(&mut self, now: Micros, dot: Dot, state: WriteState, out: &mut Vec<QueueEffect>) {
-        self.announce_then(now, dot, state, AfterAnnouncement::Nothing, out);
+        self.announce_with_follow_up(now, dot, state, AfterAnnouncement::Nothing, out);
     }
 
-    fn announce_then(
+    fn announce_with_follow_up(
         &mut self,
         now: Micros,
         dot: Dot,
         state: WriteState,
-        then: AfterAnnouncement,
+        follow_up: AfterAnnouncement,
         out: &mut Vec<QueueEffect>,
     ) {
         let Some(entry) = self.log.get(dot).cloned() else { return };
@@ -30,7 +30,7 @@
         };
         self.log.merge(now, &entry.write, state, entry.accepted_at, first_sent_at);
         let held_by = BTreeSet::from([self.own_seat]);
-        self.announcements.insert(dot, Announcement { state, held_by, sent_at: now, then });
+        self.announcements.insert(dot, Announcement { state, held_by, sent_at: now, follow_up });
         self.send_announcement(now, dot, out);
         self.conclude_announcement(dot, out);
     }
@@ -54,7 +54,7 @@
     ) {
         let Some(announcement) = self.announcements.get_mut(&dot) else { return };
         if state.rank() > announcement.state.rank() {
-            // Another knows better.
+            // Another gateway knows a later state.
             self.announcements.remove(&dot);
             return;
         }
@@ -64,16 +64,17 @@
         }
     }
 
-    /// Looks whether an announcement is held by a quorum, and does what follows.
+    /// Ends an announcement that a quorum holds and takes its follow-up action.
     fn conclude_announcement(&mut self, dot: Dot, out: &mut Vec<QueueEffect>) {
         let quorum = self.settings.quorum();
         let Some(announcement) = self.announcements.get(&dot) else { return };
         if announcement.held_by.len() < quorum {
             return;
         }
-        let (state, then) = (announcement.state, announcement.then);
+        let (state, follow_up) = (announcement.state, announcement.follow_up);
         self.announcements.remove(&dot);
-        let (WriteState::Sent(attempt), AfterAnnouncement::Forward { may_have_run }) = (state, then) else {
+        let (WriteState::Sent(attempt), AfterAnnouncement::Forward { may_have_run }) = (state, follow_up)
+        else {
             return;
         };
         let Some(entry) = self.log.get(dot) else { return };
@@ -83,7 +84,8 @@
     }
 
     pub(super) fn tick_announcements(&mut self, now: Micros, out: &mut Vec<QueueEffect>) {
-        let due = self.announcements.iter().filter(|(_, one)| Self::is_due(now, one.sent_at));
+        let due =
+            self.announcements.iter().filter(|(_, announcement)| Self::is_due(now, announcement.sent_at));
         let due: Vec<Dot> = due.map(|(dot, _)| *dot).collect();
         for dot in due {
             self.send_announcement(now, dot, out);
@@ -93,17 +95,18 @@
         }
     }
 
-    /// Nothing that was not forwarded by now is forwarded.
+    /// Cancels the announcements of writes that were to be forwarded once a quorum held them.
     pub(super) fn cancel_forwards(&mut self) {
-        self.announcements.retain(|_, one| one.then == AfterAnnouncement::Nothing);
+        self.announcements.retain(|_, announcement| announcement.follow_up == AfterAnnouncement::Nothing);
     }
 
-    /// A write that was to be forwarded was not, as the record was no longer surely this one's. Others may think it was.
+    /// Called when a write was not forwarded because the lease of the branch's record may have ended. Other
+    /// replicas may still assume that the write was forwarded.
     pub fn on_forward_dropped(&mut self, dot: Dot) {
-        self.replay.forget(dot);
+        self.replay.cancel_in_flight(dot);
     }
 
-    /// A forwarded write ended.
+    /// Called when forwarding a write has ended.
     pub fn on_forwarded(
         &mut self,
         now: Micros,
@@ -126,35 +129,39 @@
         out.push(QueueEffect::NotCompleted { dot, outcome });
     }
 
-    /// Forwards what may go: not before a quorum sent all that it holds since this one took the lead.
+    /// Forwards the writes that are ready. Waits until a catch-up with a quorum that started after this gateway
+    /// became lease holder has completed.
     pub(super) fn forward_next(&mut self, now: Micros, out: &mut Vec<QueueEffect>) {
         let is_single = self.settings.is_single();
-        let since = match self.leads_since_walk {
+        let since = match self.leader_since_catch_up {
             Some(since) => since,
             None => {
-                // Walks that had begun before may have missed what an owner before this one announced last.
-                self.leads_since_walk = Some(self.completed_walks);
-                self.restart_walks();
+                // Catch-ups started earlier may have missed the last announcements of the previous owner.
+                self.leader_since_catch_up = Some(self.completed_catch_ups);
+                self.restart_catch_ups();
                 self.tick_catch_ups(now, out);
-                self.completed_walks
+                self.completed_catch_ups
             }
         };
-        if !is_single && self.completed_walks < since + 1 {
+        if !is_single && self.completed_catch_ups < since + 1 {
             return;
         }
         self.update_missing_dependencies();
-        let (walks, missing_since) = (self.completed_walks, &self.missing_since_walk);
-        let is_void = |dot: Dot| {
-            is_single || missing_since.get(&dot).is_some_and(|since| walks >= since + WALKS_UNTIL_VOID)
+        let (completed_catch_ups, missing_since) = (self.completed_catch_ups, &self.missing_since_catch_up);
+        let was_never_accepted = |dot: Dot| {
+            is_single
+                || missing_since
+                    .get(&dot)
+                    .is_some_and(|since| completed_catch_ups >= since + CATCH_UPS_UNTIL_NEVER_ACCEPTED)
         };
-        let steps = self.replay.next_steps(now, &self.log, &self.settings, is_void);
+        let steps = self.replay.next_steps(now, &self.log, &self.settings, was_never_accepted);
         for step in steps {
             match step {
                 ReplayStep::Forward { dot, attempt } => {
                     let may_have_run =
                         self.log.get(dot).is_some_and(|entry| matches!(entry.state, WriteState::Sent(_)));
-                    let then = AfterAnnouncement::Forward { may_have_run };
-                    self.announce_then(now, dot, WriteState::Sent(attempt), then, out);
+                    let follow_up = AfterAnnouncement::Forward { may_have_run };
+                    self.announce_with_follow_up(now, dot, WriteState::Sent(attempt), follow_up, out);
                 }
                 ReplayStep::End { dot, outcome } => {
                     self.count_not_completed(dot, outcome, out);
@@ -166,9 +173,9 @@
 
     fn update_missing_dependencies(&mut self) {
         let missing = self.missing_dependencies();
-        self.missing_since_walk.retain(|dot, _| missing.contains(dot));
+        self.missing_since_catch_up.retain(|dot, _| missing.contains(dot));
         for dot in missing {
-            self.missing_since_walk.entry(dot).or_insert(self.completed_walks);
+            self.missing_since_catch_up.entry(dot).or_insert(self.completed_catch_ups);
         }
     }
 }
--- a/src/cluster/write_queue/replica/store.rs
+++ b/src/cluster/write_queue/replica/store.rs
@@ -1,4 +1,4 @@
-//! Holding the writes of others, and acknowledging them.
+//! Stores the writes that other gateways send, and acknowledges them.
 
 use super::{QueueEffect, QueueReplica, RESEND_AFTER};
 use crate::cluster::write_queue::message::{QueueMessage, ReplicatedWrite};
@@ -6,13 +6,13 @@
 use crate::cluster::write_queue::write_log::ENDED_RETENTION;
 use crate::decision::Micros;
 
-/// A received span is too short by no more than a datagram may be in transit.
+/// Maximum transit time of a datagram, by which a received time span may be too short.
 const MAX_TRANSIT: Micros = Micros(100_000);
-/// Others' pending writes are held up to so many times as many as may be pending here.
+/// Limit on pending writes received from other gateways, as a multiple of `max_pending`.
 const PENDING_HEADROOM: usize = 2;
 
 impl QueueReplica {
-    /// Another gateway sends what it knows of a write.
+    /// Handles a write that another gateway sent with its state.
     pub(super) fn on_replicate(
         &mut self,
         now: Micros,
@@ -23,7 +23,7 @@
         let ReplicatedWrite { write, state, age, since_first_send } = replicated;
         let dot = write.dot;
         let is_known = self.log.get(dot).is_some();
-        // What all remove after a while must not go round for ever.
+        // A write past its retention must not be stored again, or replicas would pass it on to each other forever.
         let is_stale = !is_known && state.is_ended() && *age >= ENDED_RETENTION + self.settings.max_age;
         if is_stale {
             self.on_fetched(from, dot);
@@ -34,11 +34,12 @@
             out.push(QueueEffect::Send { to: from, message: QueueMessage::Rejected { dot } });
             return;
         }
-        // Somewhat earlier rather than later: the time in which repeats are dropped must not seem longer.
+        // The estimate is early rather than late, so that the deduplication window never appears to last longer
+        // than it does.
         let first_sent_at = since_first_send.map(|span| now - span - MAX_TRANSIT);
         self.log.merge(now, write, *state, now - *age, first_sent_at);
         self.on_fetched(from, dot);
-        self.missing_since_walk.remove(&dot);
+        self.missing_since_catch_up.remove(&dot);
         self.acknowledge(from, dot, *state, &write.dependencies, out);
         if !is_known {
             self.resume_accepts(now, out);
@@ -46,7 +47,8 @@
         self.next_page(now, from, out);
     }
 
-    /// Acknowledges that it holds a write. One that is new has a vote here once all is here that it depends on.
+    /// Acknowledges a write that is held here, if this replica has a vote. A new write is acknowledged only
+    /// once all of its dependencies are held here; missing ones are fetched.
     fn acknowledge(
         &self,
         to: u16,
@@ -67,7 +69,7 @@
         }
     }
 
-    /// What is sent of a write.
+    /// Returns the message that replicates a write, or `None` if the write is not held.
     pub(super) fn replicate_message(&self, now: Micros, dot: Dot) -> Option<QueueMessage> {
         let entry = self.log.get(dot)?;
         Some(QueueMessage::Replicate(ReplicatedWrite {
--- a/src/cluster/write_queue/write.rs
+++ b/src/cluster/write_queue/write.rs
@@ -1,4 +1,6 @@
-//! A write, its name, and what is known of it. Wire and disk forms (postcard): the order of variants and fields counts.
+//! Queued writes, their dots and their states.
+//!
+//! These types are sent and stored in postcard, which is positional: variants and fields must keep their order.
 
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
@@ -6,19 +8,19 @@
 use std::str::{FromStr, Split};
 use thiserror::Error;
 
-/// The most bytes of a write on the wire; a longer one is not accepted.
+/// Maximum encoded size of a write, in bytes; a longer one is not accepted.
 pub const MAX_WRITE_BYTES: usize = 1000;
-/// The most writes that one may depend on.
+/// Maximum number of dependencies of a write.
 pub const MAX_DEPENDENCIES: usize = 12;
 
-/// A write's name (a dot of a dotted version vector): the gateway that accepted it, its process, and which of its writes.
+/// Identifier of a write, a dot of a dotted version vector: the gateway and process that accepted it, and its number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Dot {
-    /// The gateway's seat.
+    /// Seat of the gateway.
     pub seat: u16,
-    /// Its process, drawn at random when it starts.
+    /// Random number that the gateway's process drew at its start.
     pub process: u32,
-    /// From 1.
+    /// Number of the write within the process, from 1.
     pub number: u32,
 }
 
@@ -28,7 +30,7 @@
     }
 }
 
-/// A text that names no write.
+/// Error for a text that is not a dot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("expected <seat>-<process in hexadecimal>-<number>")]
 pub struct ParseDotError;
@@ -48,7 +50,7 @@
     }
 }
 
-/// Guards against signs, which number parsers take.
+/// Returns the next part if it is hexadecimal digits only, as number parsers would accept a sign.
 fn next_part<'a>(parts: &mut Split<'a, char>) -> Result<&'a str, ParseDotError> {
     let part = parts.next().ok_or(ParseDotError)?;
     match part.bytes().all(|byte| byte.is_ascii_hexdigit()) {
@@ -57,85 +59,85 @@
     }
 }
 
-/// A write that is to be accepted.
+/// A write that a client asks to be accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WriteRequest {
-    /// Whose it is.
+    /// Customer that sent the write.
     pub customer: u64,
-    /// A hash of its path.
+    /// Object of the write: a hash of its path.
     pub object: u64,
-    /// Its class.
+    /// Class of the request.
     pub class: u16,
-    /// A hash of its idempotency key and body, where it has a key; otherwise 0.
+    /// Hash of the idempotency key and the body, or 0 without a key.
     pub key: u64,
-    /// The request.
+    /// Encoded request.
     pub payload: Vec<u8>,
 }
 
-/// A write.
+/// A write in the queue.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
-    /// Its name.
+    /// Identifier of the write.
     pub dot: Dot,
-    /// Whose it is.
+    /// Customer that sent the write.
     pub customer: u64,
-    /// What it is about: a hash of its path.
+    /// Object of the write: a hash of its path.
     pub object: u64,
-    /// Its class.
+    /// Class of the request.
     pub class: u16,
-    /// A hash of its idempotency key and body, where it has a key; otherwise 0.
+    /// Hash of the idempotency key and the body, or 0 without a key.
     pub key: u64,
-    /// Its position in a total order that agrees with the causal order.
+    /// Position in a total order that is consistent with the causal order.
     pub position: u64,
-    /// The writes that it depends on: the customer's and the object's newest when it was accepted.
+    /// Causal dependencies: the newest writes of the customer and on the object when this one was accepted.
     pub dependencies: Vec<Dot>,
-    /// The request.
+    /// Encoded request.
     pub payload: Vec<u8>,
 }
 
 impl Write {
-    /// Whether it is short enough to be held.
+    /// Returns whether the write is within `MAX_DEPENDENCIES` and `MAX_WRITE_BYTES`.
     pub fn fits(&self) -> bool {
         self.dependencies.len() <= MAX_DEPENDENCIES
             && postcard::to_allocvec(self).is_ok_and(|bytes| bytes.len() <= MAX_WRITE_BYTES)
     }
 }
 
-/// How a write ended. Where two are known, the later one here counts.
+/// How a write ended. If replicas know different outcomes, the later variant in this order takes precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum WriteOutcome {
-    /// It was not forwarded in its time.
+    /// The write was not forwarded before it expired, or was withdrawn because no quorum accepted it in time.
     Expired,
-    /// It was not forwarded, as this write that it depends on was not completed.
+    /// The write was not forwarded because this dependency was not completed.
     Blocked(Dot),
-    /// Another, accepted concurrently on the same object, goes before it.
+    /// The write was not forwarded because this concurrent write on the same object takes precedence.
     Superseded(Dot),
-    /// It may have run, and may not run again.
+    /// The write may have been executed and must not be executed again.
     Unknown,
     /// A backend answered with this status.
     Completed(u16),
 }
 
 impl WriteOutcome {
-    /// Whether a backend did what was asked.
+    /// Returns whether a backend executed the write successfully.
     pub fn is_success(self) -> bool {
         matches!(self, WriteOutcome::Completed(status) if status < 400)
     }
 }
 
-/// What is known of a write. It only goes forward.
+/// Known state of a write. Its rank never decreases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum WriteState {
-    /// It is pending, after so many attempts that surely never ran.
+    /// The write is pending after this many attempts that were certainly not executed.
     Pending(u16),
-    /// It is about to be forwarded, or was, in this attempt.
+    /// The write is about to be forwarded, or has been, in this attempt.
     Sent(u16),
-    /// It ended.
+    /// The write has ended with this outcome.
     Ended(WriteOutcome),
 }
 
 impl WriteState {
-    /// Higher is later.
+    /// Returns the rank of the state; a later state has a higher rank.
     pub fn rank(self) -> u32 {
         match self {
             WriteState::Pending(attempts) => 2 * u32::from(attempts),
@@ -144,12 +146,12 @@
         }
     }
 
-    /// Whether it has ended.
+    /// Returns whether the write has ended.
     pub fn is_ended(self) -> bool {
         matches!(self, WriteState::Ended(_))
     }
 
-    /// The later of two; commutative, so that all replicas merge to the same.
+    /// Returns the later of two states. The merge is commutative, so that all replicas converge.
     pub fn merged(self, other: WriteState) -> WriteState {
         match self.rank().cmp(&other.rank()) {
             Ordering::Less => other,
--- a/src/cluster/write_queue/write_log.rs
+++ b/src/cluster/write_queue/write_log.rs
@@ -1,4 +1,4 @@
-//! What a gateway of a branch holds: all writes that it received, with what became of them, within bounds.
+//! Bounded log of all writes that a gateway of a branch has received, with their states.
 
 use super::message::DotRank;
 use super::settings::WriteQueueSettings;
@@ -8,28 +8,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Writes that ended are held for so long, so that clients can ask.
+/// Retention period of writes that have ended, during which clients can query their outcome.
 pub const ENDED_RETENTION: Micros = Micros(600_000_000);
-/// So many of those that ended are held at most, for each that may be pending.
+/// Maximum number of retained writes that have ended, as a multiple of the maximum number of pending writes.
 const MAX_ENDED_PER_PENDING: usize = 2;
 
-/// A write, as held. A disk form: the order of fields counts.
+/// A write with its state and times. Stored in postcard, so fields must keep their order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// The write.
+    /// Logged write.
     pub write: Write,
-    /// What became of it.
+    /// State of the write.
     pub state: WriteState,
-    /// When it was accepted, on this clock.
+    /// Time at which the write was accepted, on the local clock.
     pub accepted_at: Micros,
-    /// When it was first forwarded, or somewhat before.
+    /// Time at which the write was first forwarded, or slightly earlier.
     pub first_sent_at: Option<Micros>,
-    /// When it ended, as far as is known here.
+    /// Time at which this gateway learned that the write ended.
     pub ended_at: Option<Micros>,
 }
 
 impl LogEntry {
-    /// The same with its times converted to another clock.
+    /// Returns the entry with its times converted to another clock.
     pub fn with_times(self, convert: impl Fn(Micros) -> Micros) -> LogEntry {
         LogEntry {
             accepted_at: convert(self.accepted_at),
@@ -40,17 +40,17 @@
     }
 }
 
-/// All writes that a gateway holds.
+/// The writes that a gateway holds, with indexes by state, customer and object.
 #[derive(Debug, Clone, Default)]
 pub struct WriteLog {
     entries: BTreeMap<Dot, LogEntry>,
-    /// Those that have not ended, by position and dot.
+    /// Writes that have not ended, by position and dot.
     pending: BTreeSet<(u64, Dot)>,
     by_customer: BTreeMap<u64, Vec<Dot>>,
     by_object: BTreeMap<u64, Vec<Dot>>,
-    /// The highest position received.
+    /// Highest position received.
     highest_position: u64,
-    /// What has changed since it was last asked for; none where the gateway has no storage.
+    /// Writes changed since the last call of `take_changed`; `None` if changes are not tracked.
     changed: Option<BTreeSet<Dot>>,
 }
 
@@ -64,17 +64,17 @@
 }
 
 impl WriteLog {
-    /// Notes what changes from now on.
+    /// Starts to track changes for the storage.
     pub fn track_changes(&mut self) {
         self.changed = Some(BTreeSet::new());
     }
 
-    /// Notes nothing any more.
+    /// Stops tracking changes.
     pub fn stop_tracking_changes(&mut self) {
         self.changed = None;
     }
 
-    /// What has changed since this was last called: held otherwise than before, or held no more.
+    /// Returns the writes that were added, changed or removed since the last call.
     pub fn take_changed(&mut self) -> BTreeSet<Dot> {
         self.changed.as_mut().map(std::mem::take).unwrap_or_default()
     }
@@ -85,29 +85,30 @@
         }
     }
 
-    /// A write, if it is held.
+    /// Returns a write, or `None` if it is not held.
     pub fn get(&self, dot: Dot) -> Option<&LogEntry> {
         self.entries.get(&dot)
     }
 
-    /// A customer's write by its key; one that expired before it was forwarded is none.
+    /// Returns the write of this customer with this key that was received last. A write that expired before it
+    /// was forwarded is not returned.
     pub fn find_by_key(&self, customer: u64, key: u64) -> Option<&LogEntry> {
         let dots = self.by_customer.get(&customer).filter(|_| key > 0)?;
         let mut held = dots.iter().rev().filter_map(|dot| self.get(*dot));
         held.find(|entry| entry.write.key == key && entry.state != WriteState::Ended(WriteOutcome::Expired))
     }
 
-    /// How many have not ended.
+    /// Returns the number of writes that have not ended.
     pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// Those that have not ended, in their order.
+    /// Returns the writes that have not ended, by position and dot.
     pub fn pending(&self) -> impl Iterator<Item = &LogEntry> {
         self.pending.iter().filter_map(|(_, dot)| self.entries.get(dot))
     }
 
-    /// Those on this object that have not ended.
+    /// Returns the writes on this object that have not ended.
     pub fn pending_on_object(&self, object: u64) -> impl Iterator<Item = &LogEntry> {
         self.entries_of(&self.by_object, object).filter(|entry| !entry.state.is_ended())
     }
@@ -120,12 +121,12 @@
         index.get(&key).into_iter().flatten().filter_map(|dot| self.get(*dot))
     }
 
-    /// The highest position received.
+    /// Returns the highest position received.
     pub fn highest_position(&self) -> u64 {
         self.highest_position
     }
 
-    /// The writes behind this one, in the order of dots, at most `limit`, and whether there are more.
+    /// Returns up to `limit` writes after this one in the order of dots, and whether there are more.
     pub fn page_after(&self, dot: Option<Dot>, limit: usize) -> (Vec<DotRank>, bool) {
         let from = dot.map_or(Unbounded, Excluded);
         let behind = self.entries.range((from, Unbounded));
@@ -135,26 +136,28 @@
         (page, has_more)
     }
 
-    /// Those of these that are not held.
+    /// Returns those of the given writes that are not held.
     pub fn missing(&self, dots: &[Dot]) -> Vec<Dot> {
         dots.iter().filter(|dot| !self.entries.contains_key(dot)).copied().collect()
     }
 
-    /// Whether a write of this customer or on this object is pending.
+    /// Returns whether a write of this customer or on this object has not ended.
     pub fn has_pending_for(&self, customer: u64, object: u64) -> bool {
         let is_pending = |entry: &LogEntry| !entry.state.is_ended();
         self.entries_of(&self.by_customer, customer).any(is_pending)
             || self.entries_of(&self.by_object, object).any(is_pending)
     }
 
-    /// The newest writes of this customer and on this object: those on which no other of them depends. What will soon be
-    /// removed is not among them.
+    /// Returns the newest writes of this customer and on this object: those on which no other of these writes
+    /// depends. Excludes writes that ended more than half the retention period ago, as they will soon be
+    /// removed.
     pub fn heads(&self, now: Micros, customer: u64, object: u64) -> Vec<Dot> {
         let mut heads = Vec::new();
         for (index, key) in [(&self.by_customer, customer), (&self.by_object, object)] {
             let all: Vec<&LogEntry> = self.entries_of(index, key).collect();
-            let is_newest =
-                |entry: &&&LogEntry| !all.iter().any(|o| o.write.dependencies.contains(&entry.write.dot));
+            let is_newest = |entry: &&&LogEntry| {
+                !all.iter().any(|other| other.write.dependencies.contains(&entry.write.dot))
+            };
             let is_retained =
                 |entry: &&&LogEntry| entry.ended_at.is_none_or(|at| now - at < Micros(ENDED_RETENTION.0 / 2));
             let newest = all.iter().filter(is_newest).filter(is_retained);
@@ -165,14 +168,14 @@
         heads
     }
 
-    /// Whether there is capacity for one more of this customer's.
+    /// Returns whether there is capacity for one more write of this customer.
     pub fn has_capacity(&self, customer: u64, settings: &WriteQueueSettings) -> bool {
-        let of_customer = self.entries_of(&self.by_customer, customer);
-        let of_customer = of_customer.filter(|entry| !entry.state.is_ended()).count();
-        self.pending.len() < settings.max_pending && of_customer < settings.max_pending_per_customer
+        let customer_writes = self.entries_of(&self.by_customer, customer);
+        let pending_count = customer_writes.filter(|entry| !entry.state.is_ended()).count();
+        self.pending.len() < settings.max_pending && pending_count < settings.max_pending_per_customer
     }
 
-    /// Adds a write, or merges what became of one that is held. Whether anything is new.
+    /// Adds a write, or merges the state into that of a write already held. Returns whether anything changed.
     pub fn merge(
         &mut self,
         now: Micros,
@@ -189,17 +192,17 @@
         };
         let merged = entry.state.merged(state);
         let earliest = [entry.first_sent_at, first_sent_at].into_iter().flatten().min();
-        let is_new = merged != entry.state || earliest != entry.first_sent_at;
+        let has_changed = merged != entry.state || earliest != entry.first_sent_at;
         entry.state = merged;
         entry.first_sent_at = earliest;
         if merged.is_ended() && entry.ended_at.is_none() {
             entry.ended_at = Some(now);
             self.pending.remove(&(entry.write.position, dot));
         }
-        if is_new {
+        if has_changed {
             self.mark_changed(dot);
         }
-        is_new
+        has_changed
     }
 
     fn insert(
@@ -222,7 +225,7 @@
         }
     }
 
-    /// Removes what ended long ago, and the oldest of what ended where there is too much of it.
+    /// Removes writes whose retention period is over, and the oldest ended writes beyond the maximum number.
     pub fn remove_expired(&mut self, now: Micros, settings: &WriteQueueSettings) {
         let with_end = |(dot, entry): (&Dot, &LogEntry)| entry.ended_at.map(|at| (at, *dot));
         let mut ended: Vec<(Micros, Dot)> = self.entries.iter().filter_map(with_end).collect();
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -1,5 +1,5 @@
-//! The write queue within a cluster node: its messages go out to the branch's seats, and its record is claimed at the
-//! ledger.
+//! Write queue of a cluster node: exchanges messages with the branch's seats and claims the branch's record at
+//! the ledger.
 
 use super::datagram::{DatagramError, Payload};
 use super::event::{Effect, WriteQueueEffect};
@@ -14,19 +14,20 @@
 use crate::decision::Micros;
 
 impl ClusterNode {
-    /// The write queue, where this gateway is of a branch.
+    /// Returns the write queue, or `None` if this gateway belongs to no branch.
     pub fn write_queue(&self) -> Option<&WriteQueue> {
         self.write_queue.as_ref()
     }
 
-    /// What became of a write.
+    /// Returns the status of a write, or `None` if this gateway belongs to no branch.
     pub fn write_status(&self, dot: Dot) -> Option<WriteStatus> {
         self.write_queue.as_ref().map(|queue| queue.replica().status(dot))
     }
 
-    /// A write is to be accepted; whether it is comes as `WriteQueueEffect::Decided`. None: it can't be.
+    /// Submits a write. The result follows as `WriteQueueEffect::Decided`. Returns the dot of the write, or
+    /// `None` if it cannot be accepted.
     pub fn accept_write(&mut self, now: Micros, request: WriteRequest, out: &mut Vec<Effect>) -> Option<Dot> {
-        // Storage that is slow must not be given more than it can hold.
+        // Slow storage must not receive more writes than it can absorb.
         if self
             .persistence
             .as_ref()
@@ -37,14 +38,14 @@
         self.with_queue(out, |queue, effects| queue.accept(now, request, effects)).flatten()
     }
 
-    /// An attempt at a backend got a response, or none.
+    /// Records whether an attempt at a backend got a response.
     pub fn record_backend_attempt(&mut self, now: Micros, responded: bool) {
         if let Some(queue) = self.write_queue.as_mut() {
             queue.replica_mut().record_attempt(now, responded);
         }
     }
 
-    /// A write that was to be forwarded ended.
+    /// Called when forwarding a write has ended.
     pub fn on_write_forwarded(
         &mut self,
         now: Micros,
@@ -56,7 +57,7 @@
         self.with_queue(out, |queue, effects| queue.on_forwarded(now, dot, attempt, outcome, effects));
     }
 
-    /// Handles a message of the branch from a seat.
+    /// Handles a write queue message from a seat of the list with this digest.
     pub(super) fn on_queue_message(
         &mut self,
         seat_list: u64,
@@ -75,7 +76,7 @@
             .ok_or(DatagramError::Rejected)
     }
 
-    /// Something became of a claim at the ledger; whether it was the queue's.
+    /// Handles the outcome of a ledger claim. Returns whether the claim is that of the write queue.
     pub(super) fn on_queue_claim_resolved(
         &mut self,
         claim: ClaimId,
@@ -95,7 +96,8 @@
         true
     }
 
-    /// To be called as time passes: a gateway that knows of no owner claims the record while writes are pending.
+    /// Called on each tick: drives the replica and, while writes are pending, claims the branch's record or
+    /// keeps its lease.
     pub(super) fn tick_write_queue(&mut self, out: &mut Vec<Effect>) {
         let now = self.now;
         if self.is_storage_opening() {
@@ -103,17 +105,17 @@
         }
         let Some(queue) = self.write_queue.as_ref() else { return };
         let lease = self.lease_status(queue.claim());
-        // Nothing is begun so late that the lease would be over before the others have learned of it.
-        let leads = lease.is_held_with_margin;
-        let is_unused = leads && queue.is_idle();
+        // Nothing is started so late that the lease could end before the other gateways have learned of it.
+        let has_lease_with_margin = lease.is_held_with_margin;
+        let is_unused = has_lease_with_margin && queue.is_idle();
         let to_release = lease.lapsed.or(queue.claim().filter(|_| is_unused || self.left));
         if to_release.is_some() || lease.is_gone {
             self.give_up_queue_claim(to_release, lease.lapsed.is_some(), out);
         }
-        if !self.left && self.write_queue.as_ref().is_some_and(|queue| queue.wants_claim(now)) {
+        if !self.left && self.write_queue.as_ref().is_some_and(|queue| queue.should_claim(now)) {
             self.claim_queue(out);
         }
-        self.with_queue(out, |queue, effects| queue.tick(now, leads, lease.is_held, effects));
+        self.with_queue(out, |queue, effects| queue.tick(now, has_lease_with_margin, lease.is_held, effects));
     }
 
     fn give_up_queue_claim(&mut self, claim: Option<ClaimId>, has_lapsed: bool, out: &mut Vec<Effect>) {
@@ -125,7 +127,7 @@
             self.release_claim(now, claim, None, out);
         }
         if let Some(queue) = self.write_queue.as_mut().filter(|_| has_lapsed) {
-            // A record lives for a while only: whoever had it claims it anew.
+            // A record has a limited lifetime, so its owner claims a new one at once.
             queue.set_claim(None, now);
         }
     }
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Does something with the queue, and lets out what follows.
+    /// Runs an action on the replica and emits its effects through the durability gate.
     fn with_queue<T>(
         &mut self,
         out: &mut Vec<Effect>,
@@ -156,7 +158,7 @@
         self.gate_effects(effects.into_iter().map(GatedEffect::WriteQueue).collect(), out);
     }
 
-    /// Lets out one effect of the queue.
+    /// Emits one effect of the write queue.
     pub(super) fn emit_queue_effect(&mut self, effect: QueueEffect, out: &mut Vec<Effect>) {
         let effect = match effect {
             QueueEffect::Send { to, message } => {
@@ -182,7 +184,7 @@
         out.push(Effect::WriteQueue(effect));
     }
 
-    /// An owner that stood still meanwhile forwards nothing.
+    /// Returns whether this gateway may still forward writes: the lease may have ended while the process was paused.
     fn may_forward(&self) -> bool {
         let claim = self.write_queue.as_ref().and_then(|queue| queue.claim());
         claim.is_some_and(|claim| self.may_act(self.now, claim))
