--- a/src/proxy/cluster_transport/disk/fixture_tests/driver.rs
+++ b/src/proxy/cluster_transport/disk/fixture_tests/driver.rs
@@ -1,4 +1,4 @@
-//! A cluster node that is driven by datagrams alone, on a disk that takes each batch at once.
+//! Runs a cluster node on datagrams and ticks alone, with storage in memory that syncs each batch immediately.
 
 use crate::cluster::ledger::{AbandonedRequest, Ballot, LedgerMessage, LedgerSettings, RecordId};
 use crate::cluster::rollout::{RuleConfig, RuleSet};
@@ -15,45 +15,53 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-pub type Stored = BTreeMap<Vec<u8>, Vec<u8>>;
+/// Contents of the storage, by key.
+pub type StoredEntries = BTreeMap<Vec<u8>, Vec<u8>>;
 
-pub const FLEET: &str = "norte";
+pub const CLUSTER_NAME: &str = "norte";
 pub const SEATS: [&str; 3] = ["a", "b", "c"];
-/// What carries a message of these parts, by its place among all that datagrams carry.
-pub const OF_LEDGER: u32 = 5;
-pub const OF_ROLLOUT: u32 = 6;
-pub const OF_BRANCH: u32 = 7;
-/// Bytes before what a datagram carries.
-pub const PRELUDE: usize = 11;
+/// Postcard indices of the payload variants that carry messages of the ledger, the rollout and the write queue.
+pub const LEDGER_PAYLOAD: u32 = 5;
+pub const ROLLOUT_PAYLOAD: u32 = 6;
+pub const WRITE_QUEUE_PAYLOAD: u32 = 7;
+/// Number of bytes before the payload of a datagram: magic number, version, cluster tag and checksum.
+pub const HEADER_BYTES: usize = 11;
 
-/// The start of the machine, its time and the process' own time when the fixture's process began.
-pub const BOOT: u64 = 0x00c0_ffee;
-pub const UPTIME: Micros = Micros(1_000_000_000);
-pub const BEGAN: Micros = Micros(5_000_000);
-/// Once it holds its votes the messages come.
+/// Boot id of the machine on which the fixture's process runs.
+pub const BOOT_ID: u64 = 0x00c0_ffee;
+/// Uptime of the machine when the fixture's process starts.
+pub const UPTIME_AT_START: Micros = Micros(1_000_000_000);
+/// Time on the process's own clock when the fixture's process starts.
+pub const STARTED_AT: Micros = Micros(5_000_000);
+/// Time of the first messages. By then the gateway has its votes.
 pub const MESSAGES_AT: Micros = Micros(21_000_000);
-pub const ENDED: Micros = Micros(23_400_000);
+/// Time at which the fixture's process ends.
+pub const ENDED_AT: Micros = Micros(23_400_000);
 
-pub fn seat_list() -> u64 {
+/// The digest of the list of seats.
+pub fn seat_list_digest() -> u64 {
     xxh3_64(SEATS.join("\n").as_bytes())
 }
 
+/// Encodes a datagram from this seat with the payload variant `kind`.
 pub fn datagram<M: Serialize>(kind: u32, seat: u16, message: &M) -> Vec<u8> {
-    let body = postcard::to_allocvec(&(kind, seat_list(), seat, message)).expect("it can be written");
+    let body = postcard::to_allocvec(&(kind, seat_list_digest(), seat, message))
+        .expect("the payload can be serialized");
     let mut bytes = b"SH\x01".to_vec();
-    bytes.extend((xxh3_64(FLEET.as_bytes()) as u32).to_le_bytes());
+    bytes.extend((xxh3_64(CLUSTER_NAME.as_bytes()) as u32).to_le_bytes());
     bytes.extend((xxh3_64(&body) as u32).to_le_bytes());
     bytes.extend(body);
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
     bytes
 }
 
-/// What a datagram of this kind says.
+/// Decodes the message of a datagram; `None` if its payload variant is not `kind`.
 pub fn decode<M: DeserializeOwned>(kind: u32, bytes: &[u8]) -> Option<M> {
-    let body = bytes.get(PRELUDE..)?;
-    let (found, _) = postcard::take_from_bytes::<u32>(body).ok()?;
-    (found == kind).then(|| {
-        let (_, _, _, message) = postcard::from_bytes::<(u32, u64, u16, M)>(body).expect("it can be read");
+    let body = bytes.get(HEADER_BYTES..)?;
+    let (found_kind, _) = postcard::take_from_bytes::<u32>(body).ok()?;
+    (found_kind == kind).then(|| {
+        let (_, _, _, message) =
+            postcard::from_bytes::<(u32, u64, u16, M)>(body).expect("the payload can be deserialized");
         message
     })
 }
@@ -65,12 +73,13 @@
         capabilities: CAPABILITY_LEDGER | CAPABILITY_ROLLOUT,
         advertise: None,
     };
-    let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
+    let address = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     Settings {
-        cluster: FLEET.into(),
+        cluster: CLUSTER_NAME.into(),
         name: "b".into(),
         metadata,
-        peers: [("a".to_string(), at(1)), ("b".to_string(), at(2)), ("c".to_string(), at(3))].into(),
+        peers: [("a".to_string(), address(1)), ("b".to_string(), address(2)), ("c".to_string(), address(3))]
+            .into(),
         probe_period: Duration::from_secs(1),
         seats: SEATS.map(str::to_string).to_vec(),
         ledger: Some(LedgerSettings {
@@ -94,50 +103,54 @@
     }
 }
 
-/// A gateway on a disk that takes each batch at once.
+/// A cluster node with storage in memory, and a log of its effects.
 pub struct Driver {
-    pub fleet: ClusterNode,
+    pub node: ClusterNode,
     pub now: Micros,
-    pub stored: Stored,
+    pub stored: StoredEntries,
     pub batches: Vec<(u64, Vec<StorageWrite>)>,
     pub notices: Vec<ClusterNotice>,
-    pub orphans: Vec<AbandonedRequest>,
+    pub abandoned_requests: Vec<AbandonedRequest>,
     pub sent: Vec<Vec<u8>>,
 }
 
 impl Driver {
-    pub fn start(machine: MachineId, now: Micros, stored: &Stored) -> Driver {
-        let fleet =
-            ClusterNode::new(settings(machine), now, Micros(1_790_000_000_000_000), 7).expect("sound");
-        let (batches, notices, orphans, sent) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+    pub fn start(machine: MachineId, now: Micros, stored: &StoredEntries) -> Driver {
+        let node = ClusterNode::new(settings(machine), now, Micros(1_790_000_000_000_000), 7)
+            .expect("valid settings");
+        let (batches, notices, abandoned_requests, sent) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let stored = stored.clone();
-        let read =
-            stored.iter().map(|(k, v)| StorageWrite { key: k.clone(), value: Some(v.clone()) }).collect();
-        let mut driver = Driver { fleet, now, stored, batches, notices, orphans, sent };
-        driver.event(Event::StorageLoaded { writes: read });
+        let writes = stored
+            .iter()
+            .map(|(key, value)| StorageWrite { key: key.clone(), value: Some(value.clone()) })
+            .collect();
+        let mut driver = Driver { node, now, stored, batches, notices, abandoned_requests, sent };
+        driver.handle(Event::StorageLoaded { writes });
         driver
     }
 
-    pub fn event(&mut self, event: Event<'_>) {
+    pub fn handle(&mut self, event: Event<'_>) {
         let mut effects = Vec::new();
-        self.fleet.handle(self.now, event, &mut effects);
-        while let Some(at) = effects.iter().position(|effect| matches!(effect, Effect::PersistBatch { .. })) {
-            let Effect::PersistBatch { batch, writes: puts } = effects.remove(at) else {
-                unreachable!("it was found there")
+        self.node.handle(self.now, event, &mut effects);
+        while let Some(index) =
+            effects.iter().position(|effect| matches!(effect, Effect::PersistBatch { .. }))
+        {
+            let Effect::PersistBatch { batch, writes } = effects.remove(index) else {
+                unreachable!("the position is that of a batch")
             };
-            for put in &puts {
-                match &put.value {
-                    Some(value) => drop(self.stored.insert(put.key.clone(), value.clone())),
-                    None => drop(self.stored.remove(&put.key)),
+            for write in &writes {
+                match &write.value {
+                    Some(value) => drop(self.stored.insert(write.key.clone(), value.clone())),
+                    None => drop(self.stored.remove(&write.key)),
                 }
             }
-            self.batches.push((batch, puts));
-            self.fleet.handle(self.now, Event::StorageSynced { batch }, &mut effects);
+            self.batches.push((batch, writes));
+            self.node.handle(self.now, Event::StorageSynced { batch }, &mut effects);
         }
         for effect in effects {
             match effect {
                 Effect::Notify(notice) => self.notices.push(notice),
-                Effect::RequestAbandoned(orphan) => self.orphans.push(orphan),
+                Effect::RequestAbandoned(request) => self.abandoned_requests.push(request),
                 Effect::Send { bytes, .. } => self.sent.push(bytes),
                 _ => {}
             }
@@ -147,37 +160,37 @@
     pub fn run_until(&mut self, until: Micros) {
         while self.now < until {
             self.now = self.now + LEDGER_TICK_INTERVAL;
-            self.event(Event::LedgerTick);
+            self.handle(Event::LedgerTick);
         }
     }
 
     pub fn receive<M: Serialize>(&mut self, kind: u32, seat: u16, message: &M) {
         let from = SocketAddr::from(([127, 0, 0, 1], 1));
-        self.event(Event::Datagram { from, bytes: &datagram(kind, seat, message) });
+        self.handle(Event::Datagram { from, bytes: &datagram(kind, seat, message) });
     }
 
-    /// Answers every question for pages of names with an empty page without a vote: the branch begins anew.
-    pub fn answer_pages(&mut self) {
-        let asked: Vec<u64> = self
+    /// Replies to every page query of the write queue with an empty page without a vote, as in a new branch.
+    pub fn reply_to_page_queries(&mut self) {
+        let rounds: Vec<u64> = self
             .sent
             .iter()
-            .filter_map(|bytes| match decode::<QueueMessage>(OF_BRANCH, bytes)? {
+            .filter_map(|bytes| match decode::<QueueMessage>(WRITE_QUEUE_PAYLOAD, bytes)? {
                 QueueMessage::QueryPage { round, .. } => Some(round),
                 _ => None,
             })
             .collect();
-        for number in asked {
-            let page = LogPage { round: number, entries: Vec::new(), has_more: false, has_vote: false };
-            self.receive(OF_BRANCH, 0, &QueueMessage::Page(page));
+        for round in rounds {
+            let page = LogPage { round, entries: Vec::new(), has_more: false, has_vote: false };
+            self.receive(WRITE_QUEUE_PAYLOAD, 0, &QueueMessage::Page(page));
         }
     }
 
-    /// Asks for a promise; what the holder answers.
+    /// Sends a prepare message of the ledger, and returns the replica's reply.
     pub fn prepare(&mut self, id: RecordId, ballot: Ballot) -> LedgerMessage {
         self.sent.clear();
-        self.receive(OF_LEDGER, 2, &LedgerMessage::Prepare { id, ballot });
-        let answers: Vec<LedgerMessage> =
-            self.sent.iter().filter_map(|bytes| decode(OF_LEDGER, bytes)).collect();
-        answers.into_iter().next().expect("an answer")
+        self.receive(LEDGER_PAYLOAD, 2, &LedgerMessage::Prepare { id, ballot });
+        let replies: Vec<LedgerMessage> =
+            self.sent.iter().filter_map(|bytes| decode(LEDGER_PAYLOAD, bytes)).collect();
+        replies.into_iter().next().expect("a reply")
     }
 }
--- a/src/proxy/cluster_transport/disk/fixture_tests/scenario.rs
+++ b/src/proxy/cluster_transport/disk/fixture_tests/scenario.rs
@@ -1,8 +1,9 @@
-//! What the fixture holds: a branch's writes in every state, records of the ledger at every point of their life, and a
-//! rollout in every form.
+//! The contents of the fixture: writes of a branch in every state, ledger records at every stage of their life cycle,
+//! and a rollout command in every form.
 
 use super::driver::{
-    Driver, Stored, BEGAN, BOOT, ENDED, MESSAGES_AT, OF_BRANCH, OF_LEDGER, OF_ROLLOUT, UPTIME,
+    Driver, StoredEntries, BOOT_ID, ENDED_AT, LEDGER_PAYLOAD, MESSAGES_AT, ROLLOUT_PAYLOAD, STARTED_AT,
+    UPTIME_AT_START, WRITE_QUEUE_PAYLOAD,
 };
 use crate::cluster::ledger::{Ballot, LedgerMessage, Record, RecordId, SentAttempt};
 use crate::cluster::rollout::{
@@ -17,8 +18,8 @@
     Dot { seat: 0, process: 0xa1b2_c3d4, number }
 }
 
-/// Every state of a write.
-pub fn states() -> [WriteState; 8] {
+/// All states of a write.
+pub fn write_states() -> [WriteState; 8] {
     [
         WriteState::Pending(0),
         WriteState::Pending(3),
@@ -31,7 +32,7 @@
     ]
 }
 
-pub fn write(number: u32) -> Write {
+pub fn branch_write(number: u32) -> Write {
     Write {
         dot: dot(number),
         customer: 900 + u64::from(number),
@@ -50,19 +51,24 @@
     age: Micros,
     since_first_send: Option<Micros>,
 ) -> QueueMessage {
-    QueueMessage::Replicate(ReplicatedWrite { write: Box::new(write(number)), state, age, since_first_send })
+    QueueMessage::Replicate(ReplicatedWrite {
+        write: Box::new(branch_write(number)),
+        state,
+        age,
+        since_first_send,
+    })
 }
 
-/// A record of the fixture, by what happens to it.
-pub fn id(which: u64) -> RecordId {
-    RecordId { customer: 4_000 + which, key: 0xfeed_0000_0000_0000 + which }
+/// The name of a ledger record of the fixture. The constants below number the records by what happens to them.
+pub fn id(index: u64) -> RecordId {
+    RecordId { customer: 4_000 + index, key: 0xfeed_0000_0000_0000 + index }
 }
 pub const PROMISED: u64 = 1;
 pub const OWNED: u64 = 2;
-pub const OFFERED: u64 = 3;
-pub const ANSWERED: u64 = 4;
+pub const ABANDONED: u64 = 3;
+pub const COMPLETED: u64 = 4;
 pub const RELEASED: u64 = 5;
-pub const FORGOTTEN: u64 = 6;
+pub const EXPIRED: u64 = 6;
 
 pub fn ballot(number: u32) -> Ballot {
     Ballot { number, process: 0x0bad_cafe_0000_0009, claim: 31 }
@@ -82,12 +88,16 @@
     vec![SentAttempt { endpoint: 11, record_age_ms: 5 }, SentAttempt { endpoint: 12, record_age_ms: 340 }]
 }
 
-pub fn accept_write(driver: &mut Driver, which: u64, sequence: u32, age: Micros, record: Record) {
-    let (id, ballot, since_promise) = (id(which), ballot(1), Micros(10_000));
-    driver.receive(OF_LEDGER, 2, &LedgerMessage::Accept { id, ballot, sequence, since_promise, age, record });
+pub fn accept_record(driver: &mut Driver, index: u64, sequence: u32, age: Micros, record: Record) {
+    let (id, ballot, since_promise) = (id(index), ballot(1), Micros(10_000));
+    driver.receive(
+        LEDGER_PAYLOAD,
+        2,
+        &LedgerMessage::Accept { id, ballot, sequence, since_promise, age, record },
+    );
 }
 
-pub fn settings_of_rollout() -> RolloutSettings {
+pub fn rollout_settings() -> RolloutSettings {
     RolloutSettings {
         stage_shares: vec![100, 500, 2_500, 10_000],
         bake_s: 30,
@@ -104,8 +114,8 @@
     (changes, is_paused): (u32, bool),
     end: Option<RolloutEnd>,
 ) -> RolloutCommand {
-    let old = RuleSet(vec![RuleConfig { max_attempts: Some(3), ..RuleConfig::default() }]);
-    let new = RuleSet(vec![
+    let baseline = RuleSet(vec![RuleConfig { max_attempts: Some(3), ..RuleConfig::default() }]);
+    let canary = RuleSet(vec![
         RuleConfig {
             class: Some("look".into()),
             plan: Some("team".into()),
@@ -124,15 +134,16 @@
         stage,
         pause: Pause { changes, is_paused },
         end,
-        settings: settings_of_rollout(),
-        baseline: old,
-        canary: new,
+        settings: rollout_settings(),
+        baseline,
+        canary,
     }
 }
 
-/// Every form of an command, by name.
+/// All forms of a rollout command, by name.
 pub fn commands() -> Vec<(&'static str, RolloutCommand)> {
-    let worse = HaltReason::CanaryWorse { scope: "class 2".into(), log_evidence: 5.75, log_threshold: 5.298 };
+    let canary_worse =
+        HaltReason::CanaryWorse { scope: "class 2".into(), log_evidence: 5.75, log_threshold: 5.298 };
     vec![
         ("announced", command(1, 0, (0, false), None)),
         ("running", command(2, 2, (2, false), None)),
@@ -143,94 +154,103 @@
             "undecided",
             command(6, 2, (0, false), Some(RolloutEnd::Halted { seat: 2, reason: HaltReason::Undecided })),
         ),
-        ("worse", command(7, 3, (2, false), Some(RolloutEnd::Halted { seat: 0, reason: worse }))),
+        ("worse", command(7, 3, (2, false), Some(RolloutEnd::Halted { seat: 0, reason: canary_worse }))),
     ]
 }
 
-/// A gateway on an empty disk, once it has its votes.
+/// Starts a gateway with empty storage and runs it until it has its votes.
 fn driver_with_votes() -> Driver {
-    let mut driver = Driver::start(MachineId { boot: BOOT, uptime: UPTIME }, BEGAN, &Stored::new());
-    driver.run_until(BEGAN + LEDGER_TICK_INTERVAL);
-    driver.answer_pages();
+    let mut driver = Driver::start(
+        MachineId { boot: BOOT_ID, uptime: UPTIME_AT_START },
+        STARTED_AT,
+        &StoredEntries::new(),
+    );
+    driver.run_until(STARTED_AT + LEDGER_TICK_INTERVAL);
+    driver.reply_to_page_queries();
     driver.run_until(MESSAGES_AT - Micros(1_000_000));
-    drop(driver.prepare(id(FORGOTTEN), ballot(1)));
+    drop(driver.prepare(id(EXPIRED), ballot(1)));
     driver.run_until(MESSAGES_AT);
-    let votes = driver.fleet.ledger().is_some_and(|ledger| ledger.replica().has_vote(driver.now));
+    let votes_in_ledger = driver.node.ledger().is_some_and(|ledger| ledger.replica().has_vote(driver.now));
     assert!(
-        votes && driver.fleet.write_queue().is_some_and(|queue| queue.replica().has_vote()),
-        "it has its votes"
+        votes_in_ledger && driver.node.write_queue().is_some_and(|queue| queue.replica().has_vote()),
+        "the gateway has its votes"
     );
     driver
 }
 
-/// The branch's writes, one in each state.
+/// Sends the gateway the writes of the branch, one in each state.
 fn receive_writes(driver: &mut Driver) {
-    for (number, state) in (1..).zip(states()) {
-        let sent_ago = matches!(
+    for (number, state) in (1..).zip(write_states()) {
+        let was_sent = matches!(
             state,
             WriteState::Sent(_) | WriteState::Ended(WriteOutcome::Unknown | WriteOutcome::Completed(_))
         );
-        let sent_ago = sent_ago.then_some(Micros(150_000 + u64::from(number)));
+        let since_first_send = was_sent.then_some(Micros(150_000 + u64::from(number)));
         let age = Micros(700_000 + u64::from(number));
-        driver.receive(OF_BRANCH, 0, &replicate(number, state, age, sent_ago));
+        driver.receive(WRITE_QUEUE_PAYLOAD, 0, &replicate(number, state, age, since_first_send));
     }
 }
 
-/// The ledger's records, one at each point of their life.
+/// Sends the gateway the ledger records, one at each stage of their life cycle.
 fn receive_records(driver: &mut Driver) {
-    for which in [OWNED, OFFERED, ANSWERED, RELEASED] {
-        let promise = driver.prepare(id(which), ballot(1));
-        assert_eq!(promise, LedgerMessage::Promise { id: id(which), ballot: ballot(1), held: None });
+    for index in [OWNED, ABANDONED, COMPLETED, RELEASED] {
+        let promise = driver.prepare(id(index), ballot(1));
+        assert_eq!(promise, LedgerMessage::Promise { id: id(index), ballot: ballot(1), held: None });
     }
-    accept_write(driver, OWNED, 1, Micros(0), record(1, true, 5_000, attempts()[..1].to_vec(), None));
-    for which in [OFFERED, RELEASED] {
+    accept_record(driver, OWNED, 1, Micros(0), record(1, true, 5_000, attempts()[..1].to_vec(), None));
+    for index in [ABANDONED, RELEASED] {
         driver.receive(
-            OF_LEDGER,
+            LEDGER_PAYLOAD,
             2,
-            &LedgerMessage::StoreRequest { id: id(which), ballot: ballot(1), request: b"a request".to_vec() },
+            &LedgerMessage::StoreRequest { id: id(index), ballot: ballot(1), request: b"a request".to_vec() },
         );
     }
-    accept_write(driver, OFFERED, 1, Micros(20_000), record(2, true, 300, attempts(), None));
-    accept_write(driver, ANSWERED, 1, Micros(2_000), record(1, true, 2_000, attempts(), None));
-    accept_write(driver, RELEASED, 1, Micros(3_000), record(3, false, 2_000, Vec::new(), None));
+    accept_record(driver, ABANDONED, 1, Micros(20_000), record(2, true, 300, attempts(), None));
+    accept_record(driver, COMPLETED, 1, Micros(2_000), record(1, true, 2_000, attempts(), None));
+    accept_record(driver, RELEASED, 1, Micros(3_000), record(3, false, 2_000, Vec::new(), None));
     driver.run_until(driver.now + Micros(400_000));
-    accept_write(driver, OWNED, 2, Micros(400_000), record(1, true, 5_000, attempts(), None));
-    let answer = Some(b"200 and an answer".to_vec());
-    accept_write(driver, ANSWERED, 2, Micros(402_000), record(1, true, 2_000, attempts(), answer));
+    accept_record(driver, OWNED, 2, Micros(400_000), record(1, true, 5_000, attempts(), None));
+    let response = Some(b"200 and an answer".to_vec());
+    accept_record(driver, COMPLETED, 2, Micros(402_000), record(1, true, 2_000, attempts(), response));
 }
 
-/// Drives a gateway on an empty disk through all that the fixture holds. Returns it with what its disk held after each
-/// command.
+/// Runs a gateway with empty storage through all events of the fixture. Returns the gateway, and the stored value of
+/// each rollout command by name.
 pub fn run_scenario() -> (Driver, Vec<(&'static str, Vec<u8>)>) {
     let mut driver = driver_with_votes();
     receive_writes(&mut driver);
     receive_records(&mut driver);
-    // A write ends later than it was heard of, and was first sent earlier than was known.
-    let (age, sent_ago) = (Micros(1_100_003), Some(Micros(900_000)));
-    let done = WriteState::Ended(WriteOutcome::Completed(500));
-    driver.receive(OF_BRANCH, 2, &replicate(3, done, age, sent_ago));
-    let again = replicate(9, WriteState::Sent(0), Micros(50), Some(Micros(40)));
-    driver.receive(OF_BRANCH, 2, &again);
-    driver.run_until(ENDED - Micros(400_000));
-    assert_eq!(driver.orphans.len(), 1, "the one whose owner is silent");
-    // What was offered is put there with the next change.
-    drop(driver.prepare(id(OFFERED), ballot(2)));
+    // Write 3 ends after it was first received, and was first sent earlier than the gateway knew.
+    let (age, since_first_send) = (Micros(1_100_003), Some(Micros(900_000)));
+    let completed = WriteState::Ended(WriteOutcome::Completed(500));
+    driver.receive(WRITE_QUEUE_PAYLOAD, 2, &replicate(3, completed, age, since_first_send));
+    let new_write = replicate(9, WriteState::Sent(0), Micros(50), Some(Micros(40)));
+    driver.receive(WRITE_QUEUE_PAYLOAD, 2, &new_write);
+    driver.run_until(ENDED_AT - Micros(400_000));
+    assert_eq!(
+        driver.abandoned_requests.len(),
+        1,
+        "only the record whose owner's lease ran out is abandoned"
+    );
+    // The time at which a request was offered is stored with the next change of its record.
+    drop(driver.prepare(id(ABANDONED), ballot(2)));
     drop(driver.prepare(id(PROMISED), ballot(3)));
-    let mut on_disk = Vec::new();
+    let mut stored_commands = Vec::new();
     for (name, command) in commands() {
         driver.receive(
-            OF_ROLLOUT,
+            ROLLOUT_PAYLOAD,
             2,
             &RolloutMessage::Command { command: Box::new(command), is_leader: false },
         );
         driver.run_until(driver.now + LEDGER_TICK_INTERVAL);
-        on_disk.push((name, driver.stored.get(&b"order"[..]).cloned().expect("it is there")));
+        stored_commands
+            .push((name, driver.stored.get(&b"order"[..]).cloned().expect("the command is stored")));
     }
-    driver.run_until(ENDED);
-    (driver, on_disk)
+    driver.run_until(ENDED_AT);
+    (driver, stored_commands)
 }
 
-pub fn counts(base: u64) -> ClassCounts {
+pub fn class_counts(base: u64) -> ClassCounts {
     let (on_time, late, failed, rejected) = (base + 50, base + 7, base + 3, base + 1);
     let baseline = OutcomeTotals { on_time, late, failed, rejected };
     let (on_time, late, failed, rejected) = (base + 60, base + 8, base + 4, base + 2);
--- a/src/proxy/cluster_transport/disk/tests.rs
+++ b/src/proxy/cluster_transport/disk/tests.rs
@@ -1,8 +1,8 @@
-//! The disk's file under lost power, failing storage and a full disk; and a file that is not ours.
+//! Tests of the storage file with power loss, storage errors, a full disk, and a file of another program.
 //!
-//! Unit tests, as the store is no part of the library's interface.
+//! These are unit tests because the store is not part of the library's public interface.
 
-use super::{open, StorageWrite, Store, CACHE_BYTES, FILE, OPEN_RETRY_INTERVAL};
+use super::{open, StorageWrite, Store, CACHE_BYTES, FILE_NAME, OPEN_RETRY_INTERVAL};
 use redb::{Builder, Error, StorageBackend};
 use std::collections::BTreeMap;
 use std::io;
@@ -10,6 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 
+/// Unit in which an unsynced write survives a power loss or not.
 const SECTOR_BYTES: usize = 512;
 
 enum Operation {
@@ -17,24 +18,24 @@
     SetLength(usize),
 }
 
-/// Storage that keeps what was synced, and of the rest what a loss of power leaves.
+/// Storage in memory. A power loss keeps all synced data and a random part of the unsynced writes.
 #[derive(Default)]
 struct FaultyStorage {
     synced: Vec<u8>,
     current: Vec<u8>,
     unsynced: Vec<Operation>,
-    /// So many operations succeed; then each fails.
+    /// Number of operations that still succeed before all fail; `None`: no limit.
     operations_left: Option<usize>,
-    /// It holds no more than this.
+    /// Maximum length in bytes; `None`: no limit.
     capacity: Option<usize>,
 }
 
 impl FaultyStorage {
     fn try_operation(&mut self) -> io::Result<()> {
         match self.operations_left.as_mut() {
-            Some(0) => Err(io::Error::other("the storage fails")),
-            Some(left) => {
-                *left -= 1;
+            Some(0) => Err(io::Error::other("injected storage error")),
+            Some(remaining) => {
+                *remaining -= 1;
                 Ok(())
             }
             None => Ok(()),
@@ -51,24 +52,25 @@
         }
     }
 
-    /// The power goes: of what was not synced any part is there, sector by sector, whatever its order was.
+    /// Simulates a power loss: of the unsynced writes each sector is kept or lost at random, regardless of their
+    /// order.
     fn lose_power(&mut self) {
-        let mut left = std::mem::take(&mut self.synced);
+        let mut remaining = std::mem::take(&mut self.synced);
         for operation in std::mem::take(&mut self.unsynced) {
             match &operation {
                 Operation::Write { offset, data } => {
                     for (number, sector) in data.chunks(SECTOR_BYTES).enumerate() {
                         if fastrand::bool() {
                             let (offset, data) = (offset + number * SECTOR_BYTES, sector.to_vec());
-                            FaultyStorage::apply(&mut left, &Operation::Write { offset, data });
+                            FaultyStorage::apply(&mut remaining, &Operation::Write { offset, data });
                         }
                     }
                 }
-                Operation::SetLength(_) => FaultyStorage::apply(&mut left, &operation),
+                Operation::SetLength(_) => FaultyStorage::apply(&mut remaining, &operation),
             }
         }
-        self.current.clone_from(&left);
-        self.synced = left;
+        self.current.clone_from(&remaining);
+        self.synced = remaining;
         self.operations_left = None;
         self.capacity = None;
     }
@@ -89,8 +91,8 @@
 }
 
 impl std::fmt::Debug for SharedStorage {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("faulty storage")
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        formatter.write_str("faulty storage")
     }
 }
 
@@ -100,9 +102,9 @@
     }
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         let storage = self.lock();
-        let from = offset as usize;
-        let part = storage.current.get(from..from + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
-        out.copy_from_slice(part);
+        let start = offset as usize;
+        let bytes = storage.current.get(start..start + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
+        out.copy_from_slice(bytes);
         Ok(())
     }
     fn set_len(&self, length: u64) -> io::Result<()> {
@@ -136,7 +138,7 @@
 
 type Contents = BTreeMap<Vec<u8>, Vec<u8>>;
 
-fn after(contents: &Contents, writes: &[StorageWrite]) -> Contents {
+fn contents_after(contents: &Contents, writes: &[StorageWrite]) -> Contents {
     let mut contents = contents.clone();
     for StorageWrite { key, value } in writes {
         match value {
@@ -148,8 +150,8 @@
 }
 
 fn contents_of(store: &Store) -> Contents {
-    let held = store.read().expect("it was just opened");
-    held.into_iter().filter_map(|write| Some((write.key, write.value?))).collect()
+    let entries = store.read().expect("the store was just opened");
+    entries.into_iter().filter_map(|write| Some((write.key, write.value?))).collect()
 }
 
 fn random_write() -> StorageWrite {
@@ -159,16 +161,18 @@
     }
 }
 
-/// How often what happened.
+/// Number of faults of each kind, to check that the test has covered them.
 #[derive(Default)]
 struct FaultCounts {
     power_losses: usize,
     errors: usize,
     full: usize,
+    /// Failed commits that were rolled back.
     torn: usize,
 }
 
-/// What the store holds for sure, and what it may hold in its place as the last commit failed.
+/// Expected contents of the store. If the last commit failed, `uncertain` is the alternative with that commit
+/// applied.
 #[derive(Default)]
 struct Expected {
     certain: Contents,
@@ -179,45 +183,46 @@
     fn check(&mut self, found: Contents, seed: u64, counts: &mut FaultCounts) {
         counts.torn += usize::from(self.uncertain.is_some() && found == self.certain);
         let is_expected = found == self.certain || self.uncertain.as_ref() == Some(&found);
-        assert!(is_expected, "seed {seed}: not what was held");
+        assert!(is_expected, "seed {seed}: unexpected contents after reopening");
         *self = Expected { certain: found, uncertain: None };
     }
 
-    /// Writes, until the storage fails or enough is written.
+    /// Writes batches until the storage fails or a random number of them is written.
     fn write_some(&mut self, storage: &SharedStorage, store: &Store, seed: u64, counts: &mut FaultCounts) {
         let fault = fastrand::u8(..4);
-        let fills_up = fault == 2;
+        let is_full = fault == 2;
         for round in 0..fastrand::usize(1..12) {
             if round > 2 && fault == 1 {
                 storage.lock().operations_left = Some(fastrand::usize(..8));
             }
-            if round > 2 && fills_up {
+            if round > 2 && is_full {
                 let capacity = storage.lock().current.len();
                 storage.lock().capacity = Some(capacity);
             }
-            let most = if fills_up { 600 } else { 20 };
-            let writes: Vec<StorageWrite> = (0..fastrand::usize(1..most)).map(|_| random_write()).collect();
-            let next = after(&self.certain, &writes);
+            let max_writes = if is_full { 600 } else { 20 };
+            let writes: Vec<StorageWrite> =
+                (0..fastrand::usize(1..max_writes)).map(|_| random_write()).collect();
+            let next = contents_after(&self.certain, &writes);
             if store.write(writes.iter()).is_ok() {
                 self.certain = next;
                 continue;
             }
             counts.errors += 1;
-            counts.full += usize::from(fills_up);
-            assert!(store.write(writes.iter()).is_err(), "seed {seed}: it takes nothing more");
+            counts.full += usize::from(is_full);
+            assert!(store.write(writes.iter()).is_err(), "seed {seed}: write succeeded after an error");
             self.uncertain = Some(next);
             break;
         }
     }
 
-    /// The process is gone in the middle of a commit, or after it.
+    /// Writes a last batch that a crash of the process may interrupt in the middle of the commit.
     fn write_last(&mut self, storage: &SharedStorage, store: &Store) {
         if self.uncertain.is_some() || !fastrand::bool() {
             return;
         }
         let writes = [StorageWrite { key: vec![b'x'], value: Some(vec![fastrand::u8(..); 900]) }];
         storage.lock().operations_left = Some(fastrand::usize(..6));
-        let next = after(&self.certain, &writes);
+        let next = contents_after(&self.certain, &writes);
         match store.write(writes.iter()) {
             Ok(()) => self.certain = next,
             Err(_) => self.uncertain = Some(next),
@@ -225,9 +230,9 @@
     }
 }
 
-/// A gateway that said something on the ground of what its disk had confirmed, and forgets it over a loss of power, could
-/// let a request run twice. What was confirmed is there after every loss of power and every error, and of the batch that
-/// was under way all or nothing.
+/// A gateway replies to others only after its storage has confirmed the changes. If a power loss or an error undid a
+/// confirmed change, a request could run twice. After each fault, all confirmed batches have to be there, and the
+/// interrupted batch completely or not at all.
 #[test]
 fn confirmed_writes_survive_lost_power_errors_and_a_full_disk() {
     let mut counts = FaultCounts::default();
@@ -236,7 +241,7 @@
         let storage = SharedStorage::default();
         let mut expected = Expected::default();
         for _ in 0..6 {
-            let store = storage.open().expect("what was synced can be opened");
+            let store = storage.open().expect("synced storage can be opened");
             expected.check(contents_of(&store), seed, &mut counts);
             expected.write_some(&storage, &store, seed, &mut counts);
             expected.write_last(&storage, &store);
@@ -249,34 +254,34 @@
     let FaultCounts { power_losses, errors, full, torn } = counts;
     assert!(
         power_losses > 300 && errors > 50 && torn > 20,
-        "{power_losses} losses, {errors} errors, {full} full, {torn} torn"
+        "too few faults: {power_losses} power losses, {errors} errors, {full} full, {torn} torn"
     );
 }
 
-/// A file that another program wrote, or a broken disk, must not keep the gateway from serving; and two processes must
-/// never write to one file.
+/// A file of another program or a corrupt file must not keep the gateway from serving. Two processes must never have
+/// the file open at the same time.
 #[test]
-fn invalid_file_is_set_aside_and_a_new_one_begun() {
+fn invalid_file_is_renamed_and_replaced_by_a_new_one() {
     let folder = std::env::temp_dir().join(format!("quota-gateway-disk-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let path = folder.join(FILE);
+    let path = folder.join(FILE_NAME);
     let text = b"no file of ours, but for its name, with bytes enough to look at".repeat(40);
     std::fs::write(&path, text).expect("written");
     let (batches, receiver) = sync_channel(1);
-    let store = open(&path, &receiver).expect("a new one").expect("wanted");
+    let store = open(&path, &receiver).expect("a new file is created").expect("the handle is alive");
     assert_eq!(contents_of(&store), Contents::new());
     assert!(folder.join("fleet.redb.bad").is_file());
     let write = StorageWrite { key: vec![1], value: Some(vec![2]) };
-    store.write([write].iter()).expect("it takes what is given");
-    // Another process waits until this one closes it, and gives up once nobody wants it any more.
+    store.write([write].iter()).expect("the new file is writable");
+    // Another process waits until this one closes the file, and gives up when its handle is dropped.
     let same_path = path.clone();
     let second = thread::spawn(move || open(&same_path, &receiver).expect("no error").is_none());
     thread::sleep(OPEN_RETRY_INTERVAL * 3);
     drop(batches);
-    assert!(second.join().expect("no panic"), "it opened what another has open");
+    assert!(second.join().expect("no panic"), "a second process opened the file while it was open");
     drop(store);
     let (_batches, receiver) = sync_channel(1);
-    let store = open(&path, &receiver).expect("closed").expect("wanted");
+    let store = open(&path, &receiver).expect("the file is closed").expect("the handle is alive");
     assert_eq!(contents_of(&store), Contents::from([(vec![1], vec![2])]));
     drop(store);
     std::fs::remove_dir_all(folder).expect("removed");
