--- a/src/proxy/cluster_transport/abandoned_requests.rs
+++ b/src/proxy/cluster_transport/abandoned_requests.rs
@@ -1,5 +1,5 @@
-//! Requests whose gateway is gone and whose clients did not come again: finished here, as far as their class allows, so that
-//! they have run and their response is there for whoever asks later.
+//! Abandoned requests: the gateway that owned the request has failed, and its client has not retried. They are
+//! finished here as far as their class allows, so that they have run and a later retry gets the recorded response.
 
 use super::ledger_request::{prior_attempts, RecordedRequest};
 use super::serialized_request::deserialize;
@@ -19,47 +19,49 @@
 use tokio::time::sleep;
 use tracing::info;
 
-/// The most that are finished at one time. What finds no permit is offered again by the replica that holds its record.
-const MAX_CONCURRENT: usize = 16;
-/// The most tries of one request that is rejected.
+/// Maximum number of requests that are finished concurrently. A request without a permit is skipped; a replica of its
+/// record offers it again later.
+const MAX_CONCURRENT_REQUESTS: usize = 16;
+/// Maximum number of tries of a request that is rejected.
 const MAX_TRIES: u32 = 4;
-/// The pause after its first rejection; doubled each time.
-const FIRST_BACKOFF: Duration = Duration::from_millis(200);
-/// A longer Retry-After is cut to this.
+/// Backoff after the first rejection; doubled with each try.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
+/// Maximum wait for a Retry-After; a longer one is shortened to this.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(1600);
 
-/// Finishes the requests that the cluster offers, for as long as the gateway lives.
+/// Finishes the abandoned requests that the cluster offers, until the channel is closed.
 pub async fn finish_all(
     context: Rc<ProxyContext>,
     cluster: Rc<ClusterTransport>,
     mut requests: mpsc::Receiver<AbandonedRequest>,
 ) {
-    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT));
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_REQUESTS));
     while let Some(request) = requests.recv().await {
         let Ok(permit) = permits.clone().try_acquire_owned() else { continue };
         let (context, cluster) = (context.clone(), cluster.clone());
         tokio::task::spawn_local(async move {
             let outcome = finish(&context, &cluster, &request).await;
-            if outcome != AbandonedOutcome::AlreadyAnswered {
+            if outcome != AbandonedOutcome::AlreadyCompleted {
                 cluster.count_abandoned(outcome == AbandonedOutcome::Finished);
-                info!(customer = request.id.customer, ?outcome, "abandoned request");
+                info!(customer = request.id.customer, ?outcome, "abandoned request handled");
             }
             drop(permit);
         });
     }
 }
 
-/// What became of a request that was begun before.
+/// Result of finishing or resuming a request that was begun before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AbandonedOutcome {
-    /// It has its response, from here.
+    /// The request was finished here and has its response.
     Finished,
-    /// It had one already.
-    AlreadyAnswered,
-    /// Another gateway has it, or its record can't be had: then nobody knows what has run.
+    /// The request already had a response.
+    AlreadyCompleted,
+    /// Another gateway owns the record, or the record could not be acquired, so that the earlier attempts are
+    /// unknown.
     OwnedElsewhere,
-    /// It may not run again, or was rejected in every try.
-    Refused,
+    /// The request may not run again, or was rejected in every try.
+    NotResumable,
 }
 
 async fn finish(
@@ -68,27 +70,27 @@
     request: &AbandonedRequest,
 ) -> AbandonedOutcome {
     let Some((head, forward)) = deserialize(context, &request.request) else {
-        return AbandonedOutcome::Refused;
+        return AbandonedOutcome::NotResumable;
     };
     let (Some(key), RequestPayload::Buffered(body)) = (head.idempotency_key, &forward.body) else {
-        return AbandonedOutcome::Refused;
+        return AbandonedOutcome::NotResumable;
     };
     let record = RecordedRequest::new(&head, key, &forward, body);
-    let is_the_record = (record.id, record.digest) == (request.id, request.request_digest);
-    if !is_the_record || !cluster.finishes(context.rules.class_name(head.arrival.class)) {
-        return AbandonedOutcome::Refused;
+    let matches_record = (record.id, record.digest) == (request.id, request.request_digest);
+    if !matches_record || !cluster.finishes(context.rules.class_name(head.arrival.class)) {
+        return AbandonedOutcome::NotResumable;
     }
     resume(context, cluster, &record, &head, &forward).await
 }
 
-/// How one try to resume a request ended.
-enum Resumed {
+/// Result of one try to resume a request.
+enum ResumeResult {
     Ended(AbandonedOutcome),
     Rejected { retry_after: Duration },
 }
 
-/// Goes on with a request that was begun before and may have run, here or at a gateway that is gone, as if its client came
-/// again: as far as its record and its class allow.
+/// Resumes a request that was begun before and may have run, here or at a failed gateway. The request is handled like
+/// a retry by its client, as far as its record and its class allow.
 pub async fn resume(
     context: &ProxyContext,
     cluster: &Rc<ClusterTransport>,
@@ -96,52 +98,52 @@
     head: &RequestHead,
     forward: &ForwardedRequest,
 ) -> AbandonedOutcome {
-    for tried in 0..MAX_TRIES {
-        match try_to_resume(context, cluster, record, head, forward).await {
-            Resumed::Ended(outcome) => return outcome,
-            Resumed::Rejected { retry_after } => {
-                let backoff = FIRST_BACKOFF * 2u32.pow(tried);
+    for earlier_tries in 0..MAX_TRIES {
+        match try_resume(context, cluster, record, head, forward).await {
+            ResumeResult::Ended(outcome) => return outcome,
+            ResumeResult::Rejected { retry_after } => {
+                let backoff = INITIAL_BACKOFF * 2u32.pow(earlier_tries);
                 sleep(backoff.max(retry_after.min(MAX_RETRY_AFTER))).await;
             }
         }
     }
-    AbandonedOutcome::Refused
+    AbandonedOutcome::NotResumable
 }
 
-async fn try_to_resume(
+async fn try_resume(
     context: &ProxyContext,
     cluster: &Rc<ClusterTransport>,
     record: &RecordedRequest,
     head: &RequestHead,
     forward: &ForwardedRequest,
-) -> Resumed {
+) -> ResumeResult {
     let Some(claim) = cluster.claim(record.id, record.digest, None) else {
-        return Resumed::Ended(AbandonedOutcome::OwnedElsewhere);
+        return ResumeResult::Ended(AbandonedOutcome::OwnedElsewhere);
     };
     let attempts = match claim.outcome().await {
         ClaimOutcome::Acquired { existed: true, attempts } => prior_attempts(attempts),
-        ClaimOutcome::Completed(_) => return Resumed::Ended(AbandonedOutcome::AlreadyAnswered),
-        _ => return Resumed::Ended(AbandonedOutcome::OwnedElsewhere),
+        ClaimOutcome::Completed(_) => return ResumeResult::Ended(AbandonedOutcome::AlreadyCompleted),
+        _ => return ResumeResult::Ended(AbandonedOutcome::OwnedElsewhere),
     };
-    let arrival = arrival_again(context, head, attempts);
+    let arrival = retry_arrival(context, head, attempts);
     let forward = ForwardedRequest { claim: Some(claim.clone()), ..forward.duplicate() };
     let response = tokio::select! {
         biased;
-        () = claim.lost() => return Resumed::Ended(AbandonedOutcome::OwnedElsewhere),
+        () = claim.wait_until_lost() => return ResumeResult::Ended(AbandonedOutcome::OwnedElsewhere),
         response = dispatch(context, arrival, forward) => response,
     };
     match response {
-        FinalResponse::Served(_) => Resumed::Ended(AbandonedOutcome::Finished),
+        FinalResponse::Served(_) => ResumeResult::Ended(AbandonedOutcome::Finished),
         FinalResponse::Rejected { retry_after } => {
-            Resumed::Rejected { retry_after: retry_after.map_or(Duration::ZERO, duration) }
+            ResumeResult::Rejected { retry_after: retry_after.map_or(Duration::ZERO, duration) }
         }
-        // The decision module gives it up: it may not run again, or no endpoint is left.
-        FinalResponse::Failed => Resumed::Ended(AbandonedOutcome::Refused),
+        // The decision module failed the request: it may not run again, or no endpoint is left.
+        FinalResponse::Failed => ResumeResult::Ended(AbandonedOutcome::NotResumable),
     }
 }
 
-/// The request as if its client came again now.
-fn arrival_again(context: &ProxyContext, head: &RequestHead, prior_attempts: Vec<PriorAttempt>) -> Arrival {
+/// Arrival of the request as if its client retried it now.
+fn retry_arrival(context: &ProxyContext, head: &RequestHead, prior_attempts: Vec<PriorAttempt>) -> Arrival {
     Arrival {
         deadline: context.clock.now() + head.budget,
         is_retry: true,
--- a/src/proxy/cluster_transport/claim_handle.rs
+++ b/src/proxy/cluster_transport/claim_handle.rs
@@ -1,12 +1,12 @@
-//! The name of a claim at the ledger.
+//! The handle of a ledger claim.
 
 use crate::cluster::ledger::ClaimId;
 
-/// Names a claim of this process.
+/// Identifies a claim of this process.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ClaimHandle {
-    /// In which of this process's participations it was made; in any other it is void.
+    /// Number of the participation in which the claim was opened; in any other the handle is invalid.
     pub participation: u64,
-    /// The claim.
+    /// Number of the claim.
     pub id: ClaimId,
 }
--- a/src/proxy/cluster_transport/claim_progress.rs
+++ b/src/proxy/cluster_transport/claim_progress.rs
@@ -1,21 +1,21 @@
-//! What is known so far of one claim at the ledger.
+//! State of one ledger claim, as far as the ledger has reported it.
 
 use crate::cluster::ledger::ClaimOutcome;
 use std::cell::{Cell, RefCell};
 use tokio::sync::Notify;
 
-/// What is known so far of one claim.
+/// State of one ledger claim, and notification of its changes.
 #[derive(Default)]
 pub struct ClaimProgress {
-    /// The first outcome, and after it the loss of the record.
+    /// Result of the claim; replaced by `Lost` if another owner takes over the record later.
     outcome: RefCell<Option<ClaimOutcome>>,
-    /// The last write of the record that its replicas have confirmed.
+    /// Highest number of a write that a quorum of the replicas has confirmed; 0: none.
     confirmed_write: Cell<u32>,
     changed: Notify,
 }
 
 impl ClaimProgress {
-    /// Notes what the ledger says of the claim.
+    /// Records an outcome that the ledger reported.
     pub fn resolve(&self, outcome: ClaimOutcome) {
         match outcome {
             ClaimOutcome::Confirmed(write) => {
@@ -26,30 +26,30 @@
         self.changed.notify_waiters();
     }
 
-    /// The outcome, if there is one.
+    /// Returns the result of the claim, if it is known.
     pub fn outcome(&self) -> Option<ClaimOutcome> {
         self.outcome.borrow().clone()
     }
 
-    /// Another took the record over.
+    /// Whether another owner took over the record.
     pub fn is_lost(&self) -> bool {
         matches!(&*self.outcome.borrow(), Some(ClaimOutcome::Lost))
     }
 
-    /// The request is another's, or was begun before.
-    pub fn is_overtaken(&self) -> bool {
+    /// Whether the record belongs to another owner, or existed before this claim.
+    pub fn has_conflict(&self) -> bool {
         !matches!(
             &*self.outcome.borrow(),
             None | Some(ClaimOutcome::Unavailable | ClaimOutcome::Acquired { existed: false, .. })
         )
     }
 
-    /// The replicas have confirmed this write of the record.
+    /// Whether a quorum of the replicas has confirmed this write of the record.
     pub fn is_confirmed(&self, write: u32) -> bool {
         self.confirmed_write.get() >= write
     }
 
-    /// Waits until `ready` returns something.
+    /// Waits until `ready` returns a value, and returns it.
     pub async fn wait<T>(&self, ready: impl Fn(&ClaimProgress) -> Option<T>) -> T {
         loop {
             let changed = self.changed.notified();
--- a/src/proxy/cluster_transport/claims.rs
+++ b/src/proxy/cluster_transport/claims.rs
@@ -1,4 +1,4 @@
-//! Claims at the ledger, as the requests that they protect ask for them.
+//! Ledger claims: how requests open, write and release them.
 
 use super::claim_handle::ClaimHandle;
 use super::claim_progress::ClaimProgress;
@@ -9,24 +9,25 @@
 use std::rc::Rc;
 
 impl ClusterTransport {
-    /// Whether a ledger is kept.
+    /// Whether this gateway has a ledger.
     pub fn keeps_ledger(&self) -> bool {
         self.config.settings.ledger.is_some()
     }
 
-    /// Whether requests of this class are finished by others if their gateway dies and no client comes again.
+    /// Whether abandoned requests of this class are finished: the gateway that owned the request has failed, and its
+    /// client has not retried.
     pub fn finishes(&self, class: &str) -> bool {
         self.config.finish_classes.iter().any(|name| name == class)
     }
 
-    /// Counts an abandoned request that was finished here, or could not be.
+    /// Counts an abandoned request that this gateway finished or could not finish.
     pub fn count_abandoned(&self, finished: bool) {
         let count = if finished { &self.abandoned_finished } else { &self.abandoned_not_finished };
         count.set(count.get() + 1);
     }
 
-    /// Claims a request's record; `request` is left with the record's replicas. None: this process takes no part, or has
-    /// as many claims open as it may.
+    /// Claims the record of a request; `request` is stored at the record's replicas. Returns `None` if this process
+    /// does not participate in the cluster or has too many open claims.
     pub fn claim(
         self: &Rc<ClusterTransport>,
         id: RecordId,
@@ -58,46 +59,46 @@
         Some(claim)
     }
 
-    /// Does something with the node, if it is that of this participation still.
+    /// Calls `act` with the node if this participation still lasts, and performs the resulting effects.
     pub(super) fn with_node<T>(
         &self,
         participation: u64,
         act: impl FnOnce(&mut ClusterNode, Micros, &mut Vec<Effect>) -> T,
     ) -> Option<T> {
         let mut effects = Vec::new();
-        let done = match self.node.borrow_mut().as_mut() {
+        let result = match self.node.borrow_mut().as_mut() {
             Some(node) if participation == self.participation.get() => {
                 Some(act(node, self.clock.now(), &mut effects))
             }
             _ => None,
         };
         self.perform(effects);
-        done
+        result
     }
 
-    /// Writes a claim's record. Returns the number of the write; none: it may not be written.
+    /// Writes the record of a claim. Returns the number of the write, or `None` if the claim may not write.
     pub(super) fn write_claim(&self, claim: ClaimHandle, change: RecordChange) -> Option<u32> {
         let write =
             |node: &mut ClusterNode, now, out: &mut Vec<Effect>| node.write_claim(now, claim.id, change, out);
         self.with_node(claim.participation, write).flatten()
     }
 
-    /// The replicas that a claim has asked are slow: asks all others.
+    /// Sends a claim's messages to all replicas of its record, because those contacted first are slow.
     pub(super) fn contact_all_replicas(&self, claim: ClaimHandle) {
         self.with_node(claim.participation, |node, now, out| node.contact_all_replicas(now, claim.id, out));
     }
 
-    /// Whether the owner of a claim's record may act now.
+    /// Whether the claim owns its record, with enough of the lease left to act now.
     pub(super) fn may_act(&self, claim: ClaimHandle) -> bool {
         self.with_node(claim.participation, |node, now, _| node.may_act(now, claim.id)).unwrap_or(false)
     }
 
-    /// An attempt of a claim's request certainly never ran at this endpoint.
-    pub(super) fn attempt_never_ran(&self, claim: ClaimHandle, endpoint: u64) {
+    /// Removes an attempt at this endpoint from the record: it is certain that it never ran.
+    pub(super) fn remove_attempt(&self, claim: ClaimHandle, endpoint: u64) {
         self.with_node(claim.participation, |node, _, _| node.remove_attempt(claim.id, endpoint));
     }
 
-    /// A claim's request has ended here, with this response if it has one.
+    /// Releases a claim when its request ends here, with the response if there is one.
     pub(super) fn release_claim(&self, claim: ClaimHandle, response: Option<Vec<u8>>) {
         let release = |node: &mut ClusterNode, now, out: &mut Vec<Effect>| {
             node.release_claim(now, claim.id, response, out);
@@ -105,14 +106,14 @@
         self.with_node(claim.participation, release);
     }
 
-    /// Nobody waits for a claim any more.
-    pub(super) fn forget_claim(&self, claim: ClaimHandle) {
+    /// Stops tracking a claim that no request waits for.
+    pub(super) fn remove_claim(&self, claim: ClaimHandle) {
         if claim.participation == self.participation.get() {
             self.claims.borrow_mut().remove(&claim.id);
         }
     }
 
-    /// Counts a request that goes on without a record.
+    /// Counts a request that continues without a record.
     pub(super) fn count_unprotected(&self, claim: ClaimHandle) {
         self.with_node(claim.participation, |node, _, _| node.count_unprotected());
     }
--- a/src/proxy/cluster_transport/ledger_claim.rs
+++ b/src/proxy/cluster_transport/ledger_claim.rs
@@ -1,4 +1,5 @@
-//! One request's claim at the ledger, from its opening to its end. The ledger decides; this waits for it, within bounds.
+//! The ledger claim of one request, from opening to release. The ledger makes the decisions; this module waits for
+//! them with time-outs.
 
 use super::claim_handle::ClaimHandle;
 use super::claim_progress::ClaimProgress;
@@ -10,30 +11,33 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// After this the replicas that were asked first are not waited for alone: early enough for a promise that counts.
+/// Time after which all replicas are contacted, not only a first quorum. A promise counts only if it arrives within
+/// `ROUND_TRIP_LIMIT`, so this has to be well below that limit.
 const FIRST_REPLICAS_TIMEOUT: Duration = Duration::from_micros(ROUND_TRIP_LIMIT.0 / 5);
-/// The pause before the record of a request that runs elsewhere is looked at again, in microseconds; doubled each time.
-const FIRST_LOOK_PAUSE_US: u64 = 20_000;
-const MAX_LOOK_PAUSE_US: u64 = 200_000;
-/// Up to so much is added by chance, so that two that wait do not look in step.
-const LOOK_JITTER_US: u64 = 5_000;
-/// So long after the end of the owner's lease at the latest the record is looked at, in microseconds.
-const AFTER_LEASE_US: u64 = 1000;
+/// First pause between two polls of the record of a request that runs at another gateway; doubled with each poll.
+const INITIAL_POLL_PAUSE_US: u64 = 20_000;
+/// Maximum pause between two polls.
+const MAX_POLL_PAUSE_US: u64 = 200_000;
+/// Maximum random addition to a pause, so that several waiting requests do not poll in lockstep.
+const POLL_JITTER_US: u64 = 5_000;
+/// Time after the end of the owner's lease at which the record is polled at the latest, before jitter.
+const LEASE_END_MARGIN_US: u64 = 1000;
 
-/// A request's claim. Once it is dropped, others may go on with the request.
+/// The ledger claim of a request. Dropping it releases the record, so that another gateway may continue the request.
 pub struct LedgerClaim {
     cluster: Rc<ClusterTransport>,
     handle: ClaimHandle,
     progress: Rc<ClaimProgress>,
-    /// How long the replicas are waited for, each time.
+    /// Time-out of each wait for the replicas.
     timeout: Duration,
-    /// The request goes on without a record.
+    /// Whether the request continues without a record.
     unprotected: Cell<bool>,
+    /// Whether the response was stored in the record.
     completed: Cell<bool>,
 }
 
 impl LedgerClaim {
-    /// A claim that was just opened.
+    /// Creates the claim for a handle that was just opened.
     pub(super) fn new(
         cluster: Rc<ClusterTransport>,
         handle: ClaimHandle,
@@ -44,49 +48,52 @@
         LedgerClaim { cluster, handle, progress, timeout, unprotected, completed }
     }
 
-    /// What the record says. Replicas that are slow are as good as none.
+    /// Waits for the result of the claim. If the replicas do not reply within the time-out, the result is
+    /// `Unavailable`.
     pub async fn outcome(&self) -> ClaimOutcome {
         match self.wait_for_replicas(ClaimProgress::outcome).await {
             Some(outcome) => outcome,
             None => {
-                self.go_unprotected();
+                self.mark_unprotected();
                 ClaimOutcome::Unavailable
             }
         }
     }
 
-    /// Waits for the replicas, no longer than the time-out; after a part of it all others are asked.
+    /// Waits until `ready` returns a value, up to the time-out. All replicas are contacted after a part of that time.
     async fn wait_for_replicas<T>(&self, ready: impl Fn(&ClaimProgress) -> Option<T>) -> Option<T> {
         let started = Instant::now();
-        let first = started + (self.timeout * 2 / 5).min(FIRST_REPLICAS_TIMEOUT);
-        if let Ok(value) = timeout_at(first, self.progress.wait(&ready)).await {
+        let contact_all_at = started + (self.timeout * 2 / 5).min(FIRST_REPLICAS_TIMEOUT);
+        if let Ok(value) = timeout_at(contact_all_at, self.progress.wait(&ready)).await {
             return Some(value);
         }
         self.cluster.contact_all_replicas(self.handle);
         timeout_at(started + self.timeout, self.progress.wait(&ready)).await.ok()
     }
 
-    /// Returns when the request turns out to be another's, or to have been begun before: then the record decides.
-    pub async fn overtaken(&self) {
-        self.progress.wait(|progress| progress.is_overtaken().then_some(())).await;
+    /// Waits until the ledger reports that the record belongs to another owner or existed before this claim. The
+    /// request then has to follow the record.
+    pub async fn wait_for_conflict(&self) {
+        self.progress.wait(|progress| progress.has_conflict().then_some(())).await;
         if self.unprotected.get() {
-            // What is found out too late changes nothing any more.
+            // The request already continues without a record, so a late reply must not stop it.
             std::future::pending::<()>().await;
         }
     }
 
-    /// Returns when another took the record over.
-    pub async fn lost(&self) {
+    /// Waits until another owner takes over the record.
+    pub async fn wait_until_lost(&self) {
         self.progress.wait(|progress| progress.is_lost().then_some(())).await;
     }
 
-    fn go_unprotected(&self) {
+    fn mark_unprotected(&self) {
         if !self.unprotected.replace(true) {
             self.cluster.count_unprotected(self.handle);
         }
     }
 
-    /// Writes to the record that an attempt is about to be sent to this endpoint. Returns whether it may be.
+    /// Writes to the record that an attempt is about to be sent to this endpoint. Returns whether the attempt may be
+    /// sent.
     pub async fn record_attempt(&self, endpoint: u64) -> bool {
         if self.unprotected.get() {
             return true;
@@ -94,13 +101,13 @@
         match self.outcome().await {
             ClaimOutcome::Acquired { .. } => {}
             ClaimOutcome::Unavailable => {
-                self.go_unprotected();
+                self.mark_unprotected();
                 return true;
             }
             _ => return false,
         }
         let Some(write) = self.cluster.write_claim(self.handle, RecordChange::AddAttempt(endpoint)) else {
-            // Held back for too long, or more attempts than a record has room for.
+            // The promise has expired, or the record already lists the maximum number of attempts.
             return self.may_act();
         };
         let confirmed = |progress: &ClaimProgress| match progress.is_lost() {
@@ -108,7 +115,7 @@
             false => progress.is_confirmed(write).then_some(true),
         };
         match self.wait_for_replicas(confirmed).await {
-            Some(is_own) => is_own,
+            Some(may_send) => may_send,
             None => {
                 self.cluster.count_unprotected(self.handle);
                 self.may_act()
@@ -116,19 +123,19 @@
         }
     }
 
-    /// Whether something with effects outside may be done for the request now. Asked at the last moment.
+    /// Whether this gateway may act for the request now. Called immediately before each action with external effects.
     pub fn may_act(&self) -> bool {
         self.unprotected.get() || self.cluster.may_act(self.handle)
     }
 
-    /// An attempt at this endpoint ended.
+    /// Called when an attempt at this endpoint has ended. Removes the attempt from the record if it never ran.
     pub fn attempt_ended(&self, endpoint: u64, outcome: Outcome) {
         if outcome.never_ran() && !self.unprotected.get() {
-            self.cluster.attempt_never_ran(self.handle, endpoint);
+            self.cluster.remove_attempt(self.handle, endpoint);
         }
     }
 
-    /// Leaves the request's response with the record, for clients that come again.
+    /// Stores the response in the record, so that a retry of the client gets the same response.
     pub fn complete(&self, response: &[u8]) {
         if !self.completed.replace(true) {
             self.cluster.release_claim(self.handle, Some(response.to_vec()));
@@ -141,14 +148,14 @@
         if !self.completed.get() {
             self.cluster.release_claim(self.handle, None);
         }
-        self.cluster.forget_claim(self.handle);
+        self.cluster.remove_claim(self.handle);
     }
 }
 
-/// How long a request that runs elsewhere is left alone before its record is looked at again, after so many looks; the
-/// owner's lease lasts for `lease_left`.
-pub fn retry_pause(looks: u32, lease_left: Micros) -> Duration {
-    let pause = (FIRST_LOOK_PAUSE_US << looks.min(10)).min(MAX_LOOK_PAUSE_US);
-    let pause = pause.min(lease_left.0 + AFTER_LEASE_US);
-    Duration::from_micros(pause + fastrand::u64(0..LOOK_JITTER_US))
+/// Pause before the record of a request that runs at another gateway is polled again. The owner's lease ends in
+/// `remaining_lease`.
+pub fn poll_pause(earlier_polls: u32, remaining_lease: Micros) -> Duration {
+    let pause = (INITIAL_POLL_PAUSE_US << earlier_polls.min(10)).min(MAX_POLL_PAUSE_US);
+    let pause = pause.min(remaining_lease.0 + LEASE_END_MARGIN_US);
+    Duration::from_micros(pause + fastrand::u64(0..POLL_JITTER_US))
 }
--- a/src/proxy/cluster_transport/ledger_request.rs
+++ b/src/proxy/cluster_transport/ledger_request.rs
@@ -1,7 +1,7 @@
-//! A request of which the ledger keeps a record: run here, answered from its record, awaited while another gateway runs it,
-//! or taken over from one that is gone.
+//! Requests with a ledger record. Depending on the record, a request is run here, answered with the recorded
+//! response, awaited while another gateway runs it, or taken over from a gateway that has failed.
 
-use super::ledger_claim::{retry_pause, LedgerClaim};
+use super::ledger_claim::{poll_pause, LedgerClaim};
 use super::ClusterTransport;
 use crate::cluster::ledger::{ClaimOutcome, RecordId, RecordedAttempt};
 use crate::decision::{Arrival, EndpointId, Micros, PriorAttempt};
@@ -19,19 +19,19 @@
 use tokio::time::sleep;
 use xxhash_rust::xxh3::Xxh3;
 
-/// A request as the ledger knows it.
+/// Identity of a request in the ledger.
 #[derive(Debug, Clone)]
 pub struct RecordedRequest {
-    /// Its record.
+    /// Name of the request's record.
     pub id: RecordId,
-    /// A hash of what its client sent: two requests under one key must be the same.
+    /// Hash of method, URI and body. Requests with the same idempotency key must have the same digest.
     pub digest: u64,
-    /// The request itself, if it is left with the record's replicas to be finished whoever dies.
+    /// The serialized request, if it is stored at the record's replicas so that another gateway can finish it.
     pub serialized: Option<Vec<u8>>,
 }
 
 impl RecordedRequest {
-    /// The record of a request with this idempotency key.
+    /// Describes a request with this idempotency key.
     pub fn new(head: &RequestHead, key: u64, forward: &ForwardedRequest, body: &[u8]) -> RecordedRequest {
         let mut digest = Xxh3::new();
         digest.update(forward.method.as_str().as_bytes());
@@ -42,7 +42,7 @@
     }
 }
 
-/// Attempts of earlier owners, as the decision module is told of them.
+/// Converts the attempts of earlier owners to the decision module's type.
 pub fn prior_attempts(attempts: Vec<RecordedAttempt>) -> Vec<PriorAttempt> {
     let prior = |attempt: RecordedAttempt| PriorAttempt {
         endpoint: EndpointId(attempt.endpoint),
@@ -51,19 +51,19 @@
     attempts.into_iter().map(prior).collect()
 }
 
-/// What a look at the record led to.
+/// Result of one claim of the record.
 enum Step {
-    /// The request has its response.
+    /// The request has its final response.
     Done(FinalResponse),
-    /// The record has to be looked at again.
-    LookAgain,
+    /// The record has to be claimed again.
+    ClaimAgain,
 }
 
-/// Takes a request through the ledger to its final response, by its deadline.
+/// Serves a request under the protection of its ledger record, until the final response or the deadline.
 ///
 /// # Errors
 ///
-/// The idempotency key stands for another request.
+/// The idempotency key was already used for a different request.
 pub async fn serve_recorded<F>(
     context: &ProxyContext,
     cluster: &Rc<ClusterTransport>,
@@ -74,37 +74,38 @@
 where
     F: Fn(Option<Rc<LedgerClaim>>) -> ForwardedRequest,
 {
-    // Most requests come for the first time: they go ahead while the replicas are asked.
-    let mut goes_ahead = !arrival.is_retry;
-    let mut serving = RecordedServing { context, arrival, forward, looks: 0 };
+    // Most requests are first attempts of their clients, so they run while the replicas are still being asked.
+    let mut run_speculatively = !arrival.is_retry;
+    let mut serving = RecordedServing { context, arrival, forward, polls: 0 };
     loop {
-        let claim = || cluster.claim(record.id, record.digest, record.serialized.clone());
-        let Some(mut work) = claim() else {
+        let open_claim = || cluster.claim(record.id, record.digest, record.serialized.clone());
+        let Some(mut claim) = open_claim() else {
             return Ok(serving.run_unrecorded().await);
         };
-        if std::mem::take(&mut goes_ahead) {
-            if let Step::Done(response) = serving.run_ahead(&work).await {
+        if std::mem::take(&mut run_speculatively) {
+            if let Step::Done(response) = serving.run_speculative(&claim).await {
                 return Ok(response);
             }
-            // What went ahead is cancelled, and may be about to be sent under this claim: only another may write.
-            if matches!(work.outcome().await, ClaimOutcome::Acquired { .. }) {
-                let Some(other) = claim() else { continue };
-                work = other;
+            // The speculative run was cancelled, but an attempt may still be about to be sent under this claim. Only
+            // a new claim may write to the record.
+            if matches!(claim.outcome().await, ClaimOutcome::Acquired { .. }) {
+                let Some(new_claim) = open_claim() else { continue };
+                claim = new_claim;
             }
         }
-        if let Step::Done(response) = serving.follow_record(&work).await? {
+        if let Step::Done(response) = serving.follow_record(&claim).await? {
             return Ok(response);
         }
     }
 }
 
-/// A request on its way through the ledger.
+/// State of a request that is served with a ledger record.
 struct RecordedServing<'a, F> {
     context: &'a ProxyContext,
     arrival: Arrival,
     forward: F,
-    /// How often it was found running elsewhere.
-    looks: u32,
+    /// Number of polls that found the request running at another gateway.
+    polls: u32,
 }
 
 impl<F: Fn(Option<Rc<LedgerClaim>>) -> ForwardedRequest> RecordedServing<'_, F> {
@@ -114,55 +115,57 @@
 
     async fn run(
         &self,
-        work: &Rc<LedgerClaim>,
+        claim: &Rc<LedgerClaim>,
         prior_attempts: Vec<PriorAttempt>,
         already_counted: bool,
     ) -> FinalResponse {
         let arrival = Arrival { already_counted, prior_attempts, ..self.arrival.clone() };
-        dispatch(self.context, arrival, (self.forward)(Some(work.clone()))).await
+        dispatch(self.context, arrival, (self.forward)(Some(claim.clone()))).await
     }
 
-    /// Runs the request before the record was found, unless it turns out to be another's.
-    async fn run_ahead(&self, work: &Rc<LedgerClaim>) -> Step {
+    /// Runs the request before the result of the claim is known. Stops if the record belongs to another owner or
+    /// existed before.
+    async fn run_speculative(&self, claim: &Rc<LedgerClaim>) -> Step {
         tokio::select! {
             biased;
-            () = work.overtaken() => Step::LookAgain,
-            response = self.run(work, Vec::new(), false) => Step::Done(response),
+            () = claim.wait_for_conflict() => Step::ClaimAgain,
+            response = self.run(claim, Vec::new(), false) => Step::Done(response),
         }
     }
 
-    /// Does what the record says.
-    async fn follow_record(&mut self, work: &Rc<LedgerClaim>) -> Result<Step, RequestError> {
-        Ok(match work.outcome().await {
+    /// Continues the request as the result of the claim requires.
+    async fn follow_record(&mut self, claim: &Rc<LedgerClaim>) -> Result<Step, RequestError> {
+        Ok(match claim.outcome().await {
             ClaimOutcome::Completed(body) => {
                 let body = ResponseBody::Buffered(Full::new(Bytes::from(body)), None);
                 Step::Done(FinalResponse::Served(body))
             }
             ClaimOutcome::KeyReused => return Err(RequestError::IdempotencyKeyReused),
-            ClaimOutcome::InProgress(left) => self.wait_for_owner(left).await,
-            ClaimOutcome::Lost | ClaimOutcome::Confirmed(_) => Step::LookAgain,
-            ClaimOutcome::Unavailable => Step::Done(self.run(work, Vec::new(), false).await),
+            ClaimOutcome::InProgress(remaining_lease) => self.wait_for_owner(remaining_lease).await,
+            ClaimOutcome::Lost | ClaimOutcome::Confirmed(_) => Step::ClaimAgain,
+            ClaimOutcome::Unavailable => Step::Done(self.run(claim, Vec::new(), false).await),
             ClaimOutcome::Acquired { attempts, existed } => {
                 tokio::select! {
                     biased;
-                    () = work.lost() => Step::LookAgain,
-                    response = self.run(work, prior_attempts(attempts), existed) => Step::Done(response),
+                    () = claim.wait_until_lost() => Step::ClaimAgain,
+                    response = self.run(claim, prior_attempts(attempts), existed) => Step::Done(response),
                 }
             }
         })
     }
 
-    /// Waits while another gateway runs the request, whose lease lasts for `left`.
-    async fn wait_for_owner(&mut self, left: Micros) -> Step {
+    /// Waits before the next poll while another gateway runs the request; the owner's lease ends in
+    /// `remaining_lease`.
+    async fn wait_for_owner(&mut self, remaining_lease: Micros) -> Step {
         let now = self.context.clock.now();
-        // As late as the decision module itself would fail it.
+        // The decision module would fail the request at this time as well.
         if now + self.context.response_margin >= self.arrival.deadline {
             return Step::Done(FinalResponse::Failed);
         }
-        let pause = retry_pause(self.looks, left);
-        self.looks += 1;
+        let pause = poll_pause(self.polls, remaining_lease);
+        self.polls += 1;
         let until_deadline = duration(self.arrival.deadline - now - self.context.response_margin);
         sleep(pause.min(until_deadline)).await;
-        Step::LookAgain
+        Step::ClaimAgain
     }
 }
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -1,8 +1,9 @@
-//! The cluster on real sockets: datagrams to other gateways, the disk, and what requests ask of the ledger and of the write
-//! queue. `crate::cluster` decides everything; this carries it out.
+//! I/O of the cluster: the UDP socket, the storage file, and the ledger and write-queue calls of requests. All
+//! decisions are made in `crate::cluster`; this module carries them out.
 //!
-//! [`ClusterTransport`] holds the node while this process takes part, and performs its effects; `participation` is its loop.
-//! `claims`, `rollouts`, `writes` and `stats` are what others ask of it.
+//! [`ClusterTransport`] owns the cluster node while this process participates in the cluster, and performs its
+//! effects; `participation` is the event loop. `claims`, `rollouts`, `writes` and `stats` are the interface for the
+//! rest of the gateway.
 
 pub(crate) mod abandoned_requests;
 mod claim_handle;
@@ -46,60 +47,61 @@
 use tokio::time::sleep;
 use tracing::info;
 
-/// The pause before a socket that could not be opened is tried again.
+/// Pause between attempts to open the socket.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the cluster changes for the requests of this gateway.
+/// A change in the cluster that affects how this gateway handles requests.
 pub enum ClusterUpdate {
-    /// Other gateways leave more or less of their quota shares to this one.
+    /// The quota shares that this gateway may use have changed.
     QuotaLease(QuotaLease),
-    /// Other routing rules are in force.
+    /// The routing rules in force have changed.
     Routing(Box<RoutingInForce>),
 }
 
-/// Tells the runtime of an update, without waiting.
+/// Passes an update to the runtime, without blocking.
 pub type UpdateListener = Box<dyn Fn(ClusterUpdate)>;
 
-/// Where the transport sends requests that are to run here.
+/// Channels for the requests that the cluster assigns to this gateway.
 pub struct RequestSenders {
-    /// Writes of the branch that are to be forwarded.
+    /// Writes of the branch to be forwarded.
     pub queued_writes: mpsc::Sender<QueuedWrite>,
-    /// Requests of gateways that are gone.
+    /// Requests of gateways that have failed or left, to be finished.
     pub abandoned_requests: mpsc::Sender<AbandonedRequest>,
 }
 
-/// The gateway's place in its cluster.
+/// This gateway's connection to its cluster.
 pub struct ClusterTransport {
     config: ClusterConfig,
     clock: Clock,
     lifecycle: Rc<Lifecycle>,
     notify_runtime: UpdateListener,
-    /// The node, while this process takes part.
+    /// The cluster node; set during a participation.
     node: RefCell<Option<ClusterNode>>,
-    /// How often this process has begun to take part.
+    /// Number of the current participation, counted from 1; 0 before the first.
     participation: Cell<u64>,
-    /// The socket, while this process takes part.
+    /// The UDP socket; set during a participation.
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    /// The disk, where the gateway has one, while this process takes part.
+    /// The storage, if one is configured; set during a participation.
     disk: RefCell<Option<Disk>>,
-    /// Datagrams that the kernel did not take.
+    /// Number of datagrams that the kernel did not accept for sending.
     datagrams_not_sent: Cell<u64>,
-    /// Open claims at the ledger.
+    /// Open ledger claims.
     claims: RefCell<HashMap<ClaimId, Rc<ClaimProgress>>>,
-    /// Outcomes that the node is told of.
+    /// Outcomes and reachability records that are passed on to the node.
     outcomes: Rc<OutcomeRecorder>,
-    /// Whoever waits for a rollout to start.
+    /// Waits for the result of starting a rollout.
     rollout_start: RefCell<Option<oneshot::Sender<Option<RolloutKey>>>>,
-    /// Whoever waits for writes to be accepted.
+    /// Callers that wait for writes to be accepted or rejected.
     write_decisions: RefCell<HashMap<Dot, Vec<oneshot::Sender<bool>>>>,
     senders: RequestSenders,
-    /// Abandoned requests that were finished here, and that could not be.
+    /// Number of abandoned requests that this gateway finished.
     abandoned_finished: Cell<u64>,
+    /// Number of abandoned requests that this gateway could not finish.
     abandoned_not_finished: Cell<u64>,
 }
 
 impl ClusterTransport {
-    /// For a gateway whose configuration names a cluster.
+    /// Creates the transport of a gateway with a cluster configuration. No socket is opened yet.
     pub fn new(
         config: ClusterConfig,
         clock: Clock,
@@ -128,23 +130,23 @@
         })
     }
 
-    /// The socket's address.
+    /// Address on which datagrams are received.
     pub fn listen(&self) -> SocketAddr {
         self.config.listen
     }
 
-    /// Opens the socket.
+    /// Opens the UDP socket.
     ///
     /// # Errors
     ///
-    /// What the system says of it.
+    /// The socket can't be bound to the configured address.
     pub async fn open(&self) -> io::Result<UdpSocket> {
         UdpSocket::bind(self.config.listen).await
     }
 
-    /// Takes part for as long as this process stands for the gateway, again and again. `opened` is the socket if it is
-    /// open already; a process that takes another's place opens it once that one has closed it. `addresses` are those of
-    /// the other gateways.
+    /// Participates in the cluster whenever this process serves and is not replaced by a successor. `opened` is the
+    /// socket if it is already open; a successor opens the socket only after its predecessor has closed it.
+    /// `addresses` are those of the other gateways.
     pub async fn run(
         self: Rc<ClusterTransport>,
         mut opened: Option<UdpSocket>,
@@ -160,7 +162,7 @@
                 None => self.open_when_free().await,
             });
             *self.socket.borrow_mut() = Some(socket.clone());
-            self.take_part(&socket, &mut addresses).await;
+            self.participate(&socket, &mut addresses).await;
             *self.node.borrow_mut() = None;
             *self.socket.borrow_mut() = None;
             *self.disk.borrow_mut() = None;
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Opens the socket as soon as the process before this one has closed it.
+    /// Opens the socket as soon as the predecessor has closed it.
     async fn open_when_free(&self) -> UdpSocket {
         let mut logged = false;
         loop {
@@ -176,7 +178,7 @@
                 Ok(socket) => return socket,
                 Err(error) => {
                     if !logged {
-                        info!(%error, listen = %self.config.listen, "the cluster's socket can't be opened yet");
+                        info!(%error, listen = %self.config.listen, "can't open the cluster socket yet; retrying");
                     }
                     logged = true;
                 }
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Passes an event to the node, and performs what it decides.
+    /// Passes an event to the node, and performs the resulting effects.
     fn handle(&self, event: Event<'_>) {
         let mut effects = Vec::new();
         if let Some(node) = self.node.borrow_mut().as_mut() {
@@ -200,12 +202,12 @@
                 Effect::Send { to, bytes } => self.send(to, &bytes),
                 Effect::Notify(notice) => notices::log(&notice),
                 Effect::PersistBatch { batch, writes } => self.persist(batch, writes),
-                Effect::QuotaSharesChanged(shares) => self.pass_on_quota(shares),
+                Effect::QuotaSharesChanged(shares) => self.notify_quota_lease(shares),
                 Effect::RoutingChanged(in_force) => {
                     (self.notify_runtime)(ClusterUpdate::Routing(in_force));
                 }
                 Effect::WriteQueue(effect) => self.perform_write_queue(effect),
-                // Where there is no room it is offered again, here or elsewhere.
+                // If the channel is full, the request is offered again later, here or at another gateway.
                 Effect::RequestAbandoned(request) => {
                     let _ = self.senders.abandoned_requests.try_send(request);
                 }
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Sends a datagram. What the kernel has no room for is lost, as on any network.
+    /// Sends a datagram. If the kernel's send buffer is full, the datagram is dropped, as it may be on any network.
     fn send(&self, to: SocketAddr, bytes: &[u8]) {
         let socket = self.socket.borrow();
         let sent = socket.as_ref().is_some_and(|socket| socket.try_send_to(bytes, to).is_ok());
@@ -232,8 +234,8 @@
         }
     }
 
-    /// Tells the runtime what other gateways leave of their quota shares, where shares are lent.
-    fn pass_on_quota(&self, shares: QuotaShares) {
+    /// Notifies the runtime of the quota shares that this gateway may use, if quota shares are leased at all.
+    fn notify_quota_lease(&self, shares: QuotaShares) {
         let QuotaShares { until, free_seats } = shares;
         if self.config.lendable_part > 0.0 {
             let fraction = self.config.lendable_part;
@@ -244,7 +246,7 @@
 
     fn resolve_rollout_start(&self, key: Option<RolloutKey>) {
         if let Some(waiting) = self.rollout_start.borrow_mut().take() {
-            // Whoever asked may have gone.
+            // The caller may have stopped waiting.
             let _ = waiting.send(key);
         }
     }
--- a/src/proxy/cluster_transport/notices.rs
+++ b/src/proxy/cluster_transport/notices.rs
@@ -1,17 +1,17 @@
-//! Log lines about the cluster.
+//! Log lines of cluster notices and rollouts.
 
 use crate::cluster::rollout::{HaltReason, RolloutEnd, RolloutNotice};
 use crate::cluster::ClusterNotice;
 use tracing::{info, warn};
 
-/// Logs a step of a rollout.
+/// Logs a notice of a rollout.
 pub(super) fn log_rollout(notice: &RolloutNotice) {
     let number = notice.number();
     match notice {
         RolloutNotice::StageChanged { stage, paused, .. } => {
             info!(number, stage, paused, "rollout stage changed")
         }
-        RolloutNotice::Leading { .. } => info!(number, "leading the rollout"),
+        RolloutNotice::Leading { .. } => info!(number, "this gateway leads the rollout"),
         RolloutNotice::Ended { end: RolloutEnd::Completed, .. } => {
             info!(number, "rollout completed: the new rules are in force for all customers")
         }
@@ -19,14 +19,14 @@
             warn!(number, "rollout aborted; the baseline rules are in force")
         }
         RolloutNotice::Ended { end: RolloutEnd::Halted { seat, reason }, .. } => match reason {
-            HaltReason::CanaryWorse { scope: place, log_evidence: log_bet, log_threshold: log_bound } => {
+            HaltReason::CanaryWorse { scope, log_evidence, log_threshold } => {
                 warn!(
                     number,
                     seat,
-                    place,
-                    log_bet,
-                    log_bound,
-                    "rollout halted: the canary is worse; the baseline rules are in force"
+                    scope,
+                    log_evidence,
+                    log_threshold,
+                    "rollout halted: the canary fails more often; the baseline rules are in force"
                 )
             }
             HaltReason::Undecided => {
@@ -36,29 +36,32 @@
     }
 }
 
-/// Logs what operators should know of the cluster.
+/// Logs a cluster notice for operators.
 pub(super) fn log(notice: &ClusterNotice) {
     match notice {
         ClusterNotice::SeatYielded { own, other } => {
             warn!(
                 own,
-                other, "a newer process has this name; this one gives up its seat and continues to serve"
+                other, "a newer process uses this gateway's name; yielding the seat and continuing to serve"
             );
         }
         ClusterNotice::DuplicateName { name, older, newer } => {
-            warn!(name, older, newer, "two processes send under the same name");
+            warn!(name, older, newer, "two processes use the same gateway name");
         }
         ClusterNotice::MemberStateChanged { name, state, reason } => {
-            info!(name, standing = ?state, why = reason, "member");
+            info!(name, state = ?state, reason = reason, "member state changed");
         }
         ClusterNotice::StorageLoaded { writes, records, votes: (branch, ledger) } => {
             info!(
                 writes,
-                records, branch, ledger, "storage loaded; the flags say whether this gateway votes at once"
+                records,
+                branch,
+                ledger,
+                "storage loaded; branch and ledger tell whether this gateway has its vote there at once"
             );
         }
         ClusterNotice::StorageLost => {
-            warn!("storage failed: this gateway has no vote and continues to serve")
+            warn!("storage failed: this gateway gives up its votes and continues to serve")
         }
     }
 }
--- a/src/proxy/cluster_transport/outcome_recorder.rs
+++ b/src/proxy/cluster_transport/outcome_recorder.rs
@@ -1,73 +1,75 @@
-//! What the runtime records for the cluster's node: how requests ended under a rollout, and whether backends can be reached.
+//! Buffers records of the runtime for the cluster node: outcomes of requests under a rollout, and reachability of
+//! backends.
 
 use crate::cluster::rollout::{Arm, RequestOutcome, RolloutKey};
 use crate::decision::{ClassId, Micros};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 
-/// The most records of a kind that wait for the node, which takes them with each ledger tick.
-const MAX_WAITING: usize = 20_000;
+/// Maximum number of waiting records of each kind. The node takes them at each ledger tick.
+const MAX_WAITING_RECORDS: usize = 20_000;
 
-/// A request that is routed by the rules of a rollout.
+/// Assignment of a request to an arm of a rollout.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutAssignment {
-    /// Which rollout.
+    /// Key of the rollout.
     pub key: RolloutKey,
-    /// Which of its two sets of rules.
+    /// Baseline or canary rules.
     pub arm: Arm,
-    /// The request's class.
+    /// Class of the request.
     pub class: ClassId,
-    /// When it arrived.
+    /// Arrival time of the request.
     pub arrived_at: Micros,
-    /// How many attempts other gateways made of it before.
+    /// Number of earlier attempts by other gateways.
     pub prior_attempts: usize,
 }
 
-/// How a request ended under a rollout.
+/// Outcome of a request under a rollout.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutOutcome {
-    /// The request.
+    /// Assignment of the request.
     pub assignment: RolloutAssignment,
-    /// When it ended.
+    /// Time at which the request ended.
     pub ended_at: Micros,
-    /// How.
+    /// How the request ended.
     pub outcome: RequestOutcome,
-    /// How long it took, as a fraction of its class's latency objective; 0 where it was not served.
+    /// Response time as a fraction of the class's latency objective; 0 if the request was not served.
     pub objective_fraction: f64,
 }
 
-/// Records that wait for the node.
+/// Records waiting for the node.
 #[derive(Default)]
 pub struct OutcomeRecorder {
     outcomes: RefCell<Vec<RolloutOutcome>>,
     dropped: Cell<u64>,
-    /// Whether backends answered the last attempts, oldest first.
+    /// Whether a backend responded, for each attempt since the last ledger tick, oldest first.
     reachability: RefCell<Vec<bool>>,
-    /// Where backends are.
+    /// Addresses of the known backends.
     backends: RefCell<Vec<SocketAddr>>,
+    /// Whether the branch is isolated from the backends.
     is_isolated: Cell<bool>,
     records_reachability: Cell<bool>,
 }
 
 impl OutcomeRecorder {
-    /// A request ended under a rollout.
+    /// Records the outcome of a request under a rollout, or counts it as dropped if too many are waiting.
     pub fn record(&self, outcome: RolloutOutcome) {
         let mut outcomes = self.outcomes.borrow_mut();
-        match outcomes.len() < MAX_WAITING {
+        match outcomes.len() < MAX_WAITING_RECORDS {
             true => outcomes.push(outcome),
             false => self.dropped.set(self.dropped.get() + 1),
         }
     }
 
-    /// A backend answered an attempt, whatever it answered, or could not be reached.
-    pub fn record_reachability(&self, answered: bool) {
+    /// Records whether a backend responded to an attempt, with any status.
+    pub fn record_reachability(&self, responded: bool) {
         let mut reachability = self.reachability.borrow_mut();
-        if self.records_reachability.get() && reachability.len() < MAX_WAITING {
-            reachability.push(answered);
+        if self.records_reachability.get() && reachability.len() < MAX_WAITING_RECORDS {
+            reachability.push(responded);
         }
     }
 
-    /// Records reachability from now on: the gateway belongs to a branch.
+    /// Starts recording reachability. Called if the gateway belongs to a branch.
     pub fn start_recording_reachability(&self) {
         self.records_reachability.set(true);
     }
@@ -77,37 +79,37 @@
         self.records_reachability.get()
     }
 
-    /// Takes what was recorded of reachability.
+    /// Takes all reachability records.
     pub fn take_reachability(&self) -> Vec<bool> {
         std::mem::take(&mut *self.reachability.borrow_mut())
     }
 
-    /// Backends are there now.
+    /// Replaces the addresses of the known backends.
     pub fn set_backends(&self, addresses: Vec<SocketAddr>) {
         *self.backends.borrow_mut() = addresses;
     }
 
-    /// A backend by chance, if there is any.
+    /// Returns the address of a random backend, if any is known.
     pub fn random_backend(&self) -> Option<SocketAddr> {
         fastrand::choice(self.backends.borrow().iter().copied())
     }
 
-    /// Whether the branch is cut off.
+    /// Whether the branch is isolated from the backends.
     pub fn is_isolated(&self) -> bool {
         self.is_isolated.get()
     }
 
-    /// The branch is cut off from now on, or no longer.
+    /// Sets whether the branch is isolated from the backends.
     pub fn set_isolated(&self, is_isolated: bool) {
         self.is_isolated.set(is_isolated);
     }
 
-    /// Takes all outcomes that wait.
+    /// Takes all recorded outcomes.
     pub fn take_outcomes(&self) -> Vec<RolloutOutcome> {
         std::mem::take(&mut *self.outcomes.borrow_mut())
     }
 
-    /// How many outcomes found no room.
+    /// Number of outcomes dropped because too many were waiting.
     pub fn dropped(&self) -> u64 {
         self.dropped.get()
     }
--- a/src/proxy/cluster_transport/participation.rs
+++ b/src/proxy/cluster_transport/participation.rs
@@ -1,4 +1,5 @@
-//! The loop in which this process takes part in the cluster, from joining it to the hand-over or the end.
+//! The event loop of one participation in the cluster: from joining until the hand-over to a successor or the exit of
+//! the process.
 
 use super::disk::{self, Disk, DiskEvent};
 use super::{ClusterTransport, ClusterUpdate};
@@ -15,59 +16,62 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::{info, warn};
 
-/// The most datagrams that are read in one `BUDGET_INTERVAL`, 20,000 a second. What a flood sends beyond that the kernel
-/// drops.
+/// Maximum number of datagrams read in one `BUDGET_INTERVAL`, which makes 20,000 per second. In a flood the kernel
+/// drops the rest.
 const DATAGRAM_BUDGET: u32 = 200;
+/// Interval after which the receive budget is refilled.
 const BUDGET_INTERVAL: Duration = Duration::from_millis(10);
-/// The least time between two lines of the log about datagrams that were dropped.
+/// Minimum interval between two log lines about dropped datagrams.
 const DROPPED_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How many datagrams may still be read now.
+/// Rate limit of received datagrams.
 struct ReceiveBudget {
-    left: u32,
+    /// Number of datagrams that may be read before the next refill.
+    remaining: u32,
     refill_at: Instant,
 }
 
 impl ReceiveBudget {
     fn refill_if_due(&mut self) {
         if Instant::now() >= self.refill_at {
-            self.left = DATAGRAM_BUDGET;
+            self.remaining = DATAGRAM_BUDGET;
             self.refill_at = Instant::now() + BUDGET_INTERVAL;
         }
     }
 }
 
-/// What the log has said of dropped datagrams.
-struct DroppedLog {
-    /// How many there were at the last look.
+/// Rate limit of the log of dropped datagrams.
+struct DroppedDatagramLog {
+    /// Total number of dropped datagrams at the last check.
     count: u64,
-    looked_at: Instant,
+    checked_at: Instant,
 }
 
-/// Taking part.
+/// State of the event loop.
 struct Participation<'a> {
     transport: &'a ClusterTransport,
     socket: &'a UdpSocket,
     buffer: Vec<u8>,
     budget: ReceiveBudget,
     next_tick: Instant,
-    /// None: no ledger is kept.
+    /// Time of the next ledger tick; `None` without a ledger.
     next_ledger_tick: Option<Instant>,
-    dropped_log: DroppedLog,
+    dropped_log: DroppedDatagramLog,
+    /// Whether the node has been told to leave the cluster.
     leaving: bool,
 }
 
 impl ClusterTransport {
-    /// Takes part until another process stands for the gateway.
-    pub(super) async fn take_part(
+    /// Participates in the cluster until a successor replaces this process.
+    pub(super) async fn participate(
         &self,
         socket: &UdpSocket,
         addresses: &mut watch::Receiver<BTreeMap<String, SocketAddr>>,
     ) {
         let joined = self.join(addresses.borrow_and_update().clone());
-        // The settings were checked at the start.
+        // Not expected: the settings were validated at start-up.
         if let Err(error) = joined {
-            return warn!(%error, "this gateway can't join its cluster");
+            return warn!(%error, "invalid cluster settings: this gateway does not join its cluster");
         }
         let mut disk_events = self.open_disk();
         let now = Instant::now();
@@ -75,16 +79,16 @@
             transport: self,
             socket,
             buffer: vec![0; MAX_DATAGRAM_BYTES + 1],
-            budget: ReceiveBudget { left: DATAGRAM_BUDGET, refill_at: now },
+            budget: ReceiveBudget { remaining: DATAGRAM_BUDGET, refill_at: now },
             next_tick: now,
             next_ledger_tick: self.keeps_ledger().then_some(now),
-            dropped_log: DroppedLog { count: 0, looked_at: now },
+            dropped_log: DroppedDatagramLog { count: 0, checked_at: now },
             leaving: false,
         };
         participation.run(&mut disk_events, addresses).await;
     }
 
-    /// Makes the node of this participation.
+    /// Creates the cluster node of this participation.
     fn join(&self, addresses: BTreeMap<String, SocketAddr>) -> Result<(), SettingsError> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let unix = Micros(unix.as_micros().min(u128::from(u64::MAX)) as u64);
@@ -103,7 +107,7 @@
         Ok(())
     }
 
-    /// Opens the disk, where the gateway has one.
+    /// Opens the storage, if one is configured.
     fn open_disk(&self) -> Option<mpsc::Receiver<DiskEvent>> {
         let folder = self.config.storage_dir.as_ref()?;
         let (disk, events) = Disk::open(folder);
@@ -121,7 +125,8 @@
         let transport = self.transport;
         let mut lifecycle = transport.lifecycle.subscribe();
         loop {
-            // Before time goes by for the node: after a pause the datagrams that wait count first.
+            // Datagrams are read before the tick: after a pause of the process, those already received have to be
+            // handled before the node acts on elapsed time.
             self.receive();
             self.tick_if_due();
             let state = transport.lifecycle.state();
@@ -132,7 +137,7 @@
                 self.leaving = true;
                 transport.handle(Event::Leave);
             }
-            let may_receive = self.budget.left > 0;
+            let may_receive = self.budget.remaining > 0;
             let ledger_tick_at = self.next_ledger_tick.unwrap_or(self.next_tick);
             tokio::select! {
                 _ = self.socket.readable(), if may_receive => {}
@@ -140,7 +145,7 @@
                 () = sleep_until(self.next_tick) => {}
                 () = sleep_until(ledger_tick_at), if self.next_ledger_tick.is_some() => {}
                 event = next_disk_event(disk_events) => handle_disk_event(transport, event),
-                // The lifecycle outlives this.
+                // Can't fail: the transport keeps the lifecycle alive.
                 _ = lifecycle.changed() => {}
                 changed = addresses.changed() => match changed {
                     Ok(()) => {
@@ -153,12 +158,12 @@
         }
     }
 
-    /// Reads the datagrams that wait, as far as the budget allows.
+    /// Reads the received datagrams, as far as the budget allows.
     fn receive(&mut self) {
         self.budget.refill_if_due();
-        while self.budget.left > 0 {
+        while self.budget.remaining > 0 {
             let Ok((length, from)) = self.socket.try_recv_from(&mut self.buffer) else { return };
-            self.budget.left -= 1;
+            self.budget.remaining -= 1;
             self.transport.handle(Event::Datagram { from, bytes: &self.buffer[..length] });
         }
     }
@@ -166,7 +171,7 @@
     fn tick_if_due(&mut self) {
         if self.next_ledger_tick.is_some_and(|at| Instant::now() >= at) {
             self.next_ledger_tick = Some(Instant::now() + Duration::from_micros(LEDGER_TICK_INTERVAL.0));
-            self.transport.pass_on_outcomes();
+            self.transport.deliver_outcomes();
             self.transport.handle(Event::LedgerTick);
         }
         if Instant::now() >= self.next_tick {
@@ -176,19 +181,19 @@
         }
     }
 
-    /// Logs datagrams that were dropped since the last look.
+    /// Logs the datagrams dropped since the last check.
     fn log_dropped_if_due(&mut self) {
-        if self.dropped_log.looked_at.elapsed() < DROPPED_LOG_INTERVAL {
+        if self.dropped_log.checked_at.elapsed() < DROPPED_LOG_INTERVAL {
             return;
         }
-        self.dropped_log.looked_at = Instant::now();
+        self.dropped_log.checked_at = Instant::now();
         let node = self.transport.node.borrow();
         let Some(dropped) = node.as_ref().map(|node| &node.traffic().dropped) else { return };
         let count = dropped.values().sum();
         if count > self.dropped_log.count {
             let reasons: Vec<String> = dropped.iter().map(|(s, n)| format!("{} {n}", s.key())).collect();
             let since_last = count - self.dropped_log.count;
-            warn!(since_last, all = reasons.join(", "), "invalid datagrams dropped");
+            warn!(since_last, all = reasons.join(", "), "dropped invalid datagrams");
         }
         self.dropped_log.count = count;
     }
@@ -202,7 +207,7 @@
     });
 }
 
-/// The disk's next event; one whose thread is gone has failed.
+/// Waits for the next event of the storage. The exit of the storage thread counts as a failure.
 async fn next_disk_event(events: &mut Option<mpsc::Receiver<DiskEvent>>) -> DiskEvent {
     let Some(receiver) = events else { return std::future::pending().await };
     match receiver.recv().await {
--- a/src/proxy/cluster_transport/queued_write.rs
+++ b/src/proxy/cluster_transport/queued_write.rs
@@ -1,13 +1,13 @@
-//! A write of a branch that is to be forwarded.
+//! A write of the branch's write queue that this gateway has to forward.
 
 use crate::cluster::write_queue::Write;
 
-/// A write that is to be forwarded.
+/// A write to be forwarded, in one attempt.
 pub struct QueuedWrite {
-    /// The write.
+    /// The write to forward.
     pub write: Box<Write>,
-    /// Which attempt this is.
+    /// Number of the attempt.
     pub attempt: u16,
-    /// An earlier owner may have sent it, and it may have run.
+    /// Whether an earlier owner may have sent the write, so that it may have run.
     pub may_have_run: bool,
 }
--- a/src/proxy/cluster_transport/serialized_request.rs
+++ b/src/proxy/cluster_transport/serialized_request.rs
@@ -1,4 +1,5 @@
-//! A request as gateways store it for each other, a form on wire and disk: what a backend is sent, and no more.
+//! Serialized form of a request that gateways replicate and store: only the parts that are sent to a backend. This is
+//! a wire and disk form.
 
 use crate::decision::Micros;
 use crate::proxy::downstream::context::ProxyContext;
@@ -9,7 +10,7 @@
 use hyper::{HeaderMap, Method, Uri};
 use serde::{Deserialize, Serialize};
 
-/// A stored request. The form is postcard's, which has no names: the order of the fields is fixed.
+/// A serialized request. Postcard is positional, so the order of the fields must not change.
 #[derive(Serialize, Deserialize)]
 struct SerializedRequest {
     method: String,
@@ -18,19 +19,19 @@
     body: Vec<u8>,
 }
 
-/// The bytes of a request.
+/// Serializes a request.
 pub fn serialize(method: &Method, uri: &Uri, headers: &HeaderMap, body: &Bytes) -> Option<Vec<u8>> {
     let request = SerializedRequest {
         method: method.to_string(),
         uri: uri.to_string(),
-        headers: headers.iter().map(|(name, v)| (name.to_string(), v.as_bytes().to_vec())).collect(),
+        headers: headers.iter().map(|(name, value)| (name.to_string(), value.as_bytes().to_vec())).collect(),
         body: body.to_vec(),
     };
     postcard::to_allocvec(&request).ok()
 }
 
-/// The request of these bytes, with all the time that its class allows, as nobody waits for it. None: it makes no sense
-/// with this gateway's configuration.
+/// Deserializes a request. Its time budget is the full deadline of its class, since no client waits for it. Returns
+/// `None` if the bytes are invalid or the request does not match this gateway's configuration.
 pub fn deserialize(context: &ProxyContext, bytes: &[u8]) -> Option<(RequestHead, ForwardedRequest)> {
     let request: SerializedRequest = postcard::from_bytes(bytes).ok()?;
     let mut headers = HeaderMap::new();
--- a/src/proxy/cluster_transport/stats.rs
+++ b/src/proxy/cluster_transport/stats.rs
@@ -1,4 +1,4 @@
-//! What operators read of the cluster: a report as JSON, and the figures that `/stats` shows.
+//! Cluster information for operators: a report as JSON, and the figures for `/stats`.
 
 use super::ClusterTransport;
 use crate::cluster::ledger::{ClaimCounts, RejectionCounts};
@@ -6,70 +6,70 @@
 use crate::cluster::write_queue::QueueCounts;
 use crate::cluster::{ClusterNode, ClusterReport, StorageStatus};
 
-/// Figures of the cluster as this gateway sees it, at one moment.
+/// Snapshot of the cluster figures at this gateway.
 pub struct ClusterStats {
-    /// Members, view and traffic.
+    /// Members, view and datagram traffic.
     pub report: ClusterReport,
-    /// The ledger, where one is kept.
+    /// The ledger, if there is one.
     pub ledger: Option<LedgerStats>,
-    /// The write queue of a branch, where the gateway is of one.
+    /// The write queue, if the gateway belongs to a branch.
     pub write_queue: Option<WriteQueueStats>,
-    /// Rollouts of routing rules, where there may be any.
+    /// Rollouts of routing rules, if they are configured.
     pub rollout: Option<RolloutStats>,
-    /// The disk, where the gateway has one.
+    /// The storage, if one is configured.
     pub storage: Option<StorageStatus>,
-    /// Datagrams that the kernel did not take.
+    /// Number of datagrams that the kernel did not accept for sending.
     pub datagrams_not_sent: u64,
 }
 
-/// The ledger at this gateway: as a replica of others' records, and as the owner of its own requests.
+/// Figures of the ledger at this gateway: as a replica of records, and as a client with its own claims.
 pub struct LedgerStats {
-    /// As a replica it votes.
+    /// Whether the replica has a vote.
     pub votes: bool,
-    /// Records that it holds for others.
+    /// Number of records that the replica holds.
     pub records: usize,
-    /// Its own open claims.
+    /// Number of open claims of this gateway.
     pub open_claims: usize,
-    /// How its claims ended.
+    /// Outcomes of this gateway's claims.
     pub claims: ClaimCounts,
-    /// Abandoned requests that were finished here.
+    /// Number of abandoned requests that this gateway finished.
     pub finished: u64,
-    /// Abandoned requests that could not be finished here.
+    /// Number of abandoned requests that this gateway could not finish.
     pub not_finished: u64,
-    /// What it rejected as a replica.
+    /// Messages that the replica rejected, by reason.
     pub rejections: RejectionCounts,
 }
 
-/// The write queue at this gateway.
+/// Figures of the write queue at this gateway.
 pub struct WriteQueueStats {
-    /// The branch is cut off.
+    /// Whether the branch is isolated from the backends.
     pub cut_off: bool,
-    /// It votes on writes.
+    /// Whether this gateway has a vote on writes.
     pub votes: bool,
-    /// Writes that have not ended.
+    /// Number of writes that have not ended.
     pub waiting: usize,
-    /// Writes that are being forwarded.
+    /// Number of writes that are being forwarded.
     pub forwarding: usize,
-    /// Writes that it accepted or forwarded, by their ends.
+    /// Numbers of writes that this gateway accepted, rejected and forwarded, and how they ended.
     pub totals: QueueCounts,
 }
 
-/// Rollouts at this gateway.
+/// Figures of rollouts at this gateway.
 pub struct RolloutStats {
-    /// The last rollout, if there has been one.
+    /// Report of the last rollout, if there has been one.
     pub report: Option<RolloutReport>,
-    /// Outcomes that found no room to be counted.
+    /// Number of outcomes that were not counted because too many were waiting for the node.
     pub outcomes_dropped: u64,
 }
 
 impl ClusterTransport {
-    /// The report for operators, as JSON. None: another process stands for the gateway.
+    /// The cluster report for operators, as JSON. `None` if this process does not participate in the cluster.
     pub fn report(&self) -> Option<String> {
         let report: ClusterReport = self.node.borrow().as_ref()?.report();
         serde_json::to_string_pretty(&report).ok()
     }
 
-    /// The figures for `/stats`. None: another process stands for the gateway.
+    /// The figures for `/stats`. `None` if this process does not participate in the cluster.
     pub fn stats(&self) -> Option<ClusterStats> {
         let node = self.node.borrow();
         let node = node.as_ref()?;
--- a/src/proxy/cluster_transport/tests.rs
+++ b/src/proxy/cluster_transport/tests.rs
@@ -1,4 +1,4 @@
-//! The cluster's lines of `/stats` as `tests/fixtures/stats-gauges.txt` holds them.
+//! Compares the cluster's lines of `/stats` with the fixture `tests/fixtures/stats-gauges.txt`.
 
 use super::{ClusterTransport, RequestSenders};
 use crate::cluster::ClusterNode;
@@ -11,24 +11,25 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-const FILE: &str = "fleet = \"norte\"\nname = \"a\"\nlisten = \"127.0.0.1:1\"\nseats = [\"a\", \"b\", \"c\"]\n\
+const CLUSTER_TOML: &str = "fleet = \"norte\"\nname = \"a\"\nlisten = \"127.0.0.1:1\"\nseats = [\"a\", \"b\", \"c\"]\n\
     [ledger]\nholders = 3\n[rollout]\n[branch]\nseats = [\"a\", \"b\", \"c\"]\nclasses = [\"buy\"]\n[peers]\nb = \"127.0.0.1:2\"\n";
 
 #[test]
-fn every_cluster_gauge_has_its_key_place_and_value_in_the_stats() {
-    let config = ClusterConfig::parse(FILE, "a").expect("sound");
-    let ((queued_writes, _w), (abandoned_requests, _a)) = (mpsc::channel(1), mpsc::channel(1));
+fn keys_order_and_values_of_cluster_gauges_match_the_stats_fixture() {
+    let config = ClusterConfig::parse(CLUSTER_TOML, "a").expect("valid");
+    let ((queued_writes, _write_receiver), (abandoned_requests, _abandoned_receiver)) =
+        (mpsc::channel(1), mpsc::channel(1));
     let senders = RequestSenders { queued_writes, abandoned_requests };
     let (lifecycle, outcomes) = (Rc::new(Lifecycle::default()), Rc::new(OutcomeRecorder::default()));
     let transport =
         ClusterTransport::new(config, Clock::start(), lifecycle, Box::new(|_| {}), outcomes, senders);
-    assert!(transport.stats().is_none(), "nothing while another process stands for the gateway");
+    assert!(transport.stats().is_none(), "no stats before this process participates in the cluster");
     *transport.node.borrow_mut() = Some(ClusterNode::with_distinct_counts());
     transport.datagrams_not_sent.set(61);
     transport.abandoned_finished.set(62);
     transport.abandoned_not_finished.set(63);
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/stats-gauges.txt");
-    let text = cluster_lines(&transport.stats().expect("it takes part"));
+    let text = cluster_lines(&transport.stats().expect("the transport has a node"));
     if std::env::var_os("WRITE_NEW_FIXTURES").is_some() && !path.exists() {
         std::fs::write(&path, &text).expect("written");
     }
--- a/src/proxy/cluster_transport/write_queue_sender.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -1,5 +1,5 @@
-//! Writes of a branch that is cut off: offered by clients, asked for by them later, and forwarded once the write queue says
-//! so.
+//! Writes of an isolated branch: offers requests to the write queue, reports the status of writes to clients, and
+//! forwards queued writes when the queue releases them.
 
 use super::abandoned_requests::{resume, AbandonedOutcome};
 use super::ledger_request::{serve_recorded, RecordedRequest};
@@ -27,17 +27,18 @@
 use tracing::debug;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Between two checks of the uplink while the branch is cut off.
+/// Interval between checks of the uplink while the branch is isolated.
 const UPLINK_CHECK_INTERVAL: Duration = Duration::from_millis(300);
-/// The longest wait for a connection in such a check.
+/// Connection time-out of an uplink check.
 const UPLINK_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// An attempt that is cancelled has ended by then.
+/// Maximum wait for cancelled attempts to end.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
-/// The longest wait for the votes on a write; the write queue gives up somewhat earlier.
+/// Time-out for the votes on a write. The write queue itself gives up slightly earlier.
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Offers a request to the branch's write queue, which takes it while the branch is cut off, or behind earlier writes that
-/// wait. Returns the write's name; none: the request goes its usual way.
+/// Offers a request to the branch's write queue. The queue accepts it while the branch is isolated, or while earlier
+/// writes of the same customer or object are pending. Returns the write's dot, or `None` if the request is to be
+/// handled as usual.
 pub async fn accept_write(
     cluster: &Rc<ClusterTransport>,
     head: &RequestHead,
@@ -46,9 +47,9 @@
     headers: &HeaderMap,
     body: &Bytes,
 ) -> Option<Dot> {
-    let object = xxh3_64(uri.path_and_query().map_or("/", |p| p.as_str()).as_bytes());
+    let object = xxh3_64(uri.path_and_query().map_or("/", |path| path.as_str()).as_bytes());
     let customer = head.arrival.customer.0;
-    if !cluster.takes_writes(class, customer, object) {
+    if !cluster.should_queue_write(class, customer, object) {
         return None;
     }
     if let Some(key) = head.idempotency_key {
@@ -65,7 +66,8 @@
     timeout(ACCEPT_TIMEOUT, cluster.accept_write(request)).await.ok().flatten()
 }
 
-/// Guards against queueing a request that runs at another gateway, or ran there before the uplink failed.
+/// Whether the request may be running at another gateway, or may have run there before the uplink failed. Such a
+/// request must not be queued, because it could run twice.
 fn may_have_run_before(outcome: &ClaimOutcome, is_retry: bool) -> bool {
     match outcome {
         ClaimOutcome::Acquired { existed: false, .. } => false,
@@ -74,15 +76,15 @@
     }
 }
 
-/// What clients are told of a write.
+/// Status of a write, as sent to clients.
 pub struct WriteStatusText {
-    /// The write is known here.
+    /// Whether this gateway knows the write.
     pub is_known: bool,
-    /// One line.
+    /// One line, with its line break.
     pub text: String,
 }
 
-/// What clients are told of a write: a wire form.
+/// Formats the status of a write for clients. The texts are a wire form.
 pub fn status_text(status: Option<WriteStatus>) -> WriteStatusText {
     let text = match &status {
         Some(WriteStatus::Known(state)) => state_text(state),
@@ -103,7 +105,7 @@
     }
 }
 
-/// Forwards writes for as long as the gateway lives.
+/// Forwards queued writes until the channel is closed.
 pub async fn forward_writes(
     context: Rc<ProxyContext>,
     cluster: Rc<ClusterTransport>,
@@ -113,7 +115,7 @@
         let (context, cluster) = (context.clone(), cluster.clone());
         tokio::task::spawn_local(async move {
             let outcome = forward(&context, &cluster, &queued).await;
-            cluster.write_ended(queued.write.dot, queued.attempt, outcome);
+            cluster.record_forward_outcome(queued.write.dot, queued.attempt, outcome);
         });
     }
 }
@@ -132,23 +134,23 @@
     };
     if !queued.may_have_run {
         let tracker = AttemptTracker::new(false);
-        let response = run(context, cluster, record.as_ref(), &head, &forward, &tracker).await;
+        let response = forward_first_time(context, cluster, record.as_ref(), &head, &forward, &tracker).await;
         if let Some(outcome) = certain_outcome(response, &tracker).await {
             return outcome;
         }
     }
-    // It may have run: with a record of its attempts its class may yet allow it to be sent again.
+    // The write may have run. If a record lists its attempts, its class may still allow another attempt.
     let Some(record) = &record else { return ForwardOutcome::Unknown };
     match resume(context, cluster, record, &head, &forward).await {
-        AbandonedOutcome::Finished | AbandonedOutcome::AlreadyAnswered => {
+        AbandonedOutcome::Finished | AbandonedOutcome::AlreadyCompleted => {
             ForwardOutcome::Answered(StatusCode::OK.as_u16())
         }
-        AbandonedOutcome::OwnedElsewhere | AbandonedOutcome::Refused => ForwardOutcome::Unknown,
+        AbandonedOutcome::OwnedElsewhere | AbandonedOutcome::NotResumable => ForwardOutcome::Unknown,
     }
 }
 
-/// Runs a write that has not run before.
-async fn run(
+/// Forwards a write that has not run before.
+async fn forward_first_time(
     context: &ProxyContext,
     cluster: &Rc<ClusterTransport>,
     record: Option<&RecordedRequest>,
@@ -165,14 +167,15 @@
     }
 }
 
-/// What a response proves of a write. None: it may have run.
+/// Returns the outcome of a write as far as the response proves it, or `None` if the write may have run.
 async fn certain_outcome(
     response: Result<FinalResponse, RequestError>,
     tracker: &AttemptTracker,
 ) -> Option<ForwardOutcome> {
     match response {
         Ok(FinalResponse::Served(_)) => Some(ForwardOutcome::Answered(StatusCode::OK.as_u16())),
-        // That a retry is harmless for a client that comes at once says nothing of a later one.
+        // A rejection tells the client only that an immediate retry is safe. A queued write is retried later, so it
+        // counts as not executed only if no attempt may have run.
         Ok(FinalResponse::Rejected { .. } | FinalResponse::Failed) => {
             match tracker.may_have_run(CANCEL_TIMEOUT).await {
                 true => None,
@@ -183,14 +186,15 @@
     }
 }
 
-/// Checks the uplink while the branch is cut off: no request does.
+/// Checks the uplink with test connections while the branch is isolated, because no requests are sent to backends
+/// then.
 pub async fn check_uplink(outcomes: Rc<OutcomeRecorder>) {
     loop {
         sleep(UPLINK_CHECK_INTERVAL).await;
         let Some(address) = outcomes.random_backend().filter(|_| outcomes.is_isolated()) else { continue };
-        let connected = timeout(UPLINK_CONNECT_TIMEOUT, TcpStream::connect(address)).await;
-        let answered = matches!(connected, Ok(Ok(_)));
-        debug!(%address, answered, "checked the uplink");
-        outcomes.record_reachability(answered);
+        let connection = timeout(UPLINK_CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+        let connected = matches!(connection, Ok(Ok(_)));
+        debug!(%address, connected, "checked the uplink");
+        outcomes.record_reachability(connected);
     }
 }
--- a/src/proxy/cluster_transport/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -1,4 +1,4 @@
-//! Writes of a branch, as the requests that they come from ask for them.
+//! Interface of the branch's write queue: accepting writes, their status, and effects of the queue.
 
 use super::queued_write::QueuedWrite;
 use super::ClusterTransport;
@@ -13,21 +13,21 @@
         self.config.settings.branch.is_some()
     }
 
-    /// Whether the branch's write queue takes a write of this class now.
-    pub fn takes_writes(&self, class: &str, customer: u64, object: u64) -> bool {
+    /// Whether a write of this class, customer and object is to be queued now instead of forwarded directly.
+    pub fn should_queue_write(&self, class: &str, customer: u64, object: u64) -> bool {
         let node = self.node.borrow();
         let replica = node.as_ref().and_then(ClusterNode::write_queue).map(|queue| queue.replica());
-        let named = || self.config.write_queue_classes.iter().any(|name| name == class);
-        replica.is_some_and(|replica| replica.should_queue(customer, object) && named())
+        let is_queueable = || self.config.write_queue_classes.iter().any(|name| name == class);
+        replica.is_some_and(|replica| replica.should_queue(customer, object) && is_queueable())
     }
 
-    /// Puts a write into the queue. Returns its name; none: it is not accepted.
+    /// Adds a write to the queue. Returns the write's dot once it is accepted, or `None` if it is rejected.
     pub async fn accept_write(&self, request: WriteRequest) -> Option<Dot> {
-        let (decide, decision) = oneshot::channel();
+        let (decision_sender, decision) = oneshot::channel();
         let mut effects = Vec::new();
         let now = self.clock.now();
         let dot = self.node.borrow_mut().as_mut()?.accept_write(now, request, &mut effects)?;
-        self.write_decisions.borrow_mut().entry(dot).or_default().push(decide);
+        self.write_decisions.borrow_mut().entry(dot).or_default().push(decision_sender);
         self.perform(effects);
         match decision.await {
             Ok(true) => Some(dot),
@@ -35,13 +35,13 @@
         }
     }
 
-    /// What became of a write.
+    /// Returns the status of a write.
     pub fn write_status(&self, dot: Dot) -> Option<WriteStatus> {
         self.node.borrow().as_ref()?.write_status(dot)
     }
 
-    /// A write was forwarded, with this outcome.
-    pub fn write_ended(&self, dot: Dot, attempt: u16, outcome: ForwardOutcome) {
+    /// Reports the outcome of forwarding a write to the node.
+    pub fn record_forward_outcome(&self, dot: Dot, attempt: u16, outcome: ForwardOutcome) {
         self.with_node(self.participation.get(), |node, now, out| {
             node.on_write_forwarded(now, dot, attempt, outcome, out);
         });
@@ -54,7 +54,7 @@
                 self.queue_forward(QueuedWrite { write, attempt, may_have_run });
             }
             WriteQueueEffect::NotCompleted { dot, outcome } => {
-                warn!(%dot, end = ?outcome, "a queued write was not completed");
+                warn!(%dot, outcome = ?outcome, "queued write not completed");
             }
             WriteQueueEffect::IsolationChanged { isolated, since_response } => {
                 self.outcomes.set_isolated(isolated);
@@ -64,28 +64,31 @@
     }
 
     fn resolve_write(&self, dot: Dot, accepted: bool) {
-        for decide in self.write_decisions.borrow_mut().remove(&dot).into_iter().flatten() {
-            // A client that has gone may ask for the write by its key.
-            let _ = decide.send(accepted);
+        for decision_sender in self.write_decisions.borrow_mut().remove(&dot).into_iter().flatten() {
+            // The caller may have stopped waiting; its client can retry with the same idempotency key.
+            let _ = decision_sender.send(accepted);
         }
     }
 
     fn queue_forward(&self, queued: QueuedWrite) {
         let (dot, attempt) = (queued.write.dot, queued.attempt);
         if self.senders.queued_writes.try_send(queued).is_err() {
-            warn!(%dot, "no room for a queued write that is to be forwarded");
-            self.write_ended(dot, attempt, ForwardOutcome::NotExecuted);
+            warn!(%dot, "too many writes wait to be forwarded; this write goes back to the queue");
+            self.record_forward_outcome(dot, attempt, ForwardOutcome::NotExecuted);
         }
     }
 
     fn log_isolation(&self, isolated: bool, since_response: Micros) {
         let node = self.node.borrow();
         let queue = node.as_ref().and_then(ClusterNode::write_queue);
-        let waits = queue.map_or(0, |queue| queue.replica().log().pending_count());
-        let last_ms = since_response.0 / 1000;
+        let pending = queue.map_or(0, |queue| queue.replica().log().pending_count());
+        let ms_since_response = since_response.0 / 1000;
         match isolated {
-            true => warn!(last_ms, waits, "uplink lost: writes are queued here"),
-            false => info!(waits, "uplink restored: queued writes are forwarded"),
+            true => warn!(
+                ms_since_response,
+                pending, "no backend reachable: the branch is isolated and queues writes"
+            ),
+            false => info!(pending, "backends reachable again: queued writes are forwarded"),
         }
     }
 }
