--- a/src/proxy/cluster_transport/disk.rs
+++ b/src/proxy/cluster_transport/disk.rs
@@ -27,7 +27,8 @@
 const MAX_BATCHES_PER_COMMIT: usize = 512;
 /// Capacity of the event channel.
 const EVENT_CAPACITY: usize = 16;
-/// Maximum number of keys that are read. A gateway never stores as many: a larger file was not written by a gateway.
+/// Maximum number of keys that are read at opening. A gateway never stores as many, so only a file that no gateway wrote
+/// has more.
 const MAX_KEYS: usize = 200_000;
 /// Maximum wait of a successor for its predecessor to close the file.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(30);
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -89,7 +89,7 @@
     claims: RefCell<HashMap<ClaimId, Rc<ClaimProgress>>>,
     /// Outcomes and reachability records that are passed on to the node.
     outcomes: Rc<OutcomeRecorder>,
-    /// Waits for the result of starting a rollout.
+    /// Sender of the rollout's key, while a caller waits for a rollout to start; `None` is sent if it can't start.
     rollout_start: RefCell<Option<oneshot::Sender<Option<RolloutKey>>>>,
     /// Callers that wait for writes to be accepted or rejected.
     write_decisions: RefCell<HashMap<Dot, Vec<oneshot::Sender<bool>>>>,
