--- a/src/proxy/downstream/accept.rs
+++ b/src/proxy/downstream/accept.rs
@@ -1,5 +1,5 @@
-//! What a failed accept means: some errors concern one connection alone and say nothing of the next, others last for a
-//! while (accept(2), "Error handling").
+//! Backoff after failed `accept` calls. Some errors concern only the connection that was to be accepted and do not
+//! affect the next call; others, such as a shortage of descriptors, last for a while (accept(2), "Error handling").
 
 use crate::proxy::log_rate_limit::LogRateLimiter;
 use rustix::io::Errno;
@@ -9,12 +9,14 @@
 use tokio::time::{sleep, Instant};
 use tracing::warn;
 
-/// The pause where the process or the machine lacks something: an accept fails at once for as long as that lasts.
+/// Pause after an error caused by a resource shortage of the process or the machine, during which every accept fails at
+/// once.
 const SHORTAGE_BACKOFF: Duration = Duration::from_millis(20);
-/// After so many errors in a row of single connections, accepting pauses as well, so that it never spins.
-const MAX_ERRORS_IN_A_ROW: u32 = 64;
+/// Every time this many errors have occurred in a row, accepting pauses even after a connection error, so that the
+/// accept loop never spins.
+const MAX_CONSECUTIVE_ERRORS: u32 = 64;
 
-/// Errors that were pending on the connection that was to be accepted, or that left nothing undone.
+/// Errors that were pending on the connection to be accepted, or that interrupted the call without any other effect.
 const CONNECTION_ERRORS: [Errno; 11] = [
     Errno::CONNABORTED,
     Errno::INTR,
@@ -29,30 +31,30 @@
     Errno::TIMEDOUT,
 ];
 
-/// The errors of one listener's accepts.
+/// Accept errors of one listener and the backoff after them.
 #[derive(Default)]
 pub struct AcceptBackoff {
-    errors_in_a_row: u32,
+    consecutive_errors: u32,
     failures: u64,
     log_limit: LogRateLimiter,
 }
 
 impl AcceptBackoff {
-    /// An accept brought a connection.
+    /// Called when an accept returned a connection.
     pub fn succeeded(&mut self) {
-        self.errors_in_a_row = 0;
+        self.consecutive_errors = 0;
     }
 
-    /// An accept failed; returns when the next may be tried.
+    /// Called when an accept failed. Returns when the next one may be tried.
     pub async fn failed(&mut self, error: &io::Error) {
-        self.errors_in_a_row = self.errors_in_a_row.saturating_add(1);
+        self.consecutive_errors = self.consecutive_errors.saturating_add(1);
         self.failures += 1;
         if self.log_limit.allows(Instant::now()) {
-            warn!(%error, failures = self.failures, "accept failed");
+            warn!(%error, failures = self.failures, "accepting a connection failed; will retry");
         }
-        let of_one_connection =
+        let is_connection_error =
             Errno::from_io_error(error).is_some_and(|errno| CONNECTION_ERRORS.contains(&errno));
-        match of_one_connection && !self.errors_in_a_row.is_multiple_of(MAX_ERRORS_IN_A_ROW) {
+        match is_connection_error && !self.consecutive_errors.is_multiple_of(MAX_CONSECUTIVE_ERRORS) {
             true => yield_now().await,
             false => sleep(SHORTAGE_BACKOFF).await,
         }
--- a/src/proxy/downstream/client_response.rs
+++ b/src/proxy/downstream/client_response.rs
@@ -1,4 +1,4 @@
-//! Responses to clients.
+//! Builds the responses to clients.
 
 use super::idle_connections::OpenRequestGuard;
 use super::request_error::RequestError;
@@ -15,7 +15,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// The body of a response. While it lives its request is in flight and its connection is not idle.
+/// Body of a response. Until it is dropped, its request counts as in flight and its connection as not idle.
 pub struct ClientResponseBody {
     body: ResponseBody,
     in_flight: Option<InFlightRequest>,
@@ -23,12 +23,12 @@
 }
 
 impl ClientResponseBody {
-    /// Counts the request as in flight for as long as this lives.
+    /// Counts the request as in flight until this body is dropped.
     pub fn count_in_flight(&mut self, request: InFlightRequest) {
         self.in_flight = Some(request);
     }
 
-    /// Keeps the connection from counting as idle for as long as this lives.
+    /// Keeps the connection from counting as idle until this body is dropped.
     pub fn keep_open(&mut self, request: OpenRequestGuard) {
         self.open_request = Some(request);
     }
@@ -42,14 +42,14 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
-        let next = Pin::new(&mut self.body).poll_frame(cx);
-        // Until its last byte is passed on, a streamed response may yet fail.
+        let frame = Pin::new(&mut self.body).poll_frame(cx);
+        // A streamed response can fail until its last byte is passed on.
         if matches!(&self.body, ResponseBody::Streamed(body) if body.is_complete()) {
             if let Some(request) = &mut self.in_flight {
                 request.set_result(RequestResult::Served);
             }
         }
-        next
+        frame
     }
 
     fn is_end_stream(&self) -> bool {
@@ -61,35 +61,35 @@
     }
 }
 
-/// A response of this status.
-pub fn with_body(status: StatusCode, body: ResponseBody) -> Response<ClientResponseBody> {
+/// Returns a response with this status and body.
+pub fn response_with_body(status: StatusCode, body: ResponseBody) -> Response<ClientResponseBody> {
     let mut response = Response::new(ClientResponseBody { body, in_flight: None, open_request: None });
     *response.status_mut() = status;
     response
 }
 
-/// A short response in plain text.
+/// Returns a short plain-text response.
 pub fn plain_text(status: StatusCode, text: impl Into<Bytes>) -> Response<ClientResponseBody> {
-    with_body(status, ResponseBody::Buffered(Full::new(text.into()), None))
+    response_with_body(status, ResponseBody::Buffered(Full::new(text.into()), None))
 }
 
-/// The response to a request that is none.
-pub fn of_error(error: RequestError) -> Response<ClientResponseBody> {
+/// Returns the response to an invalid request.
+pub fn error_response(error: RequestError) -> Response<ClientResponseBody> {
     plain_text(error.status(), format!("{error}\n"))
 }
 
-/// The response to a request that was dispatched.
-pub fn of_final(response: FinalResponse, mut request: InFlightRequest) -> Response<ClientResponseBody> {
+/// Returns the response to a request that was dispatched.
+pub fn final_response(response: FinalResponse, mut request: InFlightRequest) -> Response<ClientResponseBody> {
     let (result, mut response) = match response {
         FinalResponse::Served(body) => {
-            // A streamed response is served once its last byte is passed on.
+            // A streamed response counts as served once its last byte is passed on.
             let result = match body {
                 ResponseBody::Buffered(..) => RequestResult::Served,
                 ResponseBody::Streamed(_) => RequestResult::Failed,
             };
-            (result, with_body(StatusCode::OK, body))
+            (result, response_with_body(StatusCode::OK, body))
         }
-        FinalResponse::Rejected { retry_after } => (RequestResult::Rejected, rejected(retry_after)),
+        FinalResponse::Rejected { retry_after } => (RequestResult::Rejected, rejected_response(retry_after)),
         FinalResponse::Failed => (RequestResult::Failed, plain_text(StatusCode::BAD_GATEWAY, "failed\n")),
     };
     request.set_result(result);
@@ -97,7 +97,7 @@
     response
 }
 
-fn rejected(retry_after: Option<Micros>) -> Response<ClientResponseBody> {
+fn rejected_response(retry_after: Option<Micros>) -> Response<ClientResponseBody> {
     let mut response = plain_text(StatusCode::TOO_MANY_REQUESTS, "refused\n");
     let seconds = retry_after.and_then(|wait| HeaderValue::from_str(&format!("{:.3}", wait.secs())).ok());
     if let Some(seconds) = seconds {
--- a/src/proxy/downstream/close.rs
+++ b/src/proxy/downstream/close.rs
@@ -1,9 +1,9 @@
-//! The close of a client's connection (RFC 9112, 9.6): how it is noticed that the client has closed its side, and how the
-//! gateway closes after its last response without losing that response.
+//! Closing of client connections (RFC 9112, 9.6): detects that the client has closed its side, and closes the
+//! connection after the last response without losing that response.
 //!
-//! A socket that is closed while bytes of the peer are unread is reset, and what was not yet delivered of the last
-//! response goes with it. So the gateway first shuts down its own side alone, reads and drops what still comes for a bounded
-//! time, and only then closes (a lingering close). What is read here is never forwarded.
+//! Closing a socket while bytes from the peer are unread resets the connection, and the part of the last response that
+//! is not yet delivered is lost. The gateway therefore first shuts down its sending side only, reads and discards input
+//! for a bounded time, and then closes the socket (a lingering close). Bytes read here are never forwarded.
 
 use rustix::net::{shutdown, Shutdown};
 use std::io::ErrorKind;
@@ -12,16 +12,16 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// How long after the last response the client may take to close its side.
+/// How long the client may take to close its side after the last response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
-/// The most bytes that are read and dropped; whoever sends more is cut off.
-const MAX_DRAINED_BYTES: usize = 1 << 20;
-/// The most bytes that one call reads.
+/// Maximum number of bytes that are read and discarded; the connection of a client that sends more is reset.
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
+/// Maximum number of bytes that one read call returns.
 const READ_BUFFER_BYTES: usize = 4 * 1024;
-/// How often a connection with unread bytes is looked at; hyper reads none behind an open request.
+/// Interval between checks of a connection with unread bytes, which hyper does not read while a request is open.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Returns once the client has closed its side, also where bytes that it sent before are not read yet.
+/// Returns once the client has closed its side, even if bytes that it sent before are still unread.
 pub async fn closed_by_client(stream: &TcpStream) {
     loop {
         match stream.ready(Interest::READABLE).await {
@@ -31,22 +31,22 @@
     }
 }
 
-/// Shuts down the own side, and returns when the connection can be closed.
+/// Shuts down the sending side, and returns when the connection can be closed.
 pub async fn lingering_close(stream: &TcpStream) {
-    // A connection that is gone needs no close.
+    // If the shutdown fails, the connection no longer exists.
     if shutdown(stream, Shutdown::Write).is_ok() {
-        // Past the limit it is closed whatever still comes.
+        // After the time-out the connection is closed even if the client still sends.
         let _ = timeout(LINGER_TIMEOUT, discard_input(stream)).await;
     }
 }
 
 async fn discard_input(stream: &TcpStream) {
-    let mut piece = [0; READ_BUFFER_BYTES];
-    let mut drained = 0;
-    while drained < MAX_DRAINED_BYTES && stream.readable().await.is_ok() {
-        match stream.try_read(&mut piece) {
+    let mut buffer = [0; READ_BUFFER_BYTES];
+    let mut discarded = 0;
+    while discarded < MAX_DISCARDED_BYTES && stream.readable().await.is_ok() {
+        match stream.try_read(&mut buffer) {
             Ok(0) => return,
-            Ok(length) => drained += length,
+            Ok(length) => discarded += length,
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             Err(_) => return,
         }
--- a/src/proxy/downstream/connection.rs
+++ b/src/proxy/downstream/connection.rs
@@ -1,6 +1,6 @@
-//! One connection of a client, and the paths that clients may ask for.
+//! Serves one client connection and routes its requests by path.
 
-use super::client_response::{of_error, plain_text, ClientResponseBody};
+use super::client_response::{error_response, plain_text, ClientResponseBody};
 use super::close::{closed_by_client, lingering_close};
 use super::context::ProxyContext;
 use super::idle_connections::{IdleConnections, OpenRequestGuard};
@@ -18,19 +18,24 @@
 use tokio::net::TcpStream;
 use tracing::debug;
 
-/// Permits for connections are scarce where less than one in so many is free.
+/// Connection permits count as scarce when fewer than one in this many is available.
 const SCARCE_DIVISOR: usize = 4;
 
-/// Serves a connection to its end.
-pub async fn serve_connection(stream: TcpStream, context: Rc<ProxyContext>, idle: Rc<IdleConnections>) {
-    // Without it responses may come late, which is no reason to close. A client that is gone is noticed anyway.
+/// Serves a connection until it is closed.
+pub async fn serve_connection(
+    stream: TcpStream,
+    context: Rc<ProxyContext>,
+    idle_connections: Rc<IdleConnections>,
+) {
+    // Without TCP_NODELAY responses may be delayed, which is no reason to close the connection. If the call failed
+    // because the client has disconnected, that is detected anyway.
     if let Err(error) = stream.set_nodelay(true) {
-        debug!(%error, "a client's connection stays without TCP_NODELAY");
+        debug!(%error, "setting TCP_NODELAY on a client connection failed; serving it without");
     }
     let stream = Rc::new(stream);
-    let (connection, socket) = idle.add(stream.clone());
+    let (connection, socket) = idle_connections.add(stream.clone());
     let service = service_fn(|request| {
-        let (context, open_request) = (context.clone(), idle.open_request(&connection));
+        let (context, open_request) = (context.clone(), idle_connections.open_request(&connection));
         async move { Ok::<_, Infallible>(respond(request, &context, open_request).await) }
     });
     let serving = http1::Builder::new()
@@ -42,20 +47,20 @@
         done = serving => match done {
             Ok(()) => ConnectionCloseReason::Completed,
             Err(error) => {
-                debug!(%error, "a client's connection broke");
+                debug!(%error, "client connection failed");
                 ConnectionCloseReason::Broken
             }
         },
         () = connection.close_requested() => ConnectionCloseReason::Idle,
         () = closed_by_client(&stream) => ConnectionCloseReason::ClosedByClient,
     };
-    debug!(?reason, client = ?stream.peer_addr().ok(), "a client's connection is closed");
+    debug!(?reason, client = ?stream.peer_addr().ok(), "client connection closed");
     context.metrics.connection_closes.increment(reason);
-    let had_last_response =
+    let may_have_response_in_flight =
         matches!(reason, ConnectionCloseReason::Completed | ConnectionCloseReason::Broken);
-    // Where no response can be in flight there is nothing to guard: bytes that cross the close are left unread, and the
-    // reset tells the client that it may send them once more.
-    if had_last_response && context.permits.available() > 0 {
+    // In the other cases no response can be in flight that a reset would destroy: bytes that arrive during the close
+    // stay unread, and the reset tells the client that it may send them again.
+    if may_have_response_in_flight && context.permits.available() > 0 {
         lingering_close(&stream).await;
     }
 }
@@ -68,12 +73,12 @@
     let mut response = match request.uri().path() {
         "/_health" => health(context),
         path if path.starts_with(WRITES_PATH) => write_status(context, request.method(), path),
-        "/api" => handle(request, open_request.body_wait(), context).await.unwrap_or_else(of_error),
+        "/api" => handle(request, open_request.body_wait(), context).await.unwrap_or_else(error_response),
         _ => plain_text(StatusCode::NOT_FOUND, "no such path\n"),
     };
     response.body_mut().keep_open(open_request);
     let permits = &context.permits;
-    // Where permits are scarce a client that keeps its connection keeps another out.
+    // When permits are scarce, a client that keeps its connection open keeps another client out.
     let scarce = permits.available() * SCARCE_DIVISOR < permits.total();
     if context.lifecycle.closes_connections() || scarce {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -88,7 +93,7 @@
     }
 }
 
-/// What became of a write that a branch accepted.
+/// Returns the status of a write that a branch accepted.
 fn write_status(context: &ProxyContext, method: &Method, path: &str) -> Response<ClientResponseBody> {
     let cluster = context.cluster.as_ref().filter(|cluster| cluster.is_of_branch());
     let Some(cluster) = cluster else { return plain_text(StatusCode::NOT_FOUND, "no such path\n") };
--- a/src/proxy/downstream/connection/tests.rs
+++ b/src/proxy/downstream/connection/tests.rs
@@ -1,4 +1,4 @@
-//! A connection on a socket that takes no option of TCP's.
+//! Serves a client whose socket rejects TCP options, so that `set_nodelay` fails.
 
 use super::serve_connection;
 use crate::decision::Micros;
@@ -34,25 +34,25 @@
 }
 
 #[test]
-fn a_client_whose_connection_takes_no_option_is_served() {
+fn serves_a_client_whose_socket_rejects_tcp_options() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        // Such a pair carries bytes as TCP does, but no option of TCP's can be set on it.
-        let (ours, theirs) = UnixStream::pair().expect("a pair");
-        ours.set_nonblocking(true).expect("an option");
-        theirs.set_nonblocking(true).expect("an option");
-        let ours = std::net::TcpStream::from(OwnedFd::from(ours));
-        let stream = TcpStream::from_std(ours).expect("a stream");
-        assert!(stream.set_nodelay(true).is_err(), "else this shows nothing");
+        // A Unix socket pair carries a byte stream as TCP does, but rejects TCP options.
+        let (gateway_socket, client_socket) = UnixStream::pair().expect("a socket pair");
+        gateway_socket.set_nonblocking(true).expect("a non-blocking socket");
+        client_socket.set_nonblocking(true).expect("a non-blocking socket");
+        let gateway_socket = std::net::TcpStream::from(OwnedFd::from(gateway_socket));
+        let stream = TcpStream::from_std(gateway_socket).expect("a stream");
+        assert!(stream.set_nodelay(true).is_err(), "the socket must reject TCP_NODELAY");
         let lifecycle = Rc::new(Lifecycle::default());
         lifecycle.mark_endpoints_known();
         lifecycle.start_serving();
-        let idle = Rc::new(IdleConnections::new(lifecycle.clone()));
-        tokio::task::spawn_local(serve_connection(stream, Rc::new(context(lifecycle)), idle));
-        let mut client = tokio::net::UnixStream::from_std(theirs).expect("a stream");
-        client.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").await.expect("taken");
+        let idle_connections = Rc::new(IdleConnections::new(lifecycle.clone()));
+        tokio::task::spawn_local(serve_connection(stream, Rc::new(context(lifecycle)), idle_connections));
+        let mut client = tokio::net::UnixStream::from_std(client_socket).expect("a stream");
+        client.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").await.expect("request written");
         let mut head = [0; 12];
-        client.read_exact(&mut head).await.expect("an answer");
+        client.read_exact(&mut head).await.expect("a response");
         assert_eq!(&head, b"HTTP/1.1 200");
     });
 }
--- a/src/proxy/downstream/context.rs
+++ b/src/proxy/downstream/context.rs
@@ -1,4 +1,4 @@
-//! What all connections of clients share.
+//! State shared by all client connections.
 
 use super::request_head::RequestRules;
 use crate::decision::{Micros, RequestId};
@@ -12,38 +12,38 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Numbers the requests of this process, from 1.
+/// Generates the request ids of this process, from 1.
 #[derive(Debug, Default)]
 pub struct RequestIds(Cell<u64>);
 
 impl RequestIds {
-    /// The next number.
+    /// Returns the next id.
     pub fn next(&self) -> RequestId {
         self.0.set(self.0.get() + 1);
         RequestId(self.0.get())
     }
 }
 
-/// What all connections of clients share.
+/// State shared by all client connections.
 pub struct ProxyContext {
-    /// Events to the runtime.
+    /// Sends events to the runtime.
     pub runtime: RuntimeSender,
-    /// The decision module's clock.
+    /// Clock of the decision module.
     pub clock: Clock,
-    /// Whether the gateway serves, drains or ends.
+    /// Whether the process serves, drains or shuts down.
     pub lifecycle: Rc<Lifecycle>,
-    /// The counters for operators.
+    /// Counters for operators.
     pub metrics: Rc<Metrics>,
-    /// A permit for each connection.
+    /// Permits of client connections, one for each.
     pub permits: Rc<Permits>,
-    /// The memory for buffered messages, and for buffers.
+    /// Memory budget for buffered messages and connection buffers.
     pub memory: Rc<MemoryBudget>,
-    /// What heads of requests are checked against.
+    /// Rules that request heads are validated against.
     pub rules: RequestRules,
-    /// The numbers of requests.
+    /// Source of request ids.
     pub request_ids: RequestIds,
-    /// How long before its deadline a request has its response.
+    /// How long before its deadline a request must have its response.
     pub response_margin: Micros,
-    /// The cluster, where a ledger is kept there.
+    /// Cluster transport, if the cluster keeps a ledger.
     pub cluster: Option<Rc<ClusterTransport>>,
 }
--- a/src/proxy/downstream/dispatch.rs
+++ b/src/proxy/downstream/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatches a request to the runtime and waits for its final response.
+//! Sends a request to the runtime and waits for its final response.
 
 use super::context::ProxyContext;
 use crate::decision::{Arrival, RequestId};
@@ -7,7 +7,7 @@
 use crate::proxy::upstream::forwarded_request::ForwardedRequest;
 use tokio::sync::oneshot;
 
-/// Tells the runtime at its drop that the client has disconnected, unless the request has its response.
+/// Notifies the runtime on drop that the client has disconnected, unless the request was answered.
 pub(super) struct DisconnectGuard<'a> {
     runtime: &'a RuntimeSender,
     request: RequestId,
@@ -15,12 +15,12 @@
 }
 
 impl<'a> DisconnectGuard<'a> {
-    /// A guard for a request that is about to be sent to the runtime.
+    /// Returns a guard for a request that is about to be sent to the runtime.
     pub fn new(runtime: &'a RuntimeSender, request: RequestId) -> DisconnectGuard<'a> {
         DisconnectGuard { runtime, request, answered: false }
     }
 
-    /// The request has its response.
+    /// Marks the request as answered: dropping the guard then notifies nobody.
     pub fn set_answered(&mut self) {
         self.answered = true;
     }
@@ -34,14 +34,14 @@
     }
 }
 
-/// Takes a request with a buffered body through the runtime to its final response.
+/// Sends a request with a buffered body to the runtime and returns its final response.
 pub async fn dispatch(context: &ProxyContext, arrival: Arrival, forward: ForwardedRequest) -> FinalResponse {
     let id = context.request_ids.next();
-    dispatch_as(id, context, arrival, forward).await
+    dispatch_with_id(id, context, arrival, forward).await
 }
 
-/// The same, for a request that has its number.
-pub(super) async fn dispatch_as(
+/// Does the work of [`dispatch`] for a request that already has its id.
+pub(super) async fn dispatch_with_id(
     id: RequestId,
     context: &ProxyContext,
     arrival: Arrival,
@@ -51,7 +51,7 @@
     let request = NewRequest { arrival: Arrival { id, ..arrival }, forward, reply };
     let mut guard = DisconnectGuard::new(&context.runtime, id);
     let mut lifecycle = context.lifecycle.subscribe();
-    // Without a runtime the reply's sender is gone with the request.
+    // If the runtime has ended, `reply` is dropped with the request, and waiting for the response fails.
     let _ = context.runtime.send(RuntimeEvent::RequestReceived(Box::new(request))).await;
     tokio::select! {
         biased;
@@ -59,7 +59,7 @@
             guard.set_answered();
             response.unwrap_or(FinalResponse::Failed)
         }
-        // To the runtime it is as if the client had disconnected.
+        // The guard then reports to the runtime that the client disconnected.
         _ = lifecycle.wait_for(|state| state.shutdown == ShutdownPhase::Final) => FinalResponse::Failed,
     }
 }
--- a/src/proxy/downstream/idle_connections.rs
+++ b/src/proxy/downstream/idle_connections.rs
@@ -1,5 +1,5 @@
-//! The connections of clients on which no request is open: how long each may stay so, and which is closed first when
-//! permits are scarce.
+//! Client connections without an open request: how long each may stay open, and which is closed first when permits are
+//! scarce.
 
 use crate::proxy::lifecycle::drain::Lifecycle;
 use crate::proxy::tcp_io;
@@ -17,173 +17,191 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// A head must have come within this, from its first byte, or on a new connection from the accept. Clients may
-/// take 2 s; a connection that sends half a request is owed an end within 3 s of connecting.
+/// Time-out for a complete request head, from its first byte, or from the accept on a new connection. Clients may take
+/// 2 s; a connection that sends only part of a request must be closed within 3 s of connecting.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2300);
-/// A body that is not there with its head may keep the gateway waiting for what is left of that time, and at the least
-/// for this: a request may be written in 2 s, wherever its head ends.
+/// A body that does not arrive with its head may keep the gateway waiting for the rest of `HEAD_TIMEOUT`, and at least
+/// for this time, because a client may take 2 s to write a request, wherever the head ends in that time.
 const MIN_BODY_WAIT: Duration = Duration::from_millis(500);
-/// A client that reads nothing of its response for so long is taken for dead.
-const STALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often connections whose time is up are looked for.
+/// A client that reads nothing of its response for this long is considered gone.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between checks for connections whose time-out has expired.
 pub const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// Where permits are scarce a new connection without a byte is closed first, if it has been silent for this.
-const MIN_SILENT: Duration = Duration::from_millis(50);
-/// Then a head that has not gone on for this; clients write theirs in pieces.
-const MIN_STOPPED: Duration = Duration::from_millis(600);
-/// Then an idle one.
-const MIN_IDLE: Duration = Duration::from_millis(50);
+/// When permits are scarce, new connections that have sent nothing for at least this long are closed first.
+const MIN_NEW_INACTIVITY: Duration = Duration::from_millis(50);
+/// Connections whose head is incomplete and made no progress for at least this long are closed next. The limit is long
+/// because clients write their heads in pieces.
+const MIN_HEAD_INACTIVITY: Duration = Duration::from_millis(600);
+/// Connections that have been idle between requests for at least this long are closed last.
+const MIN_IDLE_INACTIVITY: Duration = Duration::from_millis(50);
 
 /// What a connection is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// New, and nothing has come.
-    Silent,
-    /// Part of a head has come.
-    Head,
-    /// A request is open.
-    Busy,
+    /// New connection on which nothing was received yet.
+    New,
+    /// Part of a request head was received.
+    ReadingHead,
+    /// A request is open: its `OpenRequestGuard` exists.
+    RequestOpen,
     /// Between two requests.
     Idle,
-    /// Closed.
-    Gone,
+    /// The socket is closed.
+    Closed,
 }
 
 /// One connection of a client.
 pub struct ClientConnection {
     id: u64,
     phase: Cell<Phase>,
-    /// When anything last came or the phase began.
-    quiet_since: Cell<Instant>,
-    /// When its head must have come.
-    head_due: Cell<Instant>,
-    /// Something of a response is not written yet.
-    unwritten: Cell<bool>,
-    /// It is to be closed, unless something comes first.
-    closing: Cell<bool>,
-    close: Notify,
+    /// When the phase began or, while a head is read, when bytes last arrived.
+    last_activity: Cell<Instant>,
+    /// When the request head must be complete.
+    head_deadline: Cell<Instant>,
+    /// Whether part of a response is not written yet.
+    has_unwritten_bytes: Cell<bool>,
+    /// Whether the connection is to be closed, unless bytes arrive first.
+    should_close: Cell<bool>,
+    close_notify: Notify,
 }
 
 impl ClientConnection {
     /// Returns when the connection is to be closed.
     pub async fn close_requested(&self) {
-        // Guards against closing one on which a request came in between.
-        while !self.closing.get() {
-            self.close.notified().await;
+        // Guards against closing a connection on which a request arrived after the notification.
+        while !self.should_close.get() {
+            self.close_notify.notified().await;
         }
     }
-    fn close_soon(&self) {
-        self.closing.set(true);
-        self.close.notify_one();
+    fn request_close(&self) {
+        self.should_close.set(true);
+        self.close_notify.notify_one();
     }
     fn key(&self) -> (Instant, u64) {
-        (self.quiet_since.get(), self.id)
+        (self.last_activity.get(), self.id)
     }
 }
 
-type ByQuietTime = BTreeMap<(Instant, u64), Rc<ClientConnection>>;
+type ByLastActivity = BTreeMap<(Instant, u64), Rc<ClientConnection>>;
 
-/// All connections without an open request, those that were quiet for longest first.
+/// All connections without an open request, by phase, the longest inactive first.
 pub struct IdleConnections {
     lifecycle: Rc<Lifecycle>,
-    last: Cell<u64>,
-    silent: RefCell<ByQuietTime>,
-    heads: RefCell<ByQuietTime>,
-    idle: RefCell<ByQuietTime>,
+    last_id: Cell<u64>,
+    new_connections: RefCell<ByLastActivity>,
+    reading_head: RefCell<ByLastActivity>,
+    idle: RefCell<ByLastActivity>,
 }
 
 impl IdleConnections {
-    /// No connection yet.
+    /// Returns a registry without connections.
     pub fn new(lifecycle: Rc<Lifecycle>) -> IdleConnections {
-        let (silent, heads, idle) = Default::default();
-        IdleConnections { lifecycle, last: Cell::new(0), silent, heads, idle }
+        let (new_connections, reading_head, idle) = Default::default();
+        IdleConnections { lifecycle, last_id: Cell::new(0), new_connections, reading_head, idle }
     }
 
     /// Adds a connection that was accepted.
-    pub fn add(self: &Rc<IdleConnections>, stream: Rc<TcpStream>) -> (Rc<ClientConnection>, Socket) {
+    pub fn add(self: &Rc<IdleConnections>, stream: Rc<TcpStream>) -> (Rc<ClientConnection>, ClientSocket) {
         let now = Instant::now();
-        self.last.set(self.last.get() + 1);
+        self.last_id.set(self.last_id.get() + 1);
         let connection = Rc::new(ClientConnection {
-            id: self.last.get(),
-            phase: Cell::new(Phase::Silent),
-            quiet_since: Cell::new(now),
-            head_due: Cell::new(now + HEAD_TIMEOUT),
-            unwritten: Cell::new(false),
-            closing: Cell::new(false),
-            close: Notify::new(),
+            id: self.last_id.get(),
+            phase: Cell::new(Phase::New),
+            last_activity: Cell::new(now),
+            head_deadline: Cell::new(now + HEAD_TIMEOUT),
+            has_unwritten_bytes: Cell::new(false),
+            should_close: Cell::new(false),
+            close_notify: Notify::new(),
         });
-        self.silent.borrow_mut().insert(connection.key(), connection.clone());
-        let socket = Socket { stream, connection: connection.clone(), registry: self.clone(), stall: None };
+        self.new_connections.borrow_mut().insert(connection.key(), connection.clone());
+        let socket = ClientSocket {
+            stream,
+            connection: connection.clone(),
+            registry: self.clone(),
+            write_stall_timer: None,
+        };
         (connection, socket)
     }
 
-    fn in_phase(&self, phase: Phase) -> Option<&RefCell<ByQuietTime>> {
+    fn connections_in(&self, phase: Phase) -> Option<&RefCell<ByLastActivity>> {
         match phase {
-            Phase::Silent => Some(&self.silent),
-            Phase::Head => Some(&self.heads),
+            Phase::New => Some(&self.new_connections),
+            Phase::ReadingHead => Some(&self.reading_head),
             Phase::Idle => Some(&self.idle),
-            Phase::Busy | Phase::Gone => None,
+            Phase::RequestOpen | Phase::Closed => None,
         }
     }
 
-    fn set_phase(&self, connection: &Rc<ClientConnection>, to: Phase) {
-        if let Some(old) = self.in_phase(connection.phase.get()) {
+    fn set_phase(&self, connection: &Rc<ClientConnection>, phase: Phase) {
+        if let Some(old) = self.connections_in(connection.phase.get()) {
             old.borrow_mut().remove(&connection.key());
         }
-        if connection.phase.get() == Phase::Gone {
+        if connection.phase.get() == Phase::Closed {
             return;
         }
-        connection.quiet_since.set(Instant::now());
-        connection.phase.set(to);
-        connection.closing.set(false);
-        if let Some(new) = self.in_phase(to) {
+        connection.last_activity.set(Instant::now());
+        connection.phase.set(phase);
+        connection.should_close.set(false);
+        if let Some(new) = self.connections_in(phase) {
             new.borrow_mut().insert(connection.key(), connection.clone());
         }
     }
 
-    /// Bytes came on a connection.
+    /// Called when bytes arrived on a connection.
     fn received(&self, connection: &Rc<ClientConnection>) {
         match connection.phase.get() {
-            Phase::Busy | Phase::Gone => {}
+            Phase::RequestOpen | Phase::Closed => {}
             Phase::Idle => {
-                connection.head_due.set(Instant::now() + HEAD_TIMEOUT);
-                self.set_phase(connection, Phase::Head);
+                connection.head_deadline.set(Instant::now() + HEAD_TIMEOUT);
+                self.set_phase(connection, Phase::ReadingHead);
             }
-            Phase::Silent | Phase::Head => self.set_phase(connection, Phase::Head),
+            Phase::New | Phase::ReadingHead => self.set_phase(connection, Phase::ReadingHead),
         }
     }
 
-    /// The head of a request is complete; the connection is busy until the guard is dropped.
+    /// Called when the head of a request is complete. The request is open until the guard is dropped.
     pub fn open_request(self: &Rc<IdleConnections>, connection: &Rc<ClientConnection>) -> OpenRequestGuard {
         if connection.phase.get() == Phase::Idle {
-            // Its head had come behind the request before.
-            connection.head_due.set(Instant::now() + HEAD_TIMEOUT);
+            // The head arrived together with the previous request and was already in hyper's buffer.
+            connection.head_deadline.set(Instant::now() + HEAD_TIMEOUT);
         }
-        self.set_phase(connection, Phase::Busy);
+        self.set_phase(connection, Phase::RequestOpen);
         OpenRequestGuard { registry: self.clone(), connection: connection.clone() }
     }
 
-    /// Closes the connections whose time is up.
+    /// Closes the connections whose time-out has expired.
     pub fn sweep(&self) {
-        let (now, longest) = (Instant::now(), self.lifecycle.idle_timeout());
-        for heads in [&self.silent, &self.heads] {
-            heads.borrow().values().filter(|p| now >= p.head_due.get()).for_each(|p| p.close_soon());
+        let (now, idle_timeout) = (Instant::now(), self.lifecycle.idle_timeout());
+        for connections in [&self.new_connections, &self.reading_head] {
+            connections
+                .borrow()
+                .values()
+                .filter(|connection| now >= connection.head_deadline.get())
+                .for_each(|connection| connection.request_close());
         }
         let idle = self.idle.borrow();
-        let over = idle.values().take_while(|p| now >= p.quiet_since.get() + longest);
-        over.filter(|p| !p.unwritten.get()).for_each(|p| p.close_soon());
+        let expired =
+            idle.values().take_while(|connection| now >= connection.last_activity.get() + idle_timeout);
+        expired
+            .filter(|connection| !connection.has_unwritten_bytes.get())
+            .for_each(|connection| connection.request_close());
     }
 
-    /// Closes one connection that has been quiet for long, if there is one.
-    pub fn make_room(&self) {
+    /// Closes one connection that has been inactive for long enough, if there is any. New connections come first, then
+    /// those with an incomplete head, then idle ones; in each group, the longest inactive comes first.
+    pub fn evict_one(&self) {
         let now = Instant::now();
-        let ranks = [(&self.silent, MIN_SILENT), (&self.heads, MIN_STOPPED), (&self.idle, MIN_IDLE)];
-        for (quiet, least) in ranks {
-            let mut quiet = quiet.borrow_mut();
-            if quiet.first_key_value().is_some_and(|(&(since, _), _)| now >= since + least) {
-                // Out of the list, so that the next call finds another.
-                if let Some((_, connection)) = quiet.pop_first() {
-                    connection.close_soon();
+        let eviction_order = [
+            (&self.new_connections, MIN_NEW_INACTIVITY),
+            (&self.reading_head, MIN_HEAD_INACTIVITY),
+            (&self.idle, MIN_IDLE_INACTIVITY),
+        ];
+        for (connections, min_inactivity) in eviction_order {
+            let mut connections = connections.borrow_mut();
+            if connections.first_key_value().is_some_and(|(&(since, _), _)| now >= since + min_inactivity) {
+                // Removed from the list, so that the next call finds another connection.
+                if let Some((_, connection)) = connections.pop_first() {
+                    connection.request_close();
                 }
                 return;
             }
@@ -198,10 +216,10 @@
 }
 
 impl OpenRequestGuard {
-    /// For how long the request's body may keep the gateway waiting, beside what its length allows.
+    /// Returns how long the gateway waits for the request's body, in addition to the time that its length allows.
     pub fn body_wait(&self) -> Duration {
-        let left = self.connection.head_due.get().saturating_duration_since(Instant::now());
-        left.max(MIN_BODY_WAIT)
+        let remaining = self.connection.head_deadline.get().saturating_duration_since(Instant::now());
+        remaining.max(MIN_BODY_WAIT)
     }
 }
 
@@ -211,37 +229,38 @@
     }
 }
 
-/// A client's socket, which notes what it carries.
-pub struct Socket {
+/// Socket of a client that records reads and writes for its connection.
+pub struct ClientSocket {
     stream: Rc<TcpStream>,
     connection: Rc<ClientConnection>,
     registry: Rc<IdleConnections>,
-    /// Runs while the client reads nothing.
-    stall: Option<Pin<Box<Sleep>>>,
+    /// Runs while a write waits because the client reads nothing.
+    write_stall_timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Socket {
-    fn wrote(&mut self, done: Poll<io::Result<usize>>, cx: &mut Context) -> Poll<io::Result<usize>> {
-        self.connection.unwritten.set(true);
-        if done.is_ready() {
-            self.stall = None;
-            return done;
+impl ClientSocket {
+    fn after_write(&mut self, result: Poll<io::Result<usize>>, cx: &mut Context) -> Poll<io::Result<usize>> {
+        self.connection.has_unwritten_bytes.set(true);
+        if result.is_ready() {
+            self.write_stall_timer = None;
+            return result;
         }
-        let stall = self.stall.get_or_insert_with(|| Box::pin(sleep(STALL_TIMEOUT)));
-        match stall.as_mut().poll(cx) {
+        let write_stall_timer =
+            self.write_stall_timer.get_or_insert_with(|| Box::pin(sleep(WRITE_STALL_TIMEOUT)));
+        match write_stall_timer.as_mut().poll(cx) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
         }
     }
 }
 
-impl Drop for Socket {
+impl Drop for ClientSocket {
     fn drop(&mut self) {
-        self.registry.set_phase(&self.connection, Phase::Gone);
+        self.registry.set_phase(&self.connection, Phase::Closed);
     }
 }
 
-impl AsyncRead for Socket {
+impl AsyncRead for ClientSocket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let done = ready!(tcp_io::poll_read(&self.stream, cx, buf));
         if matches!(done, Ok(length) if length > 0) {
@@ -251,10 +270,10 @@
     }
 }
 
-impl AsyncWrite for Socket {
+impl AsyncWrite for ClientSocket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         let done = tcp_io::poll_write(&self.stream, cx, buf);
-        self.wrote(done, cx)
+        self.after_write(done, cx)
     }
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
@@ -262,14 +281,14 @@
         bufs: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
         let done = tcp_io::poll_write_vectored(&self.stream, cx, bufs);
-        self.wrote(done, cx)
+        self.after_write(done, cx)
     }
     fn is_write_vectored(&self) -> bool {
         true
     }
-    /// hyper flushes when all that was to be written is.
+    /// hyper flushes once its write buffer is empty.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        self.connection.unwritten.set(false);
+        self.connection.has_unwritten_bytes.set(false);
         Poll::Ready(Ok(()))
     }
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
--- a/src/proxy/downstream/mod.rs
+++ b/src/proxy/downstream/mod.rs
@@ -1,7 +1,8 @@
-//! Clients: their connections, requests, bodies and responses.
+//! The client side of the proxy: connections, requests, bodies and responses.
 //!
-//! [`server`] accepts connections and [`connection`] serves one; [`request`] takes a request from its head
-//! ([`request_head`]) and body ([`request_body`]) through [`dispatch`] to its response ([`client_response`]).
+//! [`server`] accepts connections and [`connection`] serves each of them. [`request`] handles one request: it parses
+//! the head ([`request_head`]), reads the body ([`request_body`]), sends the request to the runtime ([`dispatch`]) and
+//! returns the response ([`client_response`]).
 
 pub(crate) mod accept;
 pub(crate) mod client_response;
--- a/src/proxy/downstream/request.rs
+++ b/src/proxy/downstream/request.rs
@@ -1,11 +1,11 @@
-//! One request of a client's, from its head to its response. A write may be accepted by the write queue of a branch that is
-//! cut off; a request with an idempotency key goes through the ledger where one is kept; any other is dispatched at once.
+//! Handles one client request from its head to its response. The write queue of a branch that is cut off may accept a
+//! write; a request with an idempotency key goes through the ledger if there is one; any other is dispatched at once.
 
-use super::client_response::{of_final, plain_text, ClientResponseBody};
+use super::client_response::{final_response, plain_text, ClientResponseBody};
 use super::context::ProxyContext;
-use super::dispatch::{dispatch_as, DisconnectGuard};
+use super::dispatch::{dispatch_with_id, DisconnectGuard};
 use super::request_body::{
-    slowest_transfer, BodyError, RequestBodyReader, RequestBodyResult, StreamedRequestBody,
+    max_transfer_time, BodyError, RequestBodyReader, RequestBodyResult, StreamedRequestBody,
     MAX_REQUEST_BODY_BYTES,
 };
 use super::request_error::RequestError;
@@ -31,60 +31,66 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, OwnedSemaphorePermit};
 
-/// Where clients ask what became of writes that a branch accepted.
+/// Path prefix under which clients query the status of writes that a branch accepted.
 pub const WRITES_PATH: &str = "/writes/";
 
-/// A body as far as it has been read.
+/// Body of a request, as far as it has been read.
 enum ReceivedBody {
-    /// All of it.
+    /// Complete body.
     Buffered(Bytes),
-    /// The rest is passed on as it comes.
+    /// Body whose rest is passed on as it arrives, and the receiver of its result.
     Streamed(Box<StreamedRequestBody>, oneshot::Receiver<RequestBodyResult>),
 }
 
-/// A body, and the memory that is reserved for what was read of it.
-struct Received {
+/// Body of a request, and the memory reserved for the part that was read.
+struct BodyWithMemory {
     body: ReceivedBody,
     memory: Option<OwnedSemaphorePermit>,
 }
 
-impl Received {
-    fn streamed(read: Bytes, rest: RequestBodyReader, memory: Option<OwnedSemaphorePermit>) -> Received {
+impl BodyWithMemory {
+    fn streamed(
+        read: Bytes,
+        rest: RequestBodyReader,
+        memory: Option<OwnedSemaphorePermit>,
+    ) -> BodyWithMemory {
         let (body, end) = StreamedRequestBody::new(read, rest);
-        Received { body: ReceivedBody::Streamed(Box::new(body), end), memory }
+        BodyWithMemory { body: ReceivedBody::Streamed(Box::new(body), end), memory }
     }
 }
 
-/// Reads a short body to its end, if there is memory for it, and nothing of any other.
+/// Reads a short body to its end, if there is memory for it. Any other is streamed: a body of known length without
+/// reading any of it, a body of unknown length once it has turned out not to be short, or at its first bytes if there
+/// is no memory.
 async fn receive_body(
     body: Incoming,
     wait: Duration,
     memory: &MemoryBudget,
-) -> Result<Received, RequestError> {
+) -> Result<BodyWithMemory, RequestError> {
     let mut reader = RequestBodyReader::new(body, wait);
-    let length = reader.announced_length();
+    let length = reader.declared_length();
     if length.is_some_and(|length| length > MAX_REQUEST_BODY_BYTES) {
         return Err(BodyError::TooLong.into());
     }
     let reserved = length.unwrap_or(MAX_BUFFERED_BODY_BYTES);
     let memory = if reserved <= MAX_BUFFERED_BODY_BYTES { memory.hold(reserved) } else { None };
     if memory.is_none() && length.is_some() {
-        return Ok(Received::streamed(Bytes::new(), reader, None));
+        return Ok(BodyWithMemory::streamed(Bytes::new(), reader, None));
     }
     let limit = if memory.is_some() { MAX_BUFFERED_BODY_BYTES } else { 0 };
-    let gathered = reader.gather(limit).await?;
-    if gathered.complete {
-        return Ok(Received { body: ReceivedBody::Buffered(gathered.bytes), memory });
+    let collected = reader.collect_up_to(limit).await?;
+    if collected.complete {
+        return Ok(BodyWithMemory { body: ReceivedBody::Buffered(collected.bytes), memory });
     }
-    Ok(Received::streamed(gathered.bytes, reader, memory))
+    Ok(BodyWithMemory::streamed(collected.bytes, reader, memory))
 }
 
-/// Takes a request to its response. Beside what the length of its body allows, the client may keep the gateway waiting for
-/// the body's end for as long as `body_wait`.
+/// Handles a request and returns its response. The client may keep the gateway waiting for the end of the body for
+/// `body_wait`, in addition to the time that the length of the body allows.
 ///
 /// # Errors
 ///
-/// What is wrong with the request.
+/// Returns why the request is invalid, or why its body was not received.
 pub async fn handle(
     request: Request<Incoming>,
     body_wait: Duration,
@@ -93,14 +99,14 @@
     let (parts, incoming) = request.into_parts();
     let head = RequestHead::read(&parts.method, parts.uri.query(), &parts.headers, &context.rules)?;
     let received = receive_body(incoming, body_wait, &context.memory).await?;
-    // Held until the response is there.
+    // Keeps the memory reserved until the response is available.
     let _memory = received.memory;
     let id = context.request_ids.next();
-    // The request's time runs from its last byte.
+    // The time budget of a request starts with its last byte.
     let deadline = context.clock.now() + head.budget;
     let mut headers = parts.headers;
     strip_hop_by_hop(&mut headers);
-    // A client may name the whole address; a backend is asked for the path.
+    // A client may send an absolute URI; a backend gets only path and query.
     let path = parts.uri.into_parts().path_and_query;
     let uri = path.map_or_else(|| Uri::from_static("/"), Uri::from);
     let request = ClientRequest { context, id, head, method: parts.method, uri, headers, deadline };
@@ -110,7 +116,7 @@
     }
 }
 
-/// A request whose head is in order.
+/// A client request whose head is valid.
 struct ClientRequest<'a> {
     context: &'a ProxyContext,
     id: RequestId,
@@ -134,28 +140,28 @@
         if let Some(cluster) = &self.context.cluster {
             if self.method == Method::POST {
                 if let Some(write) = self.accept_write(cluster, &body).await {
-                    return Ok(accepted(write, in_flight));
+                    return Ok(accepted_response(write, in_flight));
                 }
             }
             if let Some(key) = self.head.idempotency_key {
                 let response = self.serve_recorded(cluster, key, &body).await?;
-                return Ok(of_final(response, in_flight));
+                return Ok(final_response(response, in_flight));
             }
         }
         let arrival = Arrival { deadline: self.deadline, ..self.head.arrival };
         let payload = RequestPayload::Buffered(body);
         let forward = ForwardedRequest::new(self.method, self.uri, self.headers, payload);
-        let response = dispatch_as(self.id, self.context, arrival, forward).await;
-        Ok(of_final(response, in_flight))
+        let response = dispatch_with_id(self.id, self.context, arrival, forward).await;
+        Ok(final_response(response, in_flight))
     }
 
-    /// Offers a write to the write queue of a branch.
+    /// Offers a write to the write queue of a branch. Returns the dot of the write if the queue accepts it.
     async fn accept_write(&self, cluster: &Rc<ClusterTransport>, body: &Bytes) -> Option<Dot> {
         let class = self.context.rules.class_name(self.head.arrival.class);
         accept_write(cluster, &self.head, class, &self.uri, &self.headers, body).await
     }
 
-    /// Takes the request through the ledger.
+    /// Serves the request through the ledger.
     async fn serve_recorded(
         &self,
         cluster: &Rc<ClusterTransport>,
@@ -175,7 +181,7 @@
         serve_recorded(self.context, cluster, &record, arrival, forward).await
     }
 
-    /// Dispatches a request whose body is still coming.
+    /// Dispatches a request whose body is still arriving.
     async fn handle_streamed(
         self,
         body: Box<StreamedRequestBody>,
@@ -187,30 +193,31 @@
         }
         let ClientRequest { context, id, head, method, uri, headers, deadline } = self;
         let class = head.arrival.class;
-        // Until its last byte comes: as late as the slowest client's.
-        let longest = slowest_transfer(body_wait, MAX_REQUEST_BODY_BYTES);
-        let deadline = deadline + Micros(longest.as_micros() as u64);
+        // Until the last byte arrives, the deadline allows for the slowest client.
+        let max_body_time = max_transfer_time(body_wait, MAX_REQUEST_BODY_BYTES);
+        let deadline = deadline + Micros(max_body_time.as_micros() as u64);
         let payload = RequestPayload::Streamed(RefCell::new(Some(body)));
         let forward = ForwardedRequest::new(method, uri, headers, payload);
         let arrival = Arrival { id, deadline, streaming_body: true, ..head.arrival };
         let streamed = StreamedRequest { context, id, budget: head.budget, body_end: Some(body_end) };
         let (response, in_flight) = streamed.dispatch(arrival, forward).await?;
         let in_flight = in_flight.unwrap_or_else(|| context.metrics.request_received(class));
-        Ok(of_final(response, in_flight))
+        Ok(final_response(response, in_flight))
     }
 }
 
-/// A request whose body is passed on as it comes.
+/// A request whose body is passed on as it arrives.
 struct StreamedRequest<'a> {
     context: &'a ProxyContext,
     id: RequestId,
     budget: Micros,
-    /// Until the body has ended, one way or another.
+    /// Receiver of the result of the body. `None` once the result is known.
     body_end: Option<oneshot::Receiver<RequestBodyResult>>,
 }
 
 impl StreamedRequest<'_> {
-    /// Takes the request through the runtime. It counts as in flight from its last byte.
+    /// Sends the request to the runtime and returns its final response. The request counts as in flight from its last
+    /// byte.
     async fn dispatch(
         mut self,
         arrival: Arrival,
@@ -223,7 +230,7 @@
         let request = NewRequest { arrival, forward, reply };
         let mut guard = DisconnectGuard::new(&context.runtime, self.id);
         let mut lifecycle = context.lifecycle.subscribe();
-        // Without a runtime the reply's sender is gone with the request.
+        // If the runtime has ended, `reply` is dropped with the request, and waiting for the response fails.
         let _ = context.runtime.send(RuntimeEvent::RequestReceived(Box::new(request))).await;
         let response = loop {
             tokio::select! {
@@ -232,20 +239,20 @@
                     guard.set_answered();
                     break response.unwrap_or(FinalResponse::Failed);
                 }
-                end = body_end(&mut self.body_end) => {
+                result = wait_for_body_end(&mut self.body_end) => {
                     self.body_end = None;
-                    if is_complete(end)? {
+                    if is_complete(result)? {
                         in_flight = Some(context.metrics.request_received(class));
                         self.notify_body_end().await;
                     }
                 }
-                // To the runtime it is as if the client had disconnected.
+                // The guard then reports to the runtime that the client disconnected.
                 _ = lifecycle.wait_for(|state| state.shutdown == ShutdownPhase::Final) => {
                     break FinalResponse::Failed;
                 }
             }
         };
-        // A client that is answered early may still send the rest of its body, and then reads the response.
+        // A client that is answered early may send the rest of its body before it reads the response.
         if let Some(Ok(RequestBodyResult::Unread(rest))) = self.body_end.as_mut().map(|end| end.try_recv()) {
             tokio::task::spawn_local(rest.discard());
         }
@@ -255,13 +262,13 @@
     async fn notify_body_end(&self) {
         let deadline = self.context.clock.now() + self.budget;
         let event = RuntimeEvent::RequestBodyEnded { request: self.id, deadline };
-        // Without a runtime the gateway ends.
+        // If the runtime has ended, the process is exiting.
         let _ = self.context.runtime.send(event).await;
     }
 }
 
-/// Waits for the end of a body; for ever where it has ended.
-async fn body_end(
+/// Waits for the result of a body. Never returns if the result was already received.
+async fn wait_for_body_end(
     end: &mut Option<oneshot::Receiver<RequestBodyResult>>,
 ) -> Result<RequestBodyResult, oneshot::error::RecvError> {
     match end {
@@ -270,9 +277,9 @@
     }
 }
 
-/// Whether a body has come to its last byte. What nobody reads any more is read here and dropped.
-fn is_complete(end: Result<RequestBodyResult, oneshot::error::RecvError>) -> Result<bool, RequestError> {
-    match end {
+/// Returns whether a body was received completely. If nothing reads the rest any more, a task reads and discards it.
+fn is_complete(result: Result<RequestBodyResult, oneshot::error::RecvError>) -> Result<bool, RequestError> {
+    match result {
         Ok(RequestBodyResult::Complete) => Ok(true),
         Ok(RequestBodyResult::Broken(error)) => Err(error.into()),
         Ok(RequestBodyResult::Unread(rest)) => {
@@ -283,8 +290,8 @@
     }
 }
 
-/// The response to a write that a branch's write queue accepted.
-fn accepted(write: Dot, mut in_flight: InFlightRequest) -> Response<ClientResponseBody> {
+/// Returns the response to a write that the write queue of a branch accepted.
+fn accepted_response(write: Dot, mut in_flight: InFlightRequest) -> Response<ClientResponseBody> {
     let mut response = plain_text(StatusCode::ACCEPTED, "accepted\n");
     if let Ok(location) = HeaderValue::from_str(&format!("{WRITES_PATH}{write}")) {
         response.headers_mut().insert(header::LOCATION, location);
--- a/src/proxy/downstream/request_body.rs
+++ b/src/proxy/downstream/request_body.rs
@@ -1,5 +1,6 @@
-//! Bodies of clients' requests: read at the pace that clients are promised, buffered while they are short, streamed to the
-//! backend where they are not. Also the body of an outbound call, which may be such a stream.
+//! Bodies of client requests: buffered if they are short, otherwise streamed to the backend, and an error if they
+//! arrive more slowly than clients may send. [`OutboundBody`] is the body of an outbound call, which may be such a
+//! stream.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::Full;
@@ -14,163 +15,167 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// The longest body that a client may send, in bytes.
+/// Longest body that a client may send, in bytes.
 pub const MAX_REQUEST_BODY_BYTES: usize = 32 << 20;
-/// How long one byte of a body may take, in nanoseconds: 64 kB a second with a fifth to spare.
+/// Time allowed for each byte of a body, in nanoseconds: a rate one fifth below the 64 kB/s that clients may rely on.
 const NANOS_PER_BYTE: u64 = 19_500;
 
-/// Why a body does not come to its end.
+/// Why a body was not received completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// It is longer than any may be.
-    #[error("the body is longer than {MAX_REQUEST_BODY_BYTES} bytes")]
+    /// The body is longer than `MAX_REQUEST_BODY_BYTES`.
+    #[error("request body is longer than {MAX_REQUEST_BODY_BYTES} bytes")]
     TooLong,
-    /// It comes too slowly.
-    #[error("the body comes too slowly")]
+    /// The body arrives more slowly than clients may send.
+    #[error("request body arrives too slowly")]
     TooSlow,
-    /// It broke off, or is malformed.
-    #[error("the body broke off")]
+    /// The connection ended before the body, or the body is malformed.
+    #[error("request body ended early or is malformed")]
     Broken,
 }
 
-/// How long the slowest client takes for so many bytes, where it may keep the gateway waiting for `wait` besides.
-pub fn slowest_transfer(wait: Duration, bytes: usize) -> Duration {
-    wait + Duration::from_nanos(bytes as u64 * NANOS_PER_BYTE)
+/// Returns the longest time that a client may take to send `bytes` bytes, with `extra_wait` on top of the time for the
+/// bytes.
+pub fn max_transfer_time(extra_wait: Duration, bytes: usize) -> Duration {
+    extra_wait + Duration::from_nanos(bytes as u64 * NANOS_PER_BYTE)
 }
 
-/// Reads a client's body as it comes.
+/// Reads the body of a client's request as it arrives.
 pub struct RequestBodyReader {
     body: Incoming,
-    received: usize,
-    /// How long it may be waited for, beside what its bytes take.
-    wait: Duration,
-    /// How long it was waited for, before the present wait.
-    waited: Duration,
+    received_bytes: usize,
+    /// Waiting time allowed in addition to the time for the bytes received.
+    extra_wait: Duration,
+    /// Time spent waiting for the client so far, not counting the current wait.
+    time_waited: Duration,
     waiting_since: Option<Instant>,
     timer: Pin<Box<Sleep>>,
 }
 
 impl RequestBodyReader {
-    /// Nothing has been read.
-    pub fn new(body: Incoming, wait: Duration) -> RequestBodyReader {
-        let (waited, timer) = (Duration::ZERO, Box::pin(sleep(Duration::ZERO)));
-        RequestBodyReader { body, received: 0, wait, waited, waiting_since: None, timer }
+    /// Returns a reader that has read nothing yet.
+    pub fn new(body: Incoming, extra_wait: Duration) -> RequestBodyReader {
+        let (time_waited, timer) = (Duration::ZERO, Box::pin(sleep(Duration::ZERO)));
+        RequestBodyReader { body, received_bytes: 0, extra_wait, time_waited, waiting_since: None, timer }
     }
 
-    /// Its length in bytes, if the client has said.
-    pub fn announced_length(&self) -> Option<usize> {
+    /// Returns the length in bytes, if the client declared it.
+    pub fn declared_length(&self) -> Option<usize> {
         self.body.size_hint().exact().map(|n| usize::try_from(n).unwrap_or(usize::MAX))
     }
 
-    /// The next piece. Only time in which the client keeps the gateway waiting counts.
-    fn poll_piece(&mut self, cx: &mut Context) -> Poll<Option<Result<Bytes, BodyError>>> {
+    /// Polls for the next chunk that is not empty. Only the time in which the gateway waits for the client counts.
+    fn poll_chunk(&mut self, cx: &mut Context) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             let Poll::Ready(frame) = Pin::new(&mut self.body).poll_frame(cx) else {
                 let since = *self.waiting_since.get_or_insert_with(Instant::now);
-                let due = since + slowest_transfer(self.wait, self.received).saturating_sub(self.waited);
+                let due = since
+                    + max_transfer_time(self.extra_wait, self.received_bytes)
+                        .saturating_sub(self.time_waited);
                 if self.timer.deadline() != due {
                     self.timer.as_mut().reset(due);
                 }
                 ready!(self.timer.as_mut().poll(cx));
                 return Poll::Ready(Some(Err(BodyError::TooSlow)));
             };
-            self.waited += self.waiting_since.take().map_or(Duration::ZERO, |since| since.elapsed());
+            self.time_waited += self.waiting_since.take().map_or(Duration::ZERO, |since| since.elapsed());
             let Some(frame) = frame else { return Poll::Ready(None) };
-            // Trailers hold for the client's connection alone.
-            let Ok(piece) = frame.map(|f| f.into_data().ok()).map(Option::unwrap_or_default) else {
+            // Trailers apply to the client's connection only and are dropped.
+            let Ok(chunk) = frame.map(|f| f.into_data().ok()).map(Option::unwrap_or_default) else {
                 return Poll::Ready(Some(Err(BodyError::Broken)));
             };
-            self.received += piece.len();
-            if self.received > MAX_REQUEST_BODY_BYTES {
+            self.received_bytes += chunk.len();
+            if self.received_bytes > MAX_REQUEST_BODY_BYTES {
                 return Poll::Ready(Some(Err(BodyError::TooLong)));
             }
-            if !piece.is_empty() {
-                return Poll::Ready(Some(Ok(piece)));
+            if !chunk.is_empty() {
+                return Poll::Ready(Some(Ok(chunk)));
             }
         }
     }
 
-    async fn piece(&mut self) -> Option<Result<Bytes, BodyError>> {
-        std::future::poll_fn(|cx| self.poll_piece(cx)).await
+    async fn next_chunk(&mut self) -> Option<Result<Bytes, BodyError>> {
+        std::future::poll_fn(|cx| self.poll_chunk(cx)).await
     }
 
-    /// Reads until the end, or until there is more than `limit`.
+    /// Reads until the end of the body, or until more than `limit` bytes have arrived.
     ///
     /// # Errors
     ///
-    /// The body does not come to its end.
-    pub async fn gather(&mut self, limit: usize) -> Result<GatheredBody, BodyError> {
-        let mut gathered = BytesMut::new();
-        while gathered.len() <= limit {
-            match self.piece().await {
-                None => return Ok(GatheredBody { bytes: gathered.freeze(), complete: true }),
-                Some(piece) => gathered.extend_from_slice(&piece?),
+    /// Returns why the body was not received completely.
+    pub async fn collect_up_to(&mut self, limit: usize) -> Result<CollectedBody, BodyError> {
+        let mut collected = BytesMut::new();
+        while collected.len() <= limit {
+            match self.next_chunk().await {
+                None => return Ok(CollectedBody { bytes: collected.freeze(), complete: true }),
+                Some(chunk) => collected.extend_from_slice(&chunk?),
             }
         }
-        Ok(GatheredBody { bytes: gathered.freeze(), complete: false })
+        Ok(CollectedBody { bytes: collected.freeze(), complete: false })
     }
 
-    /// Reads to the end and keeps nothing, so that the client can read its answer.
+    /// Reads and discards the rest, so that the client finishes sending and reads its response.
     pub async fn discard(mut self) {
-        while let Some(Ok(_)) = self.piece().await {}
+        while let Some(Ok(_)) = self.next_chunk().await {}
     }
 }
 
-/// What was gathered of a body.
-pub struct GatheredBody {
-    /// What has come.
+/// Start of a body, or all of it.
+pub struct CollectedBody {
+    /// Bytes received so far.
     pub bytes: Bytes,
-    /// That is all of it.
+    /// Whether this is the complete body.
     pub complete: bool,
 }
 
-/// How far a body has come that is on its way to a backend.
+/// Progress of a body that is being sent to a backend.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum BodyProgress {
-    /// More is to come.
+    /// More bytes are expected.
     #[default]
-    Coming,
-    /// Its last byte has come.
-    Ended,
-    /// Its client does not bring it to its end.
+    InProgress,
+    /// The last byte has arrived.
+    Complete,
+    /// The client did not send the body to its end.
     Broken,
 }
 
 /// How a streamed body ended.
 pub enum RequestBodyResult {
-    /// Its last byte has come.
+    /// The last byte has arrived.
     Complete,
-    /// It does not come to its end.
+    /// The body was not received completely.
     Broken(BodyError),
-    /// Its reader was dropped before.
+    /// The body was dropped before its end. The reader can read the rest.
     Unread(RequestBodyReader),
 }
 
-/// A body that is passed on as it comes. It can be sent once.
+/// Body that is passed on as it arrives. It can be sent only once.
 pub struct StreamedRequestBody {
-    read: Option<Bytes>,
+    /// Bytes that were read before the body was first polled.
+    buffered: Option<Bytes>,
     rest: Option<RequestBodyReader>,
-    remaining: Option<usize>,
+    /// Number of bytes still to be passed on, if the client declared the length.
+    remaining_bytes: Option<usize>,
     on_end: Option<oneshot::Sender<RequestBodyResult>>,
-    /// For the connection that it goes out on.
+    /// Shared with the connection that sends the body.
     progress: Rc<Cell<BodyProgress>>,
 }
 
 impl StreamedRequestBody {
-    /// What has been read, and what is to come.
+    /// Returns a body made of the bytes already read and the reader of the rest, and a receiver of the result.
     pub fn new(
-        read: Bytes,
+        buffered: Bytes,
         rest: RequestBodyReader,
     ) -> (StreamedRequestBody, oneshot::Receiver<RequestBodyResult>) {
         let (on_end, end) = oneshot::channel();
-        // What has not been read yet, as far as the client has said.
-        let remaining = rest.announced_length().map(|n| n + read.len());
-        let read = Some(read).filter(|b| !b.is_empty());
+        let remaining_bytes = rest.declared_length().map(|n| n + buffered.len());
+        let buffered = Some(buffered).filter(|b| !b.is_empty());
         (
             StreamedRequestBody {
-                read,
+                buffered,
                 rest: Some(rest),
-                remaining,
+                remaining_bytes,
                 on_end: Some(on_end),
                 progress: Rc::default(),
             },
@@ -178,19 +183,19 @@
         )
     }
 
-    fn end(&mut self, end: RequestBodyResult) {
+    fn finish(&mut self, result: RequestBodyResult) {
         if let Some(on_end) = self.on_end.take() {
-            // The request may have its response already.
-            let _ = on_end.send(end);
+            // The receiver is gone if the request was already answered.
+            let _ = on_end.send(result);
         }
     }
 
-    fn passed(&mut self, piece: &Bytes) {
-        self.remaining = self.remaining.map(|remaining| remaining.saturating_sub(piece.len()));
-        if self.remaining == Some(0) {
-            self.progress.set(BodyProgress::Ended);
+    fn count_passed_on(&mut self, chunk: &Bytes) {
+        self.remaining_bytes = self.remaining_bytes.map(|remaining| remaining.saturating_sub(chunk.len()));
+        if self.remaining_bytes == Some(0) {
+            self.progress.set(BodyProgress::Complete);
             self.rest = None;
-            self.end(RequestBodyResult::Complete);
+            self.finish(RequestBodyResult::Complete);
         }
     }
 }
@@ -198,29 +203,29 @@
 impl Drop for StreamedRequestBody {
     fn drop(&mut self) {
         if let Some(rest) = self.rest.take() {
-            self.end(RequestBodyResult::Unread(rest));
+            self.finish(RequestBodyResult::Unread(rest));
         }
     }
 }
 
-/// The body of a call to a backend, the counter or discovery.
+/// Body of a call to a backend, the counter or discovery.
 pub enum OutboundBody {
-    /// All of it is here.
+    /// Complete body.
     Buffered(Full<Bytes>),
-    /// It is still coming from a client.
+    /// Body that is still arriving from a client.
     Streamed(Box<StreamedRequestBody>),
 }
 
 impl OutboundBody {
-    /// No body.
+    /// Returns an empty body.
     pub fn empty() -> OutboundBody {
         OutboundBody::Buffered(Full::new(Bytes::new()))
     }
 
-    /// How far it has come, now and later.
+    /// Returns the progress of the body, which is updated while the body is sent.
     pub fn progress(&self) -> Rc<Cell<BodyProgress>> {
         match self {
-            OutboundBody::Buffered(_) => Rc::new(Cell::new(BodyProgress::Ended)),
+            OutboundBody::Buffered(_) => Rc::new(Cell::new(BodyProgress::Complete)),
             OutboundBody::Streamed(streamed) => streamed.progress.clone(),
         }
     }
@@ -238,26 +243,26 @@
             }
             OutboundBody::Streamed(streamed) => streamed,
         };
-        let piece = match (streamed.read.take(), &mut streamed.rest) {
-            (Some(read), _) => Some(Ok(read)),
-            (None, Some(rest)) => ready!(rest.poll_piece(cx)),
+        let chunk = match (streamed.buffered.take(), &mut streamed.rest) {
+            (Some(buffered), _) => Some(Ok(buffered)),
+            (None, Some(rest)) => ready!(rest.poll_chunk(cx)),
             (None, None) => None,
         };
-        Poll::Ready(match piece {
-            Some(Ok(piece)) => {
-                streamed.passed(&piece);
-                Some(Ok(Frame::data(piece)))
+        Poll::Ready(match chunk {
+            Some(Ok(chunk)) => {
+                streamed.count_passed_on(&chunk);
+                Some(Ok(Frame::data(chunk)))
             }
             Some(Err(error)) => {
                 streamed.progress.set(BodyProgress::Broken);
                 streamed.rest = None;
-                streamed.end(RequestBodyResult::Broken(error));
+                streamed.finish(RequestBodyResult::Broken(error));
                 Some(Err(error))
             }
             None => {
-                streamed.progress.set(BodyProgress::Ended);
+                streamed.progress.set(BodyProgress::Complete);
                 streamed.rest = None;
-                streamed.end(RequestBodyResult::Complete);
+                streamed.finish(RequestBodyResult::Complete);
                 None
             }
         })
@@ -266,7 +271,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             OutboundBody::Buffered(body) => body.is_end_stream(),
-            OutboundBody::Streamed(streamed) => streamed.read.is_none() && streamed.rest.is_none(),
+            OutboundBody::Streamed(streamed) => streamed.buffered.is_none() && streamed.rest.is_none(),
         }
     }
 
@@ -274,7 +279,7 @@
         match self {
             OutboundBody::Buffered(body) => body.size_hint(),
             OutboundBody::Streamed(streamed) => {
-                streamed.remaining.map_or_else(SizeHint::default, |n| SizeHint::with_exact(n as u64))
+                streamed.remaining_bytes.map_or_else(SizeHint::default, |n| SizeHint::with_exact(n as u64))
             }
         }
     }
--- a/src/proxy/downstream/request_error.rs
+++ b/src/proxy/downstream/request_error.rs
@@ -1,9 +1,9 @@
-//! Why a request is answered with 4xx before it is dispatched. The texts are what clients get.
+//! Errors that are answered with a 4xx status before a request is dispatched. Their texts are sent to clients.
 
 use super::request_body::BodyError;
 use hyper::StatusCode;
 
-/// What is wrong with a request.
+/// Why a request is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// The class is missing or unknown.
@@ -12,43 +12,43 @@
     /// The plan is missing or unknown.
     #[error("X-Plan: expected a known plan")]
     UnknownPlan,
-    /// The customer is missing or no number below the limit.
+    /// The customer is missing or not a number below the limit.
     #[error("customer: expected 16 hex digits")]
     BadCustomer,
-    /// The time budget is missing or no number.
+    /// The time budget is missing or not a number.
     #[error("X-Budget-Ms: expected whole milliseconds")]
     BadBudget,
-    /// The quota is missing, malformed or beyond this site's bounds.
+    /// The quota header is missing, malformed or outside the limits of this site.
     #[error("X-Quota: expected the units, spread and first of this site")]
     BadQuota,
-    /// The call's id is missing, empty or there twice.
+    /// The call id is missing, empty or given more than once.
     #[error("X-Call-Id: expected an id")]
     BadCallId,
-    /// The class takes another method.
+    /// The class requires another method.
     #[error("not this class's method")]
     MethodNotAllowed,
-    /// The class needs an idempotency key.
+    /// The class requires an idempotency key.
     #[error("Idempotency-Key: expected a key")]
     NoIdempotencyKey,
-    /// The idempotency key was used for another request.
+    /// The idempotency key was already used for another request.
     #[error("the key stands for another request")]
     IdempotencyKeyReused,
-    /// A GET with a body.
+    /// A GET request has a body.
     #[error("a GET carries no body")]
     BodyOnGet,
     /// The body is longer than `MAX_REQUEST_BODY_BYTES`.
     #[error("the body is longer than 32 MiB")]
     BodyTooLong,
-    /// The body came more slowly than clients are promised.
+    /// The body arrived more slowly than clients may send.
     #[error("the body did not come in time")]
     BodyTooSlow,
-    /// The body broke off, or was malformed.
+    /// The body ended early, or is malformed.
     #[error("the body broke off")]
     BodyBroken,
 }
 
 impl RequestError {
-    /// The status of its response.
+    /// Returns the status of the response.
     pub fn status(self) -> StatusCode {
         match self {
             RequestError::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
--- a/src/proxy/downstream/request_head.rs
+++ b/src/proxy/downstream/request_head.rs
@@ -1,4 +1,4 @@
-//! The head of a client's request: a wire form, read and checked against the site's classes, plans and bounds.
+//! Parses the head of a client's request and validates it against the classes, plans and limits of the site.
 
 use super::request_error::RequestError;
 use crate::decision::{Arrival, ClassId, CustomerId, Idempotency, Micros, PlanId};
@@ -8,82 +8,82 @@
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Customers are numbers below this.
+/// Customer ids are below this number.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// What a request's class says of it.
+/// Rules that a class sets for its requests.
 #[derive(Debug, Clone, Copy)]
 pub struct ClassRules {
-    /// Its number.
+    /// Id of the class.
     pub id: ClassId,
-    /// Whether its requests may run more than once.
+    /// Whether requests of the class may run more than once.
     pub idempotency: Idempotency,
-    /// The longest that a client waits.
+    /// Longest time that a client waits for a response.
     pub deadline: Micros,
 }
 
-/// What heads of requests are checked against.
+/// Rules that request heads are validated against.
 #[derive(Debug, Clone, Default)]
 pub struct RequestRules {
-    /// Classes by name.
+    /// Classes, by name.
     pub classes: HashMap<String, ClassRules>,
-    /// Plans by name.
+    /// Plans, by name.
     pub plans: HashMap<String, PlanId>,
-    /// How many gateways there are.
+    /// Number of gateways.
     pub gateways: u32,
-    /// The units of the largest request.
+    /// Most units that one request may take.
     pub max_units: f64,
 }
 
 impl RequestRules {
-    /// A class's name; empty if there is none of this number.
+    /// Returns the name of a class, or an empty string if the class is unknown.
     pub fn class_name(&self, class: ClassId) -> &str {
         self.classes.iter().find(|(_, rules)| rules.id == class).map_or("", |(name, _)| name.as_str())
     }
 
-    /// The longest that a client of a class waits.
+    /// Returns the deadline of a class, or zero if the class is unknown.
     pub fn deadline(&self, class: ClassId) -> Micros {
         self.classes.values().find(|rules| rules.id == class).map_or(Micros(0), |rules| rules.deadline)
     }
 
-    /// The longest that any client waits.
+    /// Returns the longest deadline of any class.
     pub fn longest_deadline(&self) -> Micros {
         self.classes.values().map(|rules| rules.deadline).max().unwrap_or_default()
     }
 }
 
-/// A request's head.
+/// A parsed and validated request head.
 pub struct RequestHead {
-    /// What the decision module is told of the request.
+    /// The request as the decision module sees it.
     pub arrival: Arrival,
-    /// How long its client waits.
+    /// How long the client waits, at most the deadline of the class.
     pub budget: Micros,
-    /// A hash of its class and idempotency key, where it has a key.
+    /// Hash of the class and the idempotency key, unless there is no key or the class is idempotent.
     pub idempotency_key: Option<u64>,
 }
 
 impl RequestHead {
-    /// Reads a head.
+    /// Parses and validates a request head.
     ///
     /// # Errors
     ///
-    /// The first thing that is wrong with it.
+    /// Returns the first violation found.
     pub fn read(
         method: &Method,
         query: Option<&str>,
         headers: &HeaderMap,
         rules: &RequestRules,
     ) -> Result<RequestHead, RequestError> {
-        let class = text(headers, "x-call-class")
+        let class = header_text(headers, "x-call-class")
             .and_then(|class| rules.classes.get(class))
             .ok_or(RequestError::UnknownClass)?;
-        let plan = text(headers, "x-plan").and_then(|plan| rules.plans.get(plan));
+        let plan = header_text(headers, "x-plan").and_then(|plan| rules.plans.get(plan));
         let plan = *plan.ok_or(RequestError::UnknownPlan)?;
-        let customer = query.and_then(customer).ok_or(RequestError::BadCustomer)?;
-        let budget_ms = text(headers, BUDGET_MS.as_str()).and_then(|v| v.parse::<u64>().ok());
+        let customer = query.and_then(parse_customer).ok_or(RequestError::BadCustomer)?;
+        let budget_ms = header_text(headers, BUDGET_MS.as_str()).and_then(|v| v.parse::<u64>().ok());
         let budget_ms = budget_ms.ok_or(RequestError::BadBudget)?;
-        let quota = text(headers, "x-quota")
+        let quota = header_text(headers, "x-quota")
             .and_then(QuotaHeader::parse)
             .filter(|quota| quota.is_within(rules))
             .ok_or(RequestError::BadQuota)?;
@@ -96,16 +96,16 @@
             spread: quota.spread,
             first_gateway: quota.first,
             units: quota.units,
-            is_retry: text(headers, "x-again") == Some("1"),
+            is_retry: header_text(headers, "x-again") == Some("1"),
             ..Arrival::default()
         };
-        // No client waits longer than its class says.
+        // A client waits no longer than the deadline of its class.
         let budget = Micros(budget_ms.saturating_mul(1000)).min(class.deadline);
         Ok(RequestHead { arrival, budget, idempotency_key: idempotency_key(headers, class) })
     }
 }
 
-fn text<'h>(headers: &'h HeaderMap, name: &str) -> Option<&'h str> {
+fn header_text<'h>(headers: &'h HeaderMap, name: &str) -> Option<&'h str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
@@ -137,7 +137,7 @@
     Some(xxh3_64_with_seed(key.as_bytes(), class.id.0 as u64))
 }
 
-fn customer(query: &str) -> Option<CustomerId> {
+fn parse_customer(query: &str) -> Option<CustomerId> {
     let digits = query.split('&').find_map(|pair| pair.strip_prefix("customer="))?;
     let is_hex = digits.len() == 16 && digits.bytes().all(|b| b.is_ascii_hexdigit());
     let number = u64::from_str_radix(digits, 16).ok().filter(|_| is_hex)?;
@@ -146,11 +146,11 @@
 
 /// The header `X-Quota: units=2,spread=3,first=1`.
 struct QuotaHeader {
-    /// What the request takes of its customer's quota.
+    /// Units that the request takes from the customer's quota.
     units: f64,
-    /// How many gateways the customer's requests come through.
+    /// Number of gateways that the customer's requests come through.
     spread: u32,
-    /// The first of them.
+    /// Number of the first of those gateways.
     first: u32,
 }
 
--- a/src/proxy/downstream/response_body.rs
+++ b/src/proxy/downstream/response_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of responses on their way to clients.
+//! Bodies of responses to clients, buffered or streamed.
 
 use crate::proxy::upstream::streamed_response::{ResponseBodyError, StreamedResponseBody};
 use bytes::Bytes;
@@ -9,11 +9,11 @@
 use std::task::{Context, Poll};
 use tokio::sync::OwnedSemaphorePermit;
 
-/// The body of a response to a client.
+/// Body of a response to a client.
 pub enum ResponseBody {
-    /// All of it, and the memory reserved for it, which is free once it is written.
+    /// Complete body, and its reserved memory, which is released once the body is written.
     Buffered(Full<Bytes>, Option<OwnedSemaphorePermit>),
-    /// It is still coming from a backend.
+    /// Body that is still arriving from a backend.
     Streamed(Box<StreamedResponseBody>),
 }
 
--- a/src/proxy/downstream/server.rs
+++ b/src/proxy/downstream/server.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections until SIGTERM, then closes them in an orderly way.
+//! Accepts client connections, and shuts down gracefully after SIGTERM.
 
 use super::accept::AcceptBackoff;
 use super::connection::serve_connection;
@@ -14,101 +14,102 @@
 use tokio::time::{interval, sleep, sleep_until, Instant, Interval};
 use tracing::warn;
 
-/// How often a connection that waits for a permit looks for one that can be closed for it.
-const MAKE_ROOM_INTERVAL: Duration = Duration::from_millis(2);
-/// How long after SIGTERM new connections are accepted; they go on coming for 0.4 s.
+/// Interval between attempts to close an inactive connection while an accepted one waits for a permit.
+const EVICTION_INTERVAL: Duration = Duration::from_millis(2);
+/// How long after SIGTERM new connections are accepted; clients keep connecting for 0.4 s.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(600);
-/// SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as this where it is longer, and 0.7 s.
+/// Upper bound on the deadline that a graceful shutdown waits for. SIGKILL follows SIGTERM no sooner than the longest
+/// deadline, capped at this value, plus 0.7 s.
 const MAX_DEADLINE_AWAITED: Duration = Duration::from_secs(3);
-/// What is still unanswered so long after the longest deadline is failed.
+/// Requests that are still unanswered this long after the longest deadline are failed.
 const FINAL_MARGIN: Duration = Duration::from_millis(200);
-/// Streamed responses that have started go on after that. To end before them would cut them off, so it takes SIGKILL or
-/// this.
+/// Streamed responses that have started continue after the unanswered requests were failed. Exiting earlier would
+/// truncate them, so only SIGKILL or this limit ends them.
 const MAX_STREAMING_AFTER_SIGTERM: Duration = Duration::from_secs(60);
 
-/// When shutdown began, and what follows from it.
+/// Start of the shutdown, and the times that depend on it.
 struct Shutdown {
     context: Rc<ProxyContext>,
-    began_at: Option<Instant>,
+    started_at: Option<Instant>,
 }
 
 impl Shutdown {
     fn new(context: Rc<ProxyContext>) -> Shutdown {
-        let mut shutdown = Shutdown { context, began_at: None };
-        shutdown.note_begin();
+        let mut shutdown = Shutdown { context, started_at: None };
+        shutdown.record_start();
         shutdown
     }
 
-    /// Notes the time if shutdown has begun.
-    fn note_begin(&mut self) {
+    /// Records the time if the shutdown has started and no time is recorded yet.
+    fn record_start(&mut self) {
         let stopping = self.context.lifecycle.state().shutdown > ShutdownPhase::Running;
-        if self.began_at.is_none() && stopping {
-            self.began_at = Some(Instant::now());
+        if self.started_at.is_none() && stopping {
+            self.started_at = Some(Instant::now());
         }
     }
 
-    fn has_begun(&self) -> bool {
-        self.began_at.is_some()
+    fn has_started(&self) -> bool {
+        self.started_at.is_some()
     }
 
-    /// So long after its begin; from now, if it has not begun.
-    fn after(&self, time: Duration) -> Instant {
-        self.began_at.unwrap_or_else(Instant::now) + time
+    /// Returns the time `delay` after the start of the shutdown, or after now if it has not started.
+    fn after_start(&self, delay: Duration) -> Instant {
+        self.started_at.unwrap_or_else(Instant::now) + delay
     }
 
-    /// When what is still unanswered is failed: well before SIGKILL may come.
-    fn final_at(&self) -> Instant {
+    /// Returns the time at which requests that are still unanswered are failed, well before SIGKILL may arrive.
+    fn final_phase_at(&self) -> Instant {
         let longest = duration(self.context.rules.longest_deadline());
-        self.after(longest.min(MAX_DEADLINE_AWAITED) + FINAL_MARGIN)
+        self.after_start(longest.min(MAX_DEADLINE_AWAITED) + FINAL_MARGIN)
     }
 
-    fn is_final(&self) -> bool {
+    fn is_in_final_phase(&self) -> bool {
         self.context.lifecycle.state().shutdown == ShutdownPhase::Final
     }
 
-    fn set_final(&self) {
+    fn enter_final_phase(&self) {
         self.context.lifecycle.advance_shutdown(ShutdownPhase::Final);
     }
 }
 
-/// Serves clients until SIGTERM, answers what was accepted, and returns. `reserved_elsewhere` is how many connections the
-/// other process of this gateway may hold.
+/// Serves clients until SIGTERM, finishes the accepted connections, and returns. `reserved_for_other_process` is the
+/// number of connections that the other process of this gateway may hold.
 pub async fn serve(
     listener: TcpListener,
     context: Rc<ProxyContext>,
-    reserved_elsewhere: watch::Receiver<usize>,
+    reserved_for_other_process: watch::Receiver<usize>,
 ) {
-    let idle = Rc::new(IdleConnections::new(context.lifecycle.clone()));
+    let idle_connections = Rc::new(IdleConnections::new(context.lifecycle.clone()));
     let shutdown = Shutdown::new(context.clone());
-    let mut server = ClientServer { context, idle, shutdown, sweep: interval(SWEEP_INTERVAL) };
-    server.accept_connections(listener, reserved_elsewhere).await;
+    let mut server = ClientServer { context, idle_connections, shutdown, sweep: interval(SWEEP_INTERVAL) };
+    server.accept_connections(listener, reserved_for_other_process).await;
     server.finish_connections().await;
 }
 
-/// All connections of clients.
+/// The accept loop and the state of all client connections.
 struct ClientServer {
     context: Rc<ProxyContext>,
-    idle: Rc<IdleConnections>,
+    idle_connections: Rc<IdleConnections>,
     shutdown: Shutdown,
     sweep: Interval,
 }
 
 impl ClientServer {
-    /// Accepts connections until the time for that is over, and closes the listener.
+    /// Accepts connections until the shutdown expects no more, then closes the listener.
     async fn accept_connections(
         &mut self,
         listener: TcpListener,
-        mut reserved_elsewhere: watch::Receiver<usize>,
+        mut reserved_for_other_process: watch::Receiver<usize>,
     ) {
         let permits = self.context.permits.clone();
         let mut lifecycle = self.context.lifecycle.subscribe();
         let mut backoff = AcceptBackoff::default();
-        // Accepted, without a permit yet.
+        // The accepted connection that waits for a permit.
         let mut accepted: Option<TcpStream> = None;
         loop {
             let waits_for_permit = accepted.is_some();
             let is_replaced = self.context.lifecycle.is_replaced();
-            let stopping = self.shutdown.has_begun();
+            let stopping = self.shutdown.has_started();
             tokio::select! {
                 biased;
                 result = listener.accept(), if !waits_for_permit && !is_replaced => match result {
@@ -116,7 +117,7 @@
                         backoff.succeeded();
                         accepted = Some(stream);
                         if permits.available() == 0 {
-                            self.idle.make_room();
+                            self.idle_connections.evict_one();
                         }
                     }
                     Err(error) => backoff.failed(&error).await,
@@ -126,47 +127,48 @@
                         self.spawn_connection(stream, permit);
                     }
                 }
-                () = sleep(MAKE_ROOM_INTERVAL), if waits_for_permit => self.idle.make_room(),
-                _ = self.sweep.tick() => self.idle.sweep(),
-                Ok(()) = reserved_elsewhere.changed() => {
-                    permits.reserve_for_other_process(*reserved_elsewhere.borrow_and_update());
+                () = sleep(EVICTION_INTERVAL), if waits_for_permit => self.idle_connections.evict_one(),
+                _ = self.sweep.tick() => self.idle_connections.sweep(),
+                Ok(()) = reserved_for_other_process.changed() => {
+                    permits.reserve_for_other_process(*reserved_for_other_process.borrow_and_update());
                 }
                 Ok(()) = lifecycle.changed() => {
-                    self.idle.sweep();
-                    self.shutdown.note_begin();
+                    self.idle_connections.sweep();
+                    self.shutdown.record_start();
                 }
-                () = sleep_until(self.shutdown.final_at()), if stopping && !self.shutdown.is_final() => {
-                    self.shutdown.set_final();
+                () = sleep_until(self.shutdown.final_phase_at()), if stopping && !self.shutdown.is_in_final_phase() => {
+                    self.shutdown.enter_final_phase();
                 }
-                // Where another process accepts the new connections, none is left to wait for.
+                // If another process accepts new connections, none will arrive at this one.
                 () = std::future::ready(()), if !waits_for_permit && stopping && is_replaced => return,
-                // Not before all that was accepted has its permit: a client that waits may have sent its request.
-                () = sleep_until(self.shutdown.after(ACCEPT_AFTER_SIGTERM)), if !waits_for_permit && stopping => return,
+                // Only once every accepted connection has its permit: a client that waits may have sent its request.
+                () = sleep_until(self.shutdown.after_start(ACCEPT_AFTER_SIGTERM)),
+                    if !waits_for_permit && stopping => return,
             }
         }
     }
 
     fn spawn_connection(&self, stream: TcpStream, permit: OwnedSemaphorePermit) {
-        let (context, idle) = (self.context.clone(), self.idle.clone());
+        let (context, idle_connections) = (self.context.clone(), self.idle_connections.clone());
         tokio::task::spawn_local(async move {
-            serve_connection(stream, context, idle).await;
+            serve_connection(stream, context, idle_connections).await;
             drop(permit);
         });
     }
 
-    /// Returns when all connections are closed, or the time for that is over.
+    /// Returns when all connections are closed, or `MAX_STREAMING_AFTER_SIGTERM` after the start of the shutdown.
     async fn finish_connections(&mut self) {
         let mut all_closed = pin!(self.context.permits.wait_until_unused());
-        self.shutdown.began_at.get_or_insert_with(Instant::now);
+        self.shutdown.started_at.get_or_insert_with(Instant::now);
         loop {
             tokio::select! {
                 () = &mut all_closed => return,
-                _ = self.sweep.tick() => self.idle.sweep(),
-                () = sleep_until(self.shutdown.final_at()), if !self.shutdown.is_final() => {
-                    self.shutdown.set_final();
+                _ = self.sweep.tick() => self.idle_connections.sweep(),
+                () = sleep_until(self.shutdown.final_phase_at()), if !self.shutdown.is_in_final_phase() => {
+                    self.shutdown.enter_final_phase();
                 }
-                () = sleep_until(self.shutdown.after(MAX_STREAMING_AFTER_SIGTERM)) => {
-                    return warn!("some clients' connections were still open at the end");
+                () = sleep_until(self.shutdown.after_start(MAX_STREAMING_AFTER_SIGTERM)) => {
+                    return warn!("client connections are still open at the end of the shutdown; exiting without them");
                 }
             }
         }
--- a/src/proxy/upstream/attempt.rs
+++ b/src/proxy/upstream/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt at a backend. Its outcome says whether the request may have run there: it may have from the first byte that
-//! was written, for all that a caller who stops waiting can know.
+//! Makes one attempt at a backend. The outcome says whether the request may have run there. A caller that stops waiting
+//! cannot know more, so a request may have run as soon as its first byte was written.
 
 use super::attempt_result::AttemptResult;
 use super::backend::Backend;
@@ -16,34 +16,34 @@
 use tokio::sync::{oneshot, OwnedSemaphorePermit};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// A connection to make an attempt over.
+/// Connection that an attempt is sent over.
 struct AttemptConnection {
     connection: Connection,
-    /// It has carried calls before.
+    /// Whether the connection has carried calls before.
     reused: bool,
 }
 
-/// An attempt under way.
+/// An attempt in progress.
 struct Attempt<'a> {
     pool: &'a Rc<ConnectionPool>,
     backend: &'a Backend,
     request: &'a ForwardedRequest,
     give_up_at: Instant,
-    /// Bytes of the request may have been written.
+    /// Whether bytes of the request may have been written.
     write_started: Cell<bool>,
-    /// When its last byte was.
+    /// When the last byte of the request was written.
     request_sent_at: Cell<Option<Instant>>,
 }
 
 impl ConnectionPool {
-    /// The result of an attempt that the gateway itself does not send.
+    /// Counts an attempt that the gateway itself does not send, and returns its result.
     pub fn not_sent(&self, reason: NotSentReason) -> AttemptResult {
         self.metrics.not_sent.increment(reason);
         AttemptResult { not_sent: Some(reason), ..Outcome::NotSent.into() }
     }
 
-    /// Makes one attempt and returns how it ended, its connection closed or back in the pool, or that a long response has
-    /// started. It ends or starts by `give_up_at`, or when cancelled.
+    /// Makes one attempt. Returns either how it ended, with its connection closed or back in the pool, or that a
+    /// streamed response has started. Returns by `give_up_at`, or when cancelled.
     pub async fn attempt(
         self: &Rc<ConnectionPool>,
         backend: &Backend,
@@ -51,7 +51,7 @@
         give_up_at: Instant,
         cancelled: oneshot::Receiver<()>,
     ) -> AttemptResult {
-        // Guards the limit on descriptors: an attempt without a permit is never sent.
+        // Enforces the limit on descriptors: an attempt without a permit is never sent.
         let Some(permit) = self.try_acquire() else {
             return self.not_sent(NotSentReason::NoConnectionPermit);
         };
@@ -63,7 +63,7 @@
             write_started: Cell::new(false),
             request_sent_at: Cell::new(None),
         };
-        // A response that is here when the time is up is a response.
+        // A result that is available when the time-out expires takes precedence over the time-out.
         let result = tokio::select! {
             biased;
             _ = cancelled => Outcome::Cancelled.into(),
@@ -78,8 +78,8 @@
 }
 
 impl Attempt<'_> {
-    /// Sends the request and reads the response. A pooled connection that turns out to be closed before anything was
-    /// written is replaced by another.
+    /// Sends the request and reads the response. If a pooled connection turns out to be closed before anything was
+    /// written, another connection is used.
     async fn exchange(&self, permit: OwnedSemaphorePermit) -> AttemptResult {
         loop {
             let AttemptConnection { mut connection, reused } = match self.connect().await {
@@ -89,7 +89,7 @@
             if let Some(reason) = self.reason_not_to_send() {
                 return self.pool.not_sent(reason);
             }
-            let idle = connection.idle_since.elapsed();
+            let idle_time = connection.idle_since.elapsed();
             let Some(call) = self.request.to_request(self.give_up_at) else {
                 return self.pool.not_sent(NotSentReason::BodyAlreadySent);
             };
@@ -108,13 +108,13 @@
                     };
                     return read_response(reading, response).await;
                 }
-                // Guards against a pooled connection that was closed just before it was written to.
+                // The pooled connection was closed just before it was written to: tries another.
                 Err(CallError::NotSent) if reused => self.write_started.set(false),
                 Err(CallError::NotSent) => return Outcome::ConnectFailed.into(),
                 Err(CallError::RequestBodyAborted) => return Outcome::NotSent.into(),
                 Err(CallError::Broken) => {
                     if reused {
-                        self.pool.broke_after_idle(idle);
+                        self.pool.record_break_after_idle(idle_time);
                     }
                     return Outcome::ConnectionReset.into();
                 }
@@ -122,14 +122,14 @@
         }
     }
 
-    /// A connection to send over, or the result if there is none.
+    /// Returns a connection to send over, or the result of the attempt if there is none.
     async fn connect(&self) -> Result<AttemptConnection, AttemptResult> {
-        // What can be sent once goes out on a connection that has not been idle.
-        let idle = match self.request.body {
+        // A body that can be sent only once goes over a new connection, which cannot have been closed while idle.
+        let idle_connection = match self.request.body {
             RequestPayload::Buffered(_) => self.pool.take_idle(self.backend.address),
             RequestPayload::Streamed(_) => None,
         };
-        if let Some(connection) = idle {
+        if let Some(connection) = idle_connection {
             return Ok(AttemptConnection { connection, reused: true });
         }
         let opening = Connection::open(self.backend.address, self.pool.memory.buffer());
@@ -142,26 +142,26 @@
         }
     }
 
-    /// What has changed while the connection came up so that the request must not be sent any more.
+    /// Returns why the request must not be sent any more, if something has changed while the connection was set up.
     fn reason_not_to_send(&self) -> Option<NotSentReason> {
-        // Guards against sending to a backend that has begun to drain.
+        // Guards against sending to a backend that has started to drain.
         if !self.backend.open.get() {
             return Some(NotSentReason::EndpointDraining);
         }
-        // Guards against sending for a client that has left, also where attempts must not be cancelled.
+        // Guards against sending for a client that has disconnected, even where attempts must not be cancelled.
         if !self.request.wanted.get() {
             return Some(NotSentReason::RequestEnded);
         }
-        // Guards against an owner that was paused and whose record has been taken over.
+        // Guards against sending after this gateway was paused and another has taken over the request's ledger record.
         if self.request.claim.as_ref().is_some_and(|claim| !claim.may_act()) {
             return Some(NotSentReason::NotOwner);
         }
-        // Guards against writing in the moment in which the time is up.
+        // Guards against starting to write at the moment at which the time-out expires.
         (Instant::now() >= self.give_up_at).then_some(NotSentReason::AttemptTimedOut)
     }
 }
 
-/// Whether a connection failed for want of something on this machine, so that the backend is not to blame.
+/// Returns whether connecting failed for lack of a resource on this machine, so that it is no failure of the backend.
 fn is_local_shortage(error: &io::Error) -> bool {
     const LOCAL_SHORTAGES: [Errno; 7] = [
         Errno::MFILE,
--- a/src/proxy/upstream/attempt_result.rs
+++ b/src/proxy/upstream/attempt_result.rs
@@ -1,4 +1,4 @@
-//! How an attempt at a backend ended.
+//! Result of an attempt at a backend.
 
 use super::streamed_response::StreamedResponseBody;
 use crate::decision::{LoadReport, Outcome};
@@ -7,19 +7,19 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-/// How an attempt ended, or that its response has started.
+/// Result of an attempt that has ended, or whose streamed response has started.
 pub struct AttemptResult {
-    /// The outcome.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// The body of a 200.
+    /// Body of a 200 response.
     pub body: Option<UpstreamResponseBody>,
     /// When the last byte of the request was written, if it was.
     pub request_sent_at: Option<Instant>,
-    /// When the first bytes of a streamed response came.
+    /// When the first bytes of a streamed response arrived.
     pub response_started_at: Option<Instant>,
-    /// What the backend said of its load.
+    /// Load report of the backend.
     pub report: LoadReport,
-    /// Why nothing was written, where the gateway itself decided so.
+    /// Why nothing was written, if the gateway itself decided that.
     pub not_sent: Option<NotSentReason>,
 }
 
@@ -36,10 +36,10 @@
     }
 }
 
-/// The body of a 200.
+/// Body of a 200 response.
 pub enum UpstreamResponseBody {
-    /// All of it, and the memory reserved for it.
+    /// Complete body, and the memory reserved for it.
     Buffered(Bytes, Option<OwnedSemaphorePermit>),
-    /// Its beginning, and the rest as it comes.
+    /// Body whose start has arrived and whose rest is read as it arrives.
     Streamed(Box<StreamedResponseBody>),
 }
--- a/src/proxy/upstream/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -1,4 +1,4 @@
-//! One backend, as the endpoint list has it now.
+//! State of one backend, from the latest endpoint list.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -6,10 +6,11 @@
 /// One backend.
 #[derive(Debug)]
 pub struct Backend {
-    /// Where it listens.
+    /// Address that the backend listens on.
     pub address: SocketAddr,
-    /// When it last started, as discovery says, in milliseconds of Unix time. A change means that old connections are dead.
+    /// When the backend last started, as reported by discovery, in milliseconds of Unix time. After a change,
+    /// connections opened before it are no longer valid.
     pub started_at_unix_ms: u64,
-    /// Cleared when the list says that it is draining or removed.
+    /// Cleared when the endpoint list removes the backend, replaces it or marks it as draining.
     pub open: Cell<bool>,
 }
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -1,5 +1,5 @@
-//! One HTTP/1.1 connection to a backend, the counter or discovery. It never retries by itself: a call is written once, and
-//! the caller learns how much of it was, which decides whether it may have run.
+//! One HTTP/1.1 connection to a backend, the counter or discovery. A connection never retries: a call is written once,
+//! and an error tells the caller how much of it was written, which decides whether the call may have run.
 
 use crate::proxy::downstream::request_body::{BodyProgress, OutboundBody};
 use crate::proxy::tcp_io;
@@ -20,24 +20,24 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The longest body that is buffered, in bytes.
+/// Longest body that is buffered, in bytes.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 
-/// Why a call has no response.
+/// Why a call got no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// It was not written to its end: the other side never had all of it, and did not run it.
-    #[error("the call was not written to its end")]
+    /// The call was not written to its end, so the peer never received all of it and did not run it.
+    #[error("connection ended before the call was written completely")]
     NotSent,
-    /// The same, and not for the other side's fault: the client did not send its body to the end.
-    #[error("the client did not send the call's body to its end")]
+    /// The call was not written to its end through no fault of the peer: the client did not send its body to the end.
+    #[error("client did not send the body of the call completely")]
     RequestBodyAborted,
-    /// The connection broke after the call was written, or may have been: it may have run.
-    #[error("the connection broke after the call was written")]
+    /// The connection broke after the call was written, or may have been written, so the call may have run.
+    #[error("connection broke after the call was written, or may have been")]
     Broken,
 }
 
-/// How much of the present call is written.
+/// How much of the current call was written.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WriteState {
     Nothing,
@@ -45,32 +45,32 @@
     Complete,
 }
 
-/// A socket that remembers how much of a call was written to it.
-struct MeteredStream {
+/// Socket that records how much of a call was written to it.
+struct WriteTrackingStream {
     stream: TcpStream,
     written: Rc<Cell<WriteState>>,
-    /// How much of the present call's body hyper has taken.
+    /// How much of the current call's body hyper has taken.
     progress: Rc<RefCell<Rc<Cell<BodyProgress>>>>,
 }
 
-impl MeteredStream {
-    fn note_write(&self, result: &Poll<io::Result<usize>>) {
+impl WriteTrackingStream {
+    fn record_write(&self, result: &Poll<io::Result<usize>>) {
         if self.written.get() == WriteState::Nothing && matches!(result, Poll::Ready(Ok(n)) if *n > 0) {
             self.written.set(WriteState::Part);
         }
     }
 }
 
-impl AsyncRead for MeteredStream {
+impl AsyncRead for WriteTrackingStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         tcp_io::poll_read(&self.stream, cx, buf).map_ok(drop)
     }
 }
 
-impl AsyncWrite for MeteredStream {
+impl AsyncWrite for WriteTrackingStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         let result = tcp_io::poll_write(&self.stream, cx, buf);
-        self.note_write(&result);
+        self.record_write(&result);
         result
     }
     fn poll_write_vectored(
@@ -79,15 +79,15 @@
         bufs: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
         let result = tcp_io::poll_write_vectored(&self.stream, cx, bufs);
-        self.note_write(&result);
+        self.record_write(&result);
         result
     }
     fn is_write_vectored(&self) -> bool {
         self.stream.is_write_vectored()
     }
-    /// hyper flushes the socket when its own buffer is empty: then all that it has taken of the call is written.
+    /// hyper flushes the socket once its own buffer is empty; everything that it has taken of the call is then written.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        if self.written.get() == WriteState::Part && self.progress.borrow().get() == BodyProgress::Ended {
+        if self.written.get() == WriteState::Part && self.progress.borrow().get() == BodyProgress::Complete {
             self.written.set(WriteState::Complete);
         }
         Pin::new(&mut self.stream).poll_flush(cx)
@@ -97,32 +97,32 @@
     }
 }
 
-/// A connection and hyper's state machine for it. Dropping it closes the socket at once, whatever is in flight.
+/// A connection and hyper's state machine for it. Dropping it closes the socket at once, even if a call is in flight.
 pub struct Connection {
     sender: http1::SendRequest<OutboundBody>,
-    state_machine: Pin<Box<http1::Connection<TokioIo<MeteredStream>, OutboundBody>>>,
+    state_machine: Pin<Box<http1::Connection<TokioIo<WriteTrackingStream>, OutboundBody>>>,
     written: Rc<Cell<WriteState>>,
     progress: Rc<RefCell<Rc<Cell<BodyProgress>>>>,
     closed: bool,
-    /// When it was opened, or last given back to its pool.
+    /// When the connection was opened, or last returned to its pool.
     pub idle_since: Instant,
 }
 
 impl Connection {
-    /// Connects, with a buffer of at most so many bytes. The caller bounds the time.
+    /// Connects, with a buffer of at most `max_buffer_bytes`. The caller limits the time.
     ///
     /// # Errors
     ///
-    /// What the system says of the connection.
-    pub async fn open(address: SocketAddr, buffer: usize) -> io::Result<Connection> {
+    /// Returns the error of connecting or of setting up the socket.
+    pub async fn open(address: SocketAddr, max_buffer_bytes: usize) -> io::Result<Connection> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let written = Rc::new(Cell::new(WriteState::Nothing));
         let progress = Rc::new(RefCell::default());
-        let metered = MeteredStream { stream, written: written.clone(), progress: progress.clone() };
+        let stream = WriteTrackingStream { stream, written: written.clone(), progress: progress.clone() };
         let (sender, state_machine) = http1::Builder::new()
-            .max_buf_size(buffer)
-            .handshake(TokioIo::new(metered))
+            .max_buf_size(max_buffer_bytes)
+            .handshake(TokioIo::new(stream))
             .await
             .map_err(io::Error::other)?;
         Ok(Connection {
@@ -135,24 +135,24 @@
         })
     }
 
-    /// Whether it can carry another call, as far as is known here.
+    /// Returns whether the connection can carry another call, as far as is known locally.
     pub fn is_usable(&mut self) -> bool {
         self.poll_io(&mut Context::from_waker(Waker::noop()));
         !self.closed && self.sender.is_ready()
     }
 
-    /// Whether the other side has closed it.
+    /// Returns whether the connection has ended.
     pub fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// Reads and writes what can be.
+    /// Reads and writes as much as is possible without waiting.
     pub fn poll_io(&mut self, cx: &mut Context) {
         // A finished state machine must not be polled again.
         self.closed = self.closed || self.state_machine.as_mut().poll(cx).is_ready();
     }
 
-    /// Polls a future together with the state machine that feeds it. None: the connection ended first.
+    /// Polls a future together with the state machine that it depends on. Returns `None` if the connection ends first.
     pub async fn drive<T>(&mut self, future: impl Future<Output = T>) -> Option<T> {
         let mut future = pin!(future);
         std::future::poll_fn(|cx| {
@@ -166,12 +166,12 @@
         .await
     }
 
-    /// Makes one call and reads the head of its response; `on_sent` is called when the last byte of the call was
-    /// written. After an error the connection is of no further use.
+    /// Makes one call and reads the head of its response. `on_sent` is called once the last byte of the call is
+    /// written. After an error the connection cannot be used any more.
     ///
     /// # Errors
     ///
-    /// How much of the call was written when the connection ended.
+    /// Returns an error that says how much of the call was written when the connection ended.
     pub async fn begin(
         &mut self,
         request: Request<OutboundBody>,
@@ -182,7 +182,7 @@
         let written = self.written.clone();
         let mut on_sent = Some(on_sent);
         let mut sending = pin!(self.sender.try_send_request(request));
-        // Polled after the state machine, so that it sees what was just written.
+        // Polled after the state machine, so that it sees what the state machine has just written.
         let sending = std::future::poll_fn(|cx| {
             if written.get() == WriteState::Complete {
                 if let Some(on_sent) = on_sent.take() {
@@ -195,12 +195,12 @@
         head.ok_or_else(|| self.call_error())
     }
 
-    /// What it means for the present call that the connection ended.
+    /// Returns the error of the current call after the connection has ended.
     fn call_error(&self) -> CallError {
         match (self.written.get(), self.progress.borrow().get()) {
             (WriteState::Nothing | WriteState::Part, BodyProgress::Broken) => CallError::RequestBodyAborted,
-            // No server runs a request of which it has half the body.
-            (WriteState::Nothing, _) | (WriteState::Part, BodyProgress::Coming) => CallError::NotSent,
+            // No server runs a request of which it has only part of the body.
+            (WriteState::Nothing, _) | (WriteState::Part, BodyProgress::InProgress) => CallError::NotSent,
             _ => CallError::Broken,
         }
     }
@@ -209,7 +209,8 @@
     ///
     /// # Errors
     ///
-    /// As `begin`; `Broken` also where the response is longer than `MAX_BUFFERED_BODY_BYTES`.
+    /// Returns the errors of [`Connection::begin`], and `Broken` if the response is longer than
+    /// `MAX_BUFFERED_BODY_BYTES`.
     pub async fn call(&mut self, request: Request<OutboundBody>) -> Result<Response<Bytes>, CallError> {
         let (head, body) = self.begin(request, || {}).await?.into_parts();
         let body = self.drive(Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect()).await;
--- a/src/proxy/upstream/forwarded_request.rs
+++ b/src/proxy/upstream/forwarded_request.rs
@@ -1,4 +1,4 @@
-//! A client's request as it is forwarded to backends, in as many attempts as it takes.
+//! A client's request as it is forwarded to backends, in one or more attempts.
 
 use super::attempt_tracker::AttemptTracker;
 use crate::proxy::cluster_transport::ledger_claim::LedgerClaim;
@@ -11,37 +11,37 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// The header that says for how many milliseconds the client waits, or, to a backend, the gateway does.
+/// Header with the milliseconds that the client waits for a response or, in a request to a backend, the gateway waits.
 pub const BUDGET_MS: HeaderName = HeaderName::from_static("x-budget-ms");
 
 /// A client's request as it is forwarded to backends.
 pub struct ForwardedRequest {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// Its headers, without the hop-by-hop ones.
+    /// Headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body of the request.
     pub body: RequestPayload,
-    /// Cleared once the request has its response or its client has left: from then on nothing of it is sent.
+    /// Cleared once the request is answered or its client has disconnected: from then on no attempt sends it.
     pub wanted: Cell<bool>,
-    /// Notified of each attempt, where somebody has to know whether one may have run.
+    /// Notified of each attempt, if it must be known whether one may have run.
     pub tracker: Option<Rc<AttemptTracker>>,
-    /// Its claim at the ledger, where a record is kept of it.
+    /// Claim on the request's ledger record, if there is one.
     pub claim: Option<Rc<LedgerClaim>>,
 }
 
 impl ForwardedRequest {
-    /// A request as its client sent it, without claim and tracker.
+    /// Returns a request as the client sent it, without claim and tracker.
     pub fn new(method: Method, uri: Uri, headers: HeaderMap, body: RequestPayload) -> ForwardedRequest {
         ForwardedRequest { method, uri, headers, body, wanted: Cell::new(true), tracker: None, claim: None }
     }
-    /// The client's id of the request, for logs.
+    /// Returns the client's id of the request, for logs.
     pub fn call_id(&self) -> Option<&str> {
         self.headers.get("x-call-id").and_then(|id| id.to_str().ok())
     }
-    /// The same request once more. A streamed body can't be sent twice: the copy has none.
+    /// Returns a copy of the request. A streamed body cannot be sent twice, so the copy of such a request has no body.
     pub fn duplicate(&self) -> ForwardedRequest {
         let body = match &self.body {
             RequestPayload::Buffered(body) => body.clone(),
@@ -53,36 +53,36 @@
     }
 }
 
-/// The body of a request that is forwarded to backends.
+/// Body of a request that is forwarded to backends.
 pub enum RequestPayload {
-    /// All of it is here, for as many attempts as it takes.
+    /// Complete body, for any number of attempts.
     Buffered(Bytes),
-    /// It is still coming, for one attempt.
+    /// Body that is still arriving, for one attempt only.
     Streamed(RefCell<Option<Box<StreamedRequestBody>>>),
 }
 
 impl ForwardedRequest {
-    /// The request as it is sent to a backend by an attempt that is given up at `give_up_at`. None: its streamed body has
-    /// gone to another backend.
+    /// Returns the request that an attempt which is given up at `give_up_at` sends to a backend, or `None` if the
+    /// streamed body was already sent to another backend.
     pub fn to_request(&self, give_up_at: Instant) -> Option<Request<OutboundBody>> {
         let body = match &self.body {
             RequestPayload::Buffered(body) => OutboundBody::Buffered(Full::new(body.clone())),
-            RequestPayload::Streamed(upload) => OutboundBody::Streamed(upload.take()?),
+            RequestPayload::Streamed(streamed) => OutboundBody::Streamed(streamed.take()?),
         };
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        // The time of a streamed body begins with its last byte; until then the client's own header stands.
+        // The time budget of a streamed request starts with its last byte; until then the client's own header applies.
         if matches!(self.body, RequestPayload::Buffered(_)) {
-            let left = give_up_at.saturating_duration_since(Instant::now()).as_millis() as u64;
-            request.headers_mut().insert(BUDGET_MS, HeaderValue::from(left));
+            let remaining_ms = give_up_at.saturating_duration_since(Instant::now()).as_millis() as u64;
+            request.headers_mut().insert(BUDGET_MS, HeaderValue::from(remaining_ms));
         }
         Some(request)
     }
 }
 
-/// Removes the hop-by-hop headers (RFC 9110, 7.6.1), and those of the framing, which is each connection's own.
+/// Removes the hop-by-hop headers (RFC 9110, 7.6.1) and the framing headers, since each connection has its own framing.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     const HOP_BY_HOP: [HeaderName; 7] = [
         header::CONNECTION,
--- a/src/proxy/upstream/load_report.rs
+++ b/src/proxy/upstream/load_report.rs
@@ -1,4 +1,4 @@
-//! The load report that a backend sends with its responses, a wire form: `X-Load-Report: TEXT name=number, name=number`.
+//! Parses the load report that a backend sends in a response header: `X-Load-Report: TEXT name=number, name=number`.
 
 use crate::decision::LoadReport;
 use crate::site_settings::set_load_figure;
@@ -6,17 +6,17 @@
 
 const LOAD_REPORT: HeaderName = HeaderName::from_static("x-load-report");
 
-/// A load report as far as it could be read.
+/// A load report, as far as it could be parsed.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ParsedLoadReport {
-    /// What it says.
+    /// Figures that could be parsed.
     pub report: LoadReport,
-    /// Part of it makes no sense and was ignored.
+    /// Whether part of the report was invalid and was ignored.
     pub malformed: bool,
 }
 
-/// Reads the load report in a response's headers; what makes no sense is ignored. Without the header there is nothing to
-/// report.
+/// Parses the load report in a response's headers and ignores its invalid parts. Returns an empty report if there is no
+/// such header.
 pub fn parse(headers: &HeaderMap) -> ParsedLoadReport {
     let mut parsed = ParsedLoadReport::default();
     let Some(header) = headers.get(LOAD_REPORT) else { return parsed };
--- a/src/proxy/upstream/mod.rs
+++ b/src/proxy/upstream/mod.rs
@@ -1,7 +1,8 @@
-//! Backends: connections to them, attempts, and their load reports.
+//! The backend side of the proxy: connections, attempts and load reports.
 //!
-//! [`pool`] holds the connections, [`attempt`] makes one attempt over one of them, [`attempt_result`] says how it ended, [`response`] reads
-//! the response, [`streamed_response`] passes a long one on, [`forwarded_request`] is what attempts send.
+//! [`pool`] keeps the connections, [`attempt`] makes one attempt over a connection, [`attempt_result`] holds the
+//! result, [`response`] reads the response, [`streamed_response`] streams a long response to the client, and
+//! [`forwarded_request`] holds the request that attempts send.
 
 pub mod attempt;
 pub mod attempt_result;
--- a/src/proxy/upstream/pool.rs
+++ b/src/proxy/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to all backends: those in use, which hold a permit each, and those that are idle.
+//! Pool of the connections to all backends: those in use, each of which holds a permit, and idle ones.
 
 use super::connection::Connection;
 use crate::proxy::admin::metrics::Metrics;
@@ -13,15 +13,15 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-/// However early idle connections break, one that was idle for no longer than this is used again.
+/// Lower bound of the idle limit: however early idle connections break, one that was idle for a shorter time is reused.
 const MIN_IDLE_LIMIT: Duration = Duration::from_millis(100);
 
-/// The connections to all backends.
+/// Pool of the connections to all backends.
 pub struct ConnectionPool {
     idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
     permits: Permits,
     pub(super) connect_timeout: Duration,
-    /// How long a connection may be idle and be used again: `max_idle`, less where connections broke earlier.
+    /// How long a connection may be idle and still be reused: `max_idle`, or less after connections broke earlier.
     idle_limit: Cell<Duration>,
     max_idle: Duration,
     pub(super) metrics: Rc<Metrics>,
@@ -30,20 +30,20 @@
 }
 
 impl ConnectionPool {
-    /// A pool of at most so many connections, those in use included. Backends close connections that are idle for
-    /// `backend_idle_timeout`.
+    /// Returns a pool of at most `max_connections` connections, including those in use. Backends close connections that
+    /// are idle for `backend_idle_timeout`.
     pub fn new(
-        connections: usize,
+        max_connections: usize,
         connect_timeout: Duration,
         backend_idle_timeout: Duration,
         metrics: Rc<Metrics>,
         memory: Rc<MemoryBudget>,
     ) -> ConnectionPool {
-        // Guards against writing to a connection that its backend is about to close: half the time is left.
+        // Half the time-out, which guards against writing to a connection that its backend is about to close.
         let max_idle = backend_idle_timeout / 2;
         ConnectionPool {
             idle: RefCell::default(),
-            permits: Permits::new(connections),
+            permits: Permits::new(max_connections),
             connect_timeout,
             idle_limit: Cell::new(max_idle),
             max_idle,
@@ -53,14 +53,16 @@
         }
     }
 
-    /// A permit for a connection in use; idle connections make room for it. None: as many are in use as may be.
+    /// Returns a permit for a connection in use and closes idle connections beyond the limit, or returns `None` if as
+    /// many connections are in use as are allowed.
     pub(super) fn try_acquire(&self) -> Option<OwnedSemaphorePermit> {
         let permit = self.permits.try_acquire()?;
         self.evict_beyond_permits();
         Some(permit)
     }
 
-    /// An idle connection. The one used last is taken first, so that those not needed age and are closed.
+    /// Takes an idle connection, the most recently used first, so that connections that are not needed age and are
+    /// closed.
     pub(super) fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let stack = idle.get_mut(&address)?;
@@ -72,24 +74,25 @@
         None
     }
 
-    /// Takes a connection back that may carry another call.
-    pub fn give_back(&self, address: SocketAddr, mut connection: Connection) {
+    /// Returns a connection to the pool, if it can carry another call.
+    pub fn release(&self, address: SocketAddr, mut connection: Connection) {
         if connection.is_usable() {
             connection.idle_since = Instant::now();
             self.idle.borrow_mut().entry(address).or_default().push(connection);
         }
     }
 
-    /// A connection broke as it was used again after being idle for so long. Guards against backends that drop idle
-    /// connections silently and long before their time-out: from now on none is used after half that time.
-    pub(super) fn broke_after_idle(&self, idle: Duration) {
-        if idle >= MIN_IDLE_LIMIT {
-            self.idle_limit.set(self.idle_limit.get().min((idle / 2).max(MIN_IDLE_LIMIT)));
+    /// Called when a connection broke on reuse after being idle for `idle_time`. Guards against backends that drop idle
+    /// connections without notice and long before their time-out: from now on no connection is reused after half that
+    /// time.
+    pub(super) fn record_break_after_idle(&self, idle_time: Duration) {
+        if idle_time >= MIN_IDLE_LIMIT {
+            self.idle_limit.set(self.idle_limit.get().min((idle_time / 2).max(MIN_IDLE_LIMIT)));
         }
     }
 
-    /// Closes idle connections that are old or were closed by the other side. The limit on idle time, where it was
-    /// lowered, rises again by a twentieth.
+    /// Closes idle connections that have reached the idle limit or were closed by the backend. Raises a lowered idle
+    /// limit by a twentieth.
     pub fn retire(&self) {
         self.idle_limit.set((self.idle_limit.get() * 21 / 20).min(self.max_idle));
         self.idle.borrow_mut().retain(|_, stack| {
@@ -98,12 +101,13 @@
         });
     }
 
-    /// Closes the idle connections to an address that is no longer a backend's, or whose backend restarted.
+    /// Closes the idle connections to an address that no backend uses any more, or whose backend restarted or is
+    /// draining.
     pub fn forget(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Leaves so many quarters of the connections to the other process of this gateway.
+    /// Reserves this many quarters of the connections for the other process of this gateway.
     pub fn leave(&self, quarters: usize) {
         self.permits.reserve_for_other_process(self.permits.total() * quarters / 4);
         self.evict_beyond_permits();
@@ -119,7 +123,7 @@
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    /// Closes one idle connection, of the backend that has most of them.
+    /// Closes the oldest idle connection of the backend that has the most idle connections.
     fn evict(&self) {
         let mut idle = self.idle.borrow_mut();
         if let Some(stack) = idle.values_mut().filter(|s| !s.is_empty()).max_by_key(|s| s.len()) {
--- a/src/proxy/upstream/response.rs
+++ b/src/proxy/upstream/response.rs
@@ -1,5 +1,5 @@
-//! Reads a backend's response: buffered while it is short and there is memory for it, so that a broken one can be retried;
-//! streamed otherwise.
+//! Reads a backend's response. A short response is buffered if there is memory for it, so that the request can be
+//! retried if the response breaks off; any other is streamed.
 
 use super::attempt_result::{AttemptResult, UpstreamResponseBody};
 use super::connection::{Connection, MAX_BUFFERED_BODY_BYTES};
@@ -22,10 +22,10 @@
 
 const REJECTED: HeaderName = HeaderName::from_static("x-rejected");
 
-/// A response of unknown length is streamed after this, from its first bytes, if it has not come to its end.
-const MAX_GATHER_TIME: Duration = Duration::from_millis(20);
+/// A response of unknown length that has not ended this long after its first bytes is streamed.
+const MAX_COLLECT_TIME: Duration = Duration::from_millis(20);
 
-/// What a response is read from and with.
+/// Connection that a response is read from, with its pool, address and permit.
 pub(super) struct ResponseReading<'a> {
     pub pool: &'a Rc<ConnectionPool>,
     pub address: SocketAddr,
@@ -34,66 +34,66 @@
     pub permit: OwnedSemaphorePermit,
 }
 
-/// What has come of a body.
+/// Part of a body that has arrived.
 #[derive(Default)]
-struct Gathered {
-    pieces: VecDeque<Bytes>,
+struct CollectedChunks {
+    chunks: VecDeque<Bytes>,
     bytes: usize,
-    /// When the first piece came.
+    /// When the first chunk arrived.
     started_at: Option<Instant>,
 }
 
-/// How far a body was gathered.
-enum GatherEnd {
+/// How collecting a body ended.
+enum CollectResult {
     Complete,
     /// The rest is to be streamed.
-    Started,
+    Partial,
     Broken,
 }
 
-impl Gathered {
-    fn add(&mut self, frame: Frame<Bytes>) {
-        // Trailers hold for the backend's connection alone.
-        let piece = frame.into_data().unwrap_or_default();
-        self.bytes += piece.len();
+impl CollectedChunks {
+    fn add_frame(&mut self, frame: Frame<Bytes>) {
+        // Trailers apply to the backend's connection only and are dropped.
+        let chunk = frame.into_data().unwrap_or_default();
+        self.bytes += chunk.len();
         self.started_at = self.started_at.or_else(|| Some(Instant::now()));
-        if !piece.is_empty() {
-            self.pieces.push_back(piece);
+        if !chunk.is_empty() {
+            self.chunks.push_back(chunk);
         }
     }
 
     fn into_bytes(mut self) -> Bytes {
-        match self.pieces.len() {
-            1 => self.pieces.pop_front().unwrap_or_default(),
-            _ => Bytes::from(self.pieces.make_contiguous().concat()),
+        match self.chunks.len() {
+            1 => self.chunks.pop_front().unwrap_or_default(),
+            _ => Bytes::from(self.chunks.make_contiguous().concat()),
         }
     }
 }
 
-/// Reads a response to its end, or until its body has started and is to be streamed.
+/// Reads a response to its end, or until its body has started and the rest is to be streamed.
 pub(super) async fn read_response(
     reading: ResponseReading<'_>,
     response: Response<Incoming>,
 ) -> AttemptResult {
-    let outcome = outcome_of(&response);
+    let outcome = response_outcome(&response);
     let parsed = load_report::parse(response.headers());
     if parsed.malformed && reading.pool.malformed_report_log.allows(Instant::now()) {
-        warn!(address = %reading.address, "invalid load report; its unreadable figures are ignored");
+        warn!(address = %reading.address, "invalid load report from a backend; ignoring its malformed parts");
     }
     match outcome {
         Outcome::Success => read_body(reading, response.into_body(), parsed.report).await,
         outcome => {
-            skip_body(reading, response.into_body()).await;
+            discard_body(reading, response.into_body()).await;
             AttemptResult { report: parsed.report, ..outcome.into() }
         }
     }
 }
 
-/// Reads the body of an error, so that the connection can be used again.
-async fn skip_body(mut reading: ResponseReading<'_>, body: Incoming) {
+/// Reads and discards the body of an error response, so that the connection can be reused.
+async fn discard_body(mut reading: ResponseReading<'_>, body: Incoming) {
     let read = reading.connection.drive(Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect()).await;
     if matches!(read, Some(Ok(_))) {
-        reading.pool.give_back(reading.address, reading.connection);
+        reading.pool.release(reading.address, reading.connection);
     }
 }
 
@@ -102,18 +102,18 @@
     let length = body.size_hint().exact().map(|n| usize::try_from(n).unwrap_or(usize::MAX));
     let reserved = length.unwrap_or(MAX_BUFFERED_BODY_BYTES);
     let memory = if reserved <= MAX_BUFFERED_BODY_BYTES { pool.memory.hold(reserved) } else { None };
-    let limits = GatherLimits { has_memory: memory.is_some(), length_known: length.is_some() };
-    let mut gathered = Gathered::default();
-    match gather(&mut connection, &mut body, limits, &mut gathered).await {
-        GatherEnd::Broken => Outcome::ConnectionReset.into(),
-        GatherEnd::Complete => {
-            pool.give_back(address, connection);
-            let body = UpstreamResponseBody::Buffered(gathered.into_bytes(), memory);
+    let limits = CollectLimits { has_memory: memory.is_some(), length_known: length.is_some() };
+    let mut collected = CollectedChunks::default();
+    match collect_body(&mut connection, &mut body, limits, &mut collected).await {
+        CollectResult::Broken => Outcome::ConnectionReset.into(),
+        CollectResult::Complete => {
+            pool.release(address, connection);
+            let body = UpstreamResponseBody::Buffered(collected.into_bytes(), memory);
             AttemptResult { body: Some(body), report, ..Outcome::Success.into() }
         }
-        GatherEnd::Started => {
-            let Gathered { pieces, started_at, .. } = gathered;
-            let streamed = StreamedResponseBody::new(pieces, body, connection, pool.clone(), address, permit);
+        CollectResult::Partial => {
+            let CollectedChunks { chunks, started_at, .. } = collected;
+            let streamed = StreamedResponseBody::new(chunks, body, connection, pool.clone(), address, permit);
             AttemptResult {
                 body: Some(UpstreamResponseBody::Streamed(Box::new(streamed))),
                 response_started_at: started_at,
@@ -124,43 +124,43 @@
     }
 }
 
-/// What decides how much of a body is gathered.
+/// Conditions that decide how much of a body is collected.
 #[derive(Clone, Copy)]
-struct GatherLimits {
-    /// There is memory to buffer it.
+struct CollectLimits {
+    /// Whether there is memory to buffer the body.
     has_memory: bool,
-    /// The response says how long it is.
+    /// Whether the response declares its length.
     length_known: bool,
 }
 
-async fn gather(
+async fn collect_body(
     connection: &mut Connection,
     body: &mut Incoming,
-    limits: GatherLimits,
-    gathered: &mut Gathered,
-) -> GatherEnd {
+    limits: CollectLimits,
+    collected: &mut CollectedChunks,
+) -> CollectResult {
     loop {
-        let waits_for_more = gathered.pieces.is_empty() || limits.has_memory && limits.length_known;
-        let stream_at = gathered.started_at.unwrap_or_else(Instant::now) + MAX_GATHER_TIME;
+        let waits_for_more = collected.chunks.is_empty() || limits.has_memory && limits.length_known;
+        let stream_at = collected.started_at.unwrap_or_else(Instant::now) + MAX_COLLECT_TIME;
         let frame = tokio::select! {
             biased;
             frame = connection.drive(body.frame()) => frame,
-            () = sleep_until(stream_at), if !waits_for_more => return GatherEnd::Started,
+            () = sleep_until(stream_at), if !waits_for_more => return CollectResult::Partial,
         };
         match frame {
-            Some(Some(Ok(frame))) => gathered.add(frame),
-            Some(None) => return GatherEnd::Complete,
-            Some(Some(Err(_))) | None => return GatherEnd::Broken,
+            Some(Some(Ok(frame))) => collected.add_frame(frame),
+            Some(None) => return CollectResult::Complete,
+            Some(Some(Err(_))) | None => return CollectResult::Broken,
         }
-        if gathered.bytes > 0 && (!limits.has_memory || gathered.bytes > MAX_BUFFERED_BODY_BYTES) {
-            return GatherEnd::Started;
+        if collected.bytes > 0 && (!limits.has_memory || collected.bytes > MAX_BUFFERED_BODY_BYTES) {
+            return CollectResult::Partial;
         }
     }
 }
 
-/// What a response's head says. Guards against taking a bare 503 or 504 for a rejection: only the header proves that the
-/// request never ran.
-fn outcome_of<T>(response: &Response<T>) -> Outcome {
+/// Returns the outcome that the head of a response states. Guards against taking a plain 503 or 504 for a rejection:
+/// only the `X-Rejected` header proves that the request never ran.
+fn response_outcome<T>(response: &Response<T>) -> Outcome {
     let rejected = response.headers().get(REJECTED).is_some_and(|v| v.as_bytes() == b"1");
     match response.status() {
         StatusCode::OK => Outcome::Success,
--- a/src/proxy/upstream/streamed_response.rs
+++ b/src/proxy/upstream/streamed_response.rs
@@ -1,4 +1,4 @@
-//! A backend's response that is too long to buffer, on its way to the client.
+//! A backend's response that is not buffered but streamed to the client.
 
 use super::connection::Connection;
 use super::pool::ConnectionPool;
@@ -14,76 +14,76 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// A backend that sends nothing more of a response for so long is taken for dead.
+/// A backend that sends no more of a response for this long is considered failed.
 const STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A backend's response broke off after its first bytes had gone to the client.
+/// A backend's response ended early, after its first bytes were passed on to the client.
 #[derive(Debug, thiserror::Error)]
-#[error("the response of backend {backend} broke off")]
+#[error("response of backend {backend} ended before its last byte")]
 pub struct ResponseBodyError {
     backend: SocketAddr,
 }
 
-/// The body of a response that is passed on as it comes, pulled by whoever reads it. Dropped before its end it closes its
+/// Body of a response that is passed on as it arrives, at the pace of its reader. Dropping it before its end closes its
 /// connection.
 pub struct StreamedResponseBody {
-    received: VecDeque<Bytes>,
+    received_chunks: VecDeque<Bytes>,
     rest: Incoming,
     connection: Option<Connection>,
     pool: Rc<ConnectionPool>,
     address: SocketAddr,
     _permit: OwnedSemaphorePermit,
-    stall: Pin<Box<Sleep>>,
+    stall_timer: Pin<Box<Sleep>>,
     complete: bool,
     on_end: Option<Box<dyn FnOnce(bool)>>,
 }
 
 impl StreamedResponseBody {
-    /// What has been received of a response, and where the rest comes from.
+    /// Returns a body made of the chunks received so far and the rest, which is read from `connection`.
     pub fn new(
-        received: VecDeque<Bytes>,
+        received_chunks: VecDeque<Bytes>,
         rest: Incoming,
         connection: Connection,
         pool: Rc<ConnectionPool>,
         address: SocketAddr,
         permit: OwnedSemaphorePermit,
     ) -> StreamedResponseBody {
-        let (connection, stall) = (Some(connection), Box::pin(sleep(STALL_TIMEOUT)));
+        let (connection, stall_timer) = (Some(connection), Box::pin(sleep(STALL_TIMEOUT)));
         StreamedResponseBody {
-            received,
+            received_chunks,
             rest,
             connection,
             pool,
             address,
             _permit: permit,
-            stall,
+            stall_timer,
             complete: false,
             on_end: None,
         }
     }
 
-    /// Calls this when the body is dropped, with whether it was passed on to its end.
-    pub fn on_end(&mut self, notify: impl FnOnce(bool) + 'static) {
-        self.on_end = Some(Box::new(notify));
+    /// Registers a callback that is called when the body is dropped, with whether the body was passed on to its end.
+    pub fn on_end(&mut self, callback: impl FnOnce(bool) + 'static) {
+        self.on_end = Some(Box::new(callback));
     }
 
-    /// Whether all of it has come and was passed on.
+    /// Returns whether the whole body was received and passed on.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
-    fn end(&mut self) {
+    fn finish(&mut self) {
         self.complete = true;
         if let Some(connection) = self.connection.take() {
-            self.pool.give_back(self.address, connection);
+            self.pool.release(self.address, connection);
         }
     }
 }
 
 impl Drop for StreamedResponseBody {
     fn drop(&mut self) {
-        if let Some(notify) = self.on_end.take() {
-            notify(self.complete);
+        if let Some(callback) = self.on_end.take() {
+            callback(self.complete);
         }
     }
 }
@@ -96,50 +96,50 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
-        if let Some(piece) = self.received.pop_front() {
-            if self.received.is_empty() && self.rest.is_end_stream() {
-                self.end();
+        if let Some(chunk) = self.received_chunks.pop_front() {
+            if self.received_chunks.is_empty() && self.rest.is_end_stream() {
+                self.finish();
             }
-            return Poll::Ready(Some(Ok(Frame::data(piece))));
+            return Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
         loop {
-            let me = &mut *self;
-            let broke_off = ResponseBodyError { backend: me.address };
-            let Some(connection) = &mut me.connection else { return Poll::Ready(None) };
+            let this = &mut *self;
+            let body_error = ResponseBodyError { backend: this.address };
+            let Some(connection) = &mut this.connection else { return Poll::Ready(None) };
             connection.poll_io(cx);
-            match Pin::new(&mut me.rest).poll_frame(cx) {
+            match Pin::new(&mut this.rest).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
-                    me.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
-                    if me.rest.is_end_stream() {
-                        me.end();
+                    this.stall_timer.as_mut().reset(Instant::now() + STALL_TIMEOUT);
+                    if this.rest.is_end_stream() {
+                        this.finish();
                     }
-                    // Trailers hold for the backend's connection alone.
+                    // Trailers apply to the backend's connection only and are dropped.
                     if frame.is_data() {
                         return Poll::Ready(Some(Ok(frame)));
                     }
                 }
-                Poll::Ready(Some(Err(_))) => return Poll::Ready(Some(Err(broke_off))),
+                Poll::Ready(Some(Err(_))) => return Poll::Ready(Some(Err(body_error))),
                 Poll::Ready(None) => {
-                    me.end();
+                    this.finish();
                     return Poll::Ready(None);
                 }
-                Poll::Pending if connection.is_closed() => return Poll::Ready(Some(Err(broke_off))),
+                Poll::Pending if connection.is_closed() => return Poll::Ready(Some(Err(body_error))),
                 Poll::Pending => {
-                    return me.stall.as_mut().poll(cx).map(|()| Some(Err(broke_off)));
+                    return this.stall_timer.as_mut().poll(cx).map(|()| Some(Err(body_error)));
                 }
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        self.complete && self.received.is_empty()
+        self.complete && self.received_chunks.is_empty()
     }
 
     fn size_hint(&self) -> SizeHint {
-        let received: usize = self.received.iter().map(Bytes::len).sum();
+        let received_bytes: usize = self.received_chunks.iter().map(Bytes::len).sum();
         match self.rest.size_hint().exact() {
-            Some(rest) if !self.complete => SizeHint::with_exact(rest + received as u64),
-            Some(_) => SizeHint::with_exact(received as u64),
+            Some(rest) if !self.complete => SizeHint::with_exact(rest + received_bytes as u64),
+            Some(_) => SizeHint::with_exact(received_bytes as u64),
             None => SizeHint::default(),
         }
     }
