--- a/src/proxy/log_rate_limit.rs
+++ b/src/proxy/log_rate_limit.rs
@@ -1,26 +1,26 @@
-//! Limits how often a line is logged that any request could cause.
+//! Limits the rate of log lines that any request could cause.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The least time between two lines of one kind.
+/// Minimum time between two log lines of one kind.
 const MIN_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Whether a line of one kind may be logged.
+/// Rate limit for log lines of one kind.
 #[derive(Debug, Default)]
 pub struct LogRateLimiter {
-    last: Cell<Option<Instant>>,
+    last_logged_at: Cell<Option<Instant>>,
 }
 
 impl LogRateLimiter {
-    /// Whether the line may be logged now. Where it may, it counts as logged.
+    /// Returns whether a line may be logged now. If so, the line counts as logged.
     pub fn allows(&self, now: Instant) -> bool {
-        let allows = self.last.get().is_none_or(|last| now >= last + MIN_INTERVAL);
-        if allows {
-            self.last.set(Some(now));
+        let is_allowed = self.last_logged_at.get().is_none_or(|last| now >= last + MIN_INTERVAL);
+        if is_allowed {
+            self.last_logged_at.set(Some(now));
         }
-        allows
+        is_allowed
     }
 }
 
--- a/src/proxy/memory_budget.rs
+++ b/src/proxy/memory_budget.rs
@@ -1,31 +1,31 @@
-//! One budget of memory over all connections.
+//! Memory budget shared by all connections.
 
 use crate::proxy::control_plane::config::socket_limits::SocketLimits;
 use crate::proxy::lifecycle::permits::Permits;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// The part of the machine's memory that buffers of connections may take in all. What neither this nor
-/// `MESSAGES_FRACTION` takes is for the program and its state.
+/// Fraction of the machine's memory for the buffers of all connections. What this and `MESSAGES_FRACTION` leave is for
+/// the program and its state.
 const BUFFERS_FRACTION: f64 = 0.375;
-/// The part that buffered messages may take in all.
+/// Fraction of the machine's memory for all buffered messages.
 const MESSAGES_FRACTION: f64 = 0.1875;
-/// A transfer holds up to three buffers: read, in transit, to be written.
+/// Number of buffers that one transfer may use: one being read, one in transit, one to be written.
 const BUFFERS_PER_CONNECTION: usize = 3;
-/// The shortest buffer of a connection, in bytes, as hyper requires.
+/// Smallest buffer of a connection, in bytes: the minimum that hyper accepts.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
-/// The longest buffer of a connection, in bytes: as long as a head may be.
+/// Largest buffer of a connection, in bytes: the longest head that may be received.
 const MAX_BUFFER_BYTES: usize = 32 * 1024;
-/// Messages are accounted for in units of this many bytes.
+/// Bytes of buffered messages that one permit accounts for.
 const PERMIT_BYTES: usize = 1024;
 
-/// The budget.
+/// Memory for connection buffers and buffered messages.
 pub struct MemoryBudget {
     messages: Permits,
     buffer_bytes: usize,
 }
 
 impl MemoryBudget {
-    /// What a machine with so much memory, in millions of bytes, has for so many connections.
+    /// Returns the budget of a machine with this much memory, in millions of bytes, and these numbers of connections.
     pub fn new(megabytes: f64, sockets: SocketLimits) -> MemoryBudget {
         let bytes = megabytes.clamp(1.0, 1e6) * 1e6;
         let buffers = BUFFERS_PER_CONNECTION * (sockets.clients + sockets.backends);
@@ -37,17 +37,17 @@
         }
     }
 
-    /// How long a connection's buffer may grow, in bytes.
+    /// Returns the largest size of a connection's buffer, in bytes.
     pub fn buffer(&self) -> usize {
         self.buffer_bytes
     }
 
-    /// Reserves memory for a buffered message of so many bytes. None: there is not enough left.
+    /// Reserves memory for a buffered message of this many bytes. Returns `None` if there is not enough left.
     pub fn hold(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
         self.messages.try_acquire_many(bytes.div_ceil(PERMIT_BYTES))
     }
 
-    /// Leaves so many quarters to the other process of this gateway.
+    /// Reserves this many quarters of the message memory for the other process of this gateway.
     pub fn leave(&self, quarters: usize) {
         self.messages.reserve_for_other_process(self.messages.total() * quarters / 4);
     }
