--- a/src/proxy/downstream/request_body.rs
+++ b/src/proxy/downstream/request_body.rs
@@ -1,6 +1,5 @@
-//! Bodies of client requests: buffered if they are short, otherwise streamed to the backend, and an error if they
-//! arrive more slowly than clients may send. [`OutboundBody`] is the body of an outbound call, which may be such a
-//! stream.
+//! Bodies of client requests: buffered if they are short, otherwise streamed to the backend. A body that arrives below
+//! the minimum rate is an error. [`OutboundBody`] is the body of an outbound call, which may be such a stream.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::Full;
@@ -17,7 +16,7 @@
 
 /// Longest body that a client may send, in bytes.
 pub const MAX_REQUEST_BODY_BYTES: usize = 32 << 20;
-/// Time allowed for each byte of a body, in nanoseconds: a rate one fifth below the 64 kB/s that clients may rely on.
+/// Time allowed for each byte of a body, in nanoseconds: a minimum rate one fifth below the 64 kB/s promised to clients.
 const NANOS_PER_BYTE: u64 = 19_500;
 
 /// Why a body was not received completely.
@@ -26,7 +25,7 @@
     /// The body is longer than `MAX_REQUEST_BODY_BYTES`.
     #[error("request body is longer than {MAX_REQUEST_BODY_BYTES} bytes")]
     TooLong,
-    /// The body arrives more slowly than clients may send.
+    /// The body arrives below the minimum rate.
     #[error("request body arrives too slowly")]
     TooSlow,
     /// The connection ended before the body, or the body is malformed.
@@ -64,7 +63,7 @@
         self.body.size_hint().exact().map(|n| usize::try_from(n).unwrap_or(usize::MAX))
     }
 
-    /// Polls for the next chunk that is not empty. Only the time in which the gateway waits for the client counts.
+    /// Polls for the next chunk that is not empty. Only time spent waiting for the client counts towards the time-out.
     fn poll_chunk(&mut self, cx: &mut Context) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             let Poll::Ready(frame) = Pin::new(&mut self.body).poll_frame(cx) else {
--- a/src/proxy/downstream/request_error.rs
+++ b/src/proxy/downstream/request_error.rs
@@ -39,7 +39,7 @@
     /// The body is longer than `MAX_REQUEST_BODY_BYTES`.
     #[error("the body is longer than 32 MiB")]
     BodyTooLong,
-    /// The body arrived more slowly than clients may send.
+    /// The body arrived below the minimum rate.
     #[error("the body did not come in time")]
     BodyTooSlow,
     /// The body ended early, or is malformed.
--- a/src/proxy/downstream/server.rs
+++ b/src/proxy/downstream/server.rs
@@ -95,7 +95,7 @@
 }
 
 impl ClientServer {
-    /// Accepts connections until the shutdown expects no more, then closes the listener.
+    /// Accepts connections until no more are expected during the shutdown, then closes the listener.
     async fn accept_connections(
         &mut self,
         listener: TcpListener,
