--- a/src/proxy/downstream/request_body.rs
+++ b/src/proxy/downstream/request_body.rs
@@ -16,7 +16,7 @@
 
 /// Longest body that a client may send, in bytes.
 pub const MAX_REQUEST_BODY_BYTES: usize = 32 << 20;
-/// Time allowed for each byte of a body, in nanoseconds: a minimum rate one fifth below the 64 kB/s promised to clients.
+/// Time allowed for each body byte, in nanoseconds: a minimum rate one fifth below the 64 kB/s promised to clients.
 const NANOS_PER_BYTE: u64 = 19_500;
 
 /// Why a body was not received completely.
