--- a/src/cluster/rollout/command.rs
+++ b/src/cluster/rollout/command.rs
@@ -1,88 +1,90 @@
-//! What is in force of a rollout: a value that any two gateways merge to the same, whatever came first (a state-based
-//! CRDT, Shapiro et al. 2011).
+//! The replicated state of a rollout: a state-based CRDT (Shapiro et al. 2011). Any two gateways merge their states to
+//! the same result, in whatever order these arrive.
 //!
-//! Wire and disk forms (postcard): the order of variants and fields counts, also for comparing.
+//! The forms on the wire and on disk are postcard's: the order of variants and fields is part of them, and also defines
+//! how values compare.
 
 use super::plan::{RolloutSettings, RuleSet, ALL_CUSTOMERS};
 use serde::{Deserialize, Serialize};
 
-/// The longest scope that another gateway may name, in bytes.
+/// Length limit of a scope named by another gateway, in bytes.
 const MAX_SCOPE_BYTES: usize = 40;
 
-/// Which rollout: of two, the one with the greater key is in force. A rollout that a quorum of the seats was once seen to
-/// know (`confirmed`) goes before one by the same number that nobody confirmed.
+/// Identifies a rollout; of two rollouts, the one with the greater key is in force. Among rollouts with the same
+/// number, one that a quorum of the seats is known to have received (`confirmed`) therefore takes precedence over an
+/// unconfirmed one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RolloutKey {
-    /// Rises from one rollout to the next.
+    /// Number of the rollout, greater than that of the one before.
     pub number: u64,
-    /// A quorum of the seats knew it.
+    /// Whether a quorum of the seats has received the rollout.
     pub confirmed: bool,
-    /// Drawn at random when it starts; also the salt by which customers are assigned.
+    /// Random id, also the salt by which customers are assigned to the arms.
     pub id: u64,
 }
 
 /// Why a rollout was halted.
 #[derive(Debug, Clone, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub enum HaltReason {
-    /// The canary's requests fail more often.
+    /// The canary's requests fail more often than the baseline's.
     CanaryWorse {
-        /// Where that was seen: `all`, a zone's name, or `class` and its number.
+        /// Scope of the comparison: `all`, a zone's name, or `class` and its number.
         scope: String,
-        /// What the bets on it gained, as a natural logarithm.
+        /// Combined gain of the bets that the canary is worse, as a natural logarithm.
         log_evidence: f64,
-        /// The threshold that it passed, as a natural logarithm.
+        /// Threshold that the evidence reached, as a natural logarithm.
         log_threshold: f64,
     },
-    /// A stage was not passed within the longest time.
+    /// A stage was not passed within its longest duration.
     Undecided,
 }
 
-/// How a rollout ended. Of two, the later one here counts: a halt always wins.
+/// How a rollout ended. When two ends are merged, the greater one by the order of variants wins, so a halt always does.
 #[derive(Debug, Clone, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub enum RolloutEnd {
-    /// All customers have the new rules for good.
+    /// All customers have the new rules permanently.
     Completed,
-    /// Operators aborted it: the rules before are in force.
+    /// Operators aborted the rollout: the previous rules are in force.
     Aborted,
-    /// It was halted: the rules before are in force.
+    /// The rollout was halted: the previous rules are in force.
     Halted {
-        /// By this seat.
+        /// Seat of the gateway that halted the rollout.
         seat: u16,
-        /// Why.
+        /// Reason for the halt.
         reason: HaltReason,
     },
 }
 
-/// Whether operators paused a rollout. Of two, the one that changed more often counts.
+/// Whether operators paused a rollout. When two values are merged, the one with more changes wins.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Pause {
-    /// How often it was paused or resumed.
+    /// Number of times that the rollout was paused or resumed.
     pub changes: u32,
-    /// Whether it is paused.
+    /// Whether the rollout is paused.
     pub is_paused: bool,
 }
 
-/// What is in force of a rollout.
+/// The state of a rollout that gateways replicate.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutCommand {
-    /// Which rollout.
+    /// Identity of the rollout.
     pub key: RolloutKey,
-    /// The stage in force; 0: it is known, and nobody has the new rules.
+    /// The stage in force. At 0 gateways know the rollout, but no customer has the new rules.
     pub stage: u8,
-    /// Whether it is paused.
+    /// Pause state.
     pub pause: Pause,
-    /// Its end; none: it runs.
+    /// How the rollout ended; none while it runs.
     pub end: Option<RolloutEnd>,
-    /// What is asked of it.
+    /// Stages, durations and statistical bounds.
     pub settings: RolloutSettings,
-    /// The rules before.
+    /// The rules in force before the rollout.
     pub baseline: RuleSet,
     /// The new rules.
     pub canary: RuleSet,
 }
 
 impl RolloutCommand {
-    /// Whether what another gateway says can be a command at all.
+    /// Whether a state received from another gateway is within all bounds.
     pub fn is_valid(&self) -> bool {
         let end_is_valid = match &self.end {
             Some(RolloutEnd::Halted {
@@ -98,19 +100,19 @@
             && usize::from(self.stage) <= self.settings.stage_shares.len()
     }
 
-    /// Whether it is of this rollout.
-    pub fn is_of(&self, key: RolloutKey) -> bool {
+    /// Whether this state is of the rollout with this key, confirmed or not.
+    pub fn is_same_rollout(&self, key: RolloutKey) -> bool {
         (self.key.number, self.key.id) == (key.number, key.id)
     }
 
-    /// Whether it runs.
+    /// Whether the rollout has not ended.
     pub fn is_running(&self) -> bool {
         self.end.is_none()
     }
 
-    /// Merges what another gateway knows. Returns whether that was anything new.
+    /// Merges the state that another gateway knows. Returns whether anything changed.
     pub fn merge(&mut self, other: &RolloutCommand) -> bool {
-        if !self.is_of(other.key) {
+        if !self.is_same_rollout(other.key) {
             let is_newer = other.key > self.key;
             if is_newer {
                 *self = other.clone();
@@ -122,22 +124,22 @@
         self.stage = self.stage.max(other.stage);
         self.pause = self.pause.max(other.pause);
         if let Some(end) = &other.end {
-            if self.end.as_ref().is_none_or(|own| end > own) {
+            if self.end.as_ref().is_none_or(|current| end > current) {
                 self.end = Some(end.clone());
             }
         }
         *self != before
     }
 
-    /// The rules that hold for every customer before a next rollout.
-    pub fn settled_rules(&self) -> &RuleSet {
+    /// The baseline of the next rollout: the rules of all customers after this one has ended.
+    pub fn next_baseline(&self) -> &RuleSet {
         match self.end {
             Some(RolloutEnd::Completed) => &self.canary,
             _ => &self.baseline,
         }
     }
 
-    /// The customers, of 10,000, that have the new rules now.
+    /// Number of customers, of 10,000, that have the new rules now.
     pub fn share(&self) -> u16 {
         match self.end {
             None => self.settings.share(self.stage),
--- a/src/cluster/rollout/command_result.rs
+++ b/src/cluster/rollout/command_result.rs
@@ -1,19 +1,19 @@
-//! The answer to an operator's command on a rollout.
+//! Result of an operator's command on a rollout.
 
-/// What became of an operator's command.
+/// Result of an operator's command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandResult {
-    /// It is done, or begun.
+    /// The command was carried out, or the rollout is being started.
     Done,
-    /// It can't be: another rollout runs, or none does.
+    /// The command does not fit the rollout's state: another rollout is running, or none is.
     Conflict,
-    /// There is no rollout without a ledger.
+    /// Rollouts are disabled at this gateway; they need a ledger.
     Disabled,
 }
 
 impl CommandResult {
-    /// Of what was done, or could not be; none: there are no rollouts.
-    pub fn done_if(done: Option<bool>) -> CommandResult {
+    /// Converts whether the command was carried out; `None` means that rollouts are disabled.
+    pub fn from_outcome(done: Option<bool>) -> CommandResult {
         match done {
             Some(true) => CommandResult::Done,
             Some(false) => CommandResult::Conflict,
--- a/src/cluster/rollout/controller.rs
+++ b/src/cluster/rollout/controller.rs
@@ -1,12 +1,13 @@
-//! One gateway's part in a rollout: it passes on what is in force, sends its counts to those that collect them, halts
-//! where it collects and finds a reason and, while it owns the rollout's record, leads from stage to stage.
+//! The rollout controller of one gateway: it gossips the rollout's state, sends its outcome counts to the collectors,
+//! halts the rollout when it collects counts and finds a reason, and leads it from stage to stage while it owns the
+//! rollout's record.
 
 mod counting;
 mod leading;
 pub(super) mod report;
 
 use super::command::{Pause, RolloutCommand, RolloutEnd, RolloutKey};
-use super::count_rows::{CollectedCounts, FRESHNESS};
+use super::count_rows::{CollectedCounts, MAX_COUNTS_AGE};
 use super::message::RolloutMessage;
 use super::outcome_counts::OutcomeCounts;
 use super::plan::{RolloutRequest, RuleSet};
@@ -14,61 +15,61 @@
 use crate::cluster::ledger::ClaimId;
 use crate::decision::Micros;
 
-/// How often a controller is to be called.
+/// Interval between calls of `RolloutController::tick`.
 pub const TICK_INTERVAL: Micros = Micros(500_000);
-/// So many others, drawn at random, are sent what is in force at each tick.
+/// Number of random other gateways that receive the rollout's state at each tick.
 const GOSSIP_FANOUT: usize = 2;
-/// A process that is younger may not know yet of a rollout that runs, and begins none.
-const MIN_AGE_TO_BEGIN: Micros = Micros(3_000_000);
+/// A process with a shorter uptime may not yet know of a running rollout, so it starts none.
+const MIN_UPTIME_TO_START: Micros = Micros(3_000_000);
 
-/// What a controller wants done.
+/// An action requested by the controller.
 #[derive(Debug)]
 pub enum ControllerEffect {
-    /// Send this to a seat.
+    /// Send a message to a seat.
     Send {
-        /// The seat.
+        /// The recipient's seat.
         to: u16,
-        /// The message.
+        /// The message to send.
         message: RolloutMessage,
     },
     /// Claim the rollout's record.
     Claim,
-    /// Release it.
+    /// Release the claim on the rollout's record.
     Release(ClaimId),
-    /// Other rules, or another share of the customers, are in force from now on.
+    /// The rules in force, or the customers that have the new ones, may have changed.
     RoutingChanged,
-    /// Something for the log.
+    /// Log an event.
     Notify(RolloutNotice),
 }
 
-/// Something for the log about a rollout.
+/// An event of a rollout, to be logged.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RolloutNotice {
-    /// Another stage, or pause, is in force here.
+    /// The stage or the pause state has changed at this gateway.
     StageChanged {
-        /// Of which rollout.
+        /// Identity of the rollout.
         key: RolloutKey,
-        /// The stage.
+        /// The stage in force.
         stage: u8,
-        /// Whether it is paused.
+        /// Whether the rollout is paused.
         paused: bool,
     },
-    /// It ended.
+    /// The rollout has ended.
     Ended {
-        /// Which rollout.
+        /// Identity of the rollout.
         key: RolloutKey,
-        /// How.
+        /// How the rollout ended.
         end: RolloutEnd,
     },
-    /// This gateway leads it from now on.
+    /// This gateway has become the leader.
     Leading {
-        /// Which rollout.
+        /// Identity of the rollout.
         key: RolloutKey,
     },
 }
 
 impl RolloutNotice {
-    /// Of which rollout.
+    /// Number of the rollout.
     pub fn number(&self) -> u64 {
         match self {
             RolloutNotice::StageChanged { key, .. }
@@ -78,24 +79,24 @@
     }
 }
 
-/// Another gateway that announced that it leads.
+/// The latest announcement of another gateway that it leads.
 #[derive(Debug, Clone, Copy)]
-struct LeaderSighting {
+struct LeaderHeartbeat {
     seat: u16,
-    at: Micros,
+    received_at: Micros,
 }
 
-/// The stage that this gateway leads.
+/// The current stage as seen by the leader.
 #[derive(Debug, Clone)]
 struct LedStage {
     stage: u8,
-    /// Since when it leads in this stage, without a pause.
+    /// Since when this gateway has led the stage without a pause.
     since: Micros,
-    /// What was counted when the stage came into force; none: it is not yet.
+    /// Counts at the time when the stage came into force; none before that.
     start: Option<StageStart>,
 }
 
-/// One gateway's part in a rollout.
+/// The rollout controller of one gateway.
 pub struct RolloutController {
     own_seat: u16,
     seats: usize,
@@ -111,20 +112,20 @@
     collected: CollectedCounts,
     is_collector: bool,
     last_tick: Micros,
-    /// Messages that come before this may have been delayed while this process stood still.
+    /// Messages that arrive before this time may have been delayed while this process was stalled.
     prompt_from: Micros,
-    leader: Option<LeaderSighting>,
+    leader: Option<LeaderHeartbeat>,
     claim: Option<ClaimId>,
-    next_claim: Micros,
+    next_claim_at: Micros,
     is_leading: bool,
-    /// What an operator asked for here, until its record is owned.
+    /// An operator's request at this gateway, until the rollout's record is owned.
     requested: Option<RolloutRequest>,
     led_stage: Option<LedStage>,
 }
 
 impl RolloutController {
-    /// For the gateway in this seat of so many, where these rules were in force before any rollout. `process` is drawn at
-    /// random.
+    /// Creates the controller of a gateway. `base_rules` are in force until the first rollout; `process` is a random
+    /// id.
     pub fn new(
         own_seat: u16,
         seats: usize,
@@ -151,14 +152,14 @@
             prompt_from: now,
             leader: None,
             claim: None,
-            next_claim: now,
+            next_claim_at: now,
             is_leading: false,
             requested: None,
             led_stage: None,
         }
     }
 
-    /// What is in force here; none before the first rollout.
+    /// The rollout's state at this gateway; none before the first rollout.
     pub fn command(&self) -> Option<&RolloutCommand> {
         self.command.as_ref()
     }
@@ -168,12 +169,12 @@
         &self.base_rules
     }
 
-    /// The claim on the rollout's record.
+    /// The open claim on the rollout's record.
     pub fn claim(&self) -> Option<ClaimId> {
         self.claim
     }
 
-    /// Whether a rollout runs, as far as is known here.
+    /// Whether a rollout runs, as far as this gateway knows.
     fn is_running(&self) -> bool {
         self.command.as_ref().is_some_and(RolloutCommand::is_running)
     }
@@ -182,10 +183,11 @@
         self.command.as_ref().filter(|command| command.is_running())
     }
 
-    /// An operator wants a rollout. Returns whether its record is to be claimed now: two never run at one time.
+    /// Accepts an operator's request for a rollout, and claims the record if no rollout runs or is being started here.
+    /// Returns whether the request was accepted.
     pub fn request(&mut self, now: Micros, request: RolloutRequest, out: &mut Vec<ControllerEffect>) -> bool {
-        let is_young = now - self.started_at < MIN_AGE_TO_BEGIN;
-        if is_young || self.is_running() || self.requested.is_some() || self.claim.is_some() {
+        let is_recently_started = now - self.started_at < MIN_UPTIME_TO_START;
+        if is_recently_started || self.is_running() || self.requested.is_some() || self.claim.is_some() {
             return false;
         }
         self.requested = Some(request);
@@ -193,12 +195,12 @@
         true
     }
 
-    /// The record is claimed under this number; none: it could not be.
+    /// Sets the claim on the rollout's record; none if the record could not be claimed.
     pub fn set_claim(&mut self, claim: Option<ClaimId>) {
         self.claim = claim;
     }
 
-    /// An operator pauses the rollout, or lets it go on. Returns whether there was anything to do.
+    /// Pauses or resumes the rollout. Returns whether that changed anything.
     pub fn pause(
         &mut self,
         now: Micros,
@@ -213,7 +215,7 @@
         true
     }
 
-    /// An operator aborts the rollout. Returns whether there was anything to do.
+    /// Aborts the rollout. Returns whether one was running.
     pub fn abort(&mut self, now: Micros, present: &[u16], out: &mut Vec<ControllerEffect>) -> bool {
         let Some(mut command) = self.running_command().cloned() else { return false };
         command.end = Some(RolloutEnd::Aborted);
@@ -221,8 +223,8 @@
         true
     }
 
-    /// Merges a command, and passes on what is new at once: what is in force elsewhere, or was when this gateway's last
-    /// process stored it.
+    /// Merges a state received from another gateway, changed here, or stored by this gateway's previous process, and
+    /// sends it to all participants at once if it is new.
     pub fn apply(
         &mut self,
         now: Micros,
@@ -232,27 +234,27 @@
     ) {
         let before = self.command.clone();
         let is_new = match &mut self.command {
-            Some(own) => own.merge(command),
+            Some(current) => current.merge(command),
             None => {
                 self.command = Some(command.clone());
                 true
             }
         };
-        let Some(own) = self.command.clone().filter(|_| is_new) else { return };
-        let same_rollout = before.filter(|before| before.is_of(own.key));
+        let Some(current) = self.command.clone().filter(|_| is_new) else { return };
+        let same_rollout = before.filter(|before| before.is_same_rollout(current.key));
         if same_rollout.is_none() {
-            self.forget_counts();
+            self.reset_counts();
         }
-        self.notify_change(now, &own, same_rollout.and_then(|before| before.end), out);
+        self.notify_change(now, &current, same_rollout.and_then(|before| before.end), out);
         out.push(ControllerEffect::RoutingChanged);
-        let message = RolloutMessage::Command { command: Box::new(own), is_leader: false };
+        let message = RolloutMessage::Command { command: Box::new(current), is_leader: false };
         for to in present.iter().copied().filter(|seat| *seat != self.own_seat) {
             out.push(ControllerEffect::Send { to, message: message.clone() });
         }
     }
 
-    /// Counts of an earlier rollout say nothing of this one.
-    fn forget_counts(&mut self) {
+    /// Drops all counts, as those of an earlier rollout are no evidence about this one.
+    fn reset_counts(&mut self) {
         self.outcomes = OutcomeCounts::default();
         self.collected = CollectedCounts::default();
         self.led_stage = None;
@@ -280,7 +282,7 @@
         }
     }
 
-    /// Handles a message of another gateway.
+    /// Handles a message from another gateway's controller.
     pub fn on_message(
         &mut self,
         now: Micros,
@@ -292,42 +294,43 @@
         if usize::from(from) >= self.seats {
             return;
         }
-        self.detect_standstill(now);
+        self.detect_stall(now);
         match message {
             RolloutMessage::Command { command, is_leader } => {
                 if !command.is_valid() {
                     self.collected.rejected += 1;
                     return;
                 }
-                let was_known = self.is_of_command(command.key);
+                let was_known = self.is_current_rollout(command.key);
                 self.apply(now, &command, present, out);
-                if is_leader && (was_known || self.is_of_command(command.key)) {
-                    self.leader = Some(LeaderSighting { seat: from, at: now });
+                if is_leader && (was_known || self.is_current_rollout(command.key)) {
+                    self.leader = Some(LeaderHeartbeat { seat: from, received_at: now });
                 }
             }
             RolloutMessage::Counts(row) => {
-                if self.is_of_command(row.key) {
+                if self.is_current_rollout(row.key) {
                     self.collected.record(now, from, *row, now >= self.prompt_from);
                 }
             }
         }
     }
 
-    fn is_of_command(&self, key: RolloutKey) -> bool {
-        self.command.as_ref().is_some_and(|command| command.is_of(key))
+    fn is_current_rollout(&self, key: RolloutKey) -> bool {
+        self.command.as_ref().is_some_and(|command| command.is_same_rollout(key))
     }
 
-    /// After a standstill messages may have waited in a buffer: for some time none counts as prompt.
-    fn detect_standstill(&mut self, now: Micros) {
+    /// Detects that this process was stalled. Messages may then have waited in a buffer, so for some time none counts
+    /// as prompt.
+    fn detect_stall(&mut self, now: Micros) {
         if now - self.last_tick > TICK_INTERVAL + TICK_INTERVAL {
-            self.prompt_from = now + FRESHNESS;
+            self.prompt_from = now + MAX_COUNTS_AGE;
         }
     }
 
-    /// To be called every `TICK_INTERVAL`. `has_lease`: the rollout's record is surely this one's now. `present`: seats
-    /// that take part.
+    /// Called every `TICK_INTERVAL`. `has_lease` says that this gateway certainly owns the rollout's record now,
+    /// `present` which seats take part.
     pub fn tick(&mut self, now: Micros, has_lease: bool, present: &[u16], out: &mut Vec<ControllerEffect>) {
-        self.detect_standstill(now);
+        self.detect_stall(now);
         self.last_tick = now;
         let Some(command) = self.command.clone() else { return };
         let collectors = self.update_collectors(command.key.id, present);
@@ -345,7 +348,7 @@
         self.gossip(present, out);
     }
 
-    /// What is in force goes to some at each tick; from the leader to all, which then know that it leads.
+    /// Sends the rollout's state to a few random gateways, or from the leader to all, so that they know who leads.
     fn gossip(&mut self, present: &[u16], out: &mut Vec<ControllerEffect>) {
         let Some(command) = &self.command else { return };
         let others = present.iter().copied().filter(|seat| *seat != self.own_seat);
--- a/src/cluster/rollout/controller/leading.rs
+++ b/src/cluster/rollout/controller/leading.rs
@@ -1,34 +1,34 @@
-//! Leading a rollout under the lease of its record: when a stage is passed, when the rollout is halted, and who takes the
-//! lead next.
+//! Leadership of a rollout under the lease of its record: entering the next stage, halting the rollout, and replacing a
+//! leader.
 
 use super::{ControllerEffect, LedStage, RolloutController};
 use crate::cluster::rollout::command::{HaltReason, Pause, RolloutCommand, RolloutEnd, RolloutKey};
 use crate::cluster::rollout::plan::RolloutRequest;
-use crate::cluster::rollout::sequential_test::{halt_reason, is_in_force, may_pass, StageStart};
+use crate::cluster::rollout::sequential_test::{halt_reason, is_stage_in_force, may_pass_stage, StageStart};
 use crate::decision::Micros;
 
-/// A leader of which nothing was received for so long is replaced.
+/// Time without an announcement from the leader after which it is replaced.
 const LEADER_TIMEOUT: Micros = Micros(2_500_000);
-/// Candidates claim within this, in microseconds, not all at once.
-const CANDIDACY_JITTER_US: u64 = 1_500_000;
-/// Nobody claims for so long after another was found to lead.
+/// Range of the random delay added between claims, in microseconds, so that candidates do not claim all at once.
+const CLAIM_JITTER_US: u64 = 1_500_000;
+/// Minimum time between a failed claim, or the start of one, and the next claim.
 const CLAIM_INTERVAL: Micros = Micros(1_000_000);
 
 impl RolloutController {
-    /// The record is not this one's: another leads, or its replicas can't be had. Returns whether an operator had asked for
-    /// a rollout here, which does not begin.
+    /// Called when the claim has failed or lapsed: another gateway leads, or the record's replicas are unavailable.
+    /// Returns whether an operator's request was pending here, which is dropped.
     pub fn on_claim_failed(&mut self, now: Micros) -> bool {
         self.claim = None;
-        // Whoever led goes on at once where only the record's life is over.
+        // A leader whose record has merely expired claims it again at once.
         let wait = match self.is_leading {
             true => Micros(0),
-            false => CLAIM_INTERVAL + Micros(self.rng.u64(0..CANDIDACY_JITTER_US)),
+            false => CLAIM_INTERVAL + Micros(self.rng.u64(0..CLAIM_JITTER_US)),
         };
-        self.next_claim = now + wait;
+        self.next_claim_at = now + wait;
         self.requested.take().is_some()
     }
 
-    /// The record is this one's: what was asked for begins.
+    /// Called when this gateway owns the record: starts the requested rollout, if any, and returns its key.
     pub fn on_claim_confirmed(
         &mut self,
         now: Micros,
@@ -41,7 +41,7 @@
         }
         let before = self.command.as_ref();
         let number = before.map_or(0, |command| command.key.number).saturating_add(1);
-        let baseline = before.map_or(&self.base_rules, RolloutCommand::settled_rules).clone();
+        let baseline = before.map_or(&self.base_rules, RolloutCommand::next_baseline).clone();
         let key = RolloutKey { number, confirmed: false, id: self.rng.u64(..) };
         let command = RolloutCommand {
             key,
@@ -56,29 +56,29 @@
         Some(key)
     }
 
-    /// The leader, if something was received of it lately.
-    pub(super) fn live_leader(&self, now: Micros) -> Option<u16> {
-        self.leader.filter(|leader| now - leader.at < LEADER_TIMEOUT).map(|leader| leader.seat)
+    /// The leader, if it announced itself within `LEADER_TIMEOUT`.
+    pub(super) fn current_leader(&self, now: Micros) -> Option<u16> {
+        self.leader.filter(|leader| now - leader.received_at < LEADER_TIMEOUT).map(|leader| leader.seat)
     }
 
-    /// Claims the record where nobody leads.
+    /// Claims the record if no gateway leads and this one collects counts.
     pub(super) fn claim_if_leaderless(
         &mut self,
         now: Micros,
         collectors: &[u16],
         out: &mut Vec<ControllerEffect>,
     ) {
-        let has_leader = self.is_leading || self.live_leader(now).is_some();
+        let has_leader = self.is_leading || self.current_leader(now).is_some();
         if self.claim.is_some() || has_leader || !collectors.contains(&self.own_seat) {
             return;
         }
-        if now >= self.next_claim {
-            self.next_claim = now + CLAIM_INTERVAL + Micros(self.rng.u64(0..CANDIDACY_JITTER_US));
+        if now >= self.next_claim_at {
+            self.next_claim_at = now + CLAIM_INTERVAL + Micros(self.rng.u64(0..CLAIM_JITTER_US));
             out.push(ControllerEffect::Claim);
         }
     }
 
-    /// Halts where there is a reason; leads on where that is this one's to do.
+    /// Halts the rollout if there is a reason; otherwise advances it if this gateway leads.
     pub(super) fn halt_or_advance(
         &mut self,
         now: Micros,
@@ -88,7 +88,7 @@
     ) {
         if (self.is_collector || self.is_leading) && command.stage > 0 {
             if let Some(reason) = halt_reason(&self.collected, &command.settings) {
-                let halted = self.halted(command, reason);
+                let halted = self.halt_command(command, reason);
                 return self.apply(now, &halted, present, out);
             }
         }
@@ -101,12 +101,12 @@
         }
     }
 
-    fn halted(&self, command: &RolloutCommand, reason: HaltReason) -> RolloutCommand {
+    fn halt_command(&self, command: &RolloutCommand, reason: HaltReason) -> RolloutCommand {
         let end = RolloutEnd::Halted { seat: self.own_seat, reason };
         RolloutCommand { end: Some(end), ..command.clone() }
     }
 
-    /// What the leader puts in force next, if anything.
+    /// Returns the leader's next state of the rollout, if it changes.
     fn next_command(&mut self, now: Micros, command: &RolloutCommand) -> Option<RolloutCommand> {
         let seats = self.seats;
         let new_stage = LedStage { stage: command.stage, since: now, start: None };
@@ -114,13 +114,13 @@
             Some(led) if led.stage == command.stage => led,
             other => other.insert(new_stage),
         };
-        // Nothing is concluded from a pause.
+        // Time spent paused neither passes a stage nor makes it overdue.
         if command.pause.is_paused {
             led.since = now;
             led.start = None;
             return None;
         }
-        let in_force = is_in_force(now, &self.collected, command.stage, seats);
+        let in_force = is_stage_in_force(now, &self.collected, command.stage, seats);
         if in_force && led.start.is_none() {
             led.start = Some(StageStart::new(now, &self.collected));
         }
@@ -129,17 +129,18 @@
             return Some(RolloutCommand { key, stage: 1, ..command.clone() });
         }
         let settings = &command.settings;
-        let is_baked = |start: &&StageStart| in_force && now - start.at >= seconds(settings.bake_s);
-        if let Some(start) = led.start.as_ref().filter(is_baked) {
+        let bake_time_elapsed =
+            |start: &&StageStart| in_force && now - start.started_at >= seconds(settings.bake_s);
+        if let Some(start) = led.start.as_ref().filter(bake_time_elapsed) {
             if settings.is_last(command.stage) {
                 return Some(RolloutCommand { end: Some(RolloutEnd::Completed), ..command.clone() });
             }
-            if may_pass(now, &self.collected, start, settings) {
+            if may_pass_stage(now, &self.collected, start, settings) {
                 return Some(RolloutCommand { stage: command.stage + 1, ..command.clone() });
             }
         }
         let is_overdue = now - led.since >= seconds(settings.max_stage_s);
-        is_overdue.then(|| self.halted(command, HaltReason::Undecided))
+        is_overdue.then(|| self.halt_command(command, HaltReason::Undecided))
     }
 }
 
--- a/src/cluster/rollout/controller/report.rs
+++ b/src/cluster/rollout/controller/report.rs
@@ -1,4 +1,5 @@
-//! What operators read of a rollout: the JSON of `GET /rollout`. Its keys and shapes are fixed here (`rename`, `into`).
+//! The report of a rollout for operators: the JSON of `GET /rollout`. Its keys and shapes are fixed here (`rename`,
+//! `into`).
 
 use super::RolloutController;
 use crate::cluster::rollout::command::{HaltReason, RolloutCommand, RolloutEnd};
@@ -11,84 +12,84 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RolloutState {
-    /// It runs.
+    /// The rollout has not ended.
     Running,
     /// All customers have the new rules.
     #[serde(rename = "done")]
     Completed,
-    /// Operators aborted it.
+    /// Operators aborted the rollout.
     Aborted,
-    /// It was halted.
+    /// The gateways halted the rollout.
     Halted,
 }
 
-/// A stage, from 1, and how many there are.
+/// A stage, counted from 1, and the number of stages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(into = "(u8, usize)")]
-pub struct StageOfAll {
-    /// The stage; 0: before the first.
+pub struct StagePosition {
+    /// The stage; 0 precedes the first.
     pub stage: u8,
-    /// How many there are.
+    /// Number of stages.
     pub stages: usize,
 }
 
-impl From<StageOfAll> for (u8, usize) {
-    fn from(stage: StageOfAll) -> (u8, usize) {
+impl From<StagePosition> for (u8, usize) {
+    fn from(stage: StagePosition) -> (u8, usize) {
         (stage.stage, stage.stages)
     }
 }
 
-/// Seats that reported lately, and of them those that go by the same stage and end.
+/// Seats that reported recently, and how many of them follow the same stage and end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(into = "(usize, usize)")]
-pub struct SeatsHeard {
-    /// Seats that reported within 2 s.
+pub struct ReportingSeats {
+    /// Number of seats that reported within 2 s.
     pub reporting: usize,
-    /// Of them those that go by this stage and end.
+    /// Number of reporting seats that follow this stage and end.
     pub following: usize,
 }
 
-impl From<SeatsHeard> for (usize, usize) {
-    fn from(seats: SeatsHeard) -> (usize, usize) {
+impl From<ReportingSeats> for (usize, usize) {
+    fn from(seats: ReportingSeats) -> (usize, usize) {
         (seats.reporting, seats.following)
     }
 }
 
-/// What operators read of a rollout.
+/// The report of a rollout for operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct RolloutReport {
-    /// The rollout's number.
+    /// Number of the rollout.
     pub number: u64,
-    /// A quorum of the seats has known it.
+    /// Whether a quorum of the seats has received the rollout.
     pub confirmed: bool,
-    /// The stage here.
-    pub stage: StageOfAll,
-    /// The customers that have the new rules here, in percent.
+    /// The stage in force at this gateway.
+    pub stage: StagePosition,
+    /// Customers that have the new rules at this gateway, in percent.
     pub percent: f64,
-    /// It is paused.
+    /// Whether the rollout is paused.
     pub paused: bool,
-    /// Whether it runs.
+    /// Whether the rollout runs, or how it ended.
     pub state: RolloutState,
-    /// Why it was halted, and by whom.
+    /// Why the rollout was halted, and by which seat.
     #[serde(rename = "why")]
     pub reason: Option<String>,
-    /// This gateway leads it.
+    /// Whether this gateway leads the rollout.
     pub leads: bool,
-    /// This gateway collects the counts: the rest is known at collectors alone.
+    /// Whether this gateway collects the counts; the values below are complete only at collectors.
     pub collects: bool,
-    /// Seats that reported lately.
+    /// Seats that reported recently.
     #[serde(rename = "heard")]
-    pub seats: SeatsHeard,
-    /// By arm (baseline, canary): requests on time, late, failed, rejected.
+    pub seats: ReportingSeats,
+    /// Requests on time, late, failed and rejected, for the baseline and then the canary.
     #[serde(rename = "ends")]
     pub outcomes: [[u64; 4]; 2],
-    /// Messages of others that could not be valid.
+    /// Number of messages rejected as invalid, or because their gateway had too many processes.
     #[serde(rename = "refused")]
     pub rejected: u64,
 }
 
 impl RolloutController {
-    /// What operators read; none before the first rollout.
+    /// Returns the report for operators; none before the first rollout.
     pub fn report(&self, now: Micros) -> Option<RolloutReport> {
         let command = self.command.as_ref()?;
         let RolloutCommand { key, stage, pause, settings, .. } = command;
@@ -98,14 +99,14 @@
         Some(RolloutReport {
             number: key.number,
             confirmed: key.confirmed,
-            stage: StageOfAll { stage: *stage, stages: settings.stage_shares.len() },
+            stage: StagePosition { stage: *stage, stages: settings.stage_shares.len() },
             percent: f64::from(command.share()) / 100.0,
             paused: pause.is_paused,
-            state: state_of(command),
-            reason: reason_of(command),
+            state: rollout_state(command),
+            reason: halt_reason_text(command),
             leads: self.is_leading,
             collects: self.is_collector,
-            seats: SeatsHeard {
+            seats: ReportingSeats {
                 reporting: fresh.len(),
                 following: fresh.values().filter(is_following).count(),
             },
@@ -118,20 +119,20 @@
         let mut sums = [[0; 4]; 2];
         let classes = self.collected.processes().flat_map(|(_, process)| process.classes.values());
         for counts in classes {
-            add(&mut sums[0], counts.value.outcomes.baseline);
-            add(&mut sums[1], counts.value.outcomes.canary);
+            add_totals(&mut sums[0], counts.value.outcomes.baseline);
+            add_totals(&mut sums[1], counts.value.outcomes.canary);
         }
         sums
     }
 }
 
-fn add(sums: &mut [u64; 4], totals: OutcomeTotals) {
+fn add_totals(sums: &mut [u64; 4], totals: OutcomeTotals) {
     for (sum, total) in sums.iter_mut().zip(totals.to_array()) {
         *sum += total;
     }
 }
 
-fn state_of(command: &RolloutCommand) -> RolloutState {
+fn rollout_state(command: &RolloutCommand) -> RolloutState {
     match command.end {
         None => RolloutState::Running,
         Some(RolloutEnd::Completed) => RolloutState::Completed,
@@ -140,8 +141,8 @@
     }
 }
 
-/// A text of the operators' JSON: its wording is fixed.
-fn reason_of(command: &RolloutCommand) -> Option<String> {
+/// Returns a text of the operators' JSON, whose wording is fixed.
+fn halt_reason_text(command: &RolloutCommand) -> Option<String> {
     let Some(RolloutEnd::Halted { seat, reason }) = &command.end else { return None };
     Some(match reason {
         HaltReason::CanaryWorse { scope, log_evidence, log_threshold } => format!(
--- a/src/cluster/rollout/count_rows.rs
+++ b/src/cluster/rollout/count_rows.rs
@@ -1,5 +1,5 @@
-//! The counts received of all gateways: of each process the newest, so that loss, duplicates, order and late messages
-//! change nothing.
+//! Counts received from all gateways. Only the newest of each process is kept, so that lost, duplicated, reordered and
+//! late messages do no harm.
 
 use super::command::RolloutKey;
 use super::outcome_counts::{ClassCounts, MAX_CLASSES};
@@ -7,40 +7,41 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Older counts say nothing of now: no stage is passed on them. They still speak against a rollout.
-pub const FRESHNESS: Micros = Micros(2_000_000);
-/// The most processes of one gateway that are remembered in one rollout.
+/// Maximum age of counts on which a stage may pass. Older counts can still halt a rollout.
+pub const MAX_COUNTS_AGE: Micros = Micros(2_000_000);
+/// Limit of the processes remembered for one gateway in one rollout.
 const MAX_PROCESSES: usize = 16;
-/// The most classes in one message.
+/// Limit of the classes in one message.
 pub const MAX_CLASSES_PER_ROW: usize = 5;
-/// The longest name of a zone, in bytes.
+/// Length limit of a zone's name, in bytes.
 const MAX_ZONE_BYTES: usize = 32;
 
-/// The counts of one class.
+/// Outcome counts of one class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassRow {
-    /// The class.
+    /// Number of the class.
     pub class: u16,
-    /// Its counts.
+    /// Outcome counts.
     pub counts: ClassCounts,
 }
 
-/// One gateway's message: what it goes by, and a part of its counts. A wire form (postcard): the order of fields counts.
+/// One gateway's message: the state that it follows, and a part of its counts. A postcard wire form: the order of
+/// fields counts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CountRow {
-    /// Of which rollout.
+    /// Identity of the rollout.
     pub key: RolloutKey,
-    /// Its process, drawn at random when it starts.
+    /// Random id of the sender's process, drawn when it starts.
     pub process: u64,
-    /// Which message of that process's; rises.
+    /// Sequence number of the message within that process.
     pub sequence: u64,
-    /// Its zone.
+    /// Zone of the sender.
     pub zone: String,
-    /// The stage that it goes by.
+    /// Stage that the sender follows.
     pub stage: u8,
-    /// It knows the rollout's end.
+    /// Whether the sender knows that the rollout has ended.
     pub has_ended: bool,
-    /// Counts by class, at most `MAX_CLASSES_PER_ROW` of them.
+    /// Counts by class, at most `MAX_CLASSES_PER_ROW` classes.
     pub classes: Vec<ClassRow>,
 }
 
@@ -53,25 +54,25 @@
     }
 }
 
-/// A value with the number of the message that it came with.
+/// A value with the sequence number of its message.
 #[derive(Debug, Clone, Default)]
 pub struct Sequenced<T> {
     sequence: u64,
-    /// The value.
+    /// The latest value.
     pub value: T,
 }
 
-/// What was received of one process of a gateway.
+/// Latest state and counts received from one process of a gateway.
 #[derive(Debug, Clone)]
 pub struct ProcessCounts {
-    /// Its zone.
+    /// Zone of the process.
     pub zone: String,
     sequence: u64,
-    /// When the newest message came; none where it may have been delayed.
-    pub heard_at: Option<Micros>,
-    /// By that message, the stage that it goes by.
+    /// Arrival time of the newest message that cannot have been delayed, if there was one.
+    pub last_received_at: Option<Micros>,
+    /// Stage that the process follows, by its newest message.
     pub stage: u8,
-    /// By that message, it knows the end.
+    /// Whether the process knows that the rollout has ended, by its newest message.
     pub has_ended: bool,
     /// Counts by class.
     pub classes: BTreeMap<u16, Sequenced<ClassCounts>>,
@@ -79,31 +80,31 @@
 
 impl ProcessCounts {
     fn new(zone: String) -> ProcessCounts {
-        let (sequence, heard_at, stage, has_ended) = (0, None, 0, false);
-        ProcessCounts { zone, sequence, heard_at, stage, has_ended, classes: BTreeMap::new() }
+        let (sequence, last_received_at, stage, has_ended) = (0, None, 0, false);
+        ProcessCounts { zone, sequence, last_received_at, stage, has_ended, classes: BTreeMap::new() }
     }
 }
 
-/// Which process of which gateway.
+/// Identifies a process of a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProcessKey {
-    /// The gateway's seat.
+    /// Seat of the gateway.
     pub seat: u16,
-    /// Its process.
+    /// Random id of the process.
     pub process: u64,
 }
 
-/// All counts that were received.
+/// All counts received in one rollout.
 #[derive(Debug, Clone, Default)]
 pub struct CollectedCounts {
     processes: BTreeMap<ProcessKey, ProcessCounts>,
-    /// Messages that could not be valid.
+    /// Number of messages rejected as invalid, or because their gateway had too many processes.
     pub rejected: u64,
 }
 
 impl CollectedCounts {
-    /// Takes a gateway's message. `prompt`: it was surely not under way for long.
-    pub fn record(&mut self, now: Micros, seat: u16, row: CountRow, prompt: bool) {
+    /// Records a gateway's message. `is_prompt` says that the message cannot have been delayed for long.
+    pub fn record(&mut self, now: Micros, seat: u16, row: CountRow, is_prompt: bool) {
         let key = ProcessKey { seat, process: row.process };
         if !row.is_valid() || !self.has_capacity(key) {
             self.rejected += 1;
@@ -114,14 +115,14 @@
             counts.sequence = row.sequence;
             counts.stage = row.stage;
             counts.has_ended = row.has_ended;
-            if prompt {
-                counts.heard_at = Some(now);
+            if is_prompt {
+                counts.last_received_at = Some(now);
             }
         }
         for ClassRow { class, counts: value } in row.classes {
-            let held = counts.classes.entry(class).or_default();
-            if row.sequence > held.sequence {
-                *held = Sequenced { sequence: row.sequence, value };
+            let stored = counts.classes.entry(class).or_default();
+            if row.sequence > stored.sequence {
+                *stored = Sequenced { sequence: row.sequence, value };
             }
         }
     }
@@ -132,18 +133,18 @@
         self.processes.contains_key(&key) || self.processes.range(first..=last).count() < MAX_PROCESSES
     }
 
-    /// All processes, by seat.
+    /// All processes, ordered by seat.
     pub fn processes(&self) -> impl Iterator<Item = (ProcessKey, &ProcessCounts)> {
         self.processes.iter().map(|(key, counts)| (*key, counts))
     }
 
-    /// The seats whose newest message is fresh, each with its process that reported last.
+    /// The seats whose newest message is recent enough, each with the process that reported last.
     pub fn fresh(&self, now: Micros) -> BTreeMap<u16, &ProcessCounts> {
         let mut fresh: BTreeMap<u16, &ProcessCounts> = BTreeMap::new();
         for (key, counts) in &self.processes {
-            let Some(at) = counts.heard_at.filter(|at| now - *at <= FRESHNESS) else { continue };
+            let Some(at) = counts.last_received_at.filter(|at| now - *at <= MAX_COUNTS_AGE) else { continue };
             let newest = fresh.entry(key.seat).or_insert(counts);
-            if newest.heard_at < Some(at) {
+            if newest.last_received_at < Some(at) {
                 *newest = counts;
             }
         }
--- a/src/cluster/rollout/lease.rs
+++ b/src/cluster/rollout/lease.rs
@@ -1,6 +1,6 @@
-//! The lease under which a rollout is led.
+//! The lease of the rollout's leader.
 
 use crate::cluster::ledger::RecordId;
 
-/// The ledger record whose owner leads the rollout. No customer has this number.
+/// Ledger record whose owner leads the rollout. No customer has this number.
 pub const ROLLOUT_RECORD: RecordId = RecordId { customer: u64::MAX, key: 1 };
--- a/src/cluster/rollout/message.rs
+++ b/src/cluster/rollout/message.rs
@@ -1,19 +1,19 @@
-//! Messages about a rollout. A wire form (postcard): the order of variants and fields counts.
+//! Messages about a rollout, encoded with postcard: the order of variants and fields is part of the wire form.
 
 use super::command::RolloutCommand;
 use super::count_rows::CountRow;
 use serde::{Deserialize, Serialize};
 
-/// What gateways tell each other of a rollout.
+/// A message between the rollout controllers of two gateways.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RolloutMessage {
-    /// What is in force, as the sender knows it.
+    /// The rollout's state as the sender knows it.
     Command {
-        /// The command.
+        /// The rollout's state.
         command: Box<RolloutCommand>,
-        /// The sender leads the rollout.
+        /// Whether the sender leads the rollout.
         is_leader: bool,
     },
-    /// The sender's counts.
+    /// Outcome counts of the sender.
     Counts(Box<CountRow>),
 }
--- a/src/cluster/rollout/mod.rs
+++ b/src/cluster/rollout/mod.rs
@@ -1,11 +1,12 @@
-//! Routing rules that are rolled out in stages (a canary release), and halted by what all gateways together see of them.
+//! Staged (canary) rollouts of routing rules, which are halted by the combined outcome counts of all gateways.
 //!
-//! No I/O, no clock, no global randomness. `docs/decisions/0007-rules-rollout.md` gives the reasons.
+//! Nothing here does I/O, reads a clock or uses global randomness. `docs/decisions/0007-rules-rollout.md` gives the
+//! reasons.
 //!
-//! * [`RolloutRequest`] is what operators ask for; [`RolloutCommand`] is what is in force of it.
-//! * [`RolloutController`] is one gateway's part: it passes the command on, counts, halts, and leads.
-//! * [`OutcomeCounts`] are one gateway's counts, [`CollectedCounts`] those of all.
-//! * [`sequential_test`] decides on a halt, and on the next stage.
+//! * [`RolloutRequest`] is an operator's request; [`RolloutCommand`] is the replicated state of the rollout.
+//! * [`RolloutController`] runs at each gateway: it gossips, counts, halts and, under the lease, leads.
+//! * [`OutcomeCounts`] are the counts of one gateway, [`CollectedCounts`] those of all gateways.
+//! * [`sequential_test`] decides whether to halt the rollout and whether to enter the next stage.
 
 mod command;
 mod command_result;
--- a/src/cluster/rollout/plan.rs
+++ b/src/cluster/rollout/plan.rs
@@ -1,6 +1,7 @@
-//! What operators write of a rollout: routing rules within their bounds, stages, and what is asked of them.
+//! Operators' definition of a rollout: routing rules within their bounds, stages and statistical bounds.
 //!
-//! The names in TOML are the operators' (`rename`). On the wire and on disk (postcard) the order of fields counts.
+//! Keys in TOML are part of the operators' interface (`rename`). On the wire and on disk (postcard) the order of fields
+//! counts.
 
 use crate::decision::SettingsError;
 use serde::{Deserialize, Serialize};
@@ -9,13 +10,13 @@
 use std::ops::{Range, RangeInclusive};
 use toml::Spanned;
 
-/// All customers, in the parts in which a stage's share is given.
+/// All customers, in the unit of a stage's share.
 pub const ALL_CUSTOMERS: u16 = 10_000;
-/// Parts of all customers in a percent.
+/// Units of a share in one percent.
 const PARTS_PER_PERCENT: f64 = 100.0;
-/// The most rules of a set.
+/// Limit of the number of rules in a set.
 const MAX_RULES: usize = 8;
-/// The longest set, in bytes: two sets fit into one datagram with all around them.
+/// Length limit of an encoded set, in bytes, so that two sets and the rest of the message fit into one datagram.
 const MAX_RULE_SET_BYTES: usize = 400;
 const MAX_STAGES: usize = 8;
 /// Bounds of an endpoint's weight, in percent.
@@ -29,64 +30,64 @@
 const MARGIN: RangeInclusive<f64> = 0.001..=0.2;
 const MIN_REQUESTS: RangeInclusive<u32> = 1..=10_000_000;
 
-/// One rule: for which requests, and how these are routed. All parts are percentages.
+/// A rule: which requests it matches, and how these are routed. Weights and fractions are percentages.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RuleConfig {
-    /// Only requests of this class.
+    /// Matches only requests of this class.
     pub class: Option<String>,
-    /// Only customers of this plan.
+    /// Matches only customers of this plan.
     pub plan: Option<String>,
-    /// Only at gateways of this zone.
+    /// Matches only at gateways of this zone.
     pub zone: Option<String>,
-    /// Weights of endpoints by their zone, 5 to 400; 100 where none is named.
+    /// Weights of endpoints by zone, 5 to 400; an endpoint of an unlisted zone has 100.
     #[serde(rename = "zones")]
     pub zone_weights: BTreeMap<String, u16>,
-    /// Weights of endpoints by their label, 5 to 400; 100 where none is named.
+    /// Weights of endpoints by label, 5 to 400; an endpoint of an unlisted label has 100.
     #[serde(rename = "labels")]
     pub label_weights: BTreeMap<String, u16>,
-    /// The most attempts, 1 to 8; never more than the site's.
+    /// Maximum number of attempts, 1 to 8; the site's own maximum still applies.
     #[serde(rename = "attempts")]
     pub max_attempts: Option<u8>,
-    /// An attempt at an endpoint that failed of late times out after this part of the latency objective, 30 to 70.
+    /// Time-out of an attempt at an endpoint that failed recently, as a percentage of the latency objective, 30 to 70.
     #[serde(rename = "give_up")]
     pub give_up_percent: Option<u8>,
-    /// The part of what an endpoint that warms up may get that it does get, 0 to 100.
+    /// Percentage, 0 to 100, of its normal slow-start allowance that an endpoint gets while it warms up.
     #[serde(rename = "cold")]
     pub slow_start_percent: Option<u8>,
 }
 
-/// A set of rules; of those that fit a request the first counts.
+/// A set of rules; the first rule that matches a request applies.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RuleSet(pub Vec<RuleConfig>);
 
-/// What is asked of a rollout.
+/// Stages, durations and statistical bounds of a rollout.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutSettings {
-    /// The customers of each stage, of 10,000; rising, all at the end.
+    /// Number of customers, of 10,000, that have the new rules in each stage; rising, with all customers at the end.
     pub stage_shares: Vec<u16>,
-    /// The least time of a stage, in seconds.
+    /// Minimum duration of a stage, in seconds.
     pub bake_s: u32,
-    /// A stage that is not passed within this is halted, in seconds.
+    /// Maximum duration of a stage, in seconds: a rollout whose stage has not passed by then is halted.
     pub max_stage_s: u32,
-    /// The fraction of sound rollouts that may be halted, all stages together.
+    /// Highest fraction of sound rollouts that may be halted by mistake, over all stages together.
     pub false_halt_rate: f64,
-    /// The canary may have at most this fraction of failures more than the baseline for a stage to be passed.
+    /// Highest excess of the canary's failure rate over the baseline's with which a stage may still pass.
     pub margin: f64,
-    /// So many requests of the canary are counted in each stage, at least.
+    /// Minimum number of canary requests counted in each stage.
     pub min_canary_requests: u32,
 }
 
-/// A rollout as it is asked for.
+/// A rollout requested by an operator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutRequest {
     /// The new rules.
     pub rules: RuleSet,
-    /// What is asked of the rollout.
+    /// Stages, durations and statistical bounds.
     pub settings: RolloutSettings,
 }
 
-/// What operators write, with their keys and defaults.
+/// The TOML document that operators write, with its keys and defaults.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Document {
@@ -118,7 +119,7 @@
 }
 
 fn check_bounds<T: PartialOrd + Display>(
-    what: &str,
+    key: &str,
     value: T,
     bounds: RangeInclusive<T>,
 ) -> Result<(), SettingsError> {
@@ -126,13 +127,13 @@
         true => Ok(()),
         false => {
             let (from, to) = (bounds.start(), bounds.end());
-            Err(SettingsError(format!("{what}: expected {from} to {to}, found {value}")))
+            Err(SettingsError(format!("{key}: expected {from} to {to}, found {value}")))
         }
     }
 }
 
 impl RuleConfig {
-    /// Checks that its values are within the bounds that no rule may leave.
+    /// Checks that all values are within the rule's bounds.
     ///
     /// # Errors
     /// Names the key, the bounds and the value.
@@ -156,7 +157,7 @@
 }
 
 impl RuleSet {
-    /// Checks that all rules are within bounds, and that the set is not too long.
+    /// Checks that all rules are within their bounds, and that the set is not too long.
     ///
     /// # Errors
     /// Names the key, the bounds and the value.
@@ -169,7 +170,7 @@
 }
 
 impl RolloutSettings {
-    /// Checks that the settings make sense.
+    /// Checks that the values are within their bounds, and that the stages rise to all customers.
     ///
     /// # Errors
     /// Names the key, the bounds and the value.
@@ -188,23 +189,23 @@
         check_bounds("least", self.min_canary_requests, MIN_REQUESTS)
     }
 
-    /// The customers, of 10,000, that have the new rules in this stage; stage 0 comes before the first.
+    /// Number of customers, of 10,000, that have the new rules in this stage; stage 0 precedes the first.
     pub fn share(&self, stage: u8) -> u16 {
         let index = usize::from(stage).checked_sub(1);
         index.and_then(|index| self.stage_shares.get(index)).copied().unwrap_or(0)
     }
 
-    /// Whether this stage is the last.
+    /// Whether this is the last stage.
     pub fn is_last(&self, stage: u8) -> bool {
         usize::from(stage) >= self.stage_shares.len()
     }
 }
 
 impl RolloutRequest {
-    /// Reads a rollout from TOML.
+    /// Parses a rollout from TOML.
     ///
     /// # Errors
-    /// What is wrong, in one line, with the line and the key.
+    /// Describes the first error in one line, with its line number and key.
     pub fn parse(text: &str) -> Result<RolloutRequest, SettingsError> {
         let document: Document = toml::from_str(text).map_err(|error| syntax_error(text, &error))?;
         let rules = document.rules(text)?;
@@ -213,20 +214,20 @@
     }
 }
 
-fn line_of(text: &str, span: &Range<usize>) -> usize {
+fn line_number(text: &str, span: &Range<usize>) -> usize {
     1 + text[..span.start.min(text.len())].matches('\n').count()
 }
 
 fn syntax_error(text: &str, error: &toml::de::Error) -> SettingsError {
     let message = error.message().lines().collect::<Vec<_>>().join(" ");
-    let line = error.span().map_or(1, |span| line_of(text, &span));
+    let line = error.span().map_or(1, |span| line_number(text, &span));
     SettingsError(format!("line {line}: {message}"))
 }
 
 impl Document {
     fn rules(&self, text: &str) -> Result<RuleSet, SettingsError> {
         for rule in &self.rule {
-            let line = line_of(text, &rule.span());
+            let line = line_number(text, &rule.span());
             rule.get_ref().check().map_err(|error| SettingsError(format!("line {line}: rule: {error}")))?;
         }
         if self.rule.is_empty() {
--- a/src/cluster/rollout/sequential_test.rs
+++ b/src/cluster/rollout/sequential_test.rs
@@ -1,28 +1,29 @@
-//! Whether what was counted halts a rollout, and whether it lets a stage pass.
+//! Statistical tests that decide whether outcome counts halt a rollout or let a stage pass.
 //!
-//! A halt is a sequential test of one-sided alternatives by betting (see `outcome_counts`): it may be looked at at any
-//! time. A stage is passed on a test of non-inferiority of what was counted since the stage came into force.
+//! The halt is a sequential test of one-sided alternatives by betting (see `outcome_counts`), which may be evaluated at
+//! any time. A stage passes on a non-inferiority test of what was counted since the stage came into force.
 
 use super::command::HaltReason;
 use super::count_rows::{CollectedCounts, ProcessCounts, ProcessKey, Sequenced};
-use super::outcome_counts::{ClassCounts, OutcomeTotals, PerArm, BETS};
+use super::outcome_counts::{ClassCounts, OutcomeTotals, PerArm, BET_COUNT};
 use super::plan::RolloutSettings;
 use crate::decision::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A gateway's counts have no say where more than half of both arms fail there, once it saw so many of each.
+/// Minimum number of requests in each arm before a gateway's counts can be excluded because more than half fail in both
+/// arms.
 const MIN_REQUESTS_TO_EXCLUDE: u64 = 20;
-/// So many of all seats go by a stage before it is in force, in percent.
+/// Minimum percentage of all seats that follow a stage before it is in force.
 const MIN_SEATS_PERCENT: usize = 75;
-/// The 95 % quantile of the normal distribution: a bound that a sound stage misses once in twenty looks.
+/// 95 % quantile of the normal distribution: a sound stage fails this one-sided bound in one of twenty evaluations.
 const PASS_QUANTILE: f64 = 1.645;
-/// The fraction of the rate of false halts that is spent on the test over all requests.
-const ALPHA_OF_ALL: f64 = 0.5;
-/// The same on all zones together, and on all classes together.
-const ALPHA_OF_ZONES: f64 = 0.25;
-const ALPHA_OF_CLASSES: f64 = 0.25;
+/// Fraction of the false-halt rate spent on the test over all requests.
+const OVERALL_ALPHA_FRACTION: f64 = 0.5;
+/// Fractions spent on the tests of all zones together, and of all classes together.
+const ZONES_ALPHA_FRACTION: f64 = 0.25;
+const CLASSES_ALPHA_FRACTION: f64 = 0.25;
 
-/// Whether the gateway itself is the fault: both arms fail there alike.
+/// Whether the gateway itself is likely at fault: most requests of both arms fail there.
 fn is_faulty(process: &ProcessCounts) -> bool {
     let mut sent = PerArm::<u64>::default();
     let mut failures = PerArm::<u64>::default();
@@ -36,50 +37,50 @@
     mostly_fails(sent.baseline, failures.baseline) && mostly_fails(sent.canary, failures.canary)
 }
 
-/// What the bets of several gateways gained, by seat.
+/// Gains of the bets of several gateways, by seat, as natural logarithms.
 #[derive(Default)]
-struct Evidence(BTreeMap<u16, [f64; BETS]>);
+struct Evidence(BTreeMap<u16, [f64; BET_COUNT]>);
 
 impl Evidence {
-    fn add(&mut self, seat: u16, log_gains: [f64; BETS]) {
+    fn add(&mut self, seat: u16, log_gains: [f64; BET_COUNT]) {
         let sums = self.0.entry(seat).or_default();
         for (sum, gain) in sums.iter_mut().zip(log_gains) {
             *sum += gain;
         }
     }
 
-    /// The logarithm of what the bets gained on average over their odds, without one seat's.
-    fn log_average(&self, without: Option<u16>) -> f64 {
-        let mut sums = [0.0; BETS];
-        for (_, gains) in self.0.iter().filter(|(seat, _)| Some(**seat) != without) {
+    /// Logarithm of the average gain over the odds, without the bets of one seat.
+    fn log_average(&self, excluded_seat: Option<u16>) -> f64 {
+        let mut sums = [0.0; BET_COUNT];
+        for (_, gains) in self.0.iter().filter(|(seat, _)| Some(**seat) != excluded_seat) {
             for (sum, gain) in sums.iter_mut().zip(gains) {
                 *sum += gain;
             }
         }
-        // Guards against exponentials that are too large for a number.
-        let most = maximum(&sums);
-        most + (sums.iter().map(|sum| (sum - most).exp()).sum::<f64>() / sums.len() as f64).ln()
+        // Subtracting the largest exponent keeps `exp` from overflowing.
+        let largest = maximum(&sums);
+        largest + (sums.iter().map(|sum| (sum - largest).exp()).sum::<f64>() / sums.len() as f64).ln()
     }
 
-    /// The seat that says most for a halt.
+    /// The seat with the strongest evidence for a halt.
     fn strongest_seat(&self) -> Option<u16> {
         let by_gain = self.0.iter().max_by(|a, b| maximum(a.1).total_cmp(&maximum(b.1)));
         by_gain.map(|(seat, _)| *seat)
     }
 }
 
-fn maximum(values: &[f64; BETS]) -> f64 {
+fn maximum(values: &[f64; BET_COUNT]) -> f64 {
     values.iter().copied().fold(f64::MIN, f64::max)
 }
 
-/// Where the arms are compared, and the fraction of the rate of false halts that is spent on it.
+/// A scope in which the arms are compared, and the fraction of the false-halt rate spent on it.
 struct Scope {
     name: String,
     evidence: Evidence,
     alpha_fraction: f64,
 }
 
-/// Over all, in each zone, and in each class.
+/// Returns the scopes to test: all requests, each zone, and each class.
 fn scopes(counts: &CollectedCounts) -> Vec<Scope> {
     let mut all = Evidence::default();
     let mut zones = BTreeMap::<String, Evidence>::new();
@@ -92,54 +93,55 @@
             classes.entry(*class).or_default().add(key.seat, gains);
         }
     }
-    let of_zone = ALPHA_OF_ZONES / zones.len().max(1) as f64;
-    let of_class = ALPHA_OF_CLASSES / classes.len().max(1) as f64;
-    let mut scopes = vec![Scope { name: "all".into(), evidence: all, alpha_fraction: ALPHA_OF_ALL }];
+    let alpha_per_zone = ZONES_ALPHA_FRACTION / zones.len().max(1) as f64;
+    let alpha_per_class = CLASSES_ALPHA_FRACTION / classes.len().max(1) as f64;
+    let mut scopes =
+        vec![Scope { name: "all".into(), evidence: all, alpha_fraction: OVERALL_ALPHA_FRACTION }];
     scopes.extend(zones.into_iter().map(|(name, evidence)| Scope {
         name,
         evidence,
-        alpha_fraction: of_zone,
+        alpha_fraction: alpha_per_zone,
     }));
     scopes.extend(classes.into_iter().map(|(class, evidence)| Scope {
         name: format!("class {class}"),
         evidence,
-        alpha_fraction: of_class,
+        alpha_fraction: alpha_per_class,
     }));
     scopes
 }
 
-/// Whether the canary is worse, by what all gateways counted: over all, in one zone, or in one class. One gateway alone is
-/// not enough: the others' evidence has to pass the threshold that one look at all would have.
+/// Returns a halt reason if the canary is worse by the counts of all gateways: over all, in one zone, or in one class.
+/// One gateway alone cannot halt the rollout: the evidence of the others must pass the threshold of a single test.
 pub fn halt_reason(counts: &CollectedCounts, settings: &RolloutSettings) -> Option<HaltReason> {
-    let threshold_of_others = -settings.false_halt_rate.ln();
+    let others_threshold = -settings.false_halt_rate.ln();
     scopes(counts).into_iter().find_map(|scope| {
         let log_evidence = scope.evidence.log_average(None);
         let log_threshold = -(settings.false_halt_rate * scope.alpha_fraction).ln();
         let without_strongest = scope.evidence.log_average(scope.evidence.strongest_seat());
-        let halts = log_evidence >= log_threshold && without_strongest >= threshold_of_others;
+        let halts = log_evidence >= log_threshold && without_strongest >= others_threshold;
         halts.then_some(HaltReason::CanaryWorse { scope: scope.name, log_evidence, log_threshold })
     })
 }
 
-/// What was counted when a stage came into force.
+/// The counts at the time when a stage came into force.
 #[derive(Debug, Clone)]
 pub struct StageStart {
-    /// When it came into force.
-    pub at: Micros,
+    /// Time when the stage came into force.
+    pub started_at: Micros,
     counts: BTreeMap<(ProcessKey, u16), PerArm<OutcomeTotals>>,
 }
 
 impl StageStart {
-    /// The stage comes into force now.
+    /// Records the counts of a stage that comes into force now.
     pub fn new(now: Micros, counts: &CollectedCounts) -> StageStart {
         let classes = counts.processes().flat_map(|(key, process)| {
             process.classes.iter().map(move |(class, counts)| ((key, *class), counts.value.outcomes))
         });
-        StageStart { at: now, counts: classes.collect() }
+        StageStart { started_at: now, counts: classes.collect() }
     }
 
-    /// What a process counted of a class since then.
-    fn since(&self, key: ProcessKey, class: u16, counts: &ClassCounts) -> PerArm<Sample> {
+    /// Returns what a process has counted of a class since the stage came into force.
+    fn samples_since(&self, key: ProcessKey, class: u16, counts: &ClassCounts) -> PerArm<Sample> {
         let before = self.counts.get(&(key, class)).copied().unwrap_or_default();
         PerArm {
             baseline: Sample::difference(&counts.outcomes.baseline, &before.baseline),
@@ -148,8 +150,9 @@
     }
 }
 
-/// Whether enough gateways have reported lately, all going by this stage, and more than half of each zone's.
-pub fn is_in_force(now: Micros, counts: &CollectedCounts, stage: u8, seats: usize) -> bool {
+/// Whether enough gateways have reported recently, all of them follow this stage or a later one, and those that report
+/// are more than half of the known gateways in each zone.
+pub fn is_stage_in_force(now: Micros, counts: &CollectedCounts, stage: u8, seats: usize) -> bool {
     let fresh = counts.fresh(now);
     let following = fresh.values().filter(|process| process.stage >= stage).count();
     if following * 100 < seats * MIN_SEATS_PERCENT || following < fresh.len() {
@@ -186,7 +189,8 @@
         self.failures += other.failures;
     }
 
-    /// One failure and one success more than were counted: nothing is ever sure (Agresti and Coull 1998).
+    /// Sample size with one extra failure and one extra success, so that no estimated rate is 0 or 1 (Agresti and Coull
+    /// 1998).
     fn adjusted_size(&self) -> f64 {
         self.sent + 2.0
     }
@@ -201,11 +205,11 @@
     }
 }
 
-/// What was counted in a stage.
+/// Samples counted during a stage.
 #[derive(Default)]
 struct StageSamples {
     by_class: BTreeMap<u16, PerArm<Sample>>,
-    /// Requests of the canary.
+    /// Number of canary requests.
     canary_by_seat: BTreeMap<u16, f64>,
 }
 
@@ -218,22 +222,23 @@
                 continue;
             }
             for (class, Sequenced { value, .. }) in &process.classes {
-                let since = start.since(key, *class, value);
+                let arms = start.samples_since(key, *class, value);
                 let sums = samples.by_class.entry(*class).or_default();
-                sums.baseline.add(since.baseline);
-                sums.canary.add(since.canary);
-                *samples.canary_by_seat.entry(key.seat).or_default() += since.canary.sent;
+                sums.baseline.add(arms.baseline);
+                sums.canary.add(arms.canary);
+                *samples.canary_by_seat.entry(key.seat).or_default() += arms.canary.sent;
             }
         }
         samples
     }
 
-    /// Whether the canary was seen often enough, and by more than one gateway.
-    fn is_enough(&self, settings: &RolloutSettings) -> bool {
-        let least = f64::from(settings.min_canary_requests);
+    /// Whether the canary has enough requests, and not from one gateway alone: half of the minimum must come from
+    /// others.
+    fn is_sufficient(&self, settings: &RolloutSettings) -> bool {
+        let min_requests = f64::from(settings.min_canary_requests);
         let largest = self.canary_by_seat.values().copied().fold(0.0, f64::max);
         let total = self.canary_requests();
-        total >= least && (total - largest) * 2.0 >= least
+        total >= min_requests && (total - largest) * 2.0 >= min_requests
     }
 
     fn canary_requests(&self) -> f64 {
@@ -241,16 +246,16 @@
     }
 }
 
-/// Whether a stage that is in force may be passed on what was counted since: the canary was seen often enough, by more than
-/// one gateway, and it is sure enough that it is worse by no more than the margin. Unknown is never good.
-pub fn may_pass(
+/// Whether the counts since a stage came into force let it pass: the canary has enough requests, from more than one
+/// gateway, and is worse by no more than the margin with sufficient confidence. Missing data never passes a stage.
+pub fn may_pass_stage(
     now: Micros,
     counts: &CollectedCounts,
     start: &StageStart,
     settings: &RolloutSettings,
 ) -> bool {
     let samples = StageSamples::collect(now, counts, start);
-    if !samples.is_enough(settings) {
+    if !samples.is_sufficient(settings) {
         return false;
     }
     let total = samples.canary_requests();
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -1,4 +1,5 @@
-//! The rollout within a cluster node: its messages go out to the seats present, and its record is claimed at the ledger.
+//! Connects the rollout controller to the cluster node: sends its messages to the seats present, and claims its record
+//! at the ledger.
 
 use super::datagram::{DatagramError, Payload};
 use super::event::{Effect, RoutingInForce};
@@ -13,35 +14,36 @@
 use crate::decision::Micros;
 
 impl ClusterNode {
-    /// An operator wants a rollout. What becomes of it follows as `Effect::RolloutStarted`.
+    /// Starts a rollout requested by an operator. `Effect::RolloutStarted` reports later whether it has started.
     pub fn start_rollout(
         &mut self,
         now: Micros,
         request: RolloutRequest,
         out: &mut Vec<Effect>,
     ) -> CommandResult {
-        let begins = self
+        let accepted = self
             .with_controller(now, out, |controller, _, effects| controller.request(now, request, effects));
-        CommandResult::done_if(begins)
+        CommandResult::from_outcome(accepted)
     }
 
-    /// An operator pauses the rollout, or lets it go on.
+    /// Pauses or resumes the rollout on an operator's command.
     pub fn pause_rollout(&mut self, now: Micros, is_paused: bool, out: &mut Vec<Effect>) -> CommandResult {
         let done = self.with_controller(now, out, |controller, present, effects| {
             controller.pause(now, is_paused, present, effects)
         });
-        CommandResult::done_if(done)
+        CommandResult::from_outcome(done)
     }
 
-    /// An operator aborts the rollout.
+    /// Aborts the rollout on an operator's command.
     pub fn abort_rollout(&mut self, now: Micros, out: &mut Vec<Effect>) -> CommandResult {
         let done = self.with_controller(now, out, |controller, present, effects| {
             controller.abort(now, present, effects)
         });
-        CommandResult::done_if(done)
+        CommandResult::from_outcome(done)
     }
 
-    /// A request that went by the rules of this rollout ended, so much of its latency objective after it came.
+    /// Counts a request that was routed by the rules of this rollout and has ended. `fraction_of_objective` is its
+    /// duration as a fraction of its latency objective.
     pub fn record_outcome(
         &mut self,
         now: Micros,
@@ -56,12 +58,12 @@
         }
     }
 
-    /// What operators read of the rollout.
+    /// Returns the rollout's report for operators.
     pub fn rollout_report(&self, now: Micros) -> Option<RolloutReport> {
         self.rollout.as_ref()?.report(now)
     }
 
-    /// The routing rules in force.
+    /// Returns the routing rules in force.
     pub fn routing_in_force(&self) -> Option<RoutingInForce> {
         let controller = self.rollout.as_ref()?;
         Some(match controller.command() {
@@ -82,7 +84,7 @@
         })
     }
 
-    /// Handles a message of the rollout from a seat.
+    /// Handles a rollout message from a seat.
     pub(super) fn on_rollout_message(
         &mut self,
         seat_list: u64,
@@ -100,7 +102,7 @@
         .ok_or(DatagramError::Rejected)
     }
 
-    /// Something became of a claim at the ledger; whether it was the rollout's.
+    /// Handles the outcome of a claim at the ledger. Returns whether the claim was the rollout's.
     pub(super) fn on_rollout_claim_resolved(
         &mut self,
         claim: ClaimId,
@@ -123,11 +125,11 @@
     }
 
     fn begin_requested_rollout(&mut self, out: &mut Vec<Effect>) {
-        let present = self.seats_in_rollouts();
+        let present = self.rollout_participants();
         let mut effects = Vec::new();
         let Some(controller) = self.rollout.as_mut() else { return };
-        let begun = controller.on_claim_confirmed(self.now, &present, &mut effects);
-        out.extend(begun.map(|key| Effect::RolloutStarted { key: Some(key) }));
+        let started = controller.on_claim_confirmed(self.now, &present, &mut effects);
+        out.extend(started.map(|key| Effect::RolloutStarted { key: Some(key) }));
         self.emit_controller_effects(self.now, effects, out);
     }
 
@@ -139,7 +141,7 @@
         }
     }
 
-    /// To be called as time passes.
+    /// Called as time passes; runs the controller every `TICK_INTERVAL`.
     pub(super) fn tick_rollout(&mut self, out: &mut Vec<Effect>) {
         let now = self.now;
         let Some(controller) = self.rollout.as_ref().filter(|_| now >= self.next_rollout_tick) else {
@@ -148,7 +150,7 @@
         self.next_rollout_tick = now + TICK_INTERVAL;
         let claim = controller.claim();
         if self.left {
-            // Another leads on at once.
+            // Releasing the claim lets another gateway become the leader at once.
             self.rollout = None;
             if let Some(claim) = claim {
                 self.release_claim(now, claim, None, out);
@@ -156,7 +158,7 @@
             return;
         }
         let lease = self.lease_status(claim);
-        // A record lives for a while only: its owner claims it anew, or another does.
+        // A record has a limited lifetime: after that its owner, or another gateway, claims it again.
         if lease.lapsed.is_some() || lease.is_gone {
             self.on_rollout_claim_failed(out);
             if let Some(claim) = lease.lapsed {
@@ -168,7 +170,7 @@
         });
     }
 
-    /// What was stored of a rollout is in force again, as far as nothing newer was received.
+    /// Applies the rollout's stored state, unless a newer one has been received.
     pub(super) fn restore_rollout(&mut self, command: Option<RolloutCommand>, out: &mut Vec<Effect>) {
         let Some(command) = command.filter(RolloutCommand::is_valid) else { return };
         let now = self.now;
@@ -177,29 +179,30 @@
         });
     }
 
-    /// The seats that take part in rollouts and are present, this one among them.
-    fn seats_in_rollouts(&self) -> Vec<u16> {
+    /// The seats that take part in rollouts and are present, including this gateway's own.
+    fn rollout_participants(&self) -> Vec<u16> {
         let records = self.swim.records();
-        let takes_part = |name: &String| {
+        let is_participant = |name: &String| {
             *name == self.settings.name
-                || records.get(name.as_str()).is_some_and(|r| {
-                    r.state.is_present() && r.identity.metadata.capabilities & CAPABILITY_ROLLOUT != 0
+                || records.get(name.as_str()).is_some_and(|record| {
+                    record.state.is_present()
+                        && record.identity.metadata.capabilities & CAPABILITY_ROLLOUT != 0
                 })
         };
-        let seats = self.settings.seats.iter().enumerate().filter(|(_, name)| takes_part(name));
+        let seats = self.settings.seats.iter().enumerate().filter(|(_, name)| is_participant(name));
         seats.map(|(seat, _)| seat as u16).collect()
     }
 
-    /// Does something with the controller and the seats that are present, and lets out what follows.
+    /// Runs an operation on the controller with the seats that are present, and emits the resulting effects.
     fn with_controller<T>(
         &mut self,
         now: Micros,
         out: &mut Vec<Effect>,
-        act: impl FnOnce(&mut RolloutController, &[u16], &mut Vec<ControllerEffect>) -> T,
+        operation: impl FnOnce(&mut RolloutController, &[u16], &mut Vec<ControllerEffect>) -> T,
     ) -> Option<T> {
-        let present = self.seats_in_rollouts();
+        let present = self.rollout_participants();
         let mut effects = Vec::new();
-        let result = act(self.rollout.as_mut()?, &present, &mut effects);
+        let result = operation(self.rollout.as_mut()?, &present, &mut effects);
         self.emit_controller_effects(now, effects, out);
         Some(result)
     }
@@ -218,7 +221,7 @@
                 }
                 ControllerEffect::Claim => {
                     let claim = self.open_claim(now, ROLLOUT_RECORD, 0, out);
-                    // It may have been resolved already, with this one's own reply.
+                    // The claim may already have been resolved by this gateway's own reply.
                     if let Some(controller) = self.rollout.as_mut() {
                         controller.set_claim(claim);
                     }
