--- a/src/proxy/admin/call.rs
+++ b/src/proxy/admin/call.rs
@@ -1,10 +1,10 @@
-//! The operators' calls: which call a request is, and what it is answered.
+//! Parses and answers operators' calls to the admin server.
 //!
-//! Paths, methods, statuses and bodies are a wire form that scripts depend on: they never change.
+//! Paths, methods, statuses and bodies are an interface that scripts depend on: they never change.
 
 use super::known_names::KnownNames;
 use super::metrics::Metrics;
-use super::reply::{changing, reading, AdminCallError, AdminReply};
+use super::reply::{require_post, require_read_method, AdminCallError, AdminReply};
 use super::rollout_calls::{self, RolloutCall};
 use super::stats;
 use crate::proxy::cluster_transport::ClusterTransport;
@@ -18,20 +18,20 @@
 use tokio::time::timeout;
 use tracing::info;
 
-/// The longest wait for the runtime; operators are promised a response within 1 s.
+/// Time limit for the runtime's answer; operators are promised a response within 1 s.
 const RUNTIME_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// What the calls need.
+/// The parts of the gateway that calls read and change.
 pub struct AdminContext {
-    /// Commands to the runtime, which wait behind no request.
+    /// Commands to the runtime, in a queue of their own so that they do not wait behind requests.
     pub commands: AdminSender,
-    /// The counters of this process.
+    /// Counters of this process.
     pub metrics: Rc<Metrics>,
-    /// Whether the gateway serves, drains or ends.
+    /// Whether the gateway serves, drains or shuts down.
     pub lifecycle: Rc<Lifecycle>,
-    /// The cluster, where the gateway is part of one.
+    /// The cluster, if the gateway is part of one.
     pub cluster: Option<Rc<ClusterTransport>>,
-    /// The names that routing rules may use.
+    /// Names of this site that routing rules may use.
     pub names: KnownNames,
 }
 
@@ -44,43 +44,43 @@
     }
 }
 
-/// The calls that exist only with some configurations; elsewhere they are answered as unknown paths.
+/// Calls that exist only in some configurations; without these their paths are unknown.
 #[derive(Debug, Clone, Copy)]
 pub struct AvailableCalls {
-    /// `/fleet`: the gateway is part of a cluster.
+    /// `/fleet` exists, as the gateway is part of a cluster.
     pub cluster: bool,
-    /// `/rollout`: the cluster rolls out routing rules.
+    /// `/rollout` exists, as the cluster rolls out routing rules.
     pub rollouts: bool,
 }
 
-/// One call.
+/// A call to the admin server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdminCall {
     /// `GET /healthcheck`: whether this process is ready to serve.
     Readiness,
-    /// `POST /healthcheck/fail` and `/healthcheck/ok`: drain the gateway, or stop draining.
+    /// `POST /healthcheck/fail` and `/healthcheck/ok`: start or stop draining the gateway.
     SetDraining(bool),
-    /// `GET /stats`.
+    /// `GET /stats`: the metrics as text.
     Stats,
     /// `GET /fleet`: the cluster as this gateway sees it.
     ClusterReport,
     /// `POST /backends/ID/maint` and `/backends/ID/ready`.
     SetMaintenance {
-        /// The endpoint's name at discovery.
+        /// Name of the endpoint at discovery.
         endpoint: String,
-        /// Into maintenance, or out of it.
+        /// Whether the endpoint enters or leaves maintenance.
         in_maintenance: bool,
     },
-    /// `/rollout` and what is below it.
+    /// `/rollout` and the paths below it.
     Rollout(RolloutCall),
 }
 
 impl AdminCall {
-    /// Reads method and path.
+    /// Parses the method and the path.
     ///
     /// # Errors
     ///
-    /// The path is unknown with this configuration, or takes another method.
+    /// The path is unknown in this configuration, or does not allow the method.
     pub fn parse(
         method: &Method,
         path: &str,
@@ -88,15 +88,15 @@
     ) -> Result<AdminCall, AdminCallError> {
         let segments: Vec<&str> = path.split('/').skip(1).collect();
         match segments.as_slice() {
-            ["healthcheck"] => reading(method, AdminCall::Readiness),
-            ["healthcheck", "fail"] => changing(method, AdminCall::SetDraining(true)),
-            ["healthcheck", "ok"] => changing(method, AdminCall::SetDraining(false)),
-            ["stats"] => reading(method, AdminCall::Stats),
-            ["fleet"] if available.cluster => reading(method, AdminCall::ClusterReport),
+            ["healthcheck"] => require_read_method(method, AdminCall::Readiness),
+            ["healthcheck", "fail"] => require_post(method, AdminCall::SetDraining(true)),
+            ["healthcheck", "ok"] => require_post(method, AdminCall::SetDraining(false)),
+            ["stats"] => require_read_method(method, AdminCall::Stats),
+            ["fleet"] if available.cluster => require_read_method(method, AdminCall::ClusterReport),
             ["backends", endpoint, state @ ("maint" | "ready")] => {
                 let in_maintenance = *state == "maint";
                 let endpoint = endpoint.to_string();
-                changing(method, AdminCall::SetMaintenance { endpoint, in_maintenance })
+                require_post(method, AdminCall::SetMaintenance { endpoint, in_maintenance })
             }
             ["rollout", command @ ..] if available.rollouts => {
                 RolloutCall::parse(method, &command.join("/")).map(AdminCall::Rollout)
@@ -106,8 +106,8 @@
     }
 }
 
-/// Answers one request.
-pub async fn answer(request: Request<Incoming>, context: &AdminContext) -> AdminReply {
+/// Answers a request to the admin server.
+pub async fn handle_request(request: Request<Incoming>, context: &AdminContext) -> AdminReply {
     let call = AdminCall::parse(request.method(), request.uri().path(), context.available_calls());
     match call {
         Ok(call) => perform(call, request.into_body(), context).await,
@@ -119,14 +119,14 @@
     match call {
         AdminCall::Readiness => readiness(context),
         AdminCall::SetDraining(draining) => {
-            info!(draining, "an operator sets draining");
+            info!(draining, "operator set draining of this gateway");
             context.lifecycle.set_operator_drain(draining);
             AdminReply::done()
         }
         AdminCall::Stats => stats_reply(context).await,
         AdminCall::ClusterReport => cluster_report(context),
         AdminCall::SetMaintenance { endpoint, in_maintenance } => {
-            info!(id = endpoint, in_maintenance, "an operator sets an endpoint's maintenance");
+            info!(id = endpoint, in_maintenance, "operator requested a change of an endpoint's maintenance");
             set_maintenance(endpoint, in_maintenance, context).await
         }
         AdminCall::Rollout(call) => match &context.cluster {
@@ -170,15 +170,16 @@
     }
 }
 
-/// Sends a command to the runtime, which answers between two turns. None: it did not within `RUNTIME_TIMEOUT`.
+/// Sends a command to the runtime, which answers between two turns. Returns none if no answer came within
+/// `RUNTIME_TIMEOUT`.
 async fn ask_runtime<T>(
     context: &AdminContext,
     command: impl FnOnce(oneshot::Sender<T>) -> AdminCommand,
 ) -> Option<T> {
     let (reply, answer) = oneshot::channel();
-    let asking = async {
+    let exchange = async {
         context.commands.send(command(reply)).await.ok()?;
         answer.await.ok()
     };
-    timeout(RUNTIME_TIMEOUT, asking).await.ok().flatten()
+    timeout(RUNTIME_TIMEOUT, exchange).await.ok().flatten()
 }
--- a/src/proxy/admin/known_names.rs
+++ b/src/proxy/admin/known_names.rs
@@ -12,20 +12,20 @@
     pub plans: BTreeSet<String>,
 }
 
-/// A rule names something that this site does not have.
+/// A rule refers to a name that this site does not define.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("rule: {what}: there is no '{name}' here")]
+#[error("rule: {kind}: there is no '{name}' here")]
 pub struct UnknownName {
-    what: &'static str,
+    kind: &'static str,
     name: String,
 }
 
 impl KnownNames {
-    /// Checks that the rules name only classes and plans of this site.
+    /// Checks that the rules refer only to classes and plans of this site.
     ///
     /// # Errors
     ///
-    /// The first name that is unknown, in the order of the rules.
+    /// Returns the first unknown name, in the order of the rules.
     pub fn check(&self, rules: &RuleSet) -> Result<(), UnknownName> {
         for rule in &rules.0 {
             check_name("class", rule.class.as_ref(), &self.classes)?;
@@ -36,12 +36,12 @@
 }
 
 fn check_name(
-    what: &'static str,
+    kind: &'static str,
     name: Option<&String>,
     known: &BTreeSet<String>,
 ) -> Result<(), UnknownName> {
     match name {
-        Some(name) if !known.contains(name) => Err(UnknownName { what, name: name.clone() }),
+        Some(name) if !known.contains(name) => Err(UnknownName { kind, name: name.clone() }),
         _ => Ok(()),
     }
 }
--- a/src/proxy/admin/metrics.rs
+++ b/src/proxy/admin/metrics.rs
@@ -1,7 +1,7 @@
-//! The counters of one process, each incremented where its event happens. Reading them looks at no request.
+//! Counters of one process, each incremented where its event happens, so that reading them involves no request.
 //!
-//! [`super::stats`] writes them for operators. The names that counters of reasons have there are the variants'
-//! `strum(serialize)` names: a wire form, which never changes.
+//! [`super::stats`] writes them for operators. Counters by reason are named there by the variants' `strum(serialize)`
+//! attributes, which are a wire form and never change.
 
 use crate::decision::{ClassId, Outcome, RejectionReason};
 use crate::proxy::control_plane::discovery::call::FailureKind;
@@ -11,14 +11,14 @@
 use strum::{IntoStaticStr, VariantArray};
 use tokio::time::Instant;
 
-/// How a request ended, as its client sees it.
+/// Result of a request, as its client sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestResult {
-    /// With a backend's complete response.
+    /// The client received a backend's complete response.
     Served,
-    /// Rejected: to send it again is harmless.
+    /// The request was rejected and can be sent again without harm.
     Rejected,
-    /// Anything else.
+    /// Any other result.
     Failed,
 }
 
@@ -31,19 +31,20 @@
     /// The client has its response or has disconnected.
     #[strum(serialize = "unwanted")]
     RequestEnded,
-    /// The process holds as many connections to backends as it may.
+    /// The process already has its maximum number of connections to backends.
     #[strum(serialize = "no_place")]
     NoConnectionPermit,
-    /// This machine lacks what a connection takes (descriptors, memory, ports); the backend was not contacted.
+    /// This machine lacks a resource that a connection needs (descriptors, memory, ports); the backend was not
+    /// contacted.
     #[strum(serialize = "shortage")]
     LocalResourceShortage,
-    /// The attempt's time was over before its first byte.
+    /// The attempt's time-out passed before its first byte.
     #[strum(serialize = "out_of_time")]
     AttemptTimedOut,
     /// Another gateway owns the request's record in the ledger.
     #[strum(serialize = "not_owner")]
     NotOwner,
-    /// The streamed body has gone to another backend.
+    /// The streamed body has already been sent to another backend.
     #[strum(serialize = "body_spent")]
     BodyAlreadySent,
 }
@@ -51,33 +52,33 @@
 /// Why the gateway closed a client's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, IntoStaticStr, VariantArray)]
 pub enum ConnectionCloseReason {
-    /// After a response, as one of the two sides wished.
+    /// The connection ended after a response, as one of the two sides requested.
     #[strum(serialize = "ended")]
     Completed,
-    /// It broke, or what came over it was not HTTP.
+    /// The connection broke, or the client sent something other than HTTP.
     #[strum(serialize = "broken")]
     Broken,
-    /// It was idle for too long, its head came too slowly, or its permit was needed.
+    /// The connection was idle for too long, the request head came too slowly, or the permit was needed.
     #[strum(serialize = "quiet")]
     Idle,
-    /// The client had closed its side.
+    /// The client had closed its side of the connection.
     #[strum(serialize = "left_unread")]
     ClosedByClient,
 }
 
-/// A counter of this process. Counters belong to one thread.
+/// A counter of this process; each belongs to a single thread.
 #[derive(Debug, Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Counts one.
+    /// Adds one to the counter.
     pub fn increment(&self) {
         self.add(1);
     }
     fn add(&self, amount: u64) {
         self.0.set(self.0.get() + amount);
     }
-    /// What has been counted.
+    /// Returns the current value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
@@ -99,34 +100,34 @@
 }
 
 impl<Kind: VariantArray + PartialEq + Copy> CounterSet<Kind> {
-    /// Counts one of this kind.
+    /// Adds one to the counter of this kind.
     pub fn increment(&self, kind: Kind) {
-        let place = Kind::VARIANTS.iter().position(|variant| *variant == kind);
-        if let Some(counter) = place.and_then(|place| self.counters.get(place)) {
+        let index = Kind::VARIANTS.iter().position(|variant| *variant == kind);
+        if let Some(counter) = index.and_then(|index| self.counters.get(index)) {
             counter.increment();
         }
     }
-    /// All kinds with what has been counted of each, in their order.
+    /// Returns all kinds with their counts, in the order of the variants.
     pub fn iter(&self) -> impl Iterator<Item = (Kind, u64)> + '_ {
         Kind::VARIANTS.iter().zip(&self.counters).map(|(kind, counter)| (*kind, counter.get()))
     }
 }
 
-/// Requests of one class, by their results.
+/// Counters of one class's requests, by result.
 #[derive(Debug, Default)]
 pub struct ClassMetrics {
-    /// The class's name.
+    /// Name of the class.
     pub name: String,
-    /// Served.
+    /// Requests that were served.
     pub served: Counter,
-    /// Rejected.
+    /// Requests that were rejected.
     pub rejected: Counter,
-    /// Failed.
+    /// Requests that failed.
     pub failed: Counter,
 }
 
 impl ClassMetrics {
-    fn of(&self, result: RequestResult) -> &Counter {
+    fn counter(&self, result: RequestResult) -> &Counter {
         match result {
             RequestResult::Served => &self.served,
             RequestResult::Rejected => &self.rejected,
@@ -135,33 +136,33 @@
     }
 }
 
-/// Calls to discovery and the endpoint lists that they brought.
+/// Counters of calls to discovery and of the endpoint lists received.
 #[derive(Default)]
 pub struct DiscoveryMetrics {
-    /// Calls made.
+    /// Calls that were made.
     pub calls: Counter,
-    /// Calls that brought no list, or one that could not be applied.
+    /// Calls that returned no list, or one that could not be applied.
     pub failures: CounterSet<FailureKind>,
-    /// Lists applied.
+    /// Endpoint lists that were applied.
     pub lists: Counter,
-    /// Their length in all, in bytes.
+    /// Total length of the applied lists, in bytes.
     pub list_bytes: Counter,
-    /// The revision of the last one.
+    /// Revision of the last applied list.
     pub revision: Cell<u64>,
-    /// When the last one was applied.
+    /// Time at which the last list was applied.
     pub last_list_at: Cell<Option<Instant>>,
 }
 
 impl DiscoveryMetrics {
-    /// A call was made.
+    /// Records that a call was made.
     pub fn call_started(&self) {
         self.calls.increment();
     }
-    /// A call brought no list, or one that could not be applied.
+    /// Records that a call returned no list, or one that could not be applied.
     pub fn call_failed(&self, kind: FailureKind) {
         self.failures.increment(kind);
     }
-    /// A list of this revision, so many bytes long, was applied.
+    /// Records that a list of this revision and length was applied.
     pub fn list_applied(&self, revision: u64, bytes: usize) {
         self.lists.increment();
         self.list_bytes.add(bytes as u64);
@@ -170,17 +171,17 @@
     }
 }
 
-/// The counters of one process; all start at 0.
+/// All counters of one process, which start at 0.
 #[derive(Default)]
 pub struct Metrics {
     /// Requests by class, in the order of the classes' ids.
     pub classes: Vec<ClassMetrics>,
     in_flight: Cell<u64>,
-    /// Attempts that were written to their end.
+    /// Attempts whose request was written completely.
     pub attempts_sent: Counter,
     /// Calls to discovery.
     pub discovery: DiscoveryMetrics,
-    /// How attempts ended.
+    /// Outcomes of attempts.
     pub attempt_outcomes: CounterSet<Outcome>,
     /// Why attempts were not sent.
     pub not_sent: CounterSet<NotSentReason>,
@@ -191,26 +192,26 @@
 }
 
 impl Metrics {
-    /// Counters for these classes, in the order of their ids.
+    /// Creates the counters for these classes, in the order of their ids.
     pub fn new(classes: impl IntoIterator<Item = String>) -> Metrics {
         let classes = classes.into_iter().map(|name| ClassMetrics { name, ..ClassMetrics::default() });
         Metrics { classes: classes.collect(), ..Metrics::default() }
     }
 
-    /// A request was received; it counts as in flight until the guard is dropped.
+    /// Records that a request was received; it counts as in flight until the returned guard is dropped.
     pub fn request_received(self: &Rc<Metrics>, class: ClassId) -> InFlightRequest {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlightRequest { metrics: self.clone(), class, result: None }
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.get()
     }
 }
 
-/// Counts a request as in flight, and at its drop by its result. Without a result its client has disconnected, and it
-/// counts nowhere.
+/// Counts a request as in flight until it is dropped, and then by its result. A request without a result, whose client
+/// has disconnected, is counted in no result.
 pub struct InFlightRequest {
     metrics: Rc<Metrics>,
     class: ClassId,
@@ -218,7 +219,7 @@
 }
 
 impl InFlightRequest {
-    /// Sets the result that counts at the drop.
+    /// Sets the result that is counted when the guard is dropped.
     pub fn set_result(&mut self, result: RequestResult) {
         self.result = Some(result);
     }
@@ -229,7 +230,7 @@
         let metrics = &self.metrics;
         metrics.in_flight.set(metrics.in_flight.get().saturating_sub(1));
         if let (Some(result), Some(class)) = (self.result, metrics.classes.get(self.class.0)) {
-            class.of(result).increment();
+            class.counter(result).increment();
         }
     }
 }
--- a/src/proxy/admin/mod.rs
+++ b/src/proxy/admin/mod.rs
@@ -1,8 +1,8 @@
-//! The operators' address: readiness, metrics, maintenance of endpoints, draining, the cluster's report and rollouts of
-//! routing rules.
+//! The admin server for operators: readiness, metrics, maintenance of endpoints, draining, the cluster's report and
+//! rollouts of routing rules.
 //!
-//! [`server`] accepts and bounds the connections, [`call`] reads what is called for and answers it, [`rollout_calls`]
-//! answers calls for rollouts, [`metrics`] holds the counters and [`stats`] writes them as text.
+//! [`server`] accepts connections and limits their number and duration, [`call`] parses and answers the calls,
+//! [`rollout_calls`] answers those for rollouts, [`metrics`] holds the counters and [`stats`] writes them as text.
 
 pub mod call;
 pub mod known_names;
--- a/src/proxy/admin/reply.rs
+++ b/src/proxy/admin/reply.rs
@@ -1,4 +1,4 @@
-//! What an operators' call is answered, and why a request may be no call.
+//! Responses of the admin server, and errors of requests that are not calls.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -6,13 +6,13 @@
 use hyper::{Method, Response, StatusCode};
 use std::borrow::Cow;
 
-/// Why a request is no call.
+/// Why a request is not a call of the admin server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum AdminCallError {
-    /// There is no such path.
+    /// The path is unknown.
     #[error("no such call")]
     UnknownPath,
-    /// The path takes only these methods.
+    /// The path does not allow the request's method.
     #[error("not this call's method")]
     MethodNotAllowed {
         /// The value of the `Allow` header.
@@ -20,36 +20,36 @@
     },
 }
 
-/// The methods of calls that read.
+/// Methods of calls that read.
 const READ_METHODS: &str = "GET, HEAD";
-/// The method of calls that change something.
+/// Method of calls that change something.
 const CHANGE_METHODS: &str = "POST";
 
-/// Whether a method only reads.
-pub(super) fn is_reading(method: &Method) -> bool {
+/// Whether the method belongs to calls that read.
+pub(super) fn is_read_method(method: &Method) -> bool {
     matches!(*method, Method::GET | Method::HEAD)
 }
 
-/// The call, if the method only reads.
-pub(super) fn reading<Call>(method: &Method, call: Call) -> Result<Call, AdminCallError> {
-    match is_reading(method) {
+/// Returns the call if the method is one of `READ_METHODS`.
+pub(super) fn require_read_method<Call>(method: &Method, call: Call) -> Result<Call, AdminCallError> {
+    match is_read_method(method) {
         true => Ok(call),
         false => Err(AdminCallError::MethodNotAllowed { allow: READ_METHODS }),
     }
 }
 
-/// The call, if the method is that of a change.
-pub(super) fn changing<Call>(method: &Method, call: Call) -> Result<Call, AdminCallError> {
+/// Returns the call if the method is `CHANGE_METHODS`.
+pub(super) fn require_post<Call>(method: &Method, call: Call) -> Result<Call, AdminCallError> {
     match *method == Method::POST {
         true => Ok(call),
         false => Err(AdminCallError::MethodNotAllowed { allow: CHANGE_METHODS }),
     }
 }
 
-/// The response to a call.
+/// Response to a call.
 #[derive(Debug)]
 pub struct AdminReply {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
     content_type: &'static str,
     body: Cow<'static, str>,
@@ -57,12 +57,12 @@
 }
 
 impl AdminReply {
-    /// Plain text; each line ends with a newline.
+    /// Creates a plain-text reply; each line of `body` ends with a newline.
     pub fn text(status: StatusCode, body: impl Into<Cow<'static, str>>) -> AdminReply {
         AdminReply { status, content_type: "text/plain", body: body.into(), allow: None }
     }
 
-    /// A report.
+    /// Creates a reply with a JSON report.
     pub fn json(body: String) -> AdminReply {
         AdminReply {
             status: StatusCode::OK,
@@ -72,22 +72,22 @@
         }
     }
 
-    /// What a call is answered that has done what it says.
+    /// Creates the reply to a command that was carried out.
     pub fn done() -> AdminReply {
         AdminReply::text(StatusCode::OK, "done\n")
     }
 
-    /// The runtime did not answer in time.
+    /// Creates the reply to a call that the runtime did not answer in time.
     pub(super) fn runtime_timeout() -> AdminReply {
         AdminReply::text(StatusCode::SERVICE_UNAVAILABLE, "no answer in time\n")
     }
 
-    /// The body, for logs.
+    /// The body without its final newline, for logs.
     pub fn body(&self) -> &str {
         self.body.trim_end()
     }
 
-    /// The reply as HTTP.
+    /// Converts the reply to an HTTP response.
     pub fn into_response(self) -> Response<Full<Bytes>> {
         let body = match self.body {
             Cow::Borrowed(text) => Bytes::from_static(text.as_bytes()),
--- a/src/proxy/admin/rollout_calls.rs
+++ b/src/proxy/admin/rollout_calls.rs
@@ -1,7 +1,7 @@
-//! The operators' calls for rollouts of routing rules, `/rollout`.
+//! Operators' calls for rollouts of routing rules, at `/rollout`.
 
 use super::known_names::{KnownNames, UnknownName};
-use super::reply::{changing, is_reading, AdminCallError, AdminReply};
+use super::reply::{is_read_method, require_post, AdminCallError, AdminReply};
 use crate::cluster::rollout::RolloutRequest;
 use crate::cluster::CommandResult;
 use crate::decision::SettingsError;
@@ -16,36 +16,36 @@
 use tokio::time::timeout;
 use tracing::info;
 
-/// The longest text of a rollout, in bytes.
+/// Size limit of a rollout's definition, in bytes.
 const MAX_TEXT_BYTES: usize = 8 * 1024;
-/// The longest wait for the text, and then for the rollout's record in the ledger.
+/// Time limit for receiving the definition, and then again for the ledger to grant the rollout's record.
 const START_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// One call for a rollout.
+/// A call for rollouts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutCall {
-    /// `GET /rollout`.
+    /// `GET /rollout`: the rollout's report.
     Report,
-    /// `POST /rollout`, with the rollout in the body.
+    /// `POST /rollout`: start the rollout defined in the body.
     Start,
-    /// `POST /rollout/pause`, `/resume` and `/abort`.
+    /// `POST /rollout/pause`, `/resume` and `/abort`: change the running rollout.
     Command(RolloutCommand),
 }
 
 impl RolloutCall {
-    /// Reads the method, and what stands behind `/rollout/` in the path.
+    /// Parses the method, and the part of the path after `/rollout/`.
     ///
     /// # Errors
     ///
-    /// There is no such command, or it takes another method.
+    /// The command is unknown, or does not allow the method.
     pub fn parse(method: &Method, command: &str) -> Result<RolloutCall, AdminCallError> {
         match command {
-            "" if is_reading(method) => Ok(RolloutCall::Report),
+            "" if is_read_method(method) => Ok(RolloutCall::Report),
             "" if method == Method::POST => Ok(RolloutCall::Start),
             "" => Err(AdminCallError::MethodNotAllowed { allow: "GET, HEAD, POST" }),
-            "pause" => changing(method, RolloutCall::Command(RolloutCommand::Pause)),
-            "resume" => changing(method, RolloutCall::Command(RolloutCommand::Resume)),
-            "abort" => changing(method, RolloutCall::Command(RolloutCommand::Abort)),
+            "pause" => require_post(method, RolloutCall::Command(RolloutCommand::Pause)),
+            "resume" => require_post(method, RolloutCall::Command(RolloutCommand::Resume)),
+            "abort" => require_post(method, RolloutCall::Command(RolloutCommand::Abort)),
             _ => Err(AdminCallError::UnknownPath),
         }
     }
@@ -54,22 +54,22 @@
 /// Why a rollout was not started.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
-    /// The text is longer, or was not sent in time.
+    /// The body exceeds the size limit, or was not received in time.
     #[error("expected a text of up to {MAX_TEXT_BYTES} bytes at once")]
     TooLongOrSlow,
-    /// It is not UTF-8.
+    /// The body is not UTF-8.
     #[error("expected a text")]
     NotText,
-    /// It is no rollout, or one beyond the bounds.
+    /// The body does not define a rollout, or one with values out of bounds.
     #[error(transparent)]
     Invalid(#[from] SettingsError),
-    /// It names what the site does not have.
+    /// A rule refers to a name that this site does not define.
     #[error(transparent)]
     UnknownName(#[from] UnknownName),
-    /// The cluster does not start it.
+    /// The cluster does not start the rollout.
     #[error(transparent)]
     Cluster(#[from] RolloutStartError),
-    /// The ledger gave no answer within `START_TIMEOUT`.
+    /// The ledger did not answer within `START_TIMEOUT`.
     #[error("the ledger does not answer; look at /rollout")]
     LedgerTimeout,
 }
@@ -82,14 +82,14 @@
                 StatusCode::BAD_REQUEST
             }
             StartError::Cluster(RolloutStartError::NoRecord) => StatusCode::CONFLICT,
-            StartError::Cluster(RolloutStartError::NotTaken(taken)) => return command_reply(*taken),
+            StartError::Cluster(RolloutStartError::NotTaken(result)) => return command_reply(*result),
             StartError::LedgerTimeout => StatusCode::SERVICE_UNAVAILABLE,
         };
         AdminReply::text(status, format!("{error}\n"))
     }
 }
 
-/// Answers a call for a rollout.
+/// Performs a call for rollouts.
 pub async fn perform(
     call: RolloutCall,
     cluster: &Rc<ClusterTransport>,
@@ -100,11 +100,15 @@
         RolloutCall::Report => report(cluster),
         RolloutCall::Start => {
             let reply = start(cluster, names, body).await.unwrap_or_else(AdminReply::from);
-            info!(status = reply.status.as_u16(), said = reply.body(), "an operator starts a rollout");
+            info!(
+                status = reply.status.as_u16(),
+                reply = reply.body(),
+                "answered an operator's request to start a rollout"
+            );
             reply
         }
         RolloutCall::Command(command) => {
-            info!(?command, "an operator commands the rollout");
+            info!(?command, "operator sent a command for the rollout");
             command_reply(cluster.command_rollout(command))
         }
     }
@@ -117,7 +121,7 @@
     }
 }
 
-/// Starts a rollout of the rules in the body.
+/// Starts the rollout defined in the body.
 async fn start(
     cluster: &Rc<ClusterTransport>,
     names: &KnownNames,
@@ -128,19 +132,19 @@
     };
     let body: Bytes = body.to_bytes();
     let text = std::str::from_utf8(&body).map_err(|_| StartError::NotText)?;
-    let start = RolloutRequest::parse(text)?;
-    names.check(&start.rules)?;
-    match timeout(START_TIMEOUT, cluster.start_rollout(start)).await {
-        Ok(started) => {
-            let key = started?;
+    let request = RolloutRequest::parse(text)?;
+    names.check(&request.rules)?;
+    match timeout(START_TIMEOUT, cluster.start_rollout(request)).await {
+        Ok(result) => {
+            let key = result?;
             Ok(AdminReply::text(StatusCode::ACCEPTED, format!("rollout {} begins\n", key.number)))
         }
         Err(_) => Err(StartError::LedgerTimeout),
     }
 }
 
-fn command_reply(taken: CommandResult) -> AdminReply {
-    match taken {
+fn command_reply(result: CommandResult) -> AdminReply {
+    match result {
         CommandResult::Done => AdminReply::done(),
         CommandResult::Conflict => {
             AdminReply::text(StatusCode::CONFLICT, "not while this is so; look at /rollout\n")
--- a/src/proxy/admin/server.rs
+++ b/src/proxy/admin/server.rs
@@ -1,7 +1,7 @@
-//! The operators' listener. It has connections of its own, so that neither clients nor idle callers can keep an operator
-//! waiting.
+//! The admin server's listener. Its connections are limited separately, so that neither clients nor idle callers can
+//! keep an operator waiting.
 
-use super::call::{answer, AdminContext};
+use super::call::{handle_request, AdminContext};
 use crate::proxy::control_plane::config::socket_limits::MAX_OPERATOR_CONNECTIONS;
 use crate::proxy::downstream::accept::AcceptBackoff;
 use hyper::server::conn::http1;
@@ -16,23 +16,25 @@
 use tokio::time::timeout;
 use tracing::debug;
 
-/// The longest time from the accept to the end of a call's head; its response must be written within twice as long.
+/// Time limit from accepting a connection to the end of the request head; the response must be written within twice
+/// this time.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(800);
-/// The longest head of a call, in bytes.
+/// Size limit of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// The connections that are open, oldest first. Dropping it ends none: they end with the process.
+/// The open connections, oldest first. Dropping the list closes none of them: they end with the process.
 #[derive(Default)]
 struct OpenConnections(VecDeque<AbortHandle>);
 
 impl OpenConnections {
-    /// Adds a connection. Guards against callers that say nothing: where all places are taken, the oldest connection
-    /// is closed for it.
+    /// Adds a connection, after `evict_oldest_if_full` has ensured that the limit allows another one.
     fn add(&mut self, connection: AbortHandle) {
         self.0.push_back(connection);
     }
 
-    fn make_room(&mut self) {
+    /// Closes the oldest connection if the maximum number is open, so that callers that send nothing cannot block the
+    /// server.
+    fn evict_oldest_if_full(&mut self) {
         self.0.retain(|connection| !connection.is_finished());
         if self.0.len() >= MAX_OPERATOR_CONNECTIONS {
             if let Some(oldest) = self.0.pop_front() {
@@ -42,7 +44,7 @@
     }
 }
 
-/// Answers operators for as long as the process lives.
+/// Serves operators until the process ends.
 pub async fn serve(listener: TcpListener, context: Rc<AdminContext>) {
     let mut connections = OpenConnections::default();
     let mut backoff = AcceptBackoff::default();
@@ -55,7 +57,7 @@
             }
         };
         backoff.succeeded();
-        connections.make_room();
+        connections.evict_oldest_if_full();
         let serving = tokio::task::spawn_local(serve_connection(stream, context.clone()));
         connections.add(serving.abort_handle());
     }
@@ -64,7 +66,7 @@
 async fn serve_connection(stream: TcpStream, context: Rc<AdminContext>) {
     let service = service_fn(|request| {
         let context = context.clone();
-        async move { Ok::<_, Infallible>(answer(request, &context).await.into_response()) }
+        async move { Ok::<_, Infallible>(handle_request(request, &context).await.into_response()) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -74,7 +76,7 @@
         .serve_connection(TokioIo::new(stream), service);
     match timeout(HEAD_TIMEOUT * 2, connection).await {
         Ok(Ok(())) => {}
-        Ok(Err(error)) => debug!(%error, "an operator's connection ended with an error"),
-        Err(_) => debug!(limit = ?HEAD_TIMEOUT * 2, "an operator's call timed out"),
+        Ok(Err(error)) => debug!(%error, "admin connection ended with an error"),
+        Err(_) => debug!(limit = ?HEAD_TIMEOUT * 2, "admin call timed out; its connection is closed"),
     }
 }
--- a/src/proxy/admin/stats.rs
+++ b/src/proxy/admin/stats.rs
@@ -1,7 +1,8 @@
-//! The text of `/stats`, and the only place that knows its keys, but for the last part of those by reason or outcome: that
-//! is the name that the variant's `strum` attribute gives.
+//! The text of `/stats`. All its keys are defined here, except that the last part of a key by reason or outcome is the
+//! name in the variant's `strum` attribute.
 //!
-//! One line a figure, `edge_node.KEY=VALUE`, each value a whole number. Dashboards read the keys: they never change.
+//! Each figure is one line, `edge_node.KEY=VALUE`, with a whole number as the value. Dashboards read the keys: they
+//! never change.
 
 use super::metrics::{ClassMetrics, CounterSet, DiscoveryMetrics, Metrics};
 use crate::cluster::rollout::RolloutState;
@@ -10,10 +11,10 @@
 use crate::proxy::cluster_transport::stats::{ClusterStats, LedgerStats, RolloutStats, WriteQueueStats};
 use strum::VariantArray;
 
-/// What every key begins with.
+/// First part of every key.
 const PREFIX: &str = "edge_node";
 
-/// Lines as they are written.
+/// Text under construction, whose keys all begin with the prefix.
 struct StatsText {
     text: String,
     prefix: String,
@@ -32,7 +33,7 @@
         self.line(key, u64::from(on));
     }
 
-    /// One line for each kind, its own name behind the key.
+    /// Appends one line for each kind, with the kind's name after the key.
     fn counters<Kind>(&mut self, key: &str, counters: &CounterSet<Kind>)
     where
         Kind: VariantArray + PartialEq + Copy + Into<&'static str>,
@@ -44,7 +45,7 @@
     }
 }
 
-/// The lines of a process, whether or not it is part of a cluster.
+/// Returns the lines of a process, whether or not it is part of a cluster.
 pub fn process_lines(metrics: &Metrics, endpoints: EndpointCounts) -> String {
     let mut lines = StatsText::new(PREFIX.to_string());
     for class in &metrics.classes {
@@ -80,7 +81,7 @@
     }
 }
 
-/// The lines of a gateway that is part of a cluster.
+/// Returns the lines of a gateway that is part of a cluster.
 pub fn cluster_lines(stats: &ClusterStats) -> String {
     let mut lines = StatsText::new(format!("{PREFIX}.fleet"));
     member_lines(&mut lines, &stats.report);
