--- a/tests/sockets/backends.rs
+++ b/tests/sockets/backends.rs
@@ -1,6 +1,6 @@
 //! What backends do to connections that rest, and to answers on their way.
 
-use crate::size::{accepted, before_hand};
+use crate::message_sizes::{accepted, before_hand};
 use crate::world::*;
 use std::io::{Read, Write};
 
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -1,19 +1,19 @@
 //! The gateway on loopback sockets: what real networks do to it that the simulator does not.
 mod admin_fixtures;
+mod admin_server;
 mod backends;
 mod branch;
-mod closing;
-mod departures;
-mod fleet;
-mod large_lists;
-mod lists;
-mod operators;
+mod client_disconnects;
+mod cluster;
+mod connection_close;
+mod descriptor_limit;
+mod endpoint_lists;
+mod large_endpoint_lists;
+mod message_sizes;
 mod reload;
 mod replacement;
 mod rollout;
 mod rollout_calls;
-mod scarcity;
-mod size;
 mod system_calls;
 mod takeover;
 mod world;
--- a/tests/sockets/world/mod.rs
+++ b/tests/sockets/world/mod.rs
@@ -4,12 +4,12 @@
 
 mod client;
 mod discovery;
-mod node;
+mod gateway;
 mod stub;
 
 pub use client::{caller, over, request, Client};
 pub use discovery::{list, member, Discovery, WatchCall};
-pub use node::{config, config_path, program, Node};
+pub use gateway::{config, config_path, program, Node};
 pub use stub::{counter, http, Gate, LateListener, Log, Message, Refusing, Reply, Stub};
 
 use std::time::Duration;
