--- a/tests/sockets/admin_fixtures.rs
+++ b/tests/sockets/admin_fixtures.rs
@@ -1,80 +1,85 @@
-//! The operators' calls as `tests/fixtures/admin-*.txt` hold them: each call's status, headers and body on real
-//! processes. What a run decides (numbers, addresses) stands there as `N`; keys, their order and all words are fixed.
+//! Compares the responses of the admin server of real processes (status, headers, body) with
+//! `tests/fixtures/admin-*.txt`. Values that vary between runs, such as numbers and addresses, appear there as `N`; keys,
+//! their order and all texts are fixed.
 
-use crate::before;
-use crate::takeover::{files_with, keeper};
+use crate::gateway_with_backend;
+use crate::takeover::{cluster_files_with, start_ledger_gateway};
 use crate::world::*;
 use std::path::Path;
 
-/// Compares with a fixture of this name.
-fn hold(name: &str, text: &str) {
+/// Asserts that `text` equals the fixture of this name. Writes a missing fixture if `WRITE_NEW_FIXTURES` is set.
+fn assert_matches_fixture(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
     if std::env::var_os("WRITE_NEW_FIXTURES").is_some() && !path.exists() {
-        std::fs::write(&path, text).expect("written");
+        std::fs::write(&path, text).expect("the file is written");
     }
     assert_eq!(text, std::fs::read_to_string(path).expect("the fixture"), "{name}");
 }
 
-/// One call and its answer, as the fixtures have it.
-fn told(method: &str, path: &str, sent: &str, answer: &Message) -> String {
+/// Formats one request and its response as in the fixtures.
+fn transcript_entry(method: &str, path: &str, request_body: &str, response: &Message) -> String {
     let mut text = format!("> {method} {path}\n");
-    for line in sent.lines() {
+    for line in request_body.lines() {
         text.push_str(&format!("> | {line}\n"));
     }
-    text.push_str(&format!("{}\n", answer.line));
-    for (name, value) in answer.headers.iter().filter(|(name, _)| name != "date" && name != "content-length")
+    text.push_str(&format!("{}\n", response.line));
+    for (name, value) in
+        response.headers.iter().filter(|(name, _)| name != "date" && name != "content-length")
     {
         text.push_str(&format!("{name}: {value}\n"));
     }
-    for line in answer.body.lines() {
+    for line in response.body.lines() {
         text.push_str(&format!("| {line}\n"));
     }
     text + "\n"
 }
 
-fn call(node: &Node, method: &str, path: &str) -> String {
-    told(method, path, "", &node.operate(method, path))
+fn transcript_of_call(gateway: &Gateway, method: &str, path: &str) -> String {
+    transcript_entry(method, path, "", &gateway.admin_call(method, path))
 }
 
-fn call_with(node: &Node, path: &str, body: &str) -> String {
-    told("POST", path, body, &node.operate_with("POST", path, body))
+fn transcript_of_post(gateway: &Gateway, path: &str, body: &str) -> String {
+    transcript_entry("POST", path, body, &gateway.admin_call_with_body("POST", path, body))
 }
 
-/// A report with what a run decides left out: numbers, digests, who leads a rollout, how members came.
-fn report(node: &Node, path: &str) -> String {
+/// Returns a JSON report without the values that vary between runs: numbers, digests, the leader of the rollout, and
+/// why members joined.
+fn report_without_varying_values(gateway: &Gateway, path: &str) -> String {
     let line = |line: &str| match line.split_once(": ") {
         Some((key, _))
-            if ["digest", "leads", "collects", "why"].iter().any(|k| key.ends_with(&format!("\"{k}\""))) =>
+            if ["digest", "leads", "collects", "why"]
+                .iter()
+                .any(|varying_key| key.ends_with(&format!("\"{varying_key}\""))) =>
         {
             format!("{key}: ...\n")
         }
-        _ if line.starts_with('|') => without_numbers(line) + "\n",
+        _ if line.starts_with('|') => replace_numbers(line) + "\n",
         _ => format!("{line}\n"),
     };
-    call(node, "GET", path).lines().map(line).collect()
+    transcript_of_call(gateway, "GET", path).lines().map(line).collect()
 }
 
-/// Every number that no key or word holds becomes `N`.
-fn without_numbers(text: &str) -> String {
-    let mut out = String::new();
-    let mut word = false;
-    let mut number = false;
-    for c in text.chars() {
-        let digit = c.is_ascii_digit() || (number && c == '.');
-        match digit && !word {
-            true if !number => out.push('N'),
+/// Replaces each number that is not part of a word by `N`.
+fn replace_numbers(text: &str) -> String {
+    let mut replaced = String::new();
+    let mut in_word = false;
+    let mut in_number = false;
+    for character in text.chars() {
+        let digit = character.is_ascii_digit() || (in_number && character == '.');
+        match digit && !in_word {
+            true if !in_number => replaced.push('N'),
             true => {}
-            false => out.push(c),
+            false => replaced.push(character),
         }
-        number = digit && !word;
-        word = !number && (c.is_ascii_alphanumeric() || c == '_');
+        in_number = digit && !in_word;
+        in_word = !in_number && (character.is_ascii_alphanumeric() || character == '_');
     }
-    out
+    replaced
 }
 
-/// Keys and their order; values as `N`.
-fn keys_of_stats(node: &Node) -> String {
-    let stats = node.operate("GET", "/stats");
+/// Returns the keys of `/stats` in their order, with values replaced by `N`.
+fn keys_of_stats(gateway: &Gateway) -> String {
+    let stats = gateway.admin_call("GET", "/stats");
     assert_eq!((stats.status(), stats.header("content-type")), (200, Some("text/plain")));
     let key = |line: &str| {
         let (key, value) = line.split_once('=').expect("a key and a value");
@@ -85,8 +90,8 @@
 }
 
 #[test]
-fn operators_calls_of_a_single_gateway_answer_as_before() {
-    let (_backend, _discovery, _counter, node) = before(|_| http("200 OK", "ok"));
+fn admin_responses_of_a_single_gateway_match_the_fixture() {
+    let (_backend, _discovery, _counter, gateway) = gateway_with_backend(|_| http("200 OK", "ok"));
     let calls = [
         ("GET", "/healthcheck"),
         ("HEAD", "/healthcheck"),
@@ -115,23 +120,23 @@
         ("POST", "/rollout"),
         ("GET", "/"),
     ];
-    // The answer to HEAD has a length and no body.
+    // HEAD is left out: its response has a length but no body, which the client would wait for.
     let text: String = calls
         .iter()
         .filter(|(method, _)| *method != "HEAD")
-        .map(|(method, path)| call(&node, method, path))
+        .map(|(method, path)| transcript_of_call(&gateway, method, path))
         .collect();
-    hold("admin-calls-single.txt", &text);
-    hold("admin-stats-single.txt", &keys_of_stats(&node));
+    assert_matches_fixture("admin-calls-single.txt", &text);
+    assert_matches_fixture("admin-stats-single.txt", &keys_of_stats(&gateway));
 }
 
-const EVERYTHING: &str =
+const CLUSTER_SECTIONS: &str =
     "[branch]\nseats = [\"a\", \"b\", \"c\"]\nclasses = [\"buy\"]\ncut_after_ms = 200\nper_s = 50\n[rollout]\n";
-const RULES: &str =
+const ROLLOUT: &str =
     "stages = [50, 100]\nbake_s = 60\nlongest_s = 600\nleast = 1000\nmargin = 0.2\n[[rule]]\nattempts = 1\n";
 
-/// Bad texts of a rollout, each refused in its own words.
-const BAD_ROLLOUTS: &[&str] = &[
+/// Invalid rollout definitions, each rejected with a message of its own.
+const INVALID_ROLLOUTS: &[&str] = &[
     "",
     "stages = ",
     "[[rule]]\nattempt = 1\n",
@@ -155,56 +160,57 @@
 ];
 
 #[test]
-fn operators_calls_of_a_fleet_answer_as_before() {
+fn admin_responses_of_a_cluster_match_the_fixture() {
     let backend = Stub::start(|_| http("200 OK", "done"));
-    let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
+    let discovery = Discovery::start(&backend_entry("s-1", backend.address, "ready"));
     let folder = std::env::temp_dir().join(format!("admin-fixtures-{}", std::process::id()));
-    let (counter, files) = (counter(), files_with(EVERYTHING));
-    let nodes: Vec<Node> = (0..3)
-        .map(|n| {
-            let disk = folder.join(n.to_string());
+    let (counter, files) = (counter_stub(), cluster_files_with(CLUSTER_SECTIONS));
+    let gateways: Vec<Gateway> = (0..3)
+        .map(|number| {
+            let disk = folder.join(number.to_string());
             std::fs::create_dir_all(&disk).expect("a folder");
-            let text = std::fs::read_to_string(&files[n]).expect("written");
-            std::fs::write(&files[n], text.replace("life_ms", &format!("dir = {disk:?}\nlife_ms")))
-                .expect("written");
-            keeper(n, &discovery, &counter, &files[n])
+            let text = std::fs::read_to_string(&files[number]).expect("the file is written");
+            std::fs::write(&files[number], text.replace("life_ms", &format!("dir = {disk:?}\nlife_ms")))
+                .expect("the file is written");
+            start_ledger_gateway(number, &discovery, &counter, &files[number])
         })
         .collect();
-    for node in &nodes {
-        node.wait_ready();
-        node.wait_for_figure("fleet.present", 3);
-        node.wait_for_figure("fleet.ledger.votes", 1);
-        node.wait_for_figure("fleet.branch.votes", 1);
-        node.wait_for_figure("fleet.disk.works", 1);
+    for gateway in &gateways {
+        gateway.wait_ready();
+        gateway.wait_for_metric("fleet.present", 3);
+        gateway.wait_for_metric("fleet.ledger.votes", 1);
+        gateway.wait_for_metric("fleet.branch.votes", 1);
+        gateway.wait_for_metric("fleet.disk.works", 1);
     }
-    assert_eq!(nodes[0].client().ask(&request("buy", 4000)).status(), 200);
-    let node = &nodes[0];
+    assert_eq!(gateways[0].client().round_trip(&request("buy", 4000)).status(), 200);
+    let gateway = &gateways[0];
     let mut text = String::new();
     for path in ["/rollout", "/rollout/abort", "/rollout/else"] {
-        text += &call(node, "GET", path);
+        text += &transcript_of_call(gateway, "GET", path);
     }
     for path in ["/rollout/pause", "/rollout/resume", "/rollout/abort", "/rollout/else", "/fleet"] {
-        text += &call(node, "POST", path);
+        text += &transcript_of_call(gateway, "POST", path);
     }
-    text += &call(node, "DELETE", "/rollout");
-    for rollout in BAD_ROLLOUTS {
-        text += &call_with(node, "/rollout", rollout);
+    text += &transcript_of_call(gateway, "DELETE", "/rollout");
+    for rollout in INVALID_ROLLOUTS {
+        text += &transcript_of_post(gateway, "/rollout", rollout);
     }
-    text += &call_with(node, "/rollout", &"#".repeat(9000)).replace(&"#".repeat(9000), "(9000 bytes)");
-    text += &call_with(node, "/rollout", RULES);
-    nodes.iter().for_each(|node| node.wait_for_figure("fleet.rollout.stage", 1));
-    text += &call_with(node, "/rollout", RULES);
+    text += &transcript_of_post(gateway, "/rollout", &"#".repeat(9000))
+        .replace(&"#".repeat(9000), "(9000 bytes)");
+    text += &transcript_of_post(gateway, "/rollout", ROLLOUT);
+    gateways.iter().for_each(|gateway| gateway.wait_for_metric("fleet.rollout.stage", 1));
+    text += &transcript_of_post(gateway, "/rollout", ROLLOUT);
     for path in ["/rollout/pause", "/rollout/pause", "/rollout/resume", "/rollout/abort"] {
-        text += &call(node, "POST", path);
+        text += &transcript_of_call(gateway, "POST", path);
     }
-    nodes.iter().for_each(|node| node.wait_for_figure("fleet.rollout.running", 0));
-    text += &call(node, "POST", "/rollout/abort");
-    text += &call(node, "POST", "/rollout/pause");
-    hold("admin-calls-fleet.txt", &text);
-    nodes.iter().for_each(|node| node.wait_for_figure("fleet.view.agreed", 1));
-    hold("admin-stats-fleet.txt", &keys_of_stats(node));
-    hold("admin-rollout-report.txt", &report(node, "/rollout"));
-    hold("admin-fleet-report.txt", &report(node, "/fleet"));
+    gateways.iter().for_each(|gateway| gateway.wait_for_metric("fleet.rollout.running", 0));
+    text += &transcript_of_call(gateway, "POST", "/rollout/abort");
+    text += &transcript_of_call(gateway, "POST", "/rollout/pause");
+    assert_matches_fixture("admin-calls-fleet.txt", &text);
+    gateways.iter().for_each(|gateway| gateway.wait_for_metric("fleet.view.agreed", 1));
+    assert_matches_fixture("admin-stats-fleet.txt", &keys_of_stats(gateway));
+    assert_matches_fixture("admin-rollout-report.txt", &report_without_varying_values(gateway, "/rollout"));
+    assert_matches_fixture("admin-fleet-report.txt", &report_without_varying_values(gateway, "/fleet"));
     for (key, value) in [
         ("present", 3),
         ("suspect", 0),
@@ -223,7 +229,7 @@
         ("disk.works", 1),
         ("rivals", 0),
     ] {
-        assert_eq!(node.figure(&format!("fleet.{key}")), value, "{key}");
+        assert_eq!(gateway.metric(&format!("fleet.{key}")), value, "{key}");
     }
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/tests/sockets/client_disconnects.rs
+++ b/tests/sockets/client_disconnects.rs
@@ -1,9 +1,9 @@
-//! Clients that disconnect while something of their request is still to be done.
+//! Clients that disconnect before their request is complete.
 
 use crate::world::*;
 use std::time::{Duration, Instant};
 
-/// Settings in which attempts must not be called off, and connections may take long to come up.
+/// Changes the settings so that attempts must not be cancelled and connections may take long to be established.
 fn without_cancel(config: &str) -> String {
     config
         .replace(r#""may_cancel":true"#, r#""may_cancel":false"#)
@@ -11,45 +11,52 @@
 }
 
 #[test]
-fn nothing_is_written_for_a_client_that_disconnected_while_the_connection_came_up() {
+fn no_request_is_sent_for_a_client_that_disconnected_during_the_backend_connect() {
     for class in ["look", "buy", "once"] {
-        let backend = LateListener::start();
-        let discovery = Discovery::start(&member("s-1", backend.address(), "ready"));
-        let counter = counter();
+        let backend = FullBacklogListener::start();
+        let discovery = Discovery::start(&backend_entry("s-1", backend.address(), "ready"));
+        let counter = counter_stub();
         let config = config(discovery.stub.address, counter.address);
-        let node = Node::spawn(program(&without_cancel(&config)));
-        node.wait_ready();
-        let mut client = node.client();
+        let gateway = Gateway::spawn(gateway_command(&without_cancel(&config)));
+        gateway.wait_ready();
+        let mut client = gateway.client();
         client.send(&request(class, 4000));
-        // Its units are counted before it is sent, so the attempt begins about now.
-        counter.wait_for("the count", |log| log.requests.len() == 1);
-        node.wait_for_figure("in_flight", 1);
+        // Units are counted before the request is sent, so the attempt begins about now.
+        counter.wait_for("the increment of the counter", |log| log.requests.len() == 1);
+        gateway.wait_for_metric("in_flight", 1);
         std::thread::sleep(Duration::from_millis(200));
         drop(client);
-        node.wait_for_figure("in_flight", 0);
-        let written = backend.bytes_of_next_connection();
-        assert_eq!(String::from_utf8_lossy(&written), "", "{class}: sent on after its client had left");
-        assert_eq!(node.figure("attempts"), 0);
+        gateway.wait_for_metric("in_flight", 0);
+        let written = backend.accept_and_read_all();
+        assert_eq!(
+            String::from_utf8_lossy(&written),
+            "",
+            "{class}: sent although the client had disconnected"
+        );
+        assert_eq!(gateway.metric("attempts"), 0);
     }
 }
 
 #[test]
-fn a_client_that_disconnects_behind_pipelined_requests_is_noticed() {
+fn the_disconnect_of_a_client_with_pipelined_requests_is_detected() {
     let backend = Stub::start(|_| Reply::Silence);
-    let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
-    let counter = counter();
-    let node = Node::start(&discovery, &counter);
-    let mut client = node.client();
-    // More than one request, and more than any buffer of the gateway's holds.
+    let discovery = Discovery::start(&backend_entry("s-1", backend.address, "ready"));
+    let counter = counter_stub();
+    let gateway = Gateway::start(&discovery, &counter);
+    let mut client = gateway.client();
+    // Pipelines more requests than any buffer of the gateway holds.
     client.send(&request("once", 4000));
     backend.wait_for("the attempt", |log| log.requests.len() == 1);
     for _ in 0..200 {
         client.send(&request("once", 4000));
     }
-    let left_at = Instant::now();
+    let disconnected_at = Instant::now();
     drop(client);
     backend.wait_for("the attempt's connection to close", |log| log.closed == log.opened);
-    let noticed = left_at.elapsed();
-    assert!(noticed < Duration::from_millis(2500), "noticed after {noticed:?}, not before its time was up");
-    assert_eq!(backend.requests().len(), 1, "nothing more goes out");
+    let detected_after = disconnected_at.elapsed();
+    assert!(
+        detected_after < Duration::from_millis(2500),
+        "detected after {detected_after:?}, only when the request deadline had passed"
+    );
+    assert_eq!(backend.requests().len(), 1, "no further attempt is made");
 }
--- a/tests/sockets/cluster.rs
+++ b/tests/sockets/cluster.rs
@@ -1,4 +1,4 @@
-//! Gateways that know of each other, and one that does not.
+//! Cluster membership of gateway processes, and a gateway without a cluster.
 
 use crate::replacement::{wait_until_serving, Platform};
 use crate::world::*;
@@ -6,114 +6,120 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-/// Names, sockets and files of a fleet of so many. The ports were free a moment ago.
-fn fleet(names: &[&str]) -> Vec<(SocketAddr, PathBuf)> {
-    let held: Vec<UdpSocket> =
+/// Writes a cluster file for each name; returns the gossip addresses and files. The ports were free a moment ago.
+fn cluster_files(names: &[&str]) -> Vec<(SocketAddr, PathBuf)> {
+    let reserved: Vec<UdpSocket> =
         names.iter().map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
-    let at: Vec<SocketAddr> = held.iter().map(|socket| socket.local_addr().expect("bound")).collect();
-    let peers: Vec<String> = names.iter().zip(&at).map(|(name, at)| format!("{name} = \"{at}\"\n")).collect();
-    let file = |(name, at): (&&str, &SocketAddr)| {
-        let path = std::env::temp_dir().join(format!("fleet-{}-{}.toml", std::process::id(), at.port()));
-        let head = format!("fleet = \"test\"\nname = \"{name}\"\nlisten = \"{at}\"\nperiod_ms = 200\n");
-        std::fs::write(&path, format!("{head}[peers]\n{}", peers.concat())).expect("written");
-        (*at, path)
+    let addresses: Vec<SocketAddr> =
+        reserved.iter().map(|socket| socket.local_addr().expect("the socket is bound")).collect();
+    let peers: Vec<String> =
+        names.iter().zip(&addresses).map(|(name, address)| format!("{name} = \"{address}\"\n")).collect();
+    let write_file = |(name, address): (&&str, &SocketAddr)| {
+        let path = std::env::temp_dir().join(format!("fleet-{}-{}.toml", std::process::id(), address.port()));
+        let head = format!("fleet = \"test\"\nname = \"{name}\"\nlisten = \"{address}\"\nperiod_ms = 200\n");
+        std::fs::write(&path, format!("{head}[peers]\n{}", peers.concat())).expect("the file is written");
+        (*address, path)
     };
-    names.iter().zip(&at).map(file).collect()
+    names.iter().zip(&addresses).map(write_file).collect()
 }
 
-fn member_of(discovery: &Discovery, counter: &Stub, file: &PathBuf) -> Command {
-    let mut command = program(&config(discovery.stub.address, counter.address));
+fn member_command(discovery: &Discovery, counter: &Stub, file: &PathBuf) -> Command {
+    let mut command = gateway_command(&config(discovery.stub.address, counter.address));
     command.env("NODE_FLEET", file);
     command
 }
 
-/// The inodes of the datagram sockets that a process holds.
-fn datagram_sockets(node: &Node) -> usize {
-    let all = std::fs::read_to_string(format!("/proc/{}/net/udp", node.child.id())).expect("Linux");
-    let inodes: Vec<String> = all
+/// Returns the number of datagram sockets that a process has open.
+fn datagram_sockets(gateway: &Gateway) -> usize {
+    let udp_table = std::fs::read_to_string(format!("/proc/{}/net/udp", gateway.child.id()))
+        .expect("the proc file system of Linux");
+    let inodes: Vec<String> = udp_table
         .lines()
         .skip(1)
-        .filter_map(|l| Some(format!("socket:[{}]", l.split_whitespace().nth(9)?)))
+        .filter_map(|line| Some(format!("socket:[{}]", line.split_whitespace().nth(9)?)))
         .collect();
-    let files = std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).expect("Linux");
-    let held = files.filter_map(|f| Some(std::fs::read_link(f.ok()?.path()).ok()?.display().to_string()));
-    held.filter(|link| inodes.contains(link)).count()
+    let files =
+        std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id())).expect("the proc file system of Linux");
+    let links =
+        files.filter_map(|entry| Some(std::fs::read_link(entry.ok()?.path()).ok()?.display().to_string()));
+    links.filter(|link| inodes.contains(link)).count()
 }
 
 #[test]
-fn without_a_file_that_names_a_fleet_nothing_of_it_is_there() {
-    let (_backend, _discovery, _counter, node) = crate::before(|_| http("200 OK", "ok"));
-    assert_eq!(datagram_sockets(&node), 0);
-    let (fleet, nonsense) = (node.operate("GET", "/fleet"), node.operate("GET", "/nonsense"));
-    assert_eq!((fleet.status(), &fleet.body), (404, &nonsense.body));
-    let stats = node.operate("GET", "/stats").body;
+fn without_a_cluster_file_there_is_no_datagram_socket_admin_call_or_metric() {
+    let (_backend, _discovery, _counter, gateway) = crate::gateway_with_backend(|_| http("200 OK", "ok"));
+    assert_eq!(datagram_sockets(&gateway), 0);
+    let (fleet_response, unknown_path) =
+        (gateway.admin_call("GET", "/fleet"), gateway.admin_call("GET", "/nonsense"));
+    assert_eq!((fleet_response.status(), &fleet_response.body), (404, &unknown_path.body));
+    let stats = gateway.admin_call("GET", "/stats").body;
     assert!(stats.lines().all(|line| !line.contains("fleet")), "{stats}");
 }
 
 #[test]
-fn gateways_find_each_other_and_tell_a_leaver_from_a_death_and_from_rubbish() {
+fn gateways_find_each_other_distinguish_leaving_from_failure_and_ignore_malformed_datagrams() {
     let backend = Stub::start(|_| http("200 OK", "ok"));
-    let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
-    let counter = counter();
-    let files = fleet(&["a", "b", "c"]);
-    let start = |n: usize| Node::spawn(member_of(&discovery, &counter, &files[n].1));
+    let discovery = Discovery::start(&backend_entry("s-1", backend.address, "ready"));
+    let counter = counter_stub();
+    let files = cluster_files(&["a", "b", "c"]);
+    let start = |number: usize| Gateway::spawn(member_command(&discovery, &counter, &files[number].1));
     let (first, mut second, mut third) = (start(0), start(1), start(2));
-    first.wait_for_figure("fleet.present", 3);
+    first.wait_for_metric("fleet.present", 3);
     assert_eq!(datagram_sockets(&first), 1);
-    // Rubbish of every length, and one datagram that is longer than any.
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    // Malformed datagrams of many lengths, the longest ones above the datagram limit.
+    let outsider = UdpSocket::bind("127.0.0.1:0").expect("a port");
     for length in 0..40 {
-        stranger.send_to(&vec![0x53; length * 37], files[0].0).expect("sent");
+        outsider.send_to(&vec![0x53; length * 37], files[0].0).expect("the datagram is sent");
     }
-    first.wait_for_figure("fleet.strangers.oversized", 7);
-    assert_eq!(first.client().ask(&request("look", 3000)).status(), 200);
+    first.wait_for_metric("fleet.strangers.oversized", 7);
+    assert_eq!(first.client().round_trip(&request("look", 3000)).status(), 200);
     second.terminate();
-    first.wait_for_figure("fleet.left", 1);
-    assert_eq!(first.figure("fleet.down"), 0, "it said goodbye");
-    assert_eq!(second.ended(), Some(0));
-    third.child.kill().expect("killed");
-    third.child.wait().expect("ended");
-    first.wait_for_figure("fleet.down", 1);
-    let told = first.operate("GET", "/fleet").body;
-    assert!(told.contains("\"state\": \"left\"") && told.contains("\"state\": \"down\""), "{told}");
-    assert_eq!(first.figure("fleet.present"), 1);
+    first.wait_for_metric("fleet.left", 1);
+    assert_eq!(first.metric("fleet.down"), 0, "a gateway that announced its leaving is not down");
+    assert_eq!(second.wait_for_exit(), Some(0));
+    third.child.kill().expect("the process is killed");
+    third.child.wait().expect("the process exits");
+    first.wait_for_metric("fleet.down", 1);
+    let members = first.admin_call("GET", "/fleet").body;
+    assert!(members.contains("\"state\": \"left\"") && members.contains("\"state\": \"down\""), "{members}");
+    assert_eq!(first.metric("fleet.present"), 1);
 }
 
 #[test]
-fn a_process_that_takes_anothers_place_is_the_same_member_throughout() {
+fn a_successor_process_stays_the_same_cluster_member_during_a_replacement() {
     let backend = Stub::start(|_| http("200 OK", "ok"));
-    let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
-    let (counter, platform, files) = (counter(), Platform::new(), fleet(&["a", "b"]));
-    let watcher = Node::spawn(member_of(&discovery, &counter, &files[0].1));
+    let discovery = Discovery::start(&backend_entry("s-1", backend.address, "ready"));
+    let (counter, platform, files) = (counter_stub(), Platform::new(), cluster_files(&["a", "b"]));
+    let watcher = Gateway::spawn(member_command(&discovery, &counter, &files[0].1));
     let start = || {
         let mut command = platform.command(&config(discovery.stub.address, counter.address));
         command.env("NODE_FLEET", &files[1].1);
-        Node::spawn(command)
+        Gateway::spawn(command)
     };
-    let mut elder = start();
-    watcher.wait_for_figure("fleet.present", 2);
-    let younger = start();
-    wait_until_serving(&younger);
-    younger.wait_for_figure("fleet.present", 2);
-    elder.terminate();
-    assert_eq!(elder.ended(), Some(0));
+    let mut predecessor = start();
+    watcher.wait_for_metric("fleet.present", 2);
+    let successor = start();
+    wait_until_serving(&successor);
+    successor.wait_for_metric("fleet.present", 2);
+    predecessor.terminate();
+    assert_eq!(predecessor.wait_for_exit(), Some(0));
     for _ in 0..20 {
-        let gone = watcher.figure("fleet.down") + watcher.figure("fleet.left");
+        let down_or_left = watcher.metric("fleet.down") + watcher.metric("fleet.left");
         assert_eq!(
-            (watcher.figure("fleet.present"), gone),
+            (watcher.metric("fleet.present"), down_or_left),
             (2, 0),
             "{}",
-            watcher.operate("GET", "/fleet").body
+            watcher.admin_call("GET", "/fleet").body
         );
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
 }
 
 #[test]
-fn a_bad_fleet_file_is_one_plain_line() {
-    let (_, path) = fleet(&["a"]).remove(0);
-    let good = std::fs::read_to_string(&path).expect("written");
-    for (bad, named) in [
+fn a_bad_cluster_file_is_reported_in_one_line() {
+    let (_, path) = cluster_files(&["a"]).remove(0);
+    let good = std::fs::read_to_string(&path).expect("the file is written");
+    for (bad, expected_word) in [
         ("fleet = ".to_string(), "line 1"),
         (good.replace("name = \"a\"", "name = \"a b\""), "name"),
         (good.replace("period_ms = 200", "period_ms = 2"), "period"),
@@ -123,11 +129,12 @@
         (format!("{good}[ledger]\n"), "ledger.holders"),
         (format!("{good}[ledger]\nwait_ms = 101\n"), "ledger.wait_ms"),
     ] {
-        std::fs::write(&path, bad).expect("written");
-        let mut command = program(&config("127.0.0.1:1".parse().unwrap(), "127.0.0.1:1".parse().unwrap()));
-        let done = command.env("NODE_FLEET", &path).output().expect("it runs");
-        let told = String::from_utf8(done.stderr).expect("text");
-        assert_eq!(done.status.code(), Some(1), "{told}");
-        assert!(told.lines().count() == 1 && told.contains(named), "{named}: {told}");
+        std::fs::write(&path, bad).expect("the file is written");
+        let mut command =
+            gateway_command(&config("127.0.0.1:1".parse().unwrap(), "127.0.0.1:1".parse().unwrap()));
+        let output = command.env("NODE_FLEET", &path).output().expect("the gateway command runs");
+        let stderr = String::from_utf8(output.stderr).expect("UTF-8 text");
+        assert_eq!(output.status.code(), Some(1), "{stderr}");
+        assert!(stderr.lines().count() == 1 && stderr.contains(expected_word), "{expected_word}: {stderr}");
     }
 }
--- a/tests/sockets/endpoint_lists.rs
+++ b/tests/sockets/endpoint_lists.rs
@@ -1,168 +1,184 @@
-//! Endpoint lists from discovery: watches that fall silent, end or answer late, and every form in which a list may come.
+//! Endpoint lists from discovery: watches that stall, break or respond late, and all forms of a list.
 
 use crate::world::*;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A change counts as announced so long after discovery had it, whatever became of the watch.
+/// Time after which a change counts as announced, from its publication, whether or not the watch delivered it.
 const ANNOUNCED_AFTER: Duration = Duration::from_secs(6);
 
-/// Two backends, of which discovery lists `old` as draining at some time.
-struct Pair {
+/// Two backends, of which discovery at some time lists `old` as draining.
+struct BackendPair {
     old: Stub,
     new: Stub,
 }
 
-impl Pair {
-    fn start() -> Pair {
-        Pair { old: Stub::start(|_| http("200 OK", "old")), new: Stub::start(|_| http("200 OK", "new")) }
+impl BackendPair {
+    fn start() -> BackendPair {
+        BackendPair {
+            old: Stub::start(|_| http("200 OK", "old")),
+            new: Stub::start(|_| http("200 OK", "new")),
+        }
     }
     fn both_ready(&self) -> String {
-        [member("s-1", self.old.address, "ready"), member("s-2", self.new.address, "ready")].join(",")
+        [backend_entry("s-1", self.old.address, "ready"), backend_entry("s-2", self.new.address, "ready")]
+            .join(",")
     }
-    fn drain(&self) -> String {
-        member("s-1", self.old.address, "draining")
+    fn old_draining(&self) -> String {
+        backend_entry("s-1", self.old.address, "draining")
     }
-    /// A new gateway that has a list.
-    fn gateway_ready_before(&self, discovery: &Stub) -> Node {
-        let counter = counter();
-        let node = Node::spawn(program(&config(discovery.address, counter.address)));
-        node.wait_ready();
-        node
+    /// Starts a gateway and waits until it has a list.
+    fn ready_gateway(&self, discovery: &Stub) -> Gateway {
+        let counter = counter_stub();
+        let gateway = Gateway::spawn(gateway_command(&config(discovery.address, counter.address)));
+        gateway.wait_ready();
+        gateway
     }
-    /// The same, once it has used both.
-    fn gateway_before(&self, discovery: &Stub) -> Node {
-        let node = self.gateway_ready_before(discovery);
-        let mut client = node.client();
-        let until = Instant::now() + LIMIT;
+    /// Starts a gateway and waits until it has a list and has sent a request to both backends.
+    fn gateway_that_used_both(&self, discovery: &Stub) -> Gateway {
+        let gateway = self.ready_gateway(discovery);
+        let mut client = gateway.client();
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while self.old.requests().is_empty() || self.new.requests().is_empty() {
-            assert!(Instant::now() < until, "one of two backends is not used");
-            assert_eq!(client.ask(&request("look", 3000)).status(), 200);
+            assert!(Instant::now() < deadline, "one of two backends is not used");
+            assert_eq!(client.round_trip(&request("look", 3000)).status(), 200);
         }
-        node
+        gateway
     }
-    /// Sends requests, none of which may come to the drained one.
-    fn assert_only_new_is_used(&self, node: &Node) {
-        let before = self.old.requests().len();
-        let mut client = node.client();
+    /// Sends requests and asserts that none reaches the drained backend.
+    fn assert_only_new_is_used(&self, gateway: &Gateway) {
+        let requests_before = self.old.requests().len();
+        let mut client = gateway.client();
         for _ in 0..20 {
-            assert_eq!(client.ask(&request("look", 3000)).body, "new");
+            assert_eq!(client.round_trip(&request("look", 3000)).body, "new");
         }
-        assert_eq!(self.old.requests().len(), before, "a drained backend got a request");
+        assert_eq!(self.old.requests().len(), requests_before, "a drained backend got a request");
     }
 }
 
-/// Discovery's response that nothing has changed, once the hold is over.
-fn no_change(watch: WatchCall) -> Reply {
+/// Waits for the hold of the watch, then returns a response without changes.
+fn no_change(watch: WatchRequest) -> Reply {
     std::thread::sleep(watch.hold);
-    http("200 OK", &list(watch.from, false, ""))
+    http("200 OK", &endpoint_list(watch.from, false, ""))
 }
 
-/// Waits for a watch from there on.
+/// Waits for a watch from this revision.
 fn wait_for_watch(discovery: &Stub, revision: u64) {
     discovery.wait_for("a watch from the new revision", |log| {
-        log.requests.iter().filter_map(WatchCall::of).any(|watch| watch.from == revision)
+        log.requests.iter().filter_map(WatchRequest::parse).any(|watch| watch.from == revision)
     });
 }
 
 #[test]
-fn a_silent_watch_is_retried_before_its_change_counts_as_announced() {
-    for silent_watches in [1, 2] {
-        let pair = Pair::start();
-        let (whole, drain) = (list(41, true, &pair.both_ready()), list(42, false, &pair.drain()));
+fn a_watch_without_response_is_retried_before_its_change_counts_as_announced() {
+    for unanswered_watches in [1, 2] {
+        let backends = BackendPair::start();
+        let (complete_list, drain_list) = (
+            endpoint_list(41, true, &backends.both_ready()),
+            endpoint_list(42, false, &backends.old_draining()),
+        );
         let watches = AtomicUsize::new(0);
-        let discovery = Stub::start(move |request| match WatchCall::of(request) {
-            None => http("200 OK", &whole),
+        let discovery = Stub::start(move |request| match WatchRequest::parse(request) {
+            None => http("200 OK", &complete_list),
             Some(watch) if watch.from == 42 => no_change(watch),
-            Some(_) if watches.fetch_add(1, Ordering::SeqCst) < silent_watches => Reply::Silence,
-            Some(_) => http("200 OK", &drain),
+            Some(_) if watches.fetch_add(1, Ordering::SeqCst) < unanswered_watches => Reply::Silence,
+            Some(_) => http("200 OK", &drain_list),
         });
-        let node = pair.gateway_before(&discovery);
+        let gateway = backends.gateway_that_used_both(&discovery);
         wait_for_watch(&discovery, 41);
-        let silent_since = Instant::now();
+        let unanswered_since = Instant::now();
         wait_for_watch(&discovery, 42);
-        let told_after = silent_since.elapsed();
-        assert!(told_after < ANNOUNCED_AFTER, "{silent_watches} silent watches: told after {told_after:?}");
-        pair.assert_only_new_is_used(&node);
+        let change_received_after = unanswered_since.elapsed();
+        assert!(
+            change_received_after < ANNOUNCED_AFTER,
+            "{unanswered_watches} watches without response: change received after {change_received_after:?}"
+        );
+        backends.assert_only_new_is_used(&gateway);
     }
 }
 
 #[test]
-fn the_late_response_of_an_abandoned_watch_undoes_nothing() {
-    let pair = Pair::start();
-    let (whole, drain) = (list(41, true, &pair.both_ready()), list(43, false, &pair.drain()));
-    // Older than the next watch's response, and no longer true: the drained one is ready and alone.
-    let late = list(42, true, &member("s-1", pair.old.address, "ready"));
-    let (watches, newer_is_told, late_is_written) =
+fn the_late_response_of_an_abandoned_watch_does_not_revert_a_newer_list() {
+    let backends = BackendPair::start();
+    let (complete_list, drain_list) =
+        (endpoint_list(41, true, &backends.both_ready()), endpoint_list(43, false, &backends.old_draining()));
+    // An outdated revision, older than the response of the next watch: only the drained backend, listed as ready.
+    let late_list = endpoint_list(42, true, &backend_entry("s-1", backends.old.address, "ready"));
+    let (watches, newer_is_sent, late_is_written) =
         (AtomicUsize::new(0), Arc::new(Gate::default()), Arc::new(Gate::default()));
-    let (gate, written) = (newer_is_told.clone(), late_is_written.clone());
-    let discovery = Stub::start(move |request| match WatchCall::of(request) {
-        None => http("200 OK", &whole),
+    let (newer_sent, late_written) = (newer_is_sent.clone(), late_is_written.clone());
+    let discovery = Stub::start(move |request| match WatchRequest::parse(request) {
+        None => http("200 OK", &complete_list),
         Some(watch) if watch.from == 43 => {
-            gate.open();
+            newer_sent.open();
             no_change(watch)
         }
         Some(_) if watches.fetch_add(1, Ordering::SeqCst) == 0 => {
-            gate.wait();
-            written.open();
-            http("200 OK", &late)
+            newer_sent.wait();
+            late_written.open();
+            http("200 OK", &late_list)
         }
-        Some(_) => http("200 OK", &drain),
+        Some(_) => http("200 OK", &drain_list),
     });
-    let node = pair.gateway_before(&discovery);
+    let gateway = backends.gateway_that_used_both(&discovery);
     wait_for_watch(&discovery, 43);
     late_is_written.wait();
     discovery.wait_for("the abandoned connection to end", |log| log.closed >= 1);
-    pair.assert_only_new_is_used(&node);
+    backends.assert_only_new_is_used(&gateway);
 }
 
 #[test]
-fn while_discovery_is_silent_it_is_polled_over_few_connections() {
-    let pair = Pair::start();
-    let (whole, drain) = (list(41, true, &pair.both_ready()), list(42, false, &pair.drain()));
-    let speaks = Arc::new(AtomicBool::new(false));
-    let spoken = speaks.clone();
-    let discovery = Stub::start(move |request| match WatchCall::of(request) {
-        None => http("200 OK", &whole),
+fn unresponsive_discovery_is_polled_over_few_connections() {
+    let backends = BackendPair::start();
+    let (complete_list, drain_list) =
+        (endpoint_list(41, true, &backends.both_ready()), endpoint_list(42, false, &backends.old_draining()));
+    let responsive = Arc::new(AtomicBool::new(false));
+    let is_responsive = responsive.clone();
+    let discovery = Stub::start(move |request| match WatchRequest::parse(request) {
+        None => http("200 OK", &complete_list),
         Some(watch) if watch.from == 42 => no_change(watch),
-        Some(_) if spoken.load(Ordering::SeqCst) => http("200 OK", &drain),
+        Some(_) if is_responsive.load(Ordering::SeqCst) => http("200 OK", &drain_list),
         Some(_) => Reply::Silence,
     });
-    let node = pair.gateway_before(&discovery);
-    discovery.wait_for("calls made beside the silent one", |log| {
-        assert!(log.opened - log.closed <= 5, "{} connections at once", log.opened - log.closed);
+    let gateway = backends.gateway_that_used_both(&discovery);
+    discovery.wait_for("calls besides the one without response", |log| {
+        assert!(
+            log.opened - log.closed <= 5,
+            "{} connections are open at the same time",
+            log.opened - log.closed
+        );
         log.requests.len() >= 8
     });
-    // A call after its return is answered at once, whatever the calls before wait for.
-    speaks.store(true, Ordering::SeqCst);
+    // Once discovery responds again, a new call is answered at once while earlier calls still wait.
+    responsive.store(true, Ordering::SeqCst);
     wait_for_watch(&discovery, 42);
-    pair.assert_only_new_is_used(&node);
+    backends.assert_only_new_is_used(&gateway);
 }
 
 #[test]
-fn a_watch_that_ends_without_a_list_is_retried_and_what_a_complete_list_omits_is_removed() {
-    let pair = Pair::start();
-    let whole = list(41, true, &pair.both_ready());
-    let without_old = list(42, true, &member("s-2", pair.new.address, "ready"));
+fn a_watch_that_ends_without_a_list_is_retried_and_backends_missing_from_a_complete_list_are_removed() {
+    let backends = BackendPair::start();
+    let complete_list = endpoint_list(41, true, &backends.both_ready());
+    let list_without_old = endpoint_list(42, true, &backend_entry("s-2", backends.new.address, "ready"));
     let watches = AtomicUsize::new(0);
-    let discovery = Stub::start(move |request| match WatchCall::of(request) {
-        None => http("200 OK", &whole),
+    let discovery = Stub::start(move |request| match WatchRequest::parse(request) {
+        None => http("200 OK", &complete_list),
         Some(watch) if watch.from == 42 => no_change(watch),
         Some(_) => match watches.fetch_add(1, Ordering::SeqCst) {
             0 => Reply::RawThenClose(String::new()),
             1 => {
                 Reply::RawThenClose("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"revision\":42,".into())
             }
-            _ => http("200 OK", &without_old),
+            _ => http("200 OK", &list_without_old),
         },
     });
-    let node = pair.gateway_before(&discovery);
+    let gateway = backends.gateway_that_used_both(&discovery);
     wait_for_watch(&discovery, 42);
-    pair.assert_only_new_is_used(&node);
+    backends.assert_only_new_is_used(&gateway);
 }
 
-/// The same list in JSON that is indented, as a person would write it.
+/// Adds white space and line breaks to JSON, as in a list written by hand.
 fn indented(text: &str) -> String {
     text.replace(',', ",\r\n\t  ").replace('{', "{\r\n    ").replace('}', "\n  }\n").replace(':', " : ")
 }
@@ -185,45 +201,47 @@
         },
     ];
     for (number, framing) in framings.into_iter().enumerate() {
-        let pair = Pair::start();
-        let whole = list(41, true, &pair.both_ready());
-        // Addresses and names hold no colon of JSON's own but the one before the port.
-        let drain = indented(&list(42, false, &pair.drain())).replace("127.0.0.1 : ", "127.0.0.1:");
-        let discovery = Stub::start(move |request| match WatchCall::of(request) {
-            None => framing(&whole),
+        let backends = BackendPair::start();
+        let complete_list = endpoint_list(41, true, &backends.both_ready());
+        // `indented` also spaces the colon before the port, the only one inside a string; this restores it.
+        let drain_list = indented(&endpoint_list(42, false, &backends.old_draining()))
+            .replace("127.0.0.1 : ", "127.0.0.1:");
+        let discovery = Stub::start(move |request| match WatchRequest::parse(request) {
+            None => framing(&complete_list),
             Some(watch) if watch.from == 42 => no_change(watch),
-            Some(_) => framing(&drain),
+            Some(_) => framing(&drain_list),
         });
-        let node = pair.gateway_ready_before(&discovery);
+        let gateway = backends.ready_gateway(&discovery);
         wait_for_watch(&discovery, 42);
         println!("framing {number}");
-        node.wait_for_figure("backends_excluded", 1);
-        pair.assert_only_new_is_used(&node);
+        gateway.wait_for_metric("backends_excluded", 1);
+        backends.assert_only_new_is_used(&gateway);
     }
 }
 
 #[test]
-fn a_drain_that_only_the_new_discovery_lists_is_applied_after_a_reload() {
-    let pair = Pair::start();
-    let whole = list(41, true, &pair.both_ready());
-    // The old one answers no more; the new one counts its revisions from elsewhere.
-    let silent = Stub::start(move |request| match WatchCall::of(request) {
-        None => http("200 OK", &whole),
+fn after_a_reload_a_drain_listed_only_by_the_new_discovery_address_is_applied() {
+    let backends = BackendPair::start();
+    let complete_list = endpoint_list(41, true, &backends.both_ready());
+    // The old discovery stops responding; the revisions of the new one are unrelated to those of the old one.
+    let unresponsive = Stub::start(move |request| match WatchRequest::parse(request) {
+        None => http("200 OK", &complete_list),
         Some(_) => Reply::Silence,
     });
-    let next = [pair.drain(), member("s-2", pair.new.address, "ready")].join(",");
-    let discovery = Discovery::start(&next);
-    let counter = counter();
-    let command = program(&config(silent.address, counter.address));
+    let new_members =
+        [backends.old_draining(), backend_entry("s-2", backends.new.address, "ready")].join(",");
+    let discovery = Discovery::start(&new_members);
+    let counter = counter_stub();
+    let command = gateway_command(&config(unresponsive.address, counter.address));
     let path = config_path(&command);
-    let node = Node::spawn(command);
-    node.wait_ready();
-    wait_for_watch(&silent, 41);
-    std::fs::write(path, config(discovery.stub.address, counter.address)).expect("written");
-    // Two reloads at once are as good as one.
-    node.signal("HUP");
-    node.signal("HUP");
+    let gateway = Gateway::spawn(command);
+    gateway.wait_ready();
+    wait_for_watch(&unresponsive, 41);
+    std::fs::write(path, config(discovery.stub.address, counter.address)).expect("the file is written");
+    // Two reloads at once have the effect of one.
+    gateway.signal("HUP");
+    gateway.signal("HUP");
     discovery.wait_for_watch(41);
-    silent.wait_for("its connections to close", |log| log.closed == log.opened);
-    pair.assert_only_new_is_used(&node);
+    unresponsive.wait_for("the connections to the old discovery to close", |log| log.closed == log.opened);
+    backends.assert_only_new_is_used(&gateway);
 }
--- a/tests/sockets/reload.rs
+++ b/tests/sockets/reload.rs
@@ -1,129 +1,133 @@
-//! SIGHUP with requests in flight, with another customer's file, and before SIGTERM.
+//! Configuration reloads by SIGHUP: with requests in flight, with the file of another customer, and before SIGTERM.
 
 use crate::world::*;
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// A gateway, its configuration file, and the services around it.
-struct Scene {
+/// A gateway, its configuration file and the services that it uses.
+struct Deployment {
     backend: Stub,
     discovery: Discovery,
     counter: Stub,
     file: PathBuf,
-    node: Node,
+    gateway: Gateway,
 }
 
-impl Scene {
-    fn start(backend: Stub) -> Scene {
-        let (discovery, counter) = (Discovery::start(&member("s-1", backend.address, "ready")), counter());
-        let command = program(&config(discovery.stub.address, counter.address));
+impl Deployment {
+    fn start(backend: Stub) -> Deployment {
+        let (discovery, counter) =
+            (Discovery::start(&backend_entry("s-1", backend.address, "ready")), counter_stub());
+        let command = gateway_command(&config(discovery.stub.address, counter.address));
         let file = config_path(&command);
-        let node = Node::spawn(command);
-        node.wait_ready();
-        Scene { backend, discovery, counter, file, node }
+        let gateway = Gateway::spawn(command);
+        gateway.wait_ready();
+        Deployment { backend, discovery, counter, file, gateway }
     }
-    /// The same with a request at its backend, which answers once the gate is open.
-    fn with_a_request_in_flight() -> (Scene, Client, Arc<Gate>) {
+    /// Starts a deployment with a request in flight; its backend answers once the gate is open.
+    fn with_a_request_in_flight() -> (Deployment, Client, Arc<Gate>) {
         let release = Arc::new(Gate::default());
-        let gate = release.clone();
-        let scene = Scene::start(Stub::start(move |_| {
-            gate.wait();
+        let backend_gate = release.clone();
+        let deployment = Deployment::start(Stub::start(move |_| {
+            backend_gate.wait();
             http("200 OK", "ok")
         }));
-        let mut client = scene.node.client();
+        let mut client = deployment.gateway.client();
         client.send(&request("once", 4000));
-        scene.backend.wait_for("the attempt", |log| log.requests.len() == 1);
-        (scene, client, release)
+        deployment.backend.wait_for("the attempt", |log| log.requests.len() == 1);
+        (deployment, client, release)
     }
-    fn text(&self) -> String {
+    fn config_text(&self) -> String {
         config(self.discovery.stub.address, self.counter.address)
     }
-    /// Replaces the file, and returns once the gateway has read it: it asks discovery for the whole list anew.
+    /// Replaces the file and returns once the gateway has read it, which shows in a new request for the complete list.
     fn reload(&self, text: &str) {
-        let whole_lists =
-            |requests: &[Message]| requests.iter().filter(|r| WatchCall::of(r).is_none()).count();
-        let before = whole_lists(&self.discovery.stub.requests());
-        std::fs::write(&self.file, text).expect("written");
-        self.node.signal("HUP");
-        self.discovery.stub.wait_for("the list asked for anew", |log| whole_lists(&log.requests) > before);
+        let complete_list_requests =
+            |requests: &[Message]| requests.iter().filter(|r| WatchRequest::parse(r).is_none()).count();
+        let requests_before = complete_list_requests(&self.discovery.stub.requests());
+        std::fs::write(&self.file, text).expect("the file is written");
+        self.gateway.signal("HUP");
+        self.discovery.stub.wait_for("a new request for the complete list", |log| {
+            complete_list_requests(&log.requests) > requests_before
+        });
     }
 }
 
-/// The same classes and plans in another order, with other effects, limits and deadlines.
-fn of_another_customer(text: &str) -> String {
-    let other = r#""classes":[
+/// Changes the order, effects, limits and deadlines of the classes and plans.
+fn with_settings_of_another_customer(text: &str) -> String {
+    let other_settings = r#""classes":[
         {"name":"once","effect":"pure","deadline":9000000,"on_time":1000000},
         {"name":"buy","effect":"pure","deadline":9000000,"on_time":2500000},
         {"name":"look","effect":"side_effect","deadline":100000,"on_time":50000}],
     "plans":[{"name":"small","per_second":1000.0,"peak_units":1000.0,"price":1.0},
         {"name":"team","per_second":0.001,"peak_units":0.001,"price":1.0}],"#;
-    let (before, rest) = text.split_once(r#""classes":["#).expect("classes");
-    let (_, after) = rest.split_once(r#""specifics""#).expect("what follows the plans");
-    format!("{before}{other}\n    \"specifics\"{after}")
+    let (preceding, from_classes) = text.split_once(r#""classes":["#).expect("classes");
+    let (_, from_specifics) = from_classes.split_once(r#""specifics""#).expect("the key after the plans");
+    format!("{preceding}{other_settings}\n    \"specifics\"{from_specifics}")
 }
 
 #[test]
-fn a_reload_takes_addresses_and_no_other_settings() {
-    let scene = Scene::start(Stub::start(|_| http("200 OK", "ok")));
-    scene.reload(&of_another_customer(&scene.text()));
-    let mut client = scene.node.client();
+fn a_reload_applies_addresses_and_no_other_settings() {
+    let deployment = Deployment::start(Stub::start(|_| http("200 OK", "ok")));
+    deployment.reload(&with_settings_of_another_customer(&deployment.config_text()));
+    let mut client = deployment.gateway.client();
     for class in ["look", "buy", "once"] {
         for _ in 0..3 {
-            let answer = client.ask(&request(class, 3000));
-            assert_eq!(answer.status(), 200, "{class}: {}", answer.body);
+            let response = client.round_trip(&request(class, 3000));
+            assert_eq!(response.status(), 200, "{class}: {}", response.body);
         }
     }
-    // Its effect is still the one of the start: a safe request comes as GET.
+    // The class keeps its effect from the start: a safe request must be a GET.
     let wrong_method = request("look", 3000).replacen("GET", "POST", 1);
-    assert_eq!(client.ask(&wrong_method).status(), 405);
-    assert_eq!(scene.backend.requests().len(), 9);
+    assert_eq!(client.round_trip(&wrong_method).status(), 405);
+    assert_eq!(deployment.backend.requests().len(), 9);
 }
 
 #[test]
-fn a_request_in_flight_is_answered_over_valid_and_invalid_reloads() {
-    let (scene, mut client, release) = Scene::with_a_request_in_flight();
-    std::fs::write(&scene.file, "{\"listen\":7}").expect("written");
-    scene.node.signal("HUP");
-    scene.reload(&scene.text());
+fn a_request_in_flight_is_answered_after_valid_and_invalid_reloads() {
+    let (deployment, mut client, release) = Deployment::with_a_request_in_flight();
+    std::fs::write(&deployment.file, "{\"listen\":7}").expect("the file is written");
+    deployment.gateway.signal("HUP");
+    deployment.reload(&deployment.config_text());
     release.open();
-    assert_eq!(client.answer().expect("an answer").status(), 200);
-    assert_eq!(scene.backend.requests().len(), 1, "one attempt");
+    assert_eq!(client.read_response().expect("a response").status(), 200);
+    assert_eq!(deployment.backend.requests().len(), 1, "one attempt");
 }
 
 #[test]
 fn sigterm_right_after_sighup_ends_the_process_with_all_requests_answered() {
-    let (scene, mut client, release) = Scene::with_a_request_in_flight();
-    let mut node = scene.node;
-    node.signal("HUP");
-    node.terminate();
+    let (deployment, mut client, release) = Deployment::with_a_request_in_flight();
+    let mut gateway = deployment.gateway;
+    gateway.signal("HUP");
+    gateway.terminate();
     release.open();
-    assert_eq!(client.answer().expect("an answer").status(), 200);
-    assert_eq!(node.ended(), Some(0));
+    assert_eq!(client.read_response().expect("a response").status(), 200);
+    assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn at_sighup_discovery_and_the_counter_are_called_at_their_new_addresses() {
     let (old, new) = (Stub::start(|_| http("200 OK", "old")), Stub::start(|_| http("200 OK", "new")));
-    let (first, second) = (
-        Discovery::start(&member("s-1", old.address, "ready")),
-        Discovery::start(&member("s-1", new.address, "ready")),
+    let (old_discovery, new_discovery) = (
+        Discovery::start(&backend_entry("s-1", old.address, "ready")),
+        Discovery::start(&backend_entry("s-1", new.address, "ready")),
     );
-    let (counter, other) = (counter(), counter());
-    let mut command = program(&config(first.stub.address, counter.address));
+    let (counter, new_counter) = (counter_stub(), counter_stub());
+    let mut command = gateway_command(&config(old_discovery.stub.address, counter.address));
     let path = config_path(&command);
-    // The environment's address is the one from the start; after a reload the file's counts.
-    command.env("NODE_DISCOVERY", first.stub.address.to_string());
-    let node = Node::spawn(command);
-    node.wait_ready();
-    assert_eq!(node.client().ask(&request("look", 3000)).body, "old");
-    // What makes no sense changes nothing.
-    std::fs::write(&path, "{").expect("written");
-    node.signal("HUP");
-    assert_eq!(node.client().ask(&request("look", 3000)).body, "old");
-    std::fs::write(&path, config(second.stub.address, other.address)).expect("written");
-    node.signal("HUP");
-    second.wait_for_watch(41);
-    assert_eq!(node.client().ask(&request("look", 3000)).body, "new");
-    assert_eq!(counter.requests().len(), 2, "no more goes to the old one");
-    assert!(!other.requests().is_empty(), "the new one is asked");
+    // The address in the environment holds at the start; after a reload the address in the file does.
+    command.env("NODE_DISCOVERY", old_discovery.stub.address.to_string());
+    let gateway = Gateway::spawn(command);
+    gateway.wait_ready();
+    assert_eq!(gateway.client().round_trip(&request("look", 3000)).body, "old");
+    // An invalid file changes nothing.
+    std::fs::write(&path, "{").expect("the file is written");
+    gateway.signal("HUP");
+    assert_eq!(gateway.client().round_trip(&request("look", 3000)).body, "old");
+    std::fs::write(&path, config(new_discovery.stub.address, new_counter.address))
+        .expect("the file is written");
+    gateway.signal("HUP");
+    new_discovery.wait_for_watch(41);
+    assert_eq!(gateway.client().round_trip(&request("look", 3000)).body, "new");
+    assert_eq!(counter.requests().len(), 2, "no more increments go to the old counter");
+    assert!(!new_counter.requests().is_empty(), "the new counter is used");
 }
--- a/tests/sockets/rollout_calls.rs
+++ b/tests/sockets/rollout_calls.rs
@@ -1,7 +1,8 @@
-//! The operators' calls for rollouts answer as those of the build did that wrote `tests/fixtures/rollout/calls.txt`.
+//! Compares the responses of the admin server to rollout calls with `tests/fixtures/rollout/calls.txt`, which an earlier
+//! build wrote.
 
-use crate::rollout::fleet;
-use crate::takeover::files_with;
+use crate::rollout::start_cluster;
+use crate::takeover::cluster_files_with;
 use crate::world::*;
 use std::path::{Path, PathBuf};
 
@@ -9,40 +10,42 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/rollout").join(name)
 }
 
-/// One call and all of its answer that does not depend on the time.
-fn line(method: &str, path: &str, body: &str, answer: &Message) -> String {
-    let header = |name| answer.header(name).unwrap_or("-");
+/// Formats one call and the parts of its response that do not depend on time.
+fn transcript_line(method: &str, path: &str, body: &str, response: &Message) -> String {
+    let header = |name| response.header(name).unwrap_or("-");
     let body = body.replace('\n', "\\n");
-    // Of JSON the keys alone: values depend on who was heard when.
-    let said: Vec<&str> = match header("content-type") {
-        "application/json" => answer.body.lines().filter_map(|l| Some(l.split_once(':')?.0.trim())).collect(),
-        _ => vec![answer.body.trim_end()],
+    // Only the keys of JSON: its values depend on when messages of other gateways arrived.
+    let content: Vec<&str> = match header("content-type") {
+        "application/json" => {
+            response.body.lines().filter_map(|l| Some(l.split_once(':')?.0.trim())).collect()
+        }
+        _ => vec![response.body.trim_end()],
     };
-    let (allow, kind) = (header("allow"), header("content-type"));
-    format!("{method} {path} {body:?}: {} {kind} {allow} {}\n", answer.status(), said.join(" "))
+    let (allow, content_type) = (header("allow"), header("content-type"));
+    format!("{method} {path} {body:?}: {} {content_type} {allow} {}\n", response.status(), content.join(" "))
 }
 
-/// Calls in every form, with all that may be wrong with them, before, while and after a rollout runs.
-fn transcript() -> String {
+/// Makes valid and invalid calls of every form before, during and after a rollout, and returns the transcript.
+fn transcript_of_rollout_calls() -> String {
     let backend = Stub::start(|_| http("200 OK", "done"));
-    let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
-    let (counter, files) = (counter(), files_with("[rollout]\n"));
-    let nodes = fleet(&discovery, &counter, &files);
+    let discovery = Discovery::start(&backend_entry("s-1", backend.address, "ready"));
+    let (counter, files) = (counter_stub(), cluster_files_with("[rollout]\n"));
+    let gateways = start_cluster(&discovery, &counter, &files);
     let mut lines = String::new();
-    let mut call = |node: &Node, method: &str, path: &str, body: &str| {
-        let answer = match method {
-            "POST" => node.operate_with(method, path, body),
-            _ => node.operate(method, path),
+    let mut call = |gateway: &Gateway, method: &str, path: &str, body: &str| {
+        let response = match method {
+            "POST" => gateway.admin_call_with_body(method, path, body),
+            _ => gateway.admin_call(method, path),
         };
-        lines.push_str(&line(method, path, body, &answer));
+        lines.push_str(&transcript_line(method, path, body, &response));
     };
-    let others = ["pause", "resume", "abort"];
-    for order in others {
-        call(&nodes[0], "POST", &format!("/rollout/{order}"), "");
-        call(&nodes[0], "GET", &format!("/rollout/{order}"), "");
+    let orders = ["pause", "resume", "abort"];
+    for order in orders {
+        call(&gateways[0], "POST", &format!("/rollout/{order}"), "");
+        call(&gateways[0], "GET", &format!("/rollout/{order}"), "");
     }
     for (method, path) in [("GET", "/rollout"), ("DELETE", "/rollout"), ("GET", "/rollout/nonsense")] {
-        call(&nodes[0], method, path, "");
+        call(&gateways[0], method, path, "");
     }
     for text in [
         "",
@@ -65,33 +68,37 @@
         "least = 0\n[[rule]]\n",
         "[[rule]]\n[[rule]]\n[[rule]]\n[[rule]]\n[[rule]]\n[[rule]]\n[[rule]]\n[[rule]]\n[[rule]]\n",
     ] {
-        call(&nodes[0], "POST", "/rollout", text);
+        call(&gateways[0], "POST", "/rollout", text);
     }
     let all_keys = std::fs::read_to_string(fixture("start-all-keys.toml")).expect("a fixture");
-    call(&nodes[1], "POST", "/rollout", &all_keys);
-    for node in &nodes {
-        node.wait_for_figure("fleet.rollout.stage", 1);
+    call(&gateways[1], "POST", "/rollout", &all_keys);
+    for gateway in &gateways {
+        gateway.wait_for_metric("fleet.rollout.stage", 1);
     }
-    call(&nodes[0], "POST", "/rollout", "[[rule]]\n");
+    call(&gateways[0], "POST", "/rollout", "[[rule]]\n");
     for order in ["pause", "pause", "resume", "resume"] {
-        call(&nodes[0], "POST", &format!("/rollout/{order}"), "");
+        call(&gateways[0], "POST", &format!("/rollout/{order}"), "");
     }
-    call(&nodes[0], "GET", "/rollout", "");
+    call(&gateways[0], "GET", "/rollout", "");
     for order in ["abort", "abort", "pause"] {
-        call(&nodes[0], "POST", &format!("/rollout/{order}"), "");
+        call(&gateways[0], "POST", &format!("/rollout/{order}"), "");
     }
     lines
 }
 
-/// The command in `tests/fixtures/README.md` runs this on the build whose answers are wanted; it writes over none.
+/// Writes the fixture; run by the command in `tests/fixtures/README.md` on the build whose responses are to be recorded.
+/// An existing fixture is never overwritten.
 #[test]
 #[ignore = "makes the fixture"]
 fn make_the_fixture_of_rollout_calls() {
     assert!(!fixture("calls.txt").exists(), "fixtures are never rewritten");
-    std::fs::write(fixture("calls.txt"), transcript()).expect("written");
+    std::fs::write(fixture("calls.txt"), transcript_of_rollout_calls()).expect("the file is written");
 }
 
 #[test]
-fn rollout_calls_are_answered_as_by_the_build_before() {
-    assert_eq!(transcript(), std::fs::read_to_string(fixture("calls.txt")).expect("a fixture"));
+fn rollout_calls_are_answered_as_in_the_fixture() {
+    assert_eq!(
+        transcript_of_rollout_calls(),
+        std::fs::read_to_string(fixture("calls.txt")).expect("a fixture")
+    );
 }
--- a/tests/sockets/world/discovery.rs
+++ b/tests/sockets/world/discovery.rs
@@ -1,74 +1,77 @@
-//! Discovery: its lists, and the watches on them.
+//! A discovery service: endpoint lists, and watches for changes.
 
-use super::{http, Message, Stub, LIMIT};
+use super::{http, Message, Stub, WAIT_TIMEOUT};
 use std::net::SocketAddr;
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-/// A call to discovery that watches for news.
+/// A long-polling request to discovery for changes after a revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WatchCall {
-    /// The revision that the watcher holds.
+pub struct WatchRequest {
+    /// Revision of the list that the watcher has.
     pub from: u64,
-    /// How long it may be held.
+    /// Time after which discovery responds even without a change.
     pub hold: Duration,
 }
 
-impl WatchCall {
-    /// What a request to discovery watches for; `None` where it asks for the whole list.
-    pub fn of(request: &Message) -> Option<WatchCall> {
+impl WatchRequest {
+    /// Parses a watch request; returns `None` for a request for the complete list.
+    pub fn parse(request: &Message) -> Option<WatchRequest> {
         let query = request.line.split(' ').nth(1)?.split_once('?')?.1;
-        let number = |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name)?.parse().ok());
-        let hold = Duration::from_millis(number("hold_ms=").expect("a hold"));
-        Some(WatchCall { from: number("from=").expect("a revision"), hold })
+        let number =
+            |name: &str| query.split('&').find_map(|parameter| parameter.strip_prefix(name)?.parse().ok());
+        let hold = Duration::from_millis(number("hold_ms=").expect("a hold_ms parameter"));
+        Some(WatchRequest { from: number("from=").expect("a from parameter"), hold })
     }
 }
 
-/// Discovery whose news a test sets: each watch is answered once there is something newer.
+/// Discovery whose list is set by the test. A watch is answered once the published revision differs from the watcher's.
 #[derive(Clone)]
 pub struct Discovery {
     pub stub: Stub,
-    news: Arc<(Mutex<(u64, String)>, Condvar)>,
+    published: Arc<(Mutex<(u64, String)>, Condvar)>,
 }
 
 impl Discovery {
     pub fn start(members: &str) -> Discovery {
-        let news = Arc::new((Mutex::new((41, list(41, true, members))), Condvar::new()));
-        let told = news.clone();
+        let published = Arc::new((Mutex::new((41, endpoint_list(41, true, members))), Condvar::new()));
+        let shared = published.clone();
         let stub = Stub::start(move |request| {
-            let Some(watch) = WatchCall::of(request) else {
-                return http("200 OK", &told.0.lock().expect("whole").1);
+            let Some(watch) = WatchRequest::parse(request) else {
+                return http("200 OK", &shared.0.lock().expect("the mutex is not poisoned").1);
             };
-            let news = told.0.lock().expect("whole");
-            let waiting = told.1.wait_timeout_while(news, watch.hold, |n| n.0 == watch.from);
-            let (news, late) = waiting.expect("whole");
-            match late.timed_out() {
-                true => http("200 OK", &list(watch.from, false, "")),
-                false => http("200 OK", &news.1),
+            let published = shared.0.lock().expect("the mutex is not poisoned");
+            let waiting = shared.1.wait_timeout_while(published, watch.hold, |n| n.0 == watch.from);
+            let (published, timeout) = waiting.expect("the mutex is not poisoned");
+            match timeout.timed_out() {
+                true => http("200 OK", &endpoint_list(watch.from, false, "")),
+                false => http("200 OK", &published.1),
             }
         });
-        Discovery { stub, news }
+        Discovery { stub, published }
     }
-    /// Answers the next watch with this text; it leads the watcher to that revision.
-    pub fn say(&self, revision: u64, text: &str) {
-        *self.news.0.lock().expect("whole") = (revision, text.to_string());
-        self.news.1.notify_all();
+    /// Publishes `text` as the response to the next watch; `revision` is the revision that the watcher then has.
+    pub fn publish(&self, revision: u64, text: &str) {
+        *self.published.0.lock().expect("the mutex is not poisoned") = (revision, text.to_string());
+        self.published.1.notify_all();
     }
-    /// Tells changes and waits until the gateway watches from there, so has taken them in.
-    pub fn tell(&self, revision: u64, complete: bool, members: &str) {
-        self.say(revision, &list(revision, complete, members));
+    /// Publishes a list and waits until the gateway watches from its revision, which means that the list was applied.
+    pub fn publish_and_wait(&self, revision: u64, complete: bool, members: &str) {
+        self.publish(revision, &endpoint_list(revision, complete, members));
         self.wait_for_watch(revision);
     }
     pub fn wait_for_watch(&self, revision: u64) {
         let from = format!("from={revision}&");
-        self.stub.wait_for("a watch", |log| log.requests.iter().any(|r| r.line.contains(&from)));
+        self.stub.wait_for("a watch from the published revision", |log| {
+            log.requests.iter().any(|r| r.line.contains(&from))
+        });
     }
 }
 
-pub fn list(revision: u64, complete: bool, members: &str) -> String {
+pub fn endpoint_list(revision: u64, complete: bool, members: &str) -> String {
     format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#)
 }
-pub fn member(id: &str, address: SocketAddr, phase: &str) -> String {
+pub fn backend_entry(id: &str, address: SocketAddr, phase: &str) -> String {
     format!(
         r#"{{"id":"{id}","host_port":"{address}","locality":"a","flavor":"m","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":0}}"#
     )
--- a/tests/sockets/world/gateway.rs
+++ b/tests/sockets/world/gateway.rs
@@ -1,6 +1,6 @@
-//! The program as a process: its configuration, its signals, its operators' address.
+//! The gateway as a process: its configuration, signals and admin server.
 
-use super::{caller, Client, Discovery, Message, Stub, LIMIT};
+use super::{connect, Client, Discovery, Message, Stub, WAIT_TIMEOUT};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -20,12 +20,12 @@
     "specifics":{"counter":true,"count_limit":80000,"units_top":4},
     "rules":{"answer_slack":16000,"cold":14000000,"cold_from":0.17,"fall_multiple":4.0,"tip_after":2000000}}"#;
 
-/// A running gateway; killed when the test is over.
-pub struct Node {
+/// A running gateway process, killed on drop.
+pub struct Gateway {
     pub child: Child,
     pub address: SocketAddr,
-    /// Where operators call.
-    pub ops: SocketAddr,
+    /// Address of the admin server.
+    pub admin_address: SocketAddr,
 }
 
 pub fn config(discovery: SocketAddr, counter: SocketAddr) -> String {
@@ -35,13 +35,13 @@
     )
 }
 
-/// The program, told to read this configuration.
-pub fn program(config: &str) -> Command {
+/// Returns the command that starts the gateway with this configuration.
+pub fn gateway_command(config: &str) -> Command {
     use std::sync::atomic::{AtomicUsize, Ordering};
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let name = format!("config-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, config).expect("written");
+    std::fs::write(&path, config).expect("the file is written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_quota-gateway"));
     command.env("NODE_CONFIG", path).env_remove("NODE_LISTEN").env_remove("NODE_DISCOVERY");
     command.env("NODE_OPS", "127.0.0.1:0").env_remove("NODE_ACCEPT_FD");
@@ -49,69 +49,75 @@
     command
 }
 
-/// Where a program that is to be started reads its configuration.
+/// Returns the path of the configuration file of a command made by `gateway_command`.
 pub fn config_path(command: &Command) -> PathBuf {
     let path = command.get_envs().find_map(|(name, value)| value.filter(|_| name == "NODE_CONFIG"));
-    PathBuf::from(path.expect("set"))
+    PathBuf::from(path.expect("NODE_CONFIG is set"))
 }
 
-impl Node {
-    pub fn spawn(mut command: Command) -> Node {
-        let mut child = command.spawn().expect("it starts");
-        let mut log = BufReader::new(child.stderr.take().expect("piped"));
-        let mut told = String::new();
+impl Gateway {
+    pub fn spawn(mut command: Command) -> Gateway {
+        let mut child = command.spawn().expect("the gateway starts");
+        let mut log = BufReader::new(child.stderr.take().expect("stderr is piped"));
+        let mut logged = String::new();
         let address = loop {
             let mut line = String::new();
-            assert!(log.read_line(&mut line).expect("text") > 0, "it ended before it listened: {told}");
-            told.push_str(&line);
+            assert!(
+                log.read_line(&mut line).expect("UTF-8 text") > 0,
+                "the gateway exited before it logged its address: {logged}"
+            );
+            logged.push_str(&line);
             if let Some(address) = line.split("address=").nth(1) {
                 break address.trim().parse().expect("an address");
             }
         };
-        let ops = told.split("ops=").nth(1).and_then(|rest| rest.split_whitespace().next());
-        let ops = ops.expect("told first").parse().expect("an address");
-        // Its log must not fill the pipe.
+        let admin_address = logged.split("ops=").nth(1).and_then(|rest| rest.split_whitespace().next());
+        let admin_address = admin_address
+            .expect("the admin address is logged before the listen address")
+            .parse()
+            .expect("an address");
+        // Drains the log: a full pipe would block the gateway.
         thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
-        Node { child, address, ops }
+        Gateway { child, address, admin_address }
     }
-    /// A gateway with these round it, ready.
-    pub fn start(discovery: &Discovery, counter: &Stub) -> Node {
-        let node = Node::spawn(program(&config(discovery.stub.address, counter.address)));
-        node.wait_ready();
-        node
+    /// Starts a gateway that uses these services, and waits until it is ready.
+    pub fn start(discovery: &Discovery, counter: &Stub) -> Gateway {
+        let gateway = Gateway::spawn(gateway_command(&config(discovery.stub.address, counter.address)));
+        gateway.wait_ready();
+        gateway
     }
     pub fn wait_ready(&self) {
-        let until = Instant::now() + LIMIT;
-        while self.client().ask("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").status() != 200 {
-            assert!(Instant::now() < until, "never ready");
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while self.client().round_trip("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").status() != 200 {
+            assert!(Instant::now() < deadline, "the gateway did not become ready");
             thread::sleep(Duration::from_millis(5));
         }
     }
     pub fn client(&self) -> Client {
-        caller(self.address)
+        connect(self.address)
     }
-    /// An operator's call.
-    pub fn operate(&self, method: &str, path: &str) -> Message {
-        caller(self.ops).ask(&format!("{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n"))
+    /// Sends a request to the admin server.
+    pub fn admin_call(&self, method: &str, path: &str) -> Message {
+        connect(self.admin_address).round_trip(&format!("{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n"))
     }
-    /// The same with a body.
-    pub fn operate_with(&self, method: &str, path: &str, body: &str) -> Message {
+    /// Sends a request with a body to the admin server.
+    pub fn admin_call_with_body(&self, method: &str, path: &str, body: &str) -> Message {
         let head = format!("{method} {path} HTTP/1.1\r\nHost: ops\r\nContent-Length: {}\r\n\r\n", body.len());
-        caller(self.ops).ask(&(head + body))
+        connect(self.admin_address).round_trip(&(head + body))
     }
-    /// The figure of this name.
-    pub fn figure(&self, name: &str) -> u64 {
-        let told = self.operate("GET", "/stats").body;
+    /// Returns the value of a metric of `/stats`, named without the common prefix.
+    pub fn metric(&self, name: &str) -> u64 {
+        let stats = self.admin_call("GET", "/stats").body;
         let line = format!("edge_node.{name}=");
         let value =
-            told.lines().find_map(|l| l.strip_prefix(&line)).unwrap_or_else(|| panic!("{name}: {told}"));
+            stats.lines().find_map(|l| l.strip_prefix(&line)).unwrap_or_else(|| panic!("{name}: {stats}"));
         value.parse().expect("a number")
     }
-    /// Waits until the figure of this name has this value.
-    pub fn wait_for_figure(&self, name: &str, value: u64) {
-        let until = Instant::now() + LIMIT;
-        while self.figure(name) != value {
-            assert!(Instant::now() < until, "{name} is {} in place of {value}", self.figure(name));
+    /// Waits until a metric has this value.
+    pub fn wait_for_metric(&self, name: &str, value: u64) {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while self.metric(name) != value {
+            assert!(Instant::now() < deadline, "metric {name} is {}, expected {value}", self.metric(name));
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -122,29 +128,29 @@
     pub fn terminate(&self) {
         self.signal("TERM");
     }
-    /// Tells it to end and returns once it has heard.
-    pub fn terminate_and_wait(&self) {
+    /// Sends SIGTERM and waits until the health check fails.
+    pub fn terminate_and_wait_until_draining(&self) {
         self.terminate();
-        let until = Instant::now() + LIMIT;
-        while self.operate("GET", "/healthcheck").status() == 200 {
-            assert!(Instant::now() < until, "the signal was not heard");
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while self.admin_call("GET", "/healthcheck").status() == 200 {
+            assert!(Instant::now() < deadline, "the health check still succeeds after SIGTERM");
             thread::sleep(Duration::from_millis(5));
         }
     }
-    /// Waits for the end and returns the exit code.
-    pub fn ended(&mut self) -> Option<i32> {
-        let until = Instant::now() + LIMIT;
+    /// Waits until the process exits, and returns the exit code.
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            if let Some(status) = self.child.try_wait().expect("a child") {
+            if let Some(status) = self.child.try_wait().expect("the process can be waited for") {
                 return status.code();
             }
-            assert!(Instant::now() < until, "it did not end");
+            assert!(Instant::now() < deadline, "the gateway process did not exit");
             thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
-impl Drop for Node {
+impl Drop for Gateway {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/tests/sockets/world/mod.rs
+++ b/tests/sockets/world/mod.rs
@@ -1,5 +1,5 @@
-//! What stands round a gateway under test, on loopback sockets: backends, the counter, discovery, a client.
-//! Every read has a time limit, so that a test that fails does so soon.
+//! Test harness on loopback sockets: a gateway process, and its backends, counter, discovery and clients.
+//! Every read has a time-out, so that a failing test fails soon.
 #![allow(dead_code, unused_imports)]
 
 mod client;
@@ -7,16 +7,17 @@
 mod gateway;
 mod stub;
 
-pub use client::{caller, over, request, Client};
-pub use discovery::{list, member, Discovery, WatchCall};
-pub use gateway::{config, config_path, program, Node};
-pub use stub::{counter, http, Gate, LateListener, Log, Message, Refusing, Reply, Stub};
+pub use client::{client_over, connect, request, Client};
+pub use discovery::{backend_entry, endpoint_list, Discovery, WatchRequest};
+pub use gateway::{config, config_path, gateway_command, Gateway};
+pub use stub::{counter_stub, http, FullBacklogListener, Gate, Log, Message, Refusing, Reply, Stub};
 
 use std::time::Duration;
 
-pub const LIMIT: Duration = Duration::from_secs(10);
+/// Longest time that a test waits for a read or a condition.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs what is asynchronous in a test of a part.
+/// Runs a future to completion on a runtime of its own.
 pub fn on_runtime<T>(work: impl std::future::Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime").block_on(work)
 }
--- a/tests/sockets/world/stub.rs
+++ b/tests/sockets/world/stub.rs
@@ -1,19 +1,19 @@
-//! Servers of a test: what they saw, what they answer, and what holds them back.
+//! Stub servers that record requests and answer as a test says, and helpers that delay or refuse connections.
 
-use super::{on_runtime, LIMIT};
+use super::{on_runtime, WAIT_TIMEOUT};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
 use std::time::Duration;
 
-/// One HTTP message: its first line, headers in lower case, and body.
+/// An HTTP message: first line, headers with names in lower case, and body.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub line: String,
     pub headers: Vec<(String, String)>,
     pub body: String,
-    /// Which connection of its server it came on, from 0.
+    /// Number of the stub's connection that carried the message, from 0.
     pub connection: usize,
 }
 
@@ -43,20 +43,20 @@
         let length = message.header("content-length").map_or(0, |v| v.parse().expect("a length"));
         let mut body = vec![0; length];
         from.read_exact(&mut body).ok()?;
-        message.body = String::from_utf8(body).expect("text");
+        message.body = String::from_utf8(body).expect("UTF-8 text");
         Some(message)
     }
 }
 
-/// What a stub does with a request.
+/// What a stub does on a request.
 pub enum Reply {
-    /// These bytes, as they stand.
+    /// Writes these bytes unchanged.
     Raw(String),
-    /// These bytes, then the connection's end.
+    /// Writes these bytes, then closes the connection.
     RawThenClose(String),
-    /// These bytes, so many at a time with this pause between them.
+    /// Writes these bytes in pieces of this size, with this pause after each piece.
     Paced(String, usize, Duration),
-    /// Nothing, until the other side closes.
+    /// Writes nothing and keeps the connection open until the peer closes it.
     Silence,
 }
 
@@ -64,12 +64,12 @@
     Reply::Raw(format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-/// What a stub has seen, and a way to wait for more.
+/// Requests and connections that a stub has seen.
 #[derive(Default)]
 pub struct Log {
     pub requests: Vec<Message>,
     pub opened: usize,
-    /// Connections that the other side closed.
+    /// Number of connections that have ended.
     pub closed: usize,
 }
 
@@ -80,33 +80,33 @@
 }
 
 impl Stub {
-    pub fn start(answer: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Stub {
+    pub fn start(respond: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Stub {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let stub = Stub { address: listener.local_addr().expect("bound"), log: Arc::default() };
-        let (answer, seen) = (Arc::new(answer), stub.clone());
+        let stub = Stub { address: listener.local_addr().expect("the socket is bound"), log: Arc::default() };
+        let (respond, recorder) = (Arc::new(respond), stub.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (answer, seen) = (answer.clone(), seen.clone());
+                let (respond, recorder) = (respond.clone(), recorder.clone());
                 let mut connection = 0;
-                seen.note(|log| {
+                recorder.update_log(|log| {
                     connection = log.opened;
                     log.opened += 1;
                 });
                 thread::spawn(move || {
-                    seen.serve(stream, connection, &*answer);
-                    seen.note(|log| log.closed += 1);
+                    recorder.serve(stream, connection, &*respond);
+                    recorder.update_log(|log| log.closed += 1);
                 });
             }
         });
         stub
     }
-    fn serve(&self, stream: TcpStream, connection: usize, answer: &dyn Fn(&Message) -> Reply) {
+    fn serve(&self, stream: TcpStream, connection: usize, respond: &dyn Fn(&Message) -> Reply) {
         let mut reader = BufReader::new(stream.try_clone().expect("a socket"));
         let mut stream = stream;
         while let Some(message) = Message::read(&mut reader) {
             let message = Message { connection, ..message };
-            self.note(|log| log.requests.push(message.clone()));
-            match answer(&message) {
+            self.update_log(|log| log.requests.push(message.clone()));
+            match respond(&message) {
                 Reply::Raw(text) => drop(stream.write_all(text.as_bytes())),
                 Reply::RawThenClose(text) => {
                     drop(stream.write_all(text.as_bytes()));
@@ -125,22 +125,26 @@
             }
         }
     }
-    fn note(&self, change: impl FnOnce(&mut Log)) {
-        change(&mut self.log.0.lock().expect("whole"));
+    fn update_log(&self, change: impl FnOnce(&mut Log)) {
+        change(&mut self.log.0.lock().expect("the mutex is not poisoned"));
         self.log.1.notify_all();
     }
-    /// Waits until what was seen is as wanted.
+    /// Waits until the log satisfies `wanted`; `what` names the condition in the failure message.
     pub fn wait_for(&self, what: &str, wanted: impl Fn(&Log) -> bool) {
-        let log = self.log.0.lock().expect("whole");
-        let (_log, late) = self.log.1.wait_timeout_while(log, LIMIT, |log| !wanted(log)).expect("whole");
-        assert!(!late.timed_out(), "waited in vain for {what}");
+        let log = self.log.0.lock().expect("the mutex is not poisoned");
+        let (_log, timeout) = self
+            .log
+            .1
+            .wait_timeout_while(log, WAIT_TIMEOUT, |log| !wanted(log))
+            .expect("the mutex is not poisoned");
+        assert!(!timeout.timed_out(), "timed out while waiting for {what}");
     }
     pub fn requests(&self) -> Vec<Message> {
-        self.log.0.lock().expect("whole").requests.clone()
+        self.log.0.lock().expect("the mutex is not poisoned").requests.clone()
     }
 }
 
-/// Holds back whoever waits until it is opened, for good.
+/// Blocks waiting threads until it is opened; it then stays open.
 #[derive(Default)]
 pub struct Gate {
     open: Mutex<bool>,
@@ -149,31 +153,34 @@
 
 impl Gate {
     pub fn open(&self) {
-        *self.open.lock().expect("whole") = true;
+        *self.open.lock().expect("the mutex is not poisoned") = true;
         self.changed.notify_all();
     }
     pub fn wait(&self) {
-        let open = self.open.lock().expect("whole");
-        let (_open, late) = self.changed.wait_timeout_while(open, LIMIT, |open| !*open).expect("whole");
-        assert!(!late.timed_out(), "a gate was not opened");
+        let open = self.open.lock().expect("the mutex is not poisoned");
+        let (_open, timeout) = self
+            .changed
+            .wait_timeout_while(open, WAIT_TIMEOUT, |open| !*open)
+            .expect("the mutex is not poisoned");
+        assert!(!timeout.timed_out(), "the gate was not opened in time");
     }
 }
 
-/// A counter that adds up and answers at once.
-pub fn counter() -> Stub {
+/// Starts a counter service that adds up increments and answers immediately.
+pub fn counter_stub() -> Stub {
     let totals = Mutex::new(std::collections::HashMap::new());
     Stub::start(move |request| {
-        let name = request.line.split(['/', '?']).nth(3).expect("a name").to_string();
+        let name = request.line.split(['/', '?']).nth(3).expect("a counter name").to_string();
         let add = request.line.split(['=', '&']).nth(1).expect("an amount");
-        let mut totals = totals.lock().expect("whole");
+        let mut totals = totals.lock().expect("the mutex is not poisoned");
         let total = totals.entry(name).or_insert(0.0);
         *total += add.parse::<f64>().expect("a number");
         http("200 OK", &total.to_string())
     })
 }
 
-/// An address that refuses connections for as long as this lives: its port is taken, so that no other test's server comes
-/// to listen there, and nobody listens.
+/// An address that refuses connections until this value is dropped: the port is bound, so that no server of another test
+/// can listen on it, but nothing listens there.
 pub struct Refusing {
     socket: tokio::net::TcpSocket,
 }
@@ -185,39 +192,42 @@
         Refusing { socket }
     }
     pub fn address(&self) -> SocketAddr {
-        self.socket.local_addr().expect("bound")
+        self.socket.local_addr().expect("the socket is bound")
     }
 }
 
-/// A port at which connections come up late: its queue is full until the test accepts.
-pub struct LateListener {
+/// A listener whose backlog is full, so that new connections are not established until the test accepts.
+pub struct FullBacklogListener {
     listener: TcpListener,
-    filler: Option<TcpStream>,
+    backlog_filler: Option<TcpStream>,
 }
 
-impl LateListener {
-    pub fn start() -> LateListener {
+impl FullBacklogListener {
+    pub fn start() -> FullBacklogListener {
         let listener = on_runtime(async {
             let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
             socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-            socket.listen(0).expect("it listens").into_std().expect("a socket")
+            socket.listen(0).expect("the socket listens").into_std().expect("a socket")
         });
-        listener.set_nonblocking(false).expect("an option");
-        let address = listener.local_addr().expect("bound");
-        LateListener { listener, filler: Some(TcpStream::connect(address).expect("the one that fits")) }
+        listener.set_nonblocking(false).expect("the socket option is set");
+        let address = listener.local_addr().expect("the socket is bound");
+        FullBacklogListener {
+            listener,
+            backlog_filler: Some(TcpStream::connect(address).expect("the connection that fills the backlog")),
+        }
     }
     pub fn address(&self) -> SocketAddr {
-        self.listener.local_addr().expect("bound")
+        self.listener.local_addr().expect("the socket is bound")
     }
-    /// Lets connections come up. Returns all that comes over the next one until its end.
-    pub fn bytes_of_next_connection(mut self) -> Vec<u8> {
-        let filler = self.filler.take();
-        drop(self.listener.accept().expect("the filler"));
-        drop(filler);
+    /// Accepts the connection that fills the backlog, then the next one, and returns all bytes received on the latter.
+    pub fn accept_and_read_all(mut self) -> Vec<u8> {
+        let backlog_filler = self.backlog_filler.take();
+        drop(self.listener.accept().expect("the connection that fills the backlog"));
+        drop(backlog_filler);
         let (mut stream, _) = self.listener.accept().expect("a connection");
-        stream.set_read_timeout(Some(LIMIT)).expect("an option");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the socket option is set");
         let mut bytes = Vec::new();
-        stream.read_to_end(&mut bytes).expect("its end");
+        stream.read_to_end(&mut bytes).expect("the peer closes the connection");
         bytes
     }
 }
