--- a/lab/src/plan/arrivals.rs
+++ b/lab/src/plan/arrivals.rs
@@ -1,4 +1,4 @@
-//! Customers and their requests, drawn ahead: an open-loop load, which does not wait for answers.
+//! Draws customers and their requests ahead of the run, as an open-loop load: arrivals do not wait for answers.
 
 use super::{us, Draw, Microseconds, MOST_UNITS};
 use crate::scenario::{Kind, Scenario};
@@ -6,49 +6,49 @@
 /// A customer that sends requests.
 #[derive(Debug, Clone)]
 pub struct Customer {
-    /// The number on the wire, below 2^33.
+    /// Number on the wire, below 2^33.
     pub number: u64,
-    /// The number of its plan.
+    /// Number of the customer's plan.
     pub plan: usize,
-    /// The first gateway of the set that it uses.
+    /// First gateway of the set that the customer uses.
     pub first: usize,
-    /// How many gateways in a row the set has.
+    /// Number of consecutive gateways in the set.
     pub spread: usize,
-    /// What it asks for over time.
+    /// Demand over time.
     demand: Demand,
 }
 
-/// What a customer asks for, as a multiple of its plan's rate.
+/// Demand of a customer, as multiples of the rate of its plan.
 #[derive(Debug, Clone)]
 struct Demand {
-    /// Outside of peaks.
+    /// Multiple outside of peaks.
     usual: f64,
-    /// In peaks.
+    /// Multiple in peaks.
     peak: f64,
-    /// Beginnings and ends of peaks.
+    /// Begin and end of each peak.
     peaks: Vec<(Microseconds, Microseconds)>,
 }
 
-/// One request, as its client sends it first.
+/// The first attempt of one request.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When its client sends it.
+    /// Time at which the client sends the request.
     pub at: Microseconds,
-    /// The number of its customer.
+    /// Number of the customer.
     pub customer: usize,
-    /// The number of its class.
+    /// Number of the class.
     pub class: usize,
-    /// Work in microseconds of a core of speed 1.
+    /// Work in microseconds on a core of speed 1.
     pub work_us: f64,
-    /// Quota units that it costs.
+    /// Cost in quota units.
     pub units: u32,
-    /// How long the client waits for one attempt.
+    /// Time-out of one attempt at the client, in microseconds.
     pub patience_us: Microseconds,
-    /// The gateways of the set in the order in which its attempts go to them.
+    /// Gateways of the customer's set, in the order in which the attempts use them.
     pub gateways: Vec<usize>,
 }
 
-/// A fault that changes the load for some time.
+/// A fault that changes the load for a limited time.
 struct LoadChange {
     kind: Kind,
     from: Microseconds,
@@ -58,35 +58,35 @@
 }
 
 impl LoadChange {
-    fn is_on(&self, now: Microseconds) -> bool {
+    fn is_active(&self, now: Microseconds) -> bool {
         (self.from..self.to).contains(&now)
     }
 }
 
-/// The fraction of its quota that a customer uses that asks for nearly all of it.
-const FULL: f64 = 0.95;
-/// The mean fraction of its quota that a customer with peaks uses.
-const SPIKY_MEAN: f64 = 0.6;
-/// The random stream of the customers.
+/// Fraction of the quota that a customer with nearly full use consumes.
+const FULL_USE: f64 = 0.95;
+/// Mean fraction of the quota that a customer with peaks consumes.
+const SPIKY_MEAN_USE: f64 = 0.6;
+/// Random stream of the customers.
 const CUSTOMERS_STREAM: u64 = 2;
-/// The random stream of the sample that gives the mean units.
+/// Random stream of the sample for the mean units of a request.
 const MEAN_UNITS_STREAM: u64 = 3;
-/// The random stream that chooses the hot customers.
+/// Random stream for the choice of the hot customers.
 const HOT_CUSTOMERS_STREAM: u64 = 4;
-/// The random stream of the first customer's arrivals; each further customer has the next one.
+/// Random stream of the first customer's arrivals; each further customer uses the next number.
 const FIRST_ARRIVALS_STREAM: u64 = 1000;
-/// Requests in the sample that gives the mean units.
+/// Requests in the sample for the mean units of a request.
 const MEAN_UNITS_SAMPLE: i32 = 4000;
-/// Customers that a `hot_customer` fault makes hot.
+/// Number of customers that a `hot-customer` fault affects.
 const HOT_CUSTOMERS: usize = 3;
-/// Customers' numbers have this many bits on the wire.
+/// Bits of a customer number on the wire.
 const CUSTOMER_NUMBER_BITS: u32 = 33;
-/// The shortest time that a client waits for an answer, in microseconds.
-const LEAST_PATIENCE_US: Microseconds = 1000;
-/// Gateways of its set that a client may ask; the rest of the order is not drawn.
-const MOST_GATEWAYS_ASKED: usize = 4;
+/// Minimum time-out of one attempt at the client, in microseconds.
+const MIN_ATTEMPT_TIMEOUT_US: Microseconds = 1000;
+/// Gateways at the head of the order that are drawn by weight; the rest keep the order of the ranks.
+const MAX_DRAWN_GATEWAYS: usize = 4;
 
-/// Draws the customers and their requests, these in the order of their times.
+/// Draws the customers and their requests; the requests are in time order.
 pub(super) fn draw(scenario: &Scenario, seed: u64, unit_work_us: &[f64]) -> (Vec<Customer>, Vec<Arrival>) {
     let class_shares: Vec<f64> = scenario.classes.iter().map(|class| class.share).collect();
     let mean_units = mean_units(scenario, seed, unit_work_us, &class_shares);
@@ -109,46 +109,46 @@
     (customers, arrivals)
 }
 
-/// What all customers' arrivals are drawn from.
+/// Parameters from which the arrivals of all customers are drawn.
 struct LoadModel<'a> {
     scenario: &'a Scenario,
     changes: Vec<LoadChange>,
-    /// The weights of the classes.
+    /// Weights of the classes.
     class_shares: Vec<f64>,
-    /// The work of one unit, by class.
+    /// Work of one unit by class, in microseconds.
     unit_work_us: &'a [f64],
     /// Mean units of a request.
     mean_units: f64,
-    /// The customers that a `hot_customer` fault makes hot.
+    /// Customers that a `hot-customer` fault affects.
     hot: Vec<usize>,
 }
 
 impl LoadModel<'_> {
-    /// The first change of a kind that is on.
-    fn change_on(&self, kind: Kind, now: Microseconds) -> Option<&LoadChange> {
-        self.changes.iter().find(|change| change.kind == kind && change.is_on(now))
+    /// Returns the first active change of a kind.
+    fn active_change(&self, kind: Kind, now: Microseconds) -> Option<&LoadChange> {
+        self.changes.iter().find(|change| change.kind == kind && change.is_active(now))
     }
 }
 
-/// The arrivals of one customer: a Poisson process, drawn at its highest rate and thinned to the rate of the moment
+/// Generates the arrivals of one customer: a Poisson process, drawn at its maximum rate and thinned to the current rate
 /// (Lewis and Shedler, 1979).
 struct CustomerStream<'a> {
     load: &'a LoadModel<'a>,
     number: usize,
     customer: &'a Customer,
     draw: Draw,
-    /// The gateways of the customer's set, the most used first.
+    /// Gateways of the customer's set, the most used first.
     ranks: Vec<usize>,
-    /// The weights of the ranks.
+    /// Weights of the ranks.
     weights: Vec<f64>,
-    /// When the ranks change next.
-    next_shift: Microseconds,
-    /// Requests a second at the customer's whole quota.
+    /// Time of the next change of the ranks.
+    next_reorder: Microseconds,
+    /// Requests per second that use the customer's full quota.
     base_per_s: f64,
-    /// Requests a second that a `hot_customer` fault adds; `None` for a customer that is not hot.
+    /// Requests per second that a `hot-customer` fault adds; `None` for customers that it does not affect.
     extra_per_s: Option<f64>,
-    /// A bound on the rate at any moment.
-    highest_per_s: f64,
+    /// Upper bound of the rate at any time.
+    max_rate_per_s: f64,
 }
 
 impl<'a> CustomerStream<'a> {
@@ -156,7 +156,7 @@
         let scenario = load.scenario;
         let mut ranks: Vec<usize> = (0..customer.spread).collect();
         draw.shuffle(&mut ranks);
-        let next_shift = us(draw.between(scenario.load.shift_s));
+        let next_reorder = us(draw.between(scenario.load.shift_s));
         let weight = |rank: usize| ((rank + 1) as f64).powf(-scenario.load.skew);
         let base_per_s = scenario.plans[customer.plan].rate / load.mean_units;
         let is_hot = load.hot.contains(&number);
@@ -168,10 +168,10 @@
             draw,
             ranks,
             weights: (0..customer.spread).map(weight).collect(),
-            next_shift,
+            next_reorder,
             base_per_s,
             extra_per_s,
-            highest_per_s: highest_rate(customer, &load.changes, base_per_s, extra_per_s),
+            max_rate_per_s: max_rate(customer, &load.changes, base_per_s, extra_per_s),
         }
     }
 
@@ -180,32 +180,32 @@
         let mut arrivals = Vec::new();
         let mut at = 0.0;
         loop {
-            at += self.draw.exp(1e6 / self.highest_per_s);
+            at += self.draw.exp(1e6 / self.max_rate_per_s);
             let now = at as Microseconds;
             if now >= end {
                 return arrivals;
             }
-            self.shift_ranks(now);
+            self.reorder_ranks(now);
             if let Some(arrival) = self.draw_arrival(now) {
                 arrivals.push(arrival);
             }
         }
     }
 
-    /// Reorders the gateways at the times at which the customer's preference changes.
-    fn shift_ranks(&mut self, now: Microseconds) {
-        while now >= self.next_shift {
+    /// Reorders the gateways at each change of the customer's preference.
+    fn reorder_ranks(&mut self, now: Microseconds) {
+        while now >= self.next_reorder {
             self.draw.shuffle(&mut self.ranks);
-            self.next_shift += us(self.draw.between(self.load.scenario.load.shift_s)).max(1);
+            self.next_reorder += us(self.draw.between(self.load.scenario.load.shift_s)).max(1);
         }
     }
 
-    /// The candidate at a time, or `None` where the thinning drops it. The same count of random numbers is drawn for
-    /// each candidate, dropped or not, so that a load change leaves all other draws as they were.
+    /// Draws the candidate arrival at a time; `None` if the thinning drops it. Each candidate, dropped or not, draws the
+    /// same count of random numbers, so that a load change leaves all other draws unchanged.
     fn draw_arrival(&mut self, now: Microseconds) -> Option<Arrival> {
         let scenario = self.load.scenario;
         let rate = rate(self.customer, &self.load.changes, self.base_per_s, self.extra_per_s, now);
-        let is_kept = self.draw.unit() * self.highest_per_s < rate;
+        let is_kept = self.draw.unit() * self.max_rate_per_s < rate;
         let class = self.draw.weighted(&self.load.class_shares);
         let spec = &scenario.classes[class];
         let work_us = self.draw.lognormal(spec.work_ms * 1000.0, spec.work_cv);
@@ -222,35 +222,36 @@
             class,
             work_us,
             units: units(work_us, self.load.unit_work_us[class]),
-            patience_us: self.patience(spec.deadline_ms, deadline_fraction, now),
+            patience_us: self.attempt_timeout(spec.deadline_ms, deadline_fraction, now),
             gateways: order.into_iter().map(gateway).collect(),
         })
     }
 
-    /// Puts the customer's first gateway first for a part of the requests while a `hot_gateway` fault is on. The digits
-    /// of the work decide which, as a further draw would move all later ones.
+    /// Moves the customer's most used gateway to the front for a fraction of the requests while a `hot-gateway` fault is
+    /// active. The digits of the work select the requests, because another draw would change all later draws.
     fn prefer_hot_gateway(&self, order: &mut Vec<usize>, work_us: f64, now: Microseconds) {
-        let Some(change) = self.load.change_on(Kind::HotGateway, now) else { return };
+        let Some(change) = self.load.active_change(Kind::HotGateway, now) else { return };
         if (work_us * 1009.0).fract() < change.amount {
             order.retain(|rank| *rank != self.ranks[0]);
             order.insert(0, self.ranks[0]);
         }
     }
 
-    /// How long the client waits for one attempt.
-    fn patience(&self, deadline_ms: f64, fraction: f64, now: Microseconds) -> Microseconds {
-        let impatience = self.load.change_on(Kind::Impatient, now).map_or(1.0, |change| change.amount);
-        let patience_us = (us(deadline_ms / 1000.0) as f64 * fraction * impatience) as Microseconds;
-        patience_us.max(LEAST_PATIENCE_US)
+    /// Returns the time-out of one attempt at the client.
+    fn attempt_timeout(&self, deadline_ms: f64, fraction: f64, now: Microseconds) -> Microseconds {
+        let timeout_factor =
+            self.load.active_change(Kind::Impatient, now).map_or(1.0, |change| change.amount);
+        let patience_us = (us(deadline_ms / 1000.0) as f64 * fraction * timeout_factor) as Microseconds;
+        patience_us.max(MIN_ATTEMPT_TIMEOUT_US)
     }
 }
 
-/// The units of a request by its work.
+/// Returns the quota units of a request with a given work.
 fn units(work_us: f64, unit_work_us: f64) -> u32 {
     ((work_us / unit_work_us).ceil() as u32).clamp(1, MOST_UNITS)
 }
 
-/// The mean units of a request, by a sample: work is cut off at the most units.
+/// Estimates the mean units of a request from a sample, because units are rounded up and limited.
 fn mean_units(scenario: &Scenario, seed: u64, unit_work_us: &[f64], shares: &[f64]) -> f64 {
     let mut draw = Draw::new(seed, MEAN_UNITS_STREAM);
     let sampled_units = |_| {
@@ -261,19 +262,19 @@
     (0..MEAN_UNITS_SAMPLE).map(sampled_units).sum::<f64>() / f64::from(MEAN_UNITS_SAMPLE)
 }
 
-/// Customers of each plan, as many as give the load that the scenario asks for.
+/// Draws the customers of each plan, as many as produce the load of the scenario.
 fn customers(scenario: &Scenario, draw: &mut Draw, mean_units: f64) -> Vec<Customer> {
     let load = &scenario.load;
     let calm = 1.0 - load.full - load.heavy - load.spiky;
     let mean_use = calm * (load.calm_use[0] + load.calm_use[1]) / 2.0
-        + load.full * FULL
+        + load.full * FULL_USE
         + load.heavy
-        + load.spiky * SPIKY_MEAN;
+        + load.spiky * SPIKY_MEAN_USE;
     let shares: f64 = scenario.plans.iter().map(|plan| plan.share).sum();
     let mut customers: Vec<Customer> = Vec::new();
     for (number, plan) in scenario.plans.iter().enumerate() {
-        let wanted = plan.share / shares * load.per_s * mean_units / (plan.rate * mean_use);
-        for _ in 0..(wanted.round() as usize).max(1) {
+        let count = plan.share / shares * load.per_s * mean_units / (plan.rate * mean_use);
+        for _ in 0..(count.round() as usize).max(1) {
             let customer = customer(scenario, number, &customers, draw);
             customers.push(customer);
         }
@@ -281,7 +282,7 @@
     customers
 }
 
-/// One customer of a plan, with a number that none of `others` has.
+/// Draws a customer of a plan, with a number that differs from those of `others`.
 fn customer(scenario: &Scenario, plan: usize, others: &[Customer], draw: &mut Draw) -> Customer {
     let load = &scenario.load;
     let number = loop {
@@ -290,23 +291,23 @@
             break number;
         }
     };
-    let spreads = load.spread[1] - load.spread[0] + 1;
+    let spread_count = load.spread[1] - load.spread[0] + 1;
     Customer {
         number,
         plan,
         first: draw.below(scenario.gateways.count),
-        spread: (load.spread[0] + draw.below(spreads)).min(scenario.gateways.count),
+        spread: (load.spread[0] + draw.below(spread_count)).min(scenario.gateways.count),
         demand: demand(scenario, draw),
     }
 }
 
-/// Draws what a customer asks for over time, by one of the four patterns of the scenario's load.
+/// Draws the demand of a customer, by one of the four patterns of the scenario's load.
 fn demand(scenario: &Scenario, draw: &mut Draw) -> Demand {
     let load = &scenario.load;
     let calm_use = draw.between(load.calm_use);
     let calm = 1.0 - load.full - load.heavy - load.spiky;
     match draw.weighted(&[load.full, load.heavy, load.spiky, calm]) {
-        0 => Demand { usual: FULL, peak: FULL, peaks: Vec::new() },
+        0 => Demand { usual: FULL_USE, peak: FULL_USE, peaks: Vec::new() },
         1 => Demand { usual: draw.between(load.heavy_x), peak: 0.0, peaks: Vec::new() },
         2 => {
             let peak = draw.between(load.spike_x);
@@ -316,7 +317,7 @@
     }
 }
 
-/// Beginnings and ends of the peaks of a customer that has them.
+/// Draws the begin and end of each peak of a customer.
 fn peaks(scenario: &Scenario, draw: &mut Draw) -> Vec<(Microseconds, Microseconds)> {
     let load = &scenario.load;
     let mut peaks = Vec::new();
@@ -329,7 +330,7 @@
     peaks
 }
 
-/// The faults of a scenario that change the load.
+/// Returns the faults of a scenario that change the load.
 fn load_changes(scenario: &Scenario) -> Vec<LoadChange> {
     let mut changes = Vec::new();
     for fault in &scenario.faults {
@@ -350,7 +351,7 @@
     changes
 }
 
-/// The customers that a `hot_customer` fault makes hot.
+/// Draws the customers that a `hot-customer` fault affects.
 fn hot_customers(customers: &[Customer], seed: u64) -> Vec<usize> {
     let mut draw = Draw::new(seed, HOT_CUSTOMERS_STREAM);
     let mut all: Vec<usize> = (0..customers.len()).collect();
@@ -359,7 +360,7 @@
     all
 }
 
-/// By how much a change multiplies a customer's rate.
+/// Returns the factor by which a change multiplies a customer's rate.
 fn rate_factor(change: &LoadChange, customer: &Customer) -> f64 {
     match change.kind {
         Kind::Surge if change.plans.is_empty() || change.plans.contains(&customer.plan) => change.amount,
@@ -367,7 +368,7 @@
     }
 }
 
-/// Requests a second of a customer at a moment.
+/// Returns the requests per second of a customer at a time.
 fn rate(
     customer: &Customer,
     changes: &[LoadChange],
@@ -378,7 +379,7 @@
     let demand = &customer.demand;
     let in_peak = demand.peaks.iter().any(|(from, to)| (*from..*to).contains(&now));
     let mut rate = base_per_s * if in_peak { demand.peak } else { demand.usual };
-    for change in changes.iter().filter(|change| change.is_on(now)) {
+    for change in changes.iter().filter(|change| change.is_active(now)) {
         rate *= rate_factor(change, customer);
         if let (Kind::HotCustomer, Some(extra)) = (change.kind, extra_per_s) {
             rate += change.amount * extra;
@@ -387,30 +388,25 @@
     rate
 }
 
-/// A bound on `rate` at any moment.
-fn highest_rate(
-    customer: &Customer,
-    changes: &[LoadChange],
-    base_per_s: f64,
-    extra_per_s: Option<f64>,
-) -> f64 {
+/// Returns an upper bound of `rate` at any time.
+fn max_rate(customer: &Customer, changes: &[LoadChange], base_per_s: f64, extra_per_s: Option<f64>) -> f64 {
     let demand = &customer.demand;
     let surge: f64 = changes.iter().map(|change| rate_factor(change, customer).max(1.0)).product();
     let hot = changes.iter().filter(|change| change.kind == Kind::HotCustomer);
     let hot_amount: f64 = hot.map(|change| change.amount).sum();
     let highest = base_per_s * demand.usual.max(demand.peak) * surge;
-    // A surge that follows a hot customer in the list multiplies the extra load as well.
+    // A surge after a hot customer in the list of faults multiplies the extra load as well.
     highest + hot_amount * surge * extra_per_s.unwrap_or(0.0)
 }
 
-/// The gateways of a set by rank, each place drawn by the weights of those left.
+/// Draws an order of the gateways of a set, each position by the weights of the remaining gateways.
 fn gateway_order(ranks: &[usize], weights: &[f64], draw: &mut Draw) -> Vec<usize> {
-    let mut left: Vec<(usize, f64)> = ranks.iter().copied().zip(weights.iter().copied()).collect();
-    let mut order = Vec::with_capacity(left.len());
-    while left.len() > 1 && order.len() < MOST_GATEWAYS_ASKED {
-        let weights: Vec<f64> = left.iter().map(|(_, weight)| *weight).collect();
-        order.push(left.remove(draw.weighted(&weights)).0);
+    let mut remaining: Vec<(usize, f64)> = ranks.iter().copied().zip(weights.iter().copied()).collect();
+    let mut order = Vec::with_capacity(remaining.len());
+    while remaining.len() > 1 && order.len() < MAX_DRAWN_GATEWAYS {
+        let weights: Vec<f64> = remaining.iter().map(|(_, weight)| *weight).collect();
+        order.push(remaining.remove(draw.weighted(&weights)).0);
     }
-    order.extend(left.into_iter().map(|(rank, _)| rank));
+    order.extend(remaining.into_iter().map(|(rank, _)| rank));
     order
 }
--- a/lab/src/plan/fault_expansion.rs
+++ b/lab/src/plan/fault_expansion.rs
@@ -1,4 +1,4 @@
-//! Expands one fault of a scenario to its steps, one function for each kind of fault.
+//! Expands one fault of a scenario to steps, with one function for each kind of fault.
 
 use super::faults::{Action, BackendFault, LinkChange, Step};
 use super::{us, Draw, Microseconds};
@@ -6,33 +6,33 @@
 use crate::scenario::{Fault, Kind, Scenario};
 use std::collections::BTreeSet;
 
-/// Seconds from the start of a fault until a killed leader is back, where the scenario gives no range.
-const LEADER_BACK_S: [f64; 2] = [1.0, 1.0];
+/// Default range of the seconds after which a killed leader is started again.
+const LEADER_RESTART_DELAY_S: [f64; 2] = [1.0, 1.0];
 
-/// One time span in which a fault is on.
+/// A time span in which a fault is active.
 #[derive(Clone, Copy)]
 struct ActiveWindow {
     from: Microseconds,
     to: Microseconds,
 }
 
-/// One target of a fault that takes its targets in batches.
+/// One target of a fault that is applied in batches.
 struct BatchEntry {
-    /// Time after the start of the fault.
+    /// Time since the start of the fault.
     delay: Microseconds,
-    /// The number of the gateway or backend.
+    /// Number of the gateway or backend.
     target: usize,
 }
 
-/// One fault with its resolved targets, and the steps so far.
+/// A fault with its resolved targets, and the steps collected so far.
 pub(super) struct FaultExpansion<'a> {
     scenario: &'a Scenario,
     fault: &'a Fault,
     targets: Vec<Party>,
     peers: Vec<Party>,
-    /// The gateways among the targets.
+    /// Gateways among the targets.
     gateways: Vec<usize>,
-    /// The backends among the targets.
+    /// Backends among the targets.
     backends: Vec<usize>,
     start: Microseconds,
     windows: Vec<ActiveWindow>,
@@ -40,7 +40,7 @@
 }
 
 impl<'a> FaultExpansion<'a> {
-    /// A fault on `targets`; `peers` are the other ends of its links.
+    /// Creates the expansion of a fault on `targets`; `peers` are the other ends of the affected links.
     pub(super) fn new(
         scenario: &'a Scenario,
         fault: &'a Fault,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The steps of the fault. `next_backend` is the number that the next new backend gets.
+    /// Returns the steps of the fault. `next_backend` is the number of the next new backend.
     pub(super) fn expand(mut self, draw: &mut Draw, next_backend: &mut usize) -> Vec<Step> {
         let rate = self.fault.rate.unwrap_or(1.0);
         let factor = self.fault.factor.unwrap_or(1.0);
@@ -79,18 +79,18 @@
             Kind::Half => self.backend_fault(BackendFault::Half(rate)),
             Kind::Silent => self.backend_fault(BackendFault::Silent),
             Kind::Replace => self.replace(draw, next_backend),
-            Kind::CounterDown => self.lasting(Action::CounterDown),
-            Kind::CounterSlow => self.lasting(|on| Action::CounterSlow { delay_us, on }),
+            Kind::CounterDown => self.toggle(Action::CounterDown),
+            Kind::CounterSlow => self.toggle(|on| Action::CounterSlow { delay_us, on }),
             Kind::CounterEmpty => self.empty_counter(),
-            Kind::CounterGarble => self.lasting(|on| Action::CounterGarble { rate: per_million(rate), on }),
-            Kind::CounterLimit => self.lasting(|on| Action::CounterLimit { factor: per_million(factor), on }),
-            Kind::ListLate => self.lasting(|on| Action::ListLate { delay_us, on }),
+            Kind::CounterGarble => self.toggle(|on| Action::CounterGarble { rate: per_million(rate), on }),
+            Kind::CounterLimit => self.toggle(|on| Action::CounterLimit { factor: per_million(factor), on }),
+            Kind::ListLate => self.toggle(|on| Action::ListLate { delay_us, on }),
             Kind::ListSilent => self.silence_discovery(),
-            Kind::ListGhost => self.lasting(Action::ListGhost),
+            Kind::ListGhost => self.toggle(Action::ListGhost),
             Kind::ListMove => self.move_backends(),
             Kind::Rollout => self.roll_out(),
             Kind::KillLeader => self.kill_leader(draw),
-            // These change the arrivals and have no steps.
+            // Load faults change the arrivals and have no steps.
             Kind::Surge | Kind::HotCustomer | Kind::HotGateway | Kind::Impatient => {}
         }
         self.steps
@@ -100,13 +100,13 @@
         self.steps.push(Step { at, action });
     }
 
-    /// Begins one action at the start of each active window and ends it at its end.
-    fn lasting(&mut self, action: impl Fn(bool) -> Action) {
-        self.lasting_all(|on| vec![action(on)]);
+    /// Adds an action that is turned on at the start of each active window and off at its end.
+    fn toggle(&mut self, action: impl Fn(bool) -> Action) {
+        self.toggle_all(|on| vec![action(on)]);
     }
 
-    /// Begins several actions at the start of each active window and ends them at its end.
-    fn lasting_all(&mut self, actions: impl Fn(bool) -> Vec<Action>) {
+    /// Adds several actions that are turned on at the start of each active window and off at its end.
+    fn toggle_all(&mut self, actions: impl Fn(bool) -> Vec<Action>) {
         for window in self.windows.clone() {
             for action in actions(true) {
                 self.push(window.from, action);
@@ -130,7 +130,7 @@
         let one_way = fault.one_way.unwrap_or(false);
         let targets = self.targets.clone();
         let peers = self.peers.clone();
-        self.lasting_all(|on| {
+        self.toggle_all(|on| {
             let mut actions = vec![Action::Link { from: targets.clone(), to: peers.clone(), change, on }];
             if !one_way {
                 actions.push(Action::Link { from: peers.clone(), to: targets.clone(), change, on });
@@ -149,27 +149,27 @@
     fn kill(&mut self, draw: &mut Draw) {
         for gateway in self.gateways.clone() {
             self.push(self.start, Action::Kill(gateway));
-            if let Some(back) = self.draw_return(draw) {
-                self.push(back, Action::Start(gateway));
+            if let Some(restart_at) = self.draw_restart_time(draw) {
+                self.push(restart_at, Action::Start(gateway));
             }
         }
         for backend in self.backends.clone() {
             self.push(self.start, Action::BackendDies(backend));
-            if let Some(back) = self.draw_return(draw) {
-                self.push(back, Action::BackendStarts(backend));
+            if let Some(restart_at) = self.draw_restart_time(draw) {
+                self.push(restart_at, Action::BackendStarts(backend));
             }
         }
     }
 
-    /// When a killed process starts again; `None` if it stays down.
-    fn draw_return(&self, draw: &mut Draw) -> Option<Microseconds> {
+    /// Draws when a killed process starts again; `None` if it stays down.
+    fn draw_restart_time(&self, draw: &mut Draw) -> Option<Microseconds> {
         let range_s = self.fault.back_s?;
         Some(self.start + us(draw.between(range_s)).max(1))
     }
 
     fn pause(&mut self) {
         let gateways = self.gateways.clone();
-        self.lasting_all(|on| {
+        self.toggle_all(|on| {
             gateways.iter().map(|gateway| Action::Pause { gateway: *gateway, on }).collect()
         });
     }
@@ -188,12 +188,12 @@
 
     fn backend_fault(&mut self, ill: BackendFault) {
         let backends = self.backends.clone();
-        self.lasting_all(|on| {
+        self.toggle_all(|on| {
             backends.iter().map(|backend| Action::Ill { backend: *backend, ill, on }).collect()
         });
     }
 
-    /// Drains the backends batch by batch; a new backend starts for each, with the fault of a bad release if the
+    /// Drains the backends batch by batch and starts a new backend for each, with the fault of a bad release if the
     /// scenario gives one.
     fn replace(&mut self, draw: &mut Draw, next_backend: &mut usize) {
         let drain = us(self.fault.drain_s.unwrap_or(0.0)).max(1);
@@ -221,14 +221,14 @@
         }
     }
 
-    /// Discovery answers none of the targets, or no gateway at all where the fault names no target.
+    /// Stops discovery from answering the targets, or any gateway where the fault names no target.
     fn silence_discovery(&mut self) {
         let gateways: Vec<usize> = if self.fault.who.is_empty() {
             (0..self.scenario.gateways.count).collect()
         } else {
             self.gateways.clone()
         };
-        self.lasting_all(|on| {
+        self.toggle_all(|on| {
             gateways.iter().map(|gateway| Action::ListSilent { gateway: *gateway, on }).collect()
         });
     }
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Starts the rollout at the first of the gateways.
+    /// Sends the rollout to the first of the target gateways.
     fn roll_out(&mut self) {
         let rules = self.fault.rules.clone().unwrap_or_default();
         if let Some(gateway) = self.gateways.first().copied() {
@@ -248,24 +248,24 @@
     }
 
     fn kill_leader(&mut self, draw: &mut Draw) {
-        let range_s = self.fault.back_s.unwrap_or(LEADER_BACK_S);
+        let range_s = self.fault.back_s.unwrap_or(LEADER_RESTART_DELAY_S);
         let back = us(draw.between(range_s)).max(1);
         self.push(self.start, Action::KillLeader { back });
     }
 }
 
-/// The time spans in which a fault is on: one, or several where it flaps.
+/// Returns the time spans in which a fault is active: one, or several where the fault flaps.
 fn active_windows(fault: &Fault) -> Vec<ActiveWindow> {
     let from = us(fault.at_s);
     let to = from + us(fault.for_s.unwrap_or(0.0));
     let Some([on_s, off_s]) = fault.flap_s else { return vec![ActiveWindow { from, to }] };
     let on = us(on_s).max(1);
     let off = us(off_s).max(1);
-    let starts = (0..).map(|turn| from + turn * (on + off)).take_while(|start| *start < to);
+    let starts = (0..).map(|cycle| from + cycle * (on + off)).take_while(|start| *start < to);
     starts.map(|start| ActiveWindow { from: start, to: (start + on).min(to) }).collect()
 }
 
-/// Splits targets into batches, in an order that the seed draws.
+/// Splits the targets into batches, in a random order.
 fn batches(mut targets: Vec<usize>, fault: &Fault, draw: &mut Draw) -> Vec<BatchEntry> {
     draw.shuffle(&mut targets);
     let fraction = fault.batch.unwrap_or(1.0);
@@ -278,12 +278,12 @@
     targets.into_iter().enumerate().map(entry).collect()
 }
 
-/// A fraction as parts per million.
+/// Converts a fraction to parts per million.
 fn per_million(fraction: f64) -> u32 {
     (fraction * 1e6).round() as u32
 }
 
-/// Milliseconds as whole microseconds; none is zero.
+/// Converts milliseconds to whole microseconds; `None` becomes 0.
 fn milliseconds_as_us(value: Option<f64>) -> u32 {
     (value.unwrap_or(0.0) * 1000.0).round() as u32
 }
--- a/lab/src/plan/faults.rs
+++ b/lab/src/plan/faults.rs
@@ -1,4 +1,4 @@
-//! Faults resolved to steps: who exactly, and when to the microsecond.
+//! Resolves the faults of a scenario to steps, with exact targets and times in microseconds.
 
 use super::fault_expansion::FaultExpansion;
 use super::{Draw, Microseconds};
@@ -6,31 +6,31 @@
 use crate::scenario::{Fault, Scenario};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The random stream of the first fault; each further fault has the next one.
+/// Random stream of the first fault; each further fault uses the next number.
 const FIRST_FAULT_STREAM: u64 = 100;
-/// A band names its targets up to this many, and beyond it shows the scenario's own words.
-const MOST_NAMES_IN_BAND: usize = 3;
-/// A band is at least this long, in seconds, so that it shows on a plot.
-const SHORTEST_BAND_S: f64 = 0.2;
+/// Maximum number of targets that a band names; with more, the band shows the target texts of the scenario.
+const MAX_NAMES_IN_BAND: usize = 3;
+/// Minimum length of a band in seconds, so that it is visible on a plot.
+const MIN_BAND_S: f64 = 0.2;
 
-/// One action on the system under test, at a time. The plan's digest covers the names of these types as `Debug`
-/// writes them, so a renamed field or variant changes the digest of every plan.
+/// One timed action on the system under test. The plan's digest covers the names of these types as `Debug` writes
+/// them, so a renamed field or variant changes the digest of every plan.
 #[derive(Debug, Clone)]
 pub struct Step {
-    /// When it is done, from the start of the run.
+    /// Time since the start of the run.
     pub at: Microseconds,
-    /// What is done.
+    /// Action to carry out.
     pub action: Action,
 }
 
-/// What a fault adds to a link's state while it is on; it is taken off again at its end.
+/// Change that a fault adds to the state of a link while the fault is active, and subtracts at its end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LinkChange {
-    /// Nothing gets through.
+    /// Whether all traffic is blocked.
     pub cut: bool,
     /// Added delay in microseconds.
     pub delay_us: u32,
-    /// Random delay on top, up to this many microseconds.
+    /// Maximum additional random delay in microseconds.
     pub jitter_us: u32,
     /// Datagrams lost, per million.
     pub loss: u32,
@@ -40,82 +40,82 @@
     pub reorder: u32,
 }
 
-/// The actions of steps. `on` is true where a lasting one begins and false where it ends. Gateways and backends are
+/// Actions of steps. `on` is true where a lasting fault begins and false where it ends. Gateways and backends are
 /// given by their numbers.
 #[derive(Debug, Clone)]
 #[allow(missing_docs)]
 pub enum Action {
-    /// Changes the directed links from each of the first to each of the second.
+    /// Changes the directed links from each party in `from` to each party in `to`.
     Link { from: Vec<Party>, to: Vec<Party>, change: LinkChange, on: bool },
-    /// Resets connections between these.
+    /// Resets the connections between the parties of the two lists.
     Reset { one: Vec<Party>, other: Vec<Party> },
-    /// SIGKILL.
+    /// Kills a gateway with SIGKILL.
     Kill(usize),
-    /// Starts a gateway again that was killed.
+    /// Starts a killed gateway again.
     Start(usize),
-    /// SIGSTOP, and SIGCONT.
+    /// Sends SIGSTOP to a gateway, or SIGCONT at the end.
     Pause { gateway: usize, on: bool },
-    /// SIGTERM, and a new process once it has ended.
+    /// Sends SIGTERM to a gateway, and starts a new process once the old one has ended.
     Restart(usize),
-    /// SIGHUP with discovery at another address.
+    /// Sends SIGHUP to a gateway, with a configuration that has discovery at another address.
     Reload(usize),
-    /// A backend's process ends.
+    /// Ends the process of a backend.
     BackendDies(usize),
-    /// A backend starts again, cold.
+    /// Starts a backend again, cold.
     BackendStarts(usize),
-    /// A backend begins to drain, and a new one starts.
+    /// Begins to drain a backend, and starts a new one.
     Drain { old: usize, new: usize, label: String },
-    /// A backend answers slower, with errors, with truncated answers, or not at all.
+    /// Begins or ends a fault of a backend.
     Ill { backend: usize, ill: BackendFault, on: bool },
-    /// The counter takes no calls.
+    /// The counter accepts no calls.
     CounterDown(bool),
-    /// The counter answers this many microseconds later.
+    /// Delays the answers of the counter.
     CounterSlow { delay_us: u32, on: bool },
-    /// The counter loses its state.
+    /// Deletes the state of the counter.
     CounterEmpty,
-    /// This many answers of the counter per million hold no number.
+    /// Makes `rate` answers of the counter per million hold no number.
     CounterGarble { rate: u32, on: bool },
-    /// The counter's call limit becomes this many millionths of its own.
+    /// Scales the call limit of the counter by `factor` millionths.
     CounterLimit { factor: u32, on: bool },
-    /// Watch events of the endpoint list come this many microseconds later.
+    /// Delays the watch events of the endpoint list.
     ListLate { delay_us: u32, on: bool },
-    /// A gateway gets no answer from discovery.
+    /// Discovery does not answer a gateway.
     ListSilent { gateway: usize, on: bool },
-    /// Backends that are gone stay listed as ready.
+    /// Backends that have ended stay listed as ready.
     ListGhost(bool),
-    /// A backend moves to another address.
+    /// Moves a backend to another address.
     ListMove(usize),
-    /// An operator sends this text to a gateway as a rollout.
+    /// Sends a rollout with the text `rules` to a gateway, as an operator does.
     Rollout { gateway: usize, rules: String },
-    /// The leader of the rollout is killed, and starts again this many microseconds later.
+    /// Kills the leader of the rollout, and starts it again after `back` microseconds.
     KillLeader { back: Microseconds },
 }
 
-/// What is wrong with a backend.
+/// Kinds of misbehaviour of a backend.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum BackendFault {
-    /// This many times slower.
+    /// Factor by which work takes longer.
     Slow(f64),
-    /// The fraction of answers that are errors.
+    /// Fraction of answers that are errors.
     Errors(f64),
-    /// The fraction of answers that are truncated.
+    /// Fraction of answers that are truncated.
     Half(f64),
-    /// It never answers.
+    /// No answers at all.
     Silent,
 }
 
-/// A fault as a band on a plot.
+/// A fault, shown as a band on a plot.
 #[derive(Debug, Clone, PartialEq, serde::Serialize)]
 pub struct Band {
-    /// The kind of fault and its targets.
+    /// Kind of the fault and its targets.
     pub name: String,
-    /// When it begins, in seconds.
+    /// Begin in seconds.
     pub from_s: f64,
-    /// When it ends, in seconds.
+    /// End in seconds.
     pub to_s: f64,
 }
 
-/// Resolves all faults of a scenario to steps in the order of their times, and to bands for the report.
+/// Resolves all faults of a scenario to steps in time order, and to bands for the report.
 pub(super) fn draw(scenario: &Scenario, seed: u64) -> (Vec<Step>, Vec<Band>) {
     let mut steps = Vec::new();
     let mut bands = Vec::new();
@@ -124,7 +124,7 @@
         let mut draw = Draw::new(seed, FIRST_FAULT_STREAM + number as u64);
         let targets = resolve(scenario, &fault.who, &mut draw);
         let peers = if fault.with.is_empty() {
-            everyone(scenario).difference(&targets).copied().collect()
+            default_peers(scenario).difference(&targets).copied().collect()
         } else {
             resolve(scenario, &fault.with, &mut draw)
         };
@@ -137,18 +137,18 @@
     (nest_pauses(steps), bands)
 }
 
-/// The parties that target texts name; those without a number are drawn.
+/// Returns the parties that the target texts name; targets without a number are drawn.
 fn resolve(scenario: &Scenario, texts: &[String], draw: &mut Draw) -> BTreeSet<Party> {
     let targets = texts.iter().filter_map(|text| Target::read(text, scenario).ok());
     targets.flat_map(|target| target.resolve(scenario, draw)).collect()
 }
 
-/// A fault as the report shows it; it lasts until its last step where the scenario gives no length.
+/// Returns the band of a fault. Where the scenario gives no length, the band ends with the last step.
 fn band(fault: &Fault, targets: &BTreeSet<Party>, steps: &[Step]) -> Band {
     let last_step_s = steps.iter().map(|step| step.at).max().unwrap_or(0) as f64 / 1e6;
     let names: Vec<String> = if fault.who.is_empty() {
         Vec::new()
-    } else if targets.len() <= MOST_NAMES_IN_BAND {
+    } else if targets.len() <= MAX_NAMES_IN_BAND {
         targets.iter().map(|party| party.name()).collect()
     } else {
         fault.who.clone()
@@ -157,12 +157,12 @@
     Band {
         name: format!("{} {}", fault.kind.name(), names.join(" ")).trim().to_string(),
         from_s: fault.at_s,
-        to_s: end_s.max(fault.at_s + SHORTEST_BAND_S),
+        to_s: end_s.max(fault.at_s + MIN_BAND_S),
     }
 }
 
-/// Of pauses of one gateway that overlap, keeps the first begin and the last end: the end of one must not wake a
-/// process that another one still stops.
+/// Of overlapping pauses of one gateway, keeps the first begin and the last end: the end of one pause must not resume a
+/// process that another pause still stops.
 fn nest_pauses(steps: Vec<Step>) -> Vec<Step> {
     let mut depths: BTreeMap<usize, u32> = BTreeMap::new();
     let takes_effect = |step: &Step| {
@@ -175,8 +175,8 @@
     steps.into_iter().filter(takes_effect).collect()
 }
 
-/// All parties but the clients, which have to be named.
-fn everyone(scenario: &Scenario) -> BTreeSet<Party> {
+/// Returns all parties except the clients, which a scenario has to name explicitly.
+fn default_peers(scenario: &Scenario) -> BTreeSet<Party> {
     let gateways = (0..scenario.gateways.count).map(Party::Gateway);
     let backends = (0..scenario.backends.count).map(Party::Backend);
     gateways.chain(backends).chain([Party::Counter, Party::Discovery]).collect()
