--- a/lab/src/scenario/fault.rs
+++ b/lab/src/scenario/fault.rs
@@ -1,122 +1,122 @@
-//! Faults: what goes wrong, with whom, from when to when.
+//! Faults of a scenario: their kinds, targets and times.
 
 use serde::Deserialize;
 
-/// One fault of a scenario. Each kind takes `at_s`, and those of the other keys that it names.
+/// One fault of a scenario. Each kind takes `at_s` and some of the other keys, as listed by `Kind::keys`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What happens.
+    /// Kind of fault.
     pub kind: Kind,
-    /// When it begins, in seconds from the first arrival.
+    /// Begin, in seconds from the start of the run.
     pub at_s: f64,
-    /// How long it lasts, in seconds.
+    /// Duration in seconds.
     pub for_s: Option<f64>,
-    /// While it lasts it is on and off for so many seconds in turn.
+    /// Seconds on and seconds off, alternating for the duration of the fault.
     pub flap_s: Option<[f64; 2]>,
-    /// Whom it befalls: targets as `Target` reads them.
+    /// Targets, in the form that `Target` reads.
     #[serde(default)]
     pub who: Vec<String>,
-    /// The other side, for faults of links; everyone where it is left out.
+    /// Parties at the other end of affected links; by default all parties except the clients and the targets.
     #[serde(default)]
     pub with: Vec<String>,
-    /// Only what `who` sends to `with` is affected.
+    /// Whether only traffic from `who` to `with` is affected.
     pub one_way: Option<bool>,
-    /// Milliseconds more.
+    /// Additional delay in milliseconds.
     pub delay_ms: Option<f64>,
-    /// Up to so many milliseconds on top, drawn for each piece.
+    /// Maximum additional random delay in milliseconds, drawn for each chunk or datagram.
     pub jitter_ms: Option<f64>,
-    /// The part of datagrams lost; on a connection a lost piece comes 200 ms late.
+    /// Fraction of datagrams lost; on a connection, a lost chunk arrives 200 ms late.
     pub loss: Option<f64>,
-    /// The part of datagrams that come twice.
+    /// Fraction of datagrams that arrive twice.
     pub duplicate: Option<f64>,
-    /// The part of datagrams that are overtaken by the next one.
+    /// Fraction of datagrams that are overtaken by later ones.
     pub reorder: Option<f64>,
-    /// Times slower, or times as much.
+    /// Factor by which something is slower or more.
     pub factor: Option<f64>,
-    /// A part of the requests, calls or answers.
+    /// Fraction of the requests, calls, answers, load or time that is affected.
     pub rate: Option<f64>,
-    /// Seconds until what was stopped is started again, from and to; left out: never.
+    /// Range of the seconds until a stopped process is started again; without it, never.
     pub back_s: Option<[f64; 2]>,
-    /// The part of `who` that is taken at a time.
+    /// Fraction of `who` in one batch.
     pub batch: Option<f64>,
     /// Seconds from one batch to the next.
     pub every_s: Option<f64>,
-    /// Seconds that a backend drains before it goes.
+    /// Seconds that a backend drains before its process ends.
     pub drain_s: Option<f64>,
-    /// The release label of the backends that come in.
+    /// Release label of the new backends.
     pub label: Option<String>,
-    /// How the backends of that label fail: the part of their answers that are errors.
+    /// Fraction of the new backends' answers that are errors.
     pub errors: Option<f64>,
-    /// The text of a rollout, as operators send it.
+    /// Text of a rollout, as operators send it.
     pub rules: Option<String>,
-    /// The plans whose customers it befalls.
+    /// Plans whose customers are affected; empty means all.
     #[serde(default)]
     pub plans: Vec<String>,
 }
 
-/// The kinds of faults.
+/// Kinds of faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Nothing gets through between `who` and `with`; nobody is told. New connections never come up.
+    /// Blocks all traffic between `who` and `with` without an error to either side; new connections are never established.
     Cut,
-    /// Connections between `who` and `with` are reset, also under a request.
+    /// Resets the connections between `who` and `with`, even in the middle of a request.
     Reset,
-    /// `delay_ms`, `jitter_ms`, `loss`, `duplicate`, `reorder` between `who` and `with`.
+    /// Applies `delay_ms`, `jitter_ms`, `loss`, `duplicate` and `reorder` between `who` and `with`.
     Impair,
-    /// Gateways or backends are killed; after `back_s` they start again, gateways knowing an old list.
+    /// Kills gateways or backends; after `back_s` they start again, gateways with an outdated endpoint list.
     Kill,
-    /// Processes of gateways are stopped and continued after `for_s`.
+    /// Stops gateway processes and continues them after `for_s`.
     Pause,
-    /// Gateways get SIGTERM, `batch` at a time every `every_s`, and start again.
+    /// Sends SIGTERM to gateways, one `batch` every `every_s`, and starts them again.
     Restart,
-    /// Gateways get SIGHUP with a configuration that moves discovery to another address.
+    /// Sends SIGHUP to gateways, with a configuration that moves discovery to another address.
     Reload,
-    /// Backends are `factor` times slower.
+    /// Makes backends `factor` times slower.
     Slow,
-    /// Backends answer 500 to the part `rate` of the requests.
+    /// Makes backends answer a fraction `rate` of the requests with 500.
     Errors,
-    /// Backends take requests and say nothing.
+    /// Makes backends accept requests and never answer.
     Silent,
-    /// Backends break off the part `rate` of their answers halfway.
+    /// Makes backends truncate a fraction `rate` of their answers halfway.
     Half,
-    /// Backends are replaced by cold ones of `label`, `batch` at a time every `every_s`, after `drain_s`.
+    /// Replaces backends by cold ones of `label`, one `batch` every `every_s`; the old ones end after `drain_s`.
     Replace,
-    /// The counter takes no calls.
+    /// Makes the counter accept no calls.
     CounterDown,
-    /// The counter takes `delay_ms` longer for each call.
+    /// Makes the counter take `delay_ms` longer for each call.
     CounterSlow,
-    /// The counter forgets all.
+    /// Deletes the state of the counter.
     CounterEmpty,
-    /// The counter answers the part `rate` of the calls without a number.
+    /// Makes the counter answer a fraction `rate` of the calls without a number.
     CounterGarble,
-    /// The counter bears `factor` times the calls.
+    /// Multiplies the call limit of the counter by `factor`.
     CounterLimit,
-    /// News of backends comes `delay_ms` later.
+    /// Delays watch events of the endpoint list by `delay_ms`, at all gateways.
     ListLate,
-    /// The agents of `who` say nothing.
+    /// Makes the discovery agents of `who` send nothing; without `who`, those of all gateways.
     ListSilent,
-    /// Backends that went are listed as ready for as long as it lasts.
+    /// Keeps backends that have ended in the endpoint list as ready.
     ListGhost,
-    /// The backends `who` move to another address.
+    /// Moves the backends `who` to another address.
     ListMove,
-    /// `factor` times as many requests, from the customers of `plans`.
+    /// Multiplies the requests of the customers of `plans` by `factor`.
     Surge,
-    /// Three customers ask for the part `rate` of the whole load on top.
+    /// Makes three customers add a fraction `rate` of the total load.
     HotCustomer,
-    /// The part `rate` of the requests comes through the busiest gateway of each customer's set.
+    /// Sends a fraction `rate` of the requests through the most used gateway of each customer's set.
     HotGateway,
-    /// Clients give up after the part `rate` of their time.
+    /// Makes clients give up after a fraction `rate` of their time-out.
     Impatient,
-    /// An operator asks the first of `who` for a rollout of `rules`.
+    /// Sends a rollout of `rules` to the first gateway of `who`, as an operator does.
     Rollout,
-    /// Whoever leads the rollout then is killed, and starts again after `back_s`.
+    /// Kills the current leader of the rollout, and starts it again after `back_s`.
     KillLeader,
 }
 
 impl Kind {
-    /// The keys that this kind takes beside `kind` and `at_s`; those before the bar are needed.
+    /// Returns the required and the optional keys of this kind, besides `kind` and `at_s`.
     pub(crate) fn keys(self) -> (&'static [&'static str], &'static [&'static str]) {
         match self {
             Kind::Cut => (&["for_s", "who"], &["with", "one_way", "flap_s"]),
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The name in a scenario.
+    /// Returns the name in scenario files.
     pub fn name(self) -> String {
         let text = format!("{self:?}");
         let mut name = String::new();
@@ -164,7 +164,7 @@
 }
 
 impl Fault {
-    /// The names of the optional keys that are set.
+    /// Returns the names of the optional keys that are set.
     pub(crate) fn set_keys(&self) -> Vec<&'static str> {
         let set = [
             ("for_s", self.for_s.is_some()),
--- a/lab/src/scenario/mod.rs
+++ b/lab/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenario files: what a run is made of, read from TOML with every unknown key refused.
+//! Scenario files, which define the runs: read from TOML, with unknown keys rejected.
 
 mod check;
 mod fault;
@@ -13,138 +13,140 @@
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
-/// One scenario, checked.
+/// A validated scenario.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its short name, also of the report's files.
+    /// Short name, also used for the files of the report.
     pub name: String,
-    /// What it shows and why, in a sentence or two.
+    /// What the scenario shows and why, in one or two sentences.
     pub about: String,
-    /// The seed of every choice where the command line names none.
-    #[serde(default = "first_seed")]
+    /// Seed of all random choices, unless the command line gives one.
+    #[serde(default = "default_seed")]
     pub seed: u64,
-    /// How long requests arrive, in seconds: 1 to 3,600.
+    /// Duration of the arrivals in seconds: 1 to 3,600.
     pub length_s: f64,
-    /// Seconds from the start that no figure counts, so that pools and windows fill. Rules hold there too.
-    #[serde(default = "two")]
+    /// Seconds at the start that no figure includes, so that pools and windows fill first. Rules are checked then too.
+    #[serde(default = "default_warm_up_s")]
     pub warm_up_s: f64,
-    /// What clients ask for.
+    /// Load from clients.
     #[serde(default)]
     pub load: Load,
-    /// The plans of the customers.
-    #[serde(default = "parts::plans", rename = "plan")]
+    /// Plans of the customers.
+    #[serde(default = "parts::default_plans", rename = "plan")]
     pub plans: Vec<Plan>,
-    /// The classes of requests.
-    #[serde(default = "parts::classes", rename = "class")]
+    /// Classes of requests.
+    #[serde(default = "parts::default_classes", rename = "class")]
     pub classes: Vec<Class>,
-    /// The processes of the program.
+    /// Gateway processes.
     #[serde(default)]
     pub gateways: Gateways,
-    /// The servers behind them.
+    /// Backends behind the gateways.
     #[serde(default)]
     pub backends: Backends,
-    /// The shared counter.
+    /// Shared counter.
     #[serde(default)]
     pub counter: Counter,
-    /// How the list of backends is told.
+    /// Delays of discovery.
     #[serde(default)]
     pub discovery: Discovery,
-    /// Zones and the ways between them.
+    /// Zones and the network between them.
     #[serde(default)]
     pub net: Network,
-    /// What goes wrong.
+    /// Faults to inject.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
-    /// Bounds that the figures are held to.
+    /// Bounds on the figures.
     #[serde(default)]
     pub expect: Expect,
 }
 
-fn first_seed() -> u64 {
+fn default_seed() -> u64 {
     1
 }
-fn two() -> f64 {
+fn default_warm_up_s() -> f64 {
     2.0
 }
 
-/// Settings that take the place of a scenario's own: a dotted key such as `gateways.count` and a TOML value.
+/// An override of a scenario value: a dotted key such as `gateways.count` and a TOML value.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Setting {
-    /// The dotted key.
+    /// Dotted key.
     pub key: String,
-    /// The value, as it would stand in the file.
+    /// Value, as written in a scenario file.
     pub value: String,
 }
 
 impl Scenario {
-    /// Reads a scenario file, with some values replaced, and checks it whole.
+    /// Reads a scenario file, applies `settings` and validates the result.
     pub fn load(path: &Path, settings: &[Setting]) -> Result<Scenario, Problems> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|e| Problems::one(path.to_path_buf(), None, None, format!("can't be read: {e}")))?;
+        let text = std::fs::read_to_string(path).map_err(|error| {
+            Problems::single(path.to_path_buf(), None, None, format!("can't be read: {error}"))
+        })?;
         Scenario::parse(path.to_path_buf(), &text, settings)
     }
 
-    /// Reads a scenario's text; `path` is named in the problems found.
+    /// Parses the text of a scenario; problems are reported with `path`.
     pub fn parse(path: PathBuf, text: &str, settings: &[Setting]) -> Result<Scenario, Problems> {
         let changed;
         let text = match settings {
             [] => text,
             _ => {
-                changed = with_settings(&path, text, settings)?;
+                changed = apply_settings(&path, text, settings)?;
                 &changed
             }
         };
-        let scenario: Scenario = toml::from_str(text).map_err(|e| {
-            let line = e.span().map(|span| check::line_of(text, span.start));
-            let key = e.span().and_then(|span| check::key_at(text, span.start));
-            Problems::one(path.clone(), line, key, e.message().to_string())
+        let scenario: Scenario = toml::from_str(text).map_err(|error| {
+            let line = error.span().map(|span| check::line_of(text, span.start));
+            let key = error.span().and_then(|span| check::key_at(text, span.start));
+            Problems::single(path.clone(), line, key, error.message().to_string())
         })?;
         let found = check::check(&scenario);
         match found.is_empty() {
             true => Ok(scenario),
-            false => Err(Problems::of(path, text, found)),
+            false => Err(Problems::with_lines(path, text, found)),
         }
     }
 
-    /// The zones, at least one.
+    /// Returns the number of zones, which is at least 1.
     pub fn zones(&self) -> usize {
         self.net.zones.len()
     }
 }
 
-/// The text with the settings in their places.
-fn with_settings(path: &Path, text: &str, settings: &[Setting]) -> Result<String, Problems> {
-    let bad = |key: &str, what: String| Problems::one(path.to_path_buf(), None, Some(key.to_string()), what);
-    let mut table: toml::Table = toml::from_str(text).map_err(|e| {
-        let line = e.span().map(|span| check::line_of(text, span.start));
-        Problems::one(path.to_path_buf(), line, None, e.message().to_string())
+/// Returns the text with the settings applied.
+fn apply_settings(path: &Path, text: &str, settings: &[Setting]) -> Result<String, Problems> {
+    let setting_problem =
+        |key: &str, what: String| Problems::single(path.to_path_buf(), None, Some(key.to_string()), what);
+    let mut table: toml::Table = toml::from_str(text).map_err(|error| {
+        let line = error.span().map(|span| check::line_of(text, span.start));
+        Problems::single(path.to_path_buf(), line, None, error.message().to_string())
     })?;
     for Setting { key, value } in settings {
-        let read = toml::from_str::<toml::Table>(&format!("value = {value}"));
-        let value = match read {
-            Ok(mut read) => read.remove("value").unwrap_or(toml::Value::String(value.clone())),
+        let parsed = toml::from_str::<toml::Table>(&format!("value = {value}"));
+        let value = match parsed {
+            Ok(mut parsed) => parsed.remove("value").unwrap_or(toml::Value::String(value.clone())),
             Err(_) => toml::Value::String(value.clone()),
         };
         let mut steps: Vec<&str> = key.split('.').collect();
-        let last = steps.pop().unwrap_or_default();
-        let mut place = &mut table;
+        let last_key = steps.pop().unwrap_or_default();
+        let mut current = &mut table;
         for step in steps {
             let (name, index) = match step.split_once('[') {
                 Some((name, rest)) => (name, rest.trim_end_matches(']').parse::<usize>().ok()),
                 None => (step, None),
             };
-            let next = place.entry(name).or_insert_with(|| toml::Value::Table(toml::Table::new()));
+            let next = current.entry(name).or_insert_with(|| toml::Value::Table(toml::Table::new()));
             let next = match (next, index) {
                 (toml::Value::Array(items), Some(index)) => items.get_mut(index),
                 (next, None) => Some(next),
                 _ => None,
             };
-            place = next
+            current = next
                 .and_then(toml::Value::as_table_mut)
-                .ok_or_else(|| bad(key, format!("'{step}' is no table here")))?;
+                .ok_or_else(|| setting_problem(key, format!("'{step}' is no table here")))?;
         }
-        place.insert(last.to_string(), value);
+        current.insert(last_key.to_string(), value);
     }
-    toml::to_string(&table).map_err(|e| bad("", e.to_string()))
+    toml::to_string(&table).map_err(|error| setting_problem("", error.to_string()))
 }
--- a/lab/src/scenario/parts.rs
+++ b/lab/src/scenario/parts.rs
@@ -1,49 +1,49 @@
-//! The tables of a scenario apart from its faults, with their units and defaults.
+//! The tables of a scenario except the faults, with their units and defaults.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// What clients ask for. Arrivals are drawn ahead and wait for no answer.
+/// Load from clients, as an open loop: arrivals are drawn before the run and do not wait for answers.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Requests a second inside the quotas, on average over all customers.
+    /// Mean requests per second within the quotas, over all customers.
     pub per_s: f64,
-    /// The part of their quota that most customers use, from and to.
+    /// Range of the fraction of the quota that most customers use.
     pub calm_use: [f64; 2],
-    /// The part of the customers that use 0.95 of their quota.
+    /// Fraction of the customers that use 0.95 of their quota.
     pub full: f64,
-    /// The part of the customers that ask for a multiple of their quota all the time.
+    /// Fraction of the customers that request a multiple of their quota all the time.
     pub heavy: f64,
-    /// That multiple, from and to.
+    /// Range of the multiple of the quota for `heavy` customers.
     pub heavy_x: [f64; 2],
-    /// The part of the customers that ask for a multiple of their quota in spells.
+    /// Fraction of the customers that request a multiple of their quota in peaks.
     pub spiky: f64,
-    /// That multiple, from and to.
+    /// Range of the multiple of the quota for `spiky` customers.
     pub spike_x: [f64; 2],
-    /// How long a spell lasts, seconds from and to.
+    /// Range of the duration of a peak in seconds.
     pub spike_s: [f64; 2],
-    /// The time from one spell to the next, seconds from and to.
+    /// Range of the seconds from the end of a peak to the next one.
     pub spike_every_s: [f64; 2],
-    /// The gateways that a customer's requests come through, from and to.
+    /// Range of the number of gateways that a customer's requests use.
     pub spread: [usize; 2],
-    /// How unevenly: a gateway's weight is its rank in the set to the power of minus this.
+    /// Skew of the use of the gateways: a gateway's weight is its rank in the set to the power of minus this.
     pub skew: f64,
-    /// The ranks change every so many seconds, from and to.
+    /// Range of the seconds between changes of the ranks.
     pub shift_s: [f64; 2],
-    /// How often a client tries again after a refusal or a failure that allows it.
+    /// Maximum retries of a client after a rejection or a failure that allows a retry.
     pub retries: u32,
-    /// The pause before that, in milliseconds, doubled each time.
+    /// Backoff before the first retry in milliseconds, doubled for each further one.
     pub backoff_ms: f64,
-    /// The part of the clients that heed Retry-After.
+    /// Fraction of the clients that honour Retry-After.
     pub honour: f64,
-    /// A try is given up after this part of its class's deadline, from and to.
+    /// Range of the time-out of one attempt, as a fraction of the deadline of its class.
     pub try_share: [f64; 2],
-    /// Seconds that the front goes on sending to a gateway that died, from and to.
+    /// Range of the seconds until the front stops sending to a gateway that was killed or paused.
     pub notice_s: [f64; 2],
-    /// Most connections of clients at one gateway.
+    /// Maximum client connections at one gateway.
     pub connections: usize,
-    /// Bytes in the body of a keyed request.
+    /// Body size of a keyed request in bytes.
     pub body_bytes: usize,
 }
 
@@ -73,29 +73,29 @@
     }
 }
 
-/// A plan, as customers buy it.
+/// A plan that customers subscribe to.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// The name in `X-Plan`.
+    /// Name in the header `X-Plan`.
     pub name: String,
-    /// Its part of what is asked inside quotas.
+    /// Fraction of the load within quotas that this plan contributes.
     pub share: f64,
-    /// Units a second for each customer.
+    /// Units per second for each customer.
     pub rate: f64,
-    /// Seconds' worth of units that may be used at once.
+    /// Burst size, in seconds of `rate`.
     pub burst_s: f64,
-    /// Factor on the worth of a request.
+    /// Factor on the value of a request.
     pub price: f64,
-    /// The part of its worth that a try costs which is sent on beyond the quota.
+    /// Cost of an attempt that is forwarded beyond the quota, as a fraction of its value.
     pub over_cost: f64,
-    /// The hard ceiling as a multiple of rate and burst; 0: none.
+    /// Hard limit as a multiple of rate and burst; 0 means none.
     #[serde(default)]
     pub ceiling: f64,
 }
 
-/// The plans of `norte-medios`, at the middle of their ranges.
-pub(super) fn plans() -> Vec<Plan> {
+/// Returns the plans of `norte-medios`, at the middle of their ranges.
+pub(super) fn default_plans() -> Vec<Plan> {
     let plan = |name: &str, share, rate, burst_s, price, over_cost, ceiling| Plan {
         name: name.into(),
         share,
@@ -112,15 +112,15 @@
     ]
 }
 
-/// Whether a request may run again.
+/// Whether a request may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// As often as wanted.
+    /// Idempotent: any number of times.
     Safe,
-    /// Within the class's window, as all backends drop a repeat for so long.
+    /// Idempotent with an idempotency key: within the window of the class, in which all backends drop repeats.
     Keyed,
-    /// Only after an attempt that certainly never ran.
+    /// Not idempotent: only after an attempt that certainly was not executed.
     Unsafe,
 }
 
@@ -128,27 +128,27 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// The name in `X-Call-Class`.
+    /// Name in the header `X-Call-Class`.
     pub name: String,
-    /// Its part of the requests.
+    /// Fraction of the requests.
     pub share: f64,
-    /// Mean work at a backend core of speed 1, in milliseconds.
+    /// Mean work on a backend core of speed 1, in milliseconds.
     pub work_ms: f64,
-    /// Spread of the work: its standard deviation over its mean (lognormal).
+    /// Coefficient of variation (standard deviation / mean) of the work, which is lognormal.
     #[serde(default = "work_cv")]
     pub work_cv: f64,
-    /// An answer within this earns the full worth, in milliseconds.
+    /// Latency objective in milliseconds; an answer within it earns the full value.
     pub aim_ms: f64,
-    /// A client's longest wait over all of its tries, in milliseconds.
+    /// Maximum time that a client waits over all attempts, in milliseconds.
     pub deadline_ms: f64,
-    /// Worth of a request.
+    /// Value of a request.
     pub worth: f64,
-    /// The part of it that an answer after the aim still earns.
+    /// Fraction of the value that an answer after the latency objective still earns.
     #[serde(default)]
     pub late_worth: f64,
-    /// Whether it may run again.
+    /// Whether a request may be executed more than once.
     pub effect: Effect,
-    /// For keyed ones, how long a repeat is dropped, in milliseconds.
+    /// Deduplication window of keyed requests, in milliseconds.
     #[serde(default)]
     pub window_ms: f64,
 }
@@ -157,8 +157,8 @@
     0.8
 }
 
-/// The classes of `norte-medios`, five times as fast, so that few backends bear many requests.
-pub(super) fn classes() -> Vec<Class> {
+/// Returns the classes of `norte-medios`, five times as fast, so that a few backends can serve many requests.
+pub(super) fn default_classes() -> Vec<Class> {
     let class =
         |name: &str, share, work_ms, aim_ms, deadline_ms, worth, late_worth, effect, window_ms| Class {
             name: name.into(),
@@ -179,34 +179,34 @@
     ]
 }
 
-/// The processes of the program.
+/// Gateway processes.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Gateways {
-    /// How many.
+    /// Number of gateways.
     pub count: usize,
-    /// The limit on each one's resident memory, in millions of bytes.
+    /// Limit on the resident memory of each gateway, in millions of bytes.
     pub memory_mb: f64,
-    /// The limit on each one's descriptors.
+    /// Limit on the file descriptors of each gateway.
     pub sockets: usize,
-    /// They reach each other over UDP: each gets relay addresses of its own for all others.
+    /// Whether gateways reach each other over UDP; each then gets separate relay addresses for all others.
     pub peers: bool,
-    /// The part of each gateway's share of the quotas that the fleet's file lets it lend, 0 to 1.
+    /// Fraction of each gateway's quota share that may be leased, 0 to 1, as set in the fleet file.
     pub lend: f64,
-    /// The lines of the `[ledger]` of the fleet's file; none: no ledger is kept.
+    /// Entries of `[ledger]` in the fleet file; without any, no ledger is kept.
     pub ledger: BTreeMap<String, toml::Value>,
-    /// Each has a folder of its own on a disk that outlives its processes; needs a ledger.
+    /// Whether each gateway has a separate folder on disk that persists across restarts; needs a ledger.
     pub disks: bool,
-    /// Rules of routing may be rolled out; needs a ledger.
+    /// Whether routing rules may be rolled out; needs a ledger.
     pub rollout: bool,
-    /// The lines of the `[branch]` of the fleet's file, of which all gateways are; none: there is no branch.
+    /// Entries of `[branch]` in the fleet file of every gateway; without any, there are no branches.
     pub branch: BTreeMap<String, toml::Value>,
-    /// So many branches there are; gateways belong to them in turn, by their numbers.
+    /// Number of branches; gateways are assigned round-robin by number.
     pub branches: usize,
-    /// Further environment. `{name}`, `{zone}`, `{folder}`, `{peers}` (the fleet's file, as `NODE_FLEET` takes it) and
-    /// `{peer_listen}` stand for this gateway's own.
+    /// Additional environment variables. `{name}`, `{zone}`, `{folder}`, `{peers}` (path of the fleet file, for
+    /// `NODE_FLEET`) and `{peer_listen}` are replaced by the values of each gateway.
     pub env: BTreeMap<String, String>,
-    /// The numbers of gateways that run the second binary, where the command line names one.
+    /// Numbers of the gateways that run the second binary, if the command line gives one.
     pub second: Vec<usize>,
 }
 
@@ -229,41 +229,41 @@
     }
 }
 
-/// The servers behind the gateways.
+/// Backends behind the gateways.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Backends {
-    /// How many.
+    /// Number of backends.
     pub count: usize,
-    /// Cores of each.
+    /// Cores of each backend.
     pub cores: f64,
-    /// Speed of a core, from and to; one draw a backend.
+    /// Range of the speed of a core, drawn once for each backend.
     pub speed: [f64; 2],
-    /// Requests in work at once, for each core.
+    /// Concurrent requests for each core.
     pub slots_per_core: f64,
-    /// Places in the waiting room, for each core; beyond that it turns requests away.
+    /// Queue length for each core; requests beyond it are rejected.
     pub queue_per_core: f64,
-    /// The part of its capacity that a backend starts with.
+    /// Fraction of its capacity that a cold backend starts with.
     pub cold_from: f64,
-    /// It is warm after this, in seconds.
+    /// Seconds from the start until a backend has its full capacity.
     pub cold_s: f64,
-    /// Sent more than this multiple of what it can do at that moment ...
+    /// Overload at which a cold backend crashes, as a multiple of its current capacity, sustained for `fall_s`.
     pub fall_multiple: f64,
-    /// ... for this long, in seconds, a cold backend falls over.
+    /// Seconds of overload by `fall_multiple` after which a cold backend crashes.
     pub fall_s: f64,
-    /// The part of the requests answered with an error.
+    /// Fraction of the requests answered with an error.
     pub error_rate: f64,
-    /// Connections that each takes, for each core.
+    /// Maximum connections of a backend for each core.
     pub connections_per_core: usize,
-    /// Work of a new connection, in microseconds.
+    /// Work of establishing a connection, in microseconds.
     pub handshake_us: f64,
-    /// A connection that stood idle for so many seconds is closed.
+    /// Seconds after which idle connections are closed.
     pub idle_s: f64,
-    /// Load reports are refreshed every so many milliseconds.
+    /// Interval of load reports in milliseconds.
     pub report_ms: f64,
-    /// Given up work that waits is dropped; work that runs goes on.
+    /// Whether queued work is dropped when its client gives up; running work continues in any case.
     pub drops_cancelled: bool,
-    /// The release label that discovery tells (`flavor`).
+    /// Release label that discovery announces (`flavor`).
     pub label: String,
 }
 
@@ -290,17 +290,17 @@
     }
 }
 
-/// The shared counter.
+/// Shared counter.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Counter {
-    /// Calls a second that it bears; 0: 2.5 times the requests inside quotas.
+    /// Maximum calls per second; 0 means 2.5 times the requests within quotas.
     pub per_s: f64,
-    /// Its own time for a call, in milliseconds.
+    /// Processing time of a call, in milliseconds.
     pub latency_ms: f64,
-    /// It turns calls away that would wait longer than this, in milliseconds.
+    /// Maximum queueing time in milliseconds; calls that would wait longer are rejected.
     pub queue_ms: f64,
-    /// Gateways are told to give a call up after this, in milliseconds.
+    /// Time-out of calls that the gateways are configured with, in milliseconds.
     pub timeout_ms: f64,
 }
 
@@ -310,13 +310,13 @@
     }
 }
 
-/// How the list of backends is told.
+/// Delays with which discovery announces changes of backends.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// A drain or an end is known to an agent after so many seconds, from and to.
+    /// Range of the seconds until an agent learns that a backend drains or has ended.
     pub notice_s: [f64; 2],
-    /// A new backend is.
+    /// Range of the seconds until an agent learns of a new backend.
     pub add_s: [f64; 2],
 }
 
@@ -326,19 +326,19 @@
     }
 }
 
-/// Zones and the ways between them.
+/// Zones and the network between them.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// The zones' names. Gateways and backends are dealt out over them in turn.
+    /// Names of the zones. Gateways and backends are assigned to them round-robin.
     pub zones: Vec<String>,
-    /// One way within a zone, in milliseconds.
+    /// One-way delay within a zone, in milliseconds.
     pub same_ms: f64,
-    /// One way between zones.
+    /// One-way delay between zones, in milliseconds.
     pub cross_ms: f64,
-    /// One way between a client and a gateway.
+    /// One-way delay between a client and a gateway, in milliseconds.
     pub client_ms: f64,
-    /// Up to this part more, drawn for each piece.
+    /// Maximum additional delay as a fraction of the delay, drawn for each chunk or datagram.
     pub jitter: f64,
 }
 
@@ -349,7 +349,7 @@
     }
 }
 
-/// The figures that `[expect]` may bound, each by `FIGURE_min` or `FIGURE_max`.
+/// Figures that `[expect]` may bound, each by `FIGURE_min` or `FIGURE_max`.
 pub const FIGURES_WITH_BOUNDS: [&str; 40] = [
     "served",
     "worst_10s",
@@ -393,7 +393,7 @@
     "rollout_leaders",
 ];
 
-/// Bounds on the figures; a missed one makes the run end with 1.
+/// Bounds on the figures; if one is violated, the run exits with status 1.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(transparent)]
 pub struct Expect(pub BTreeMap<String, f64>);
