--- a/lab/src/run/actions.rs
+++ b/lab/src/run/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the steps of a plan: faults, restarts, reloads, rollouts.
+//! Executes the steps of a plan: faults, restarts, reloads and rollouts.
 
 use super::{SetUpError, World};
 use crate::backend::Backend;
@@ -12,22 +12,22 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// How long an operator waits for a rollout to be accepted.
-const ROLLOUT_TIME: Duration = Duration::from_secs(2);
-/// The pause between looks at whether a process has ended.
-const PROCESS_POLL: Duration = Duration::from_millis(5);
-/// After SIGTERM the front still forwards requests for this long.
-const FRONT_AFTER_TERM: Duration = Duration::from_millis(300);
+/// Time-out of the request that starts a rollout.
+const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval at which a process is checked for its end.
+const PROCESS_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time after SIGTERM for which the front still forwards requests to the gateway.
+const FRONT_DELAY_AFTER_TERM: Duration = Duration::from_millis(300);
 
 impl World {
     fn backend(&self, number: usize) -> Option<Arc<Backend>> {
         lock(&self.backends).get(&number).cloned()
     }
 
-    /// Does what a step says.
-    pub(super) fn act(self: &Arc<World>, action: &Action) {
+    /// Executes the action of a step.
+    pub(super) fn execute(self: &Arc<World>, action: &Action) {
         match action {
-            Action::Link { .. } | Action::Reset { .. } => self.on_links(action),
+            Action::Link { .. } | Action::Reset { .. } => self.change_links(action),
             Action::Kill(gateway) => self.stop(*gateway, true),
             Action::Restart(gateway) => self.stop(*gateway, false),
             Action::Start(gateway) => self.start_again(*gateway),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Drains one backend and starts another one, cold.
+    /// Drains a backend and starts a new one, cold.
     fn replace_backend(self: &Arc<World>, old: usize, new: usize, label: &str) {
         if let Some(backend) = self.backend(old) {
             backend.drain();
@@ -82,11 +82,11 @@
         }
     }
 
-    /// Opens new addresses for a backend at all gateways and lists them.
+    /// Opens a new address for a backend at each gateway and lists these addresses in discovery.
     fn move_backend(&self, number: usize) {
         let Some(backend) = self.backend(number) else { return };
         for gateway in 0..self.gateways.len() {
-            if let Err(error) = self.backend_door(gateway, &backend) {
+            if let Err(error) = self.open_backend_listener(gateway, &backend) {
                 self.context.starved.note(&error);
             }
         }
@@ -101,15 +101,15 @@
                 "POST /rollout HTTP/1.1\r\nHost: ops\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{rules}",
                 rules.len()
             );
-            match timeout(ROLLOUT_TIME, call_ops(ops, &call)).await {
+            match timeout(ROLLOUT_TIMEOUT, call_ops(ops, &call)).await {
                 Ok(Some(answer)) if answer.starts_with("HTTP/1.1 202") => {}
-                answer => tracing::error!(?answer, "a rollout was not taken"),
+                answer => tracing::error!(?answer, "rollout was not accepted"),
             }
         });
     }
 
-    /// Kills the gateway that reported last that it leads, and starts it again `back` microseconds later.
-    fn kill_leader(self: &Arc<World>, back: u64) {
+    /// Kills the gateway that was the last to report that it leads a rollout, and starts it again after `back_us`.
+    fn kill_leader(self: &Arc<World>, back_us: u64) {
         let record = lock(&self.context.record);
         let leader = record.rollouts.iter().rev().find(|seen| seen.leads).map(|seen| seen.gateway);
         drop(record);
@@ -117,12 +117,12 @@
         self.stop(leader, true);
         let world = self.clone();
         tokio::spawn(async move {
-            sleep(Duration::from_micros(back)).await;
+            sleep(Duration::from_micros(back_us)).await;
             world.start_again(leader);
         });
     }
 
-    fn on_links(&self, action: &Action) {
+    fn change_links(&self, action: &Action) {
         let pairs = |from: &[Party], to: &[Party], each: &dyn Fn(Party, Party)| {
             for from in from {
                 for to in to.iter().filter(|to| *to != from) {
@@ -142,11 +142,11 @@
         }
     }
 
-    /// Ends a gateway's process, by SIGKILL or by SIGTERM; after SIGTERM it starts again.
+    /// Ends the process of a gateway by SIGKILL if `killed`, otherwise by SIGTERM; after SIGTERM, starts a new process.
     fn stop(self: &Arc<World>, number: usize, killed: bool) {
         let world = self.clone();
         let gateway = self.gateways[number].clone();
-        lock(&self.known).insert(number, self.discovery.known(number));
+        lock(&self.last_lists).insert(number, self.discovery.known(number));
         tokio::spawn(async move {
             if killed {
                 notice(&world.context, &world.clients, &gateway);
@@ -156,7 +156,7 @@
             let clients = world.clients.clone();
             let front = gateway.number;
             tokio::spawn(async move {
-                sleep(FRONT_AFTER_TERM).await;
+                sleep(FRONT_DELAY_AFTER_TERM).await;
                 clients.front(front, true);
             });
             gateway.terminate().await;
@@ -169,11 +169,11 @@
         let gateway = self.gateways[number].clone();
         tokio::spawn(async move {
             while gateway.runs() {
-                sleep(PROCESS_POLL).await;
+                sleep(PROCESS_POLL_INTERVAL).await;
             }
             world.context.next_life(number);
             world.discovery.forget(number);
-            let known = lock(&world.known).get(&number).cloned();
+            let known = lock(&world.last_lists).get(&number).cloned();
             let known = known.unwrap_or_else(|| world.discovery.known(number));
             let started = match gateway.start(&known) {
                 Ok(()) => gateway.ready().await,
@@ -181,7 +181,7 @@
             };
             match started {
                 Ok(()) => world.clients.front(number, false),
-                Err(error) => tracing::error!(%error, "a gateway did not start again"),
+                Err(error) => tracing::error!(%error, "failed to restart a gateway; it stays down"),
             }
         });
     }
@@ -198,13 +198,13 @@
 
     fn reload(&self, number: usize) {
         let gateway = &self.gateways[number];
-        let done = self.move_services(number).map_err(SetUpError::from).and_then(|()| {
+        let prepared = self.open_services(number).map_err(SetUpError::from).and_then(|()| {
             gateway.configure(&self.discovery.known(number))?;
             Ok(())
         });
-        match done {
+        match prepared {
             Ok(()) => gateway.reload(),
-            Err(error) => tracing::error!(%error, "a reload could not be made ready"),
+            Err(error) => tracing::error!(%error, "failed to prepare a reload; gateway is not reloaded"),
         }
     }
 }
--- a/lab/src/run/loopback_net.rs
+++ b/lab/src/run/loopback_net.rs
@@ -1,37 +1,38 @@
-//! The loopback addresses of a run: one net for each run on this machine.
+//! Loopback addresses of a run: each run on a machine uses a separate network.
 
 use std::io;
 use std::net::{Ipv4Addr, TcpListener};
 
-/// The second byte of a run's loopback addresses, and what keeps it from other runs on this machine.
-pub(super) struct Net {
-    pub(super) byte: u8,
+/// A loopback network that is reserved for one run, with the lock that keeps other runs on this machine from it.
+pub(super) struct LoopbackNet {
+    /// Second byte of the network's addresses.
+    pub(super) second_byte: u8,
     _lock: TcpListener,
 }
 
-/// The port on the run's net whose listener says that the net is taken.
-const LOCK: u16 = 41_999;
+/// Port on which a listener marks the network as taken.
+const LOCK_PORT: u16 = 41_999;
 
-impl Net {
-    /// One that no other run has.
-    pub(super) fn take() -> io::Result<Net> {
-        let first = std::process::id() % NETS;
-        let mut last = io::ErrorKind::AddrInUse.into();
-        for step in 0..NETS {
-            let byte = 16 + ((first + step) % NETS) as u8;
-            match TcpListener::bind((Ipv4Addr::new(127, byte, 0, 1), LOCK)) {
-                Ok(lock) => return Ok(Net { byte, _lock: lock }),
-                Err(error) => last = error,
+impl LoopbackNet {
+    /// Reserves a network that no other run uses.
+    pub(super) fn reserve() -> io::Result<LoopbackNet> {
+        let first = std::process::id() % NETWORK_COUNT;
+        let mut last_error = io::ErrorKind::AddrInUse.into();
+        for offset in 0..NETWORK_COUNT {
+            let second_byte = 16 + ((first + offset) % NETWORK_COUNT) as u8;
+            match TcpListener::bind((Ipv4Addr::new(127, second_byte, 0, 1), LOCK_PORT)) {
+                Ok(lock) => return Ok(LoopbackNet { second_byte, _lock: lock }),
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 }
 
-/// How many nets there are for runs.
-const NETS: u32 = 220;
+/// Number of networks available to runs.
+const NETWORK_COUNT: u32 = 220;
 
-/// The last bytes of the addresses of a gateway's side: its own, and where it reaches the others.
+/// Last bytes of the addresses on a gateway's side: the address of the gateway, and those at which it reaches others.
 pub(super) mod last_byte {
     pub(in crate::run) const OWN: u8 = 1;
     pub(in crate::run) const AGENT: u8 = 2;
--- a/lab/src/run/mod.rs
+++ b/lab/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! One run: starts stand-ins and gateways, carries out the plan, and collects what was seen.
+//! A run: starts the stand-ins and gateways, executes the plan, and collects the observations in a record.
 
 mod actions;
 mod fault_windows;
@@ -20,7 +20,7 @@
 use crate::run_context::RunContext;
 use crate::write_status_poll::ask_receipts;
 use fault_windows::fault_windows;
-use loopback_net::{last_byte, Net};
+use loopback_net::{last_byte, LoopbackNet};
 use places::places;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -31,55 +31,57 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// After a reload the old services close their connections after this.
-const MOVED: Duration = Duration::from_millis(1500);
-/// A run could not be set up.
+/// Time after a reload at which the old agent and counter addresses close.
+const OLD_SERVICE_CLOSE_DELAY: Duration = Duration::from_millis(1500);
+/// An error while a run is set up.
 #[derive(Debug, thiserror::Error)]
 pub enum SetUpError {
-    /// A loopback address or port could not be had.
-    #[error("an address of the run: {0}")]
+    /// A loopback address or port was not available.
+    #[error("failed to set up an address or folder of the run: {0}")]
     Address(#[from] io::Error),
     /// A gateway did not start.
     #[error("{0}")]
     Start(#[from] StartError),
 }
 
-/// What a run is played with.
+/// Binaries and folder of a run.
 #[derive(Debug, Clone)]
 pub struct RunResources {
-    /// The program.
+    /// Gateway binary.
     pub binary: PathBuf,
-    /// The program of the gateways in `gateways.second`.
+    /// Binary of the gateways in `gateways.second`.
     pub second: Option<PathBuf>,
-    /// Where configurations and logs go.
+    /// Folder for configurations and logs.
     pub folder: PathBuf,
 }
 
-/// A fleet that stands.
+/// A running set-up: the gateways, the stand-ins around them, and the clients.
 pub struct World {
     context: Arc<RunContext>,
     backends: Mutex<BTreeMap<usize, Arc<Backend>>>,
     counter: Arc<Counter>,
     discovery: Arc<Discovery>,
-    /// Its gateways.
+    /// Gateways by number.
     pub gateways: Vec<Arc<Gateway>>,
     clients: Arc<Clients>,
-    doors: Mutex<BTreeMap<(usize, usize), GatewayListener>>,
-    /// Doors to agent and counter, by gateway.
-    services: Mutex<BTreeMap<usize, [GatewayListener; 2]>>,
-    /// The list that each gateway had when it last ended.
-    known: Mutex<BTreeMap<usize, Value>>,
-    /// Keeps the agents' doors open.
-    agents: tokio::sync::watch::Sender<bool>,
-    _net: Net,
+    /// Listeners in front of the backends, by gateway and backend.
+    backend_listeners: Mutex<BTreeMap<(usize, usize), GatewayListener>>,
+    /// Listeners in front of the agent and the counter, by gateway.
+    service_listeners: Mutex<BTreeMap<usize, [GatewayListener; 2]>>,
+    /// Endpoint list that each gateway had when it last ended.
+    last_lists: Mutex<BTreeMap<usize, Value>>,
+    /// Keeps the listeners of the agents open.
+    agents_alive: tokio::sync::watch::Sender<bool>,
+    _net: LoopbackNet,
 }
 
 impl World {
-    /// Sets everything up and starts the gateways. The run's clock stands at 0 until they are ready.
+    /// Sets up all parties and starts the gateways. The run's clock is 0 until all gateways are ready.
     pub async fn start(plan: Plan, resources: &RunResources) -> Result<Arc<World>, SetUpError> {
         std::fs::create_dir_all(&resources.folder)?;
-        let net = Net::take()?;
-        let context = Arc::new(RunContext::new(plan, Clock::default(), resources.folder.clone(), net.byte));
+        let net = LoopbackNet::reserve()?;
+        let context =
+            Arc::new(RunContext::new(plan, Clock::default(), resources.folder.clone(), net.second_byte));
         let scenario = &context.plan.scenario;
         let counter = Counter::new(context.clone());
         let discovery = Discovery::new(context.clone());
@@ -89,7 +91,7 @@
         let gateways: Vec<Arc<Gateway>> = places
             .into_iter()
             .enumerate()
-            .map(|(n, place)| Gateway::new(context.clone(), n, place))
+            .map(|(number, place)| Gateway::new(context.clone(), number, place))
             .collect();
         let world = Arc::new(World {
             context: context.clone(),
@@ -98,10 +100,10 @@
             discovery,
             gateways,
             clients,
-            doors: Mutex::default(),
-            services: Mutex::default(),
-            known: Mutex::default(),
-            agents: tokio::sync::watch::Sender::new(true),
+            backend_listeners: Mutex::default(),
+            service_listeners: Mutex::default(),
+            last_lists: Mutex::default(),
+            agents_alive: tokio::sync::watch::Sender::new(true),
             _net: net,
         });
         for number in 0..scenario.backends.count {
@@ -109,7 +111,7 @@
             world.discovery.list(&backend, &context.plan.backends[number].label);
         }
         for gateway in &world.gateways {
-            world.move_services(gateway.number)?;
+            world.open_services(gateway.number)?;
             gateway.start(&world.discovery.known(gateway.number))?;
         }
         for gateway in &world.gateways {
@@ -119,26 +121,27 @@
         Ok(world)
     }
 
-    /// Plays the plan to its end; `seen` hears the number of each arrival as it is sent.
-    pub async fn play(self: &Arc<World>, seen: impl Fn(usize)) -> Record {
+    /// Executes the plan to its end; `on_sent` is called with the number of each arrival when it is sent.
+    pub async fn play(self: &Arc<World>, on_sent: impl Fn(usize)) -> Record {
         let context = &self.context;
-        let own = || used("self").map_or(0, |(cpu_us, _)| cpu_us);
-        let before = own();
-        let usage = tokio::spawn(watch_usage(context.clone(), self.gateways.clone()));
-        let talk = context.plan.scenario.gateways.peers;
-        let fleets = talk.then(|| tokio::spawn(watch_fleets(context.clone(), self.gateways.clone())));
+        let used_cpu_us = || used("self").map_or(0, |(cpu_us, _)| cpu_us);
+        let before = used_cpu_us();
+        let usage_watch = tokio::spawn(watch_usage(context.clone(), self.gateways.clone()));
+        let has_peers = context.plan.scenario.gateways.peers;
+        let fleet_watch =
+            has_peers.then(|| tokio::spawn(watch_fleets(context.clone(), self.gateways.clone())));
         let world = self.clone();
         let steps = tokio::spawn(async move {
             for step in &world.context.plan.steps {
                 world.context.clock.until(step.at).await;
-                world.act(&step.action);
+                world.execute(&step.action);
             }
         });
-        self.clients.send_all(seen).await;
-        // Until all is answered or given up.
-        let longest =
-            context.plan.scenario.classes.iter().map(|c| c.deadline_ms / 1000.0).fold(0.0, f64::max);
-        let settling = Duration::from_secs_f64(longest + 1.5);
+        self.clients.send_all(on_sent).await;
+        // Wait until all requests are answered or given up.
+        let longest_deadline_s =
+            context.plan.scenario.classes.iter().map(|class| class.deadline_ms / 1000.0).fold(0.0, f64::max);
+        let settling = Duration::from_secs_f64(longest_deadline_s + 1.5);
         let _ = timeout(settling, async {
             while self.clients.open() > 0 {
                 sleep(Duration::from_millis(20)).await;
@@ -147,13 +150,14 @@
         })
         .await;
         self.clients.look_at_kept().await;
-        let listens: Vec<SocketAddr> = self.gateways.iter().map(|g| lock(&g.place).listen).collect();
+        let listens: Vec<SocketAddr> =
+            self.gateways.iter().map(|gateway| lock(&gateway.place).listen).collect();
         ask_receipts(context, &listens).await;
         steps.abort();
-        usage.abort();
-        fleets.into_iter().for_each(|fleets| fleets.abort());
+        usage_watch.abort();
+        fleet_watch.into_iter().for_each(|fleet_watch| fleet_watch.abort());
         context.note(|record| {
-            record.lab_cpu_us = own().saturating_sub(before);
+            record.lab_cpu_us = used_cpu_us().saturating_sub(before);
             record.starved = context.starved.count();
             record.ended = context.clock.now();
             record.excuses = fault_windows(&context.plan);
@@ -162,7 +166,7 @@
         std::mem::take(&mut *lock(&context.record))
     }
 
-    /// Ends all gateways: paused ones go on first, all get SIGTERM.
+    /// Ends all gateways: resumes paused ones, and sends SIGTERM to all.
     pub async fn end(&self) {
         let ends = self.gateways.iter().filter(|gateway| gateway.runs()).map(|gateway| {
             let gateway = gateway.clone();
@@ -172,13 +176,13 @@
             })
         });
         for end in ends.collect::<Vec<_>>() {
-            // A gateway that ends with a panic of ours is killed with its handle.
+            // If this task panicked, the gateway is killed when its handle is dropped.
             let _ = end.await;
         }
     }
 
-    /// The way between a gateway and a party behind a door of its.
-    fn way(&self, gateway: usize, party: Party) -> Way {
+    /// Returns both directions of the link between a gateway and another party.
+    fn link_to(&self, gateway: usize, party: Party) -> Way {
         Way {
             up: self.context.links.get(Party::Gateway(gateway), party),
             down: self.context.links.get(party, Party::Gateway(gateway)),
@@ -191,33 +195,33 @@
         self.context.links.place(number, spec.zone);
         let backend = Backend::new(self.context.clone(), number, spec.speed, since);
         for gateway in 0..self.gateways.len() {
-            self.backend_door(gateway, &backend)?;
+            self.open_backend_listener(gateway, &backend)?;
         }
         lock(&self.backends).insert(number, backend.clone());
         Ok(backend)
     }
 
-    fn backend_door(&self, gateway: usize, backend: &Arc<Backend>) -> io::Result<()> {
+    fn open_backend_listener(&self, gateway: usize, backend: &Arc<Backend>) -> io::Result<()> {
         let behind = backend.clone();
         let serve: Serve = Arc::new(move |stream, stamp| behind.accept(stream, stamp, gateway));
-        let way = self.way(gateway, Party::Backend(backend.number));
+        let way = self.link_to(gateway, Party::Backend(backend.number));
         let ip = self.context.side(gateway, last_byte::BACKENDS);
-        let door =
+        let listener =
             GatewayListener::open(ip, way, backend.alive.subscribe(), self.context.starved.clone(), serve)?;
-        self.discovery.door(gateway, backend.number, door.address);
-        if let Some(old) = lock(&self.doors).insert((gateway, backend.number), door) {
+        self.discovery.door(gateway, backend.number, listener.address);
+        if let Some(old) = lock(&self.backend_listeners).insert((gateway, backend.number), listener) {
             old.close();
         }
         Ok(())
     }
 
-    /// Opens new doors to a gateway's agent and counter, and closes the old ones a moment later.
-    fn move_services(&self, gateway: usize) -> io::Result<()> {
+    /// Opens new listeners in front of a gateway's agent and counter, and closes the old ones after a delay.
+    fn open_services(&self, gateway: usize) -> io::Result<()> {
         let context = &self.context;
         let open = |last, party, alive, serve| {
             GatewayListener::open(
                 context.side(gateway, last),
-                self.way(gateway, party),
+                self.link_to(gateway, party),
                 alive,
                 context.starved.clone(),
                 serve,
@@ -226,16 +230,16 @@
         let (counter, discovery) = (self.counter.clone(), self.discovery.clone());
         let to_counter: Serve = Arc::new(move |stream, _| counter.accept(stream, gateway));
         let to_agent: Serve = Arc::new(move |stream, _| discovery.accept(stream, gateway));
-        // The agent stands on the gateway's own machine.
-        let agent = open(last_byte::AGENT, Party::Gateway(gateway), self.agents.subscribe(), to_agent)?;
+        // The agent runs on the gateway's machine.
+        let agent = open(last_byte::AGENT, Party::Gateway(gateway), self.agents_alive.subscribe(), to_agent)?;
         let counter = open(last_byte::COUNTER, Party::Counter, self.counter.alive.subscribe(), to_counter)?;
         {
             let mut place = lock(&self.gateways[gateway].place);
             (place.discovery, place.counter) = (agent.address, counter.address);
         }
-        if let Some(old) = lock(&self.services).insert(gateway, [agent, counter]) {
+        if let Some(old) = lock(&self.service_listeners).insert(gateway, [agent, counter]) {
             tokio::spawn(async move {
-                sleep(MOVED).await;
+                sleep(OLD_SERVICE_CLOSE_DELAY).await;
                 old.iter().for_each(GatewayListener::close);
             });
         }
--- a/lab/src/run/places.rs
+++ b/lab/src/run/places.rs
@@ -1,4 +1,4 @@
-//! Where each gateway of a run listens, and the environment that it is started with.
+//! Chooses the addresses on which each gateway of a run listens, and the environment of its process.
 
 use super::loopback_net::last_byte;
 use super::{RunResources, SetUpError};
@@ -11,34 +11,34 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Addresses of all gateways, with those of each other where they talk.
+/// Returns the addresses and environment of all gateways, with the addresses of their peers if the scenario has peers.
 pub(super) async fn places(
     context: &Arc<RunContext>,
     resources: &RunResources,
 ) -> Result<Vec<Place>, SetUpError> {
     let scenario = &context.plan.scenario;
     let count = scenario.gateways.count;
-    let own = |gateway| context.side(gateway, last_byte::OWN);
-    let nowhere = SocketAddr::new(own(0), 0);
+    let own_address = |gateway| context.side(gateway, last_byte::OWN);
+    let unset = SocketAddr::new(own_address(0), 0);
     let mut places = Vec::with_capacity(count);
-    let mut held = Vec::new();
+    let mut bound_sockets = Vec::new();
     let mut peers = Vec::new();
     for number in 0..count {
-        // Held until all are chosen, so that none is chosen twice.
-        let listen = TcpListener::bind((own(number), 0))?;
-        let ops = TcpListener::bind((own(number), 0))?;
-        let datagrams = UdpSocket::bind((own(number), 0))?;
+        // The sockets stay bound until all ports are chosen, so that no port is chosen twice.
+        let listen = TcpListener::bind((own_address(number), 0))?;
+        let ops = TcpListener::bind((own_address(number), 0))?;
+        let datagrams = UdpSocket::bind((own_address(number), 0))?;
         peers.push(datagrams.local_addr()?);
         let second = resources.second.as_ref().filter(|_| scenario.gateways.second.contains(&number));
         places.push(Place {
             listen: listen.local_addr()?,
             ops: ops.local_addr()?,
-            discovery: nowhere,
-            counter: nowhere,
+            discovery: unset,
+            counter: unset,
             env: Vec::new(),
             binary: second.unwrap_or(&resources.binary).clone(),
         });
-        held.push((listen, ops, datagrams));
+        bound_sockets.push((listen, ops, datagrams));
     }
     let mesh = if scenario.gateways.peers {
         let ips: Vec<IpAddr> = (0..count).map(|gateway| context.side(gateway, last_byte::PEERS)).collect();
@@ -52,7 +52,7 @@
     Ok(places)
 }
 
-/// A gateway's further environment, with the placeholders of the scenario's texts filled in.
+/// Returns the additional environment of a gateway, with the placeholders of the scenario replaced. Writes the fleet file.
 fn environment(
     context: &RunContext,
     mesh: Option<&Mesh>,
@@ -65,18 +65,18 @@
         listen = mesh.own[number].to_string();
         std::fs::write(&peers, fleet_file(context, mesh, number)?)?;
     }
-    let folder = |path: &Path| path.display().to_string();
-    let fill = |text: &String| {
+    let path_text = |path: &Path| path.display().to_string();
+    let substitute = |text: &String| {
         text.replace("{name}", &format!("g{number}"))
             .replace("{zone}", &scenario.net.zones[number % scenario.zones()])
-            .replace("{folder}", &folder(&context.folder))
-            .replace("{peers}", &folder(&peers))
+            .replace("{folder}", &path_text(&context.folder))
+            .replace("{peers}", &path_text(&peers))
             .replace("{peer_listen}", &listen)
     };
-    Ok(scenario.gateways.env.iter().map(|(name, text)| (name.clone(), fill(text))).collect())
+    Ok(scenario.gateways.env.iter().map(|(name, text)| (name.clone(), substitute(text))).collect())
 }
 
-/// The text of a gateway's fleet file.
+/// Returns the text of a gateway's fleet file.
 fn fleet_file(context: &RunContext, mesh: &Mesh, number: usize) -> io::Result<String> {
     let scenario = &context.plan.scenario;
     let listen = mesh.own[number];
@@ -95,7 +95,7 @@
     Ok(format!("{head}\n[peers]\n{}{ledger}{rollout}{branch}", peers.concat()))
 }
 
-/// The ledger's section of a fleet file, empty where the scenario sets nothing. Makes the gateway's disk folder.
+/// Returns the ledger section of a fleet file, empty if the scenario sets nothing. Creates the gateway's disk folder.
 fn ledger_section(context: &RunContext, number: usize) -> io::Result<String> {
     let gateways = &context.plan.scenario.gateways;
     let mut lines: String =
@@ -111,7 +111,7 @@
     Ok(format!("\n[ledger]\n{lines}"))
 }
 
-/// The section of a gateway's branch in a fleet file, empty where the scenario sets nothing.
+/// Returns the branch section of a fleet file, empty if the scenario sets nothing.
 fn branch_section(gateways: &Gateways, seats: &[String], number: usize) -> String {
     if gateways.branch.is_empty() {
         return String::new();
