--- a/lab/src/members/event_queue.rs
+++ b/lab/src/members/event_queue.rs
@@ -1,10 +1,10 @@
-//! Events under virtual time, in the order in which they are due.
+//! A queue of events under virtual time, ordered by due time.
 
 use quota_gateway::cluster::Micros;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// An event, and when it is due. Of two that are due at one time the one that was scheduled first comes first.
+/// An event with its due time. Events with equal due times are ordered by when they were scheduled.
 struct Scheduled<E> {
     due_at: Micros,
     serial: u64,
@@ -31,31 +31,31 @@
     }
 }
 
-/// A queue of events.
+/// A queue of events, ordered by due time.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Scheduled<E>>>,
-    scheduled: u64,
+    scheduled_count: u64,
 }
 
 impl<E> Default for EventQueue<E> {
     fn default() -> EventQueue<E> {
-        EventQueue { heap: BinaryHeap::new(), scheduled: 0 }
+        EventQueue { heap: BinaryHeap::new(), scheduled_count: 0 }
     }
 }
 
 impl<E> EventQueue<E> {
-    /// Schedules an event.
+    /// Schedules an event at `due_at`.
     pub fn schedule(&mut self, due_at: Micros, event: E) {
-        self.scheduled += 1;
-        self.heap.push(Reverse(Scheduled { due_at, serial: self.scheduled, event }));
+        self.scheduled_count += 1;
+        self.heap.push(Reverse(Scheduled { due_at, serial: self.scheduled_count, event }));
     }
 
-    /// How many events were ever scheduled.
-    pub fn scheduled(&self) -> u64 {
-        self.scheduled
+    /// Returns the number of events scheduled so far.
+    pub fn scheduled_count(&self) -> u64 {
+        self.scheduled_count
     }
 
-    /// The next event, if it is due by then, and when it is due.
+    /// Removes and returns the next event with its due time, if it is due at `until` or before.
     pub fn pop_due(&mut self, until: Micros) -> Option<(Micros, E)> {
         let Reverse(next) = self.heap.peek()?;
         if next.due_at > until {
--- a/lab/src/members/mod.rs
+++ b/lab/src/members/mod.rs
@@ -1,5 +1,5 @@
-//! Cluster nodes (`quota_gateway::cluster`) under virtual time: many members in one thread, a network that delays, drops
-//! and duplicates, and faults; one seed decides everything.
+//! Cluster nodes (`quota_gateway::cluster`) under virtual time: many members in one thread, on a network that delays,
+//! drops and duplicates datagrams, with injected faults. A run is determined by one seed.
 
 pub mod event_queue;
 pub mod measure;
--- a/lab/src/members/network.rs
+++ b/lab/src/members/network.rs
@@ -1,18 +1,18 @@
-//! The network between the members: delay, loss, duplication, and paths that are cut.
+//! The virtual network between the members: delay, loss, duplication and cut paths.
 
 use quota_gateway::cluster::Micros;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
 
-/// What the network does to every datagram.
+/// Conditions that the network applies to every datagram.
 #[derive(Debug, Clone, Copy)]
 pub struct NetworkConditions {
-    /// The shortest and the longest delay, drawn for each datagram, so that they overtake each other.
+    /// Minimum and maximum delay; it is drawn for each datagram, so that datagrams may be reordered.
     pub delay: (Micros, Micros),
-    /// The fraction that is lost.
+    /// Fraction of datagrams lost.
     pub loss: f64,
-    /// The fraction that arrives twice.
+    /// Fraction of datagrams duplicated.
     pub duplication: f64,
 }
 
@@ -23,7 +23,7 @@
 }
 
 impl NetworkConditions {
-    /// The delay of each copy of a datagram that arrives.
+    /// Draws the delays of the copies of one datagram that arrive.
     pub fn deliveries(&self, rng: &mut ChaCha8Rng) -> Vec<Micros> {
         let copies = if rng.random_bool(self.duplication) { 2 } else { 1 };
         let mut delays = Vec::with_capacity(copies);
@@ -38,34 +38,34 @@
     }
 }
 
-/// Paths that are cut, each in one direction.
+/// Cut paths, each in one direction.
 #[derive(Debug, Default)]
 pub struct CutPaths {
     cut: BTreeSet<(usize, usize)>,
 }
 
 impl CutPaths {
-    /// Whether nothing crosses from one node to the other.
+    /// Whether datagrams from one node to another are dropped.
     pub fn is_cut(&self, from: usize, to: usize) -> bool {
         self.cut.contains(&(from, to))
     }
 
-    /// Nothing crosses from one node to the other from now on.
+    /// Drops all datagrams from one node to another from now on.
     pub fn cut(&mut self, from: usize, to: usize) {
         self.cut.insert((from, to));
     }
 
-    /// Nothing crosses between any two of these groups from now on.
+    /// Drops all datagrams between different groups from now on.
     pub fn partition(&mut self, groups: &[Vec<usize>]) {
-        for (place, group) in groups.iter().enumerate() {
-            let others = groups.iter().enumerate().filter(|(other, _)| *other != place);
+        for (index, group) in groups.iter().enumerate() {
+            let others = groups.iter().enumerate().filter(|(other, _)| *other != index);
             for &to in others.flat_map(|(_, other)| other) {
                 self.cut.extend(group.iter().map(|&from| (from, to)));
             }
         }
     }
 
-    /// Everything crosses again.
+    /// Restores all paths.
     pub fn heal(&mut self) {
         self.cut.clear();
     }
--- a/lab/src/members/virtual_cluster.rs
+++ b/lab/src/members/virtual_cluster.rs
@@ -11,54 +11,54 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// The most datagrams that wait for a paused process, as in its socket's buffer; more are lost.
+/// Maximum datagrams queued for a paused process, as in a socket buffer; further ones are dropped.
 const MAX_BACKLOG: usize = 256;
-/// More events than this for a node in a second are a storm that would never end.
+/// Maximum events per node and second; more are taken for a message flood that would never end.
 const MAX_EVENTS_PER_NODE_SECOND: f64 = 1000.0;
-/// The wall clock at the start.
+/// Wall clock at the start.
 const WALL_CLOCK_AT_START: Micros = Micros(1_790_000_000_000_000);
-/// The port at which every node begins.
+/// Initial port of every node.
 const FIRST_PORT: u16 = 7946;
-/// The zones over which nodes are dealt out.
+/// Number of zones, to which the nodes are assigned round-robin.
 const ZONES: usize = 3;
-/// Where datagrams come from that no member sent.
+/// Source address of injected datagrams, which no member sent.
 const OUTSIDER: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 255, 255, 255)), 9);
 
-/// A number of seconds.
+/// Converts seconds to microseconds.
 pub fn seconds(s: f64) -> Micros {
     Micros((s * 1e6).round() as u64)
 }
 
-/// Something that a node wants people to know.
+/// A notice that a node emitted.
 #[derive(Debug, Clone)]
 pub struct ObservedNotice {
-    /// When.
+    /// Time of the notice.
     pub at: Micros,
-    /// Which node.
+    /// Node that emitted the notice.
     pub node: usize,
-    /// What.
+    /// Content.
     pub notice: ClusterNotice,
 }
 
-/// A process of a member, or its place while none runs.
+/// The process of a member, running or not.
 struct Process {
     name: String,
     address: SocketAddr,
     running: Option<ClusterNode>,
-    /// Rises with each start, so that ticks for a process before go nowhere.
+    /// Number of starts; ticks scheduled for an earlier process carry an older number and are ignored.
     starts: u32,
     is_paused: bool,
-    /// Datagrams that wait for it while it is paused, each with its source.
+    /// Datagrams queued while the process is paused, each with its source.
     backlog: Vec<(SocketAddr, Vec<u8>)>,
     wall_clock_behind: Micros,
-    /// The shares that it was told last; a paused process still uses them.
+    /// Last quota shares that the node reported; a paused process still uses them.
     shares: QuotaShares,
-    /// The others' addresses, as it is configured.
+    /// Configured addresses of the peers.
     peers: BTreeMap<String, SocketAddr>,
 }
 
 impl Process {
-    /// One that is not started.
+    /// Creates a process that is not started.
     fn new(node: usize, name: String, peers: BTreeMap<String, SocketAddr>) -> Process {
         Process {
             name,
@@ -79,22 +79,22 @@
     Tick { node: usize, starts: u32 },
 }
 
-/// The nodes and their network.
+/// A cluster of nodes and the network between them.
 pub struct VirtualCluster {
-    /// Now.
+    /// Current virtual time.
     pub now: Micros,
-    /// What the network does.
+    /// Network conditions.
     pub conditions: NetworkConditions,
-    /// The list of seats, where quota shares are leased.
+    /// Configured seats; empty if no quota shares are leased.
     pub seats: Vec<String>,
-    /// What nodes wanted people to know.
+    /// Notices that the nodes emitted.
     pub notices: Vec<ObservedNotice>,
     rng: ChaCha8Rng,
     processes: Vec<Process>,
-    node_at: HashMap<SocketAddr, usize>,
+    node_by_address: HashMap<SocketAddr, usize>,
     queue: EventQueue<VirtualEvent>,
     cut_paths: CutPaths,
-    /// Kept to save allocations.
+    /// Buffer that is reused to avoid allocations.
     effects: Vec<Effect>,
 }
 
@@ -104,7 +104,7 @@
 }
 
 impl VirtualCluster {
-    /// This many nodes, none of them started, that all know each other's addresses.
+    /// Creates `count` nodes that are not started and are configured with each other's addresses.
     pub fn new(count: usize, seed: u64) -> VirtualCluster {
         let names: Vec<String> = (0..count).map(|i| format!("g{i}")).collect();
         let peers: BTreeMap<String, SocketAddr> =
@@ -117,61 +117,61 @@
             notices: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             processes: processes.collect(),
-            node_at: (0..count).map(|i| (address(i, FIRST_PORT), i)).collect(),
+            node_by_address: (0..count).map(|i| (address(i, FIRST_PORT), i)).collect(),
             queue: EventQueue::default(),
             cut_paths: CutPaths::default(),
             effects: Vec::new(),
         }
     }
 
-    /// How many nodes there are.
+    /// Returns the number of nodes.
     pub fn count(&self) -> usize {
         self.processes.len()
     }
 
-    /// A random number below this.
+    /// Draws a random number below `below`.
     pub fn draw(&mut self, below: usize) -> usize {
         self.rng.random_range(0..below.max(1))
     }
 
-    /// A node that runs.
+    /// Returns a node if its process runs.
     pub fn node(&self, node: usize) -> Option<&ClusterNode> {
         self.processes.get(node)?.running.as_ref()
     }
 
-    /// A node's name.
+    /// Returns the name of a node.
     pub fn name(&self, node: usize) -> &str {
         &self.processes[node].name
     }
 
-    /// Whether it is paused.
+    /// Whether a node is paused.
     pub fn is_paused(&self, node: usize) -> bool {
         self.processes[node].is_paused
     }
 
-    /// All that run and are not paused.
+    /// Returns the nodes that run and are not paused.
     pub fn awake(&self) -> Vec<usize> {
         let is_awake = |i: &usize| self.processes[*i].running.is_some() && !self.processes[*i].is_paused;
         (0..self.processes.len()).filter(is_awake).collect()
     }
 
-    /// Adds a process under the name of another node, at an address of its own.
-    pub fn add_duplicate(&mut self, of: usize) -> usize {
+    /// Adds a process with the name of another node, at a separate address.
+    pub fn add_duplicate(&mut self, original_node: usize) -> usize {
         let node = self.processes.len();
-        let original = &self.processes[of];
+        let original = &self.processes[original_node];
         let duplicate = Process::new(node, original.name.clone(), original.peers.clone());
-        self.node_at.insert(duplicate.address, node);
+        self.node_by_address.insert(duplicate.address, node);
         self.processes.push(duplicate);
         node
     }
 
-    /// The node has another address from now on; only the configurations of `informed` follow.
+    /// Moves a node to a new address; only the configurations of `informed` are updated.
     pub fn move_address(&mut self, node: usize, informed: &[usize]) {
         let process = &mut self.processes[node];
-        self.node_at.remove(&process.address);
+        self.node_by_address.remove(&process.address);
         process.address = address(node, process.address.port() + 1);
         let (new_address, name) = (process.address, process.name.clone());
-        self.node_at.insert(new_address, node);
+        self.node_by_address.insert(new_address, node);
         for &other in informed {
             self.processes[other].peers.insert(name.clone(), new_address);
             let addresses = self.processes[other].peers.clone();
@@ -179,9 +179,9 @@
         }
     }
 
-    /// Its wall clock is set back by this much from its next start on.
-    pub fn set_wall_clock_back(&mut self, node: usize, by: Micros) {
-        self.processes[node].wall_clock_behind = by;
+    /// Sets the wall clock of a node back by `offset`, from its next start on.
+    pub fn set_wall_clock_back(&mut self, node: usize, offset: Micros) {
+        self.processes[node].wall_clock_behind = offset;
     }
 
     fn settings(&self, node: usize) -> Settings {
@@ -205,13 +205,13 @@
         }
     }
 
-    /// Starts a process.
+    /// Starts a new process of a node.
     pub fn start(&mut self, node: usize) {
         let seed = self.rng.random::<u64>();
         let settings = self.settings(node);
         let process = &mut self.processes[node];
         let wall_clock = WALL_CLOCK_AT_START + self.now - process.wall_clock_behind;
-        let running = ClusterNode::new(settings, self.now, wall_clock, seed).expect("sound settings");
+        let running = ClusterNode::new(settings, self.now, wall_clock, seed).expect("valid settings");
         process.running = Some(running);
         process.starts += 1;
         process.is_paused = false;
@@ -222,7 +222,7 @@
         self.queue.schedule(first_tick, VirtualEvent::Tick { node, starts });
     }
 
-    /// Ends a process without notice.
+    /// Ends a process abruptly.
     pub fn kill(&mut self, node: usize) {
         let process = &mut self.processes[node];
         process.running = None;
@@ -231,18 +231,18 @@
         process.backlog.clear();
     }
 
-    /// A process leaves on purpose. It runs on until `kill`.
+    /// Makes a process leave the cluster; it keeps running until `kill`.
     pub fn leave(&mut self, node: usize) {
         self.handle(node, Event::Leave);
     }
 
-    /// Stops a process.
+    /// Pauses a process.
     pub fn pause(&mut self, node: usize) {
         let process = &mut self.processes[node];
         process.is_paused = process.running.is_some();
     }
 
-    /// Lets a paused process go on: it reads its backlog first.
+    /// Resumes a paused process, which reads its backlog first.
     pub fn resume(&mut self, node: usize) {
         let process = &mut self.processes[node];
         if !std::mem::take(&mut process.is_paused) {
@@ -254,27 +254,27 @@
         self.handle(node, Event::Tick);
     }
 
-    /// Nothing crosses from one node to the other from now on.
+    /// Drops all datagrams from one node to another from now on.
     pub fn cut(&mut self, from: usize, to: usize) {
         self.cut_paths.cut(from, to);
     }
 
-    /// Nothing crosses between any two of these groups from now on.
+    /// Drops all datagrams between different groups from now on.
     pub fn partition(&mut self, groups: &[Vec<usize>]) {
         self.cut_paths.partition(groups);
     }
 
-    /// Everything crosses again.
+    /// Restores all paths.
     pub fn heal(&mut self) {
         self.cut_paths.heal();
     }
 
-    /// A datagram that no member sent arrives.
+    /// Delivers a datagram that no member sent.
     pub fn inject(&mut self, to: usize, bytes: &[u8]) {
         self.handle(to, Event::Datagram { from: OUTSIDER, bytes });
     }
 
-    /// Gives an event to a node, and carries out what it wants done.
+    /// Passes an event to a node and executes the resulting effects.
     fn handle(&mut self, node: usize, event: Event<'_>) {
         let mut effects = std::mem::take(&mut self.effects);
         if let Some(running) = self.processes[node].running.as_mut() {
@@ -299,24 +299,28 @@
     }
 
     fn send(&mut self, from: usize, address: SocketAddr, bytes: &[u8]) {
-        let Some(&to) = self.node_at.get(&address) else { return };
+        let Some(&to) = self.node_by_address.get(&address) else { return };
         for delay in self.conditions.deliveries(&mut self.rng) {
             let datagram = VirtualEvent::Datagram { from, to, bytes: bytes.to_vec() };
             self.queue.schedule(self.now + delay, datagram);
         }
     }
 
-    /// Lets time pass until then.
+    /// Advances virtual time to `until`.
     ///
     /// # Panics
     ///
-    /// On a storm of messages, which would never end.
+    /// Panics on a message flood, which would never end.
     pub fn run_until(&mut self, until: Micros) {
         let span = (until - self.now).secs() + 1.0;
-        let most_new = (span * self.processes.len() as f64 * MAX_EVENTS_PER_NODE_SECOND) as u64;
-        let most = self.queue.scheduled() + most_new;
+        let max_new_events = (span * self.processes.len() as f64 * MAX_EVENTS_PER_NODE_SECOND) as u64;
+        let max_events = self.queue.scheduled_count() + max_new_events;
         while let Some((at, event)) = self.queue.pop_due(until) {
-            assert!(self.queue.scheduled() <= most, "a storm of messages at {} s", self.now.secs());
+            assert!(
+                self.queue.scheduled_count() <= max_events,
+                "message flood at {} s: too many events were scheduled",
+                self.now.secs()
+            );
             self.now = at;
             match event {
                 VirtualEvent::Datagram { from, to, bytes } => self.deliver(from, to, bytes),
@@ -327,7 +331,7 @@
     }
 
     fn deliver(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        // A cut takes what is under way with it.
+        // A cut also drops datagrams in flight.
         if self.cut_paths.is_cut(from, to) {
             return;
         }
@@ -351,13 +355,13 @@
         self.queue.schedule(self.now + TICK_INTERVAL, VirtualEvent::Tick { node, starts });
     }
 
-    /// Lets this much time pass.
+    /// Advances virtual time by `span`.
     pub fn run_for(&mut self, span: Micros) {
         self.run_until(self.now + span);
     }
 
-    /// The lent parts of quota shares that are in force now for a customer that comes through these seats, as a
-    /// fraction of all: each seat's own, and its part of those that are free. Two processes of one seat both count.
+    /// Returns the sum of the leased quota shares in force for a customer that uses `seats`, as a fraction of the quota:
+    /// for each seat its own share and its part of those of free seats. Two processes of one seat both count.
     pub fn shares_in_force(&self, seats: &[usize]) -> f64 {
         self.processes.iter().filter_map(|process| self.share_in_force(process, seats)).sum()
     }
@@ -371,7 +375,7 @@
         Some(1.0 / (seats.len() as f64 - free as f64))
     }
 
-    /// Whether each that runs takes exactly those that run for present.
+    /// Whether every active node considers exactly the active nodes present.
     pub fn is_converged(&self) -> bool {
         let awake = self.awake();
         let names: BTreeSet<&str> = awake.iter().map(|&i| self.name(i)).collect();
