--- a/lab/tests/scenario_keys.rs
+++ b/lab/tests/scenario_keys.rs
@@ -1,5 +1,5 @@
-//! Every key of a scenario file is read into its own place, and a wrong one is refused with the words of the build
-//! that wrote `tests/fixtures/scenario-errors.txt`.
+//! Every key of a scenario file is read into its own field, and wrong keys or values are rejected with the exact
+//! messages of `tests/fixtures/scenario-errors.txt`.
 
 use quota_gateway_lab::scenario::{Class, Effect, Fault, Plan, Scenario};
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
     std::fs::read_to_string(fixture("scenario-all-keys.toml")).expect("the fixture")
 }
 
-/// All values of a file by their dotted keys, with whole numbers as fractions, as most keys take both.
+/// Collects all values of a file by dotted key, with integers as floats, because most keys accept both.
 fn flatten(prefix: &str, value: &Value, into: &mut BTreeMap<String, Value>) {
     match value {
         Value::Table(table) if !table.is_empty() => {
@@ -24,28 +24,28 @@
             }
         }
         Value::Array(items) if items.iter().any(Value::is_table) => {
-            for (place, value) in items.iter().enumerate() {
-                flatten(&format!("{prefix}[{place}]"), value, into);
+            for (index, value) in items.iter().enumerate() {
+                flatten(&format!("{prefix}[{index}]"), value, into);
             }
         }
-        value => drop(into.insert(prefix.to_string(), as_fraction(value.clone()))),
+        value => drop(into.insert(prefix.to_string(), as_float(value.clone()))),
     }
 }
 
-fn as_fraction(value: Value) -> Value {
+fn as_float(value: Value) -> Value {
     match value {
         Value::Integer(number) => Value::Float(number as f64),
-        Value::Array(items) => Value::Array(items.into_iter().map(as_fraction).collect()),
+        Value::Array(items) => Value::Array(items.into_iter().map(as_float).collect()),
         other => other,
     }
 }
 
-/// What was read, under the keys of the file.
-struct Read(BTreeMap<String, Value>);
+/// Values of the parsed scenario, by the dotted keys of the file.
+struct ReadValues(BTreeMap<String, Value>);
 
-impl Read {
+impl ReadValues {
     fn put(&mut self, key: &str, value: impl Into<Value>) {
-        assert!(self.0.insert(key.to_string(), as_fraction(value.into())).is_none(), "{key} twice");
+        assert!(self.0.insert(key.to_string(), as_float(value.into())).is_none(), "{key} was read twice");
     }
     fn numbers<const N: usize>(&mut self, table: &str, values: [(&str, f64); N]) {
         for (name, value) in values {
@@ -60,13 +60,13 @@
 }
 
 #[test]
-fn every_key_of_a_scenario_is_read_into_its_own_place() {
+fn every_scenario_key_is_read_into_its_own_field() {
     let text = all_keys();
     let scenario = Scenario::parse(PathBuf::from("all.toml"), &text, &[]).unwrap_or_else(|e| panic!("{e}"));
     let mut written = BTreeMap::new();
     flatten("", &Value::Table(toml::from_str(&text).expect("TOML")), &mut written);
-    let mut read = Read(BTreeMap::new());
-    whole(&scenario, &mut read);
+    let mut read = ReadValues(BTreeMap::new());
+    top_level(&scenario, &mut read);
     load(&scenario, &mut read);
     gateways(&scenario, &mut read);
     backends(&scenario, &mut read);
@@ -80,136 +80,144 @@
     assert!(others.is_empty(), "the fixture lacks {others:?}");
 }
 
-fn whole(s: &Scenario, read: &mut Read) {
-    read.put("name", s.name.clone());
-    read.put("about", s.about.clone());
-    read.put("seed", s.seed as i64);
-    read.put("length_s", s.length_s);
-    read.put("warm_up_s", s.warm_up_s);
-    let c = &s.counter;
+fn top_level(scenario: &Scenario, read: &mut ReadValues) {
+    read.put("name", scenario.name.clone());
+    read.put("about", scenario.about.clone());
+    read.put("seed", scenario.seed as i64);
+    read.put("length_s", scenario.length_s);
+    read.put("warm_up_s", scenario.warm_up_s);
+    let counter = &scenario.counter;
     read.numbers(
         "counter",
         [
-            ("per_s", c.per_s),
-            ("latency_ms", c.latency_ms),
-            ("queue_ms", c.queue_ms),
-            ("timeout_ms", c.timeout_ms),
+            ("per_s", counter.per_s),
+            ("latency_ms", counter.latency_ms),
+            ("queue_ms", counter.queue_ms),
+            ("timeout_ms", counter.timeout_ms),
         ],
     );
-    read.ranges("discovery", [("notice_s", s.discovery.notice_s), ("add_s", s.discovery.add_s)]);
-    read.put("net.zones", s.net.zones.clone());
-    let n = &s.net;
+    read.ranges(
+        "discovery",
+        [("notice_s", scenario.discovery.notice_s), ("add_s", scenario.discovery.add_s)],
+    );
+    read.put("net.zones", scenario.net.zones.clone());
+    let network = &scenario.net;
     read.numbers(
         "net",
-        [("same_ms", n.same_ms), ("cross_ms", n.cross_ms), ("client_ms", n.client_ms), ("jitter", n.jitter)],
+        [
+            ("same_ms", network.same_ms),
+            ("cross_ms", network.cross_ms),
+            ("client_ms", network.client_ms),
+            ("jitter", network.jitter),
+        ],
     );
-    for (key, bound) in &s.expect.0 {
+    for (key, bound) in &scenario.expect.0 {
         read.put(&format!("expect.{key}"), *bound);
     }
 }
 
-fn load(s: &Scenario, read: &mut Read) {
-    let l = &s.load;
+fn load(scenario: &Scenario, read: &mut ReadValues) {
+    let load = &scenario.load;
     read.numbers(
         "load",
         [
-            ("per_s", l.per_s),
-            ("full", l.full),
-            ("heavy", l.heavy),
-            ("spiky", l.spiky),
-            ("skew", l.skew),
-            ("retries", l.retries.into()),
-            ("backoff_ms", l.backoff_ms),
-            ("honour", l.honour),
-            ("connections", l.connections as f64),
-            ("body_bytes", l.body_bytes as f64),
+            ("per_s", load.per_s),
+            ("full", load.full),
+            ("heavy", load.heavy),
+            ("spiky", load.spiky),
+            ("skew", load.skew),
+            ("retries", load.retries.into()),
+            ("backoff_ms", load.backoff_ms),
+            ("honour", load.honour),
+            ("connections", load.connections as f64),
+            ("body_bytes", load.body_bytes as f64),
         ],
     );
     read.ranges(
         "load",
         [
-            ("calm_use", l.calm_use),
-            ("heavy_x", l.heavy_x),
-            ("spike_x", l.spike_x),
-            ("spike_s", l.spike_s),
-            ("spike_every_s", l.spike_every_s),
-            ("spread", [l.spread[0] as f64, l.spread[1] as f64]),
-            ("shift_s", l.shift_s),
-            ("try_share", l.try_share),
-            ("notice_s", l.notice_s),
+            ("calm_use", load.calm_use),
+            ("heavy_x", load.heavy_x),
+            ("spike_x", load.spike_x),
+            ("spike_s", load.spike_s),
+            ("spike_every_s", load.spike_every_s),
+            ("spread", [load.spread[0] as f64, load.spread[1] as f64]),
+            ("shift_s", load.shift_s),
+            ("try_share", load.try_share),
+            ("notice_s", load.notice_s),
         ],
     );
 }
 
-fn gateways(s: &Scenario, read: &mut Read) {
-    let g = &s.gateways;
+fn gateways(scenario: &Scenario, read: &mut ReadValues) {
+    let gateways = &scenario.gateways;
     read.numbers(
         "gateways",
         [
-            ("count", g.count as f64),
-            ("memory_mb", g.memory_mb),
-            ("sockets", g.sockets as f64),
-            ("lend", g.lend),
-            ("branches", g.branches as f64),
+            ("count", gateways.count as f64),
+            ("memory_mb", gateways.memory_mb),
+            ("sockets", gateways.sockets as f64),
+            ("lend", gateways.lend),
+            ("branches", gateways.branches as f64),
         ],
     );
-    for (name, on) in [("peers", g.peers), ("disks", g.disks), ("rollout", g.rollout)] {
+    for (name, on) in [("peers", gateways.peers), ("disks", gateways.disks), ("rollout", gateways.rollout)] {
         read.put(&format!("gateways.{name}"), on);
     }
-    for (table, lines) in [("ledger", &g.ledger), ("branch", &g.branch)] {
+    for (table, lines) in [("ledger", &gateways.ledger), ("branch", &gateways.branch)] {
         for (key, value) in lines {
             read.put(&format!("gateways.{table}.{key}"), value.clone());
         }
     }
-    for (key, value) in &g.env {
+    for (key, value) in &gateways.env {
         read.put(&format!("gateways.env.{key}"), value.clone());
     }
-    read.put("gateways.second", g.second.iter().map(|n| *n as i64).collect::<Vec<_>>());
+    read.put("gateways.second", gateways.second.iter().map(|number| *number as i64).collect::<Vec<_>>());
 }
 
-fn backends(s: &Scenario, read: &mut Read) {
-    let b = &s.backends;
+fn backends(scenario: &Scenario, read: &mut ReadValues) {
+    let backends = &scenario.backends;
     read.numbers(
         "backends",
         [
-            ("count", b.count as f64),
-            ("cores", b.cores),
-            ("slots_per_core", b.slots_per_core),
-            ("queue_per_core", b.queue_per_core),
-            ("cold_from", b.cold_from),
-            ("cold_s", b.cold_s),
-            ("fall_multiple", b.fall_multiple),
-            ("fall_s", b.fall_s),
-            ("error_rate", b.error_rate),
-            ("connections_per_core", b.connections_per_core as f64),
-            ("handshake_us", b.handshake_us),
-            ("idle_s", b.idle_s),
-            ("report_ms", b.report_ms),
+            ("count", backends.count as f64),
+            ("cores", backends.cores),
+            ("slots_per_core", backends.slots_per_core),
+            ("queue_per_core", backends.queue_per_core),
+            ("cold_from", backends.cold_from),
+            ("cold_s", backends.cold_s),
+            ("fall_multiple", backends.fall_multiple),
+            ("fall_s", backends.fall_s),
+            ("error_rate", backends.error_rate),
+            ("connections_per_core", backends.connections_per_core as f64),
+            ("handshake_us", backends.handshake_us),
+            ("idle_s", backends.idle_s),
+            ("report_ms", backends.report_ms),
         ],
     );
-    read.ranges("backends", [("speed", b.speed)]);
-    read.put("backends.drops_cancelled", b.drops_cancelled);
-    read.put("backends.label", b.label.clone());
+    read.ranges("backends", [("speed", backends.speed)]);
+    read.put("backends.drops_cancelled", backends.drops_cancelled);
+    read.put("backends.label", backends.label.clone());
 }
 
-fn plan(table: &str, p: &Plan, read: &mut Read) {
-    read.put(&format!("{table}.name"), p.name.clone());
+fn plan(table: &str, plan: &Plan, read: &mut ReadValues) {
+    read.put(&format!("{table}.name"), plan.name.clone());
     read.numbers(
         table,
         [
-            ("share", p.share),
-            ("rate", p.rate),
-            ("burst_s", p.burst_s),
-            ("price", p.price),
-            ("over_cost", p.over_cost),
-            ("ceiling", p.ceiling),
+            ("share", plan.share),
+            ("rate", plan.rate),
+            ("burst_s", plan.burst_s),
+            ("price", plan.price),
+            ("over_cost", plan.over_cost),
+            ("ceiling", plan.ceiling),
         ],
     );
 }
 
-fn class(table: &str, c: &Class, read: &mut Read) {
-    read.put(&format!("{table}.name"), c.name.clone());
-    let effect = match c.effect {
+fn class(table: &str, class: &Class, read: &mut ReadValues) {
+    read.put(&format!("{table}.name"), class.name.clone());
+    let effect = match class.effect {
         Effect::Safe => "safe",
         Effect::Keyed => "keyed",
         Effect::Unsafe => "unsafe",
@@ -218,62 +226,62 @@
     read.numbers(
         table,
         [
-            ("share", c.share),
-            ("work_ms", c.work_ms),
-            ("work_cv", c.work_cv),
-            ("aim_ms", c.aim_ms),
-            ("deadline_ms", c.deadline_ms),
-            ("worth", c.worth),
-            ("late_worth", c.late_worth),
-            ("window_ms", c.window_ms),
+            ("share", class.share),
+            ("work_ms", class.work_ms),
+            ("work_cv", class.work_cv),
+            ("aim_ms", class.aim_ms),
+            ("deadline_ms", class.deadline_ms),
+            ("worth", class.worth),
+            ("late_worth", class.late_worth),
+            ("window_ms", class.window_ms),
         ],
     );
 }
 
-fn fault(table: &str, f: &Fault, read: &mut Read) {
-    read.put(&format!("{table}.kind"), f.kind.name());
-    read.put(&format!("{table}.at_s"), f.at_s);
+fn fault(table: &str, fault: &Fault, read: &mut ReadValues) {
+    read.put(&format!("{table}.kind"), fault.kind.name());
+    read.put(&format!("{table}.at_s"), fault.at_s);
     let numbers = [
-        ("for_s", f.for_s),
-        ("delay_ms", f.delay_ms),
-        ("jitter_ms", f.jitter_ms),
-        ("loss", f.loss),
-        ("duplicate", f.duplicate),
-        ("reorder", f.reorder),
-        ("factor", f.factor),
-        ("rate", f.rate),
-        ("batch", f.batch),
-        ("every_s", f.every_s),
-        ("drain_s", f.drain_s),
-        ("errors", f.errors),
+        ("for_s", fault.for_s),
+        ("delay_ms", fault.delay_ms),
+        ("jitter_ms", fault.jitter_ms),
+        ("loss", fault.loss),
+        ("duplicate", fault.duplicate),
+        ("reorder", fault.reorder),
+        ("factor", fault.factor),
+        ("rate", fault.rate),
+        ("batch", fault.batch),
+        ("every_s", fault.every_s),
+        ("drain_s", fault.drain_s),
+        ("errors", fault.errors),
     ];
     for (name, value) in numbers {
         if let Some(value) = value {
             read.put(&format!("{table}.{name}"), value);
         }
     }
-    for (name, range) in [("flap_s", f.flap_s), ("back_s", f.back_s)] {
+    for (name, range) in [("flap_s", fault.flap_s), ("back_s", fault.back_s)] {
         if let Some([from, to]) = range {
             read.put(&format!("{table}.{name}"), vec![from, to]);
         }
     }
-    for (name, list) in [("who", &f.who), ("with", &f.with), ("plans", &f.plans)] {
+    for (name, list) in [("who", &fault.who), ("with", &fault.with), ("plans", &fault.plans)] {
         if !list.is_empty() {
             read.put(&format!("{table}.{name}"), list.clone());
         }
     }
-    for (name, text) in [("label", &f.label), ("rules", &f.rules)] {
+    for (name, text) in [("label", &fault.label), ("rules", &fault.rules)] {
         if let Some(text) = text {
             read.put(&format!("{table}.{name}"), text.clone());
         }
     }
-    if let Some(one_way) = f.one_way {
+    if let Some(one_way) = fault.one_way {
         read.put(&format!("{table}.one_way"), one_way);
     }
 }
 
-/// Wrong files, each made from the fixture by one change: what stands there, what takes its place.
-const WRONG: &[(&str, &str)] = &[
+/// Invalid files, each derived from the fixture by one replacement: the old text and the new text.
+const REPLACEMENTS: &[(&str, &str)] = &[
     ("name = \"all-keys\"", "name = \"all keys\""),
     ("about = \"Every key once.\"", "about = \" \""),
     ("about = \"Every key once.\"", "abuot = \"Every key once.\""),
@@ -313,19 +321,19 @@
 ];
 
 #[test]
-fn wrong_scenario_keys_are_refused_in_the_same_words() {
+fn invalid_scenarios_are_rejected_with_the_recorded_messages() {
     let text = all_keys();
-    let mut told = String::new();
-    for (from, to) in WRONG {
+    let mut messages = String::new();
+    for (from, to) in REPLACEMENTS {
         assert!(text.contains(from), "the fixture lacks {from}");
-        let wrong = text.replacen(from, to, 1);
-        let problems = Scenario::parse(PathBuf::from("all.toml"), &wrong, &[]).expect_err(to);
-        told.push_str(&format!("# {from} -> {to}\n{problems}\n"));
+        let invalid = text.replacen(from, to, 1);
+        let problems = Scenario::parse(PathBuf::from("all.toml"), &invalid, &[]).expect_err(to);
+        messages.push_str(&format!("# {from} -> {to}\n{problems}\n"));
     }
     let path = fixture("scenario-errors.txt");
     if std::env::var_os("WRITE_NEW_FIXTURES").is_some() && !path.exists() {
-        std::fs::write(&path, &told).expect("written");
+        std::fs::write(&path, &messages).expect("the fixture can be written");
     }
-    let held = std::fs::read_to_string(path).expect("the fixture");
-    assert_eq!(told, held, "the words for wrong scenarios have changed");
+    let recorded = std::fs::read_to_string(path).expect("the fixture");
+    assert_eq!(messages, recorded, "the messages for invalid scenarios have changed");
 }
