--- a/lab/src/plan/mod.rs
+++ b/lab/src/plan/mod.rs
@@ -119,7 +119,7 @@
         label: label.to_string(),
     };
     let label = scenario.backends.label.as_str();
-    let mut all: Vec<BackendPlan> =
+    let mut plans: Vec<BackendPlan> =
         (0..scenario.backends.count).map(|number| draw_backend(number % scenario.zones(), label)).collect();
     // Sorted by number, not by time, as a backend's number is its index here.
     let mut replacements: Vec<(usize, usize, &str)> = steps
@@ -131,10 +131,10 @@
         .collect();
     replacements.sort_unstable();
     for (_, old, label) in replacements {
-        let zone = all[old].zone;
-        all.push(draw_backend(zone, label));
+        let zone = plans[old].zone;
+        plans.push(draw_backend(zone, label));
     }
-    all
+    plans
 }
 
 fn digest(arrivals: &[Arrival], steps: &[Step], backends: &[BackendPlan]) -> String {
--- a/lab/src/run/actions.rs
+++ b/lab/src/run/actions.rs
@@ -16,8 +16,8 @@
 const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Interval at which a process is checked for its end.
 const PROCESS_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Time after SIGTERM for which the front still forwards requests to the gateway.
-const FRONT_DELAY_AFTER_TERM: Duration = Duration::from_millis(300);
+/// Time after SIGTERM for which the load balancer still forwards requests to the gateway.
+const BALANCER_DELAY_AFTER_TERM: Duration = Duration::from_millis(300);
 
 impl World {
     fn backend(&self, number: usize) -> Option<Arc<Backend>> {
@@ -156,7 +156,7 @@
             let clients = world.clients.clone();
             let front = gateway.number;
             tokio::spawn(async move {
-                sleep(FRONT_DELAY_AFTER_TERM).await;
+                sleep(BALANCER_DELAY_AFTER_TERM).await;
                 clients.front(front, true);
             });
             gateway.terminate().await;
--- a/lab/src/run/mod.rs
+++ b/lab/src/run/mod.rs
@@ -128,7 +128,7 @@
         let before = used_cpu_us();
         let usage_watch = tokio::spawn(watch_usage(context.clone(), self.gateways.clone()));
         let has_peers = context.plan.scenario.gateways.peers;
-        let fleet_watch =
+        let cluster_watch =
             has_peers.then(|| tokio::spawn(watch_fleets(context.clone(), self.gateways.clone())));
         let world = self.clone();
         let steps = tokio::spawn(async move {
@@ -155,7 +155,7 @@
         ask_receipts(context, &listens).await;
         steps.abort();
         usage_watch.abort();
-        fleet_watch.into_iter().for_each(|fleet_watch| fleet_watch.abort());
+        cluster_watch.into_iter().for_each(|cluster_watch| cluster_watch.abort());
         context.note(|record| {
             record.lab_cpu_us = used_cpu_us().saturating_sub(before);
             record.starved = context.starved.count();
--- a/lab/src/run/places.rs
+++ b/lab/src/run/places.rs
@@ -52,7 +52,7 @@
     Ok(places)
 }
 
-/// Returns the additional environment of a gateway, with the placeholders of the scenario replaced. Writes the fleet file.
+/// Returns the additional environment of a gateway, with the placeholders of the scenario replaced. Writes the cluster file.
 fn environment(
     context: &RunContext,
     mesh: Option<&Mesh>,
@@ -63,7 +63,7 @@
     let mut listen = String::new();
     if let Some(mesh) = mesh {
         listen = mesh.own[number].to_string();
-        std::fs::write(&peers, fleet_file(context, mesh, number)?)?;
+        std::fs::write(&peers, cluster_file(context, mesh, number)?)?;
     }
     let path_text = |path: &Path| path.display().to_string();
     let substitute = |text: &String| {
@@ -76,8 +76,8 @@
     Ok(scenario.gateways.env.iter().map(|(name, text)| (name.clone(), substitute(text))).collect())
 }
 
-/// Returns the text of a gateway's fleet file.
-fn fleet_file(context: &RunContext, mesh: &Mesh, number: usize) -> io::Result<String> {
+/// Returns the text of a gateway's cluster file, which `NODE_FLEET` names.
+fn cluster_file(context: &RunContext, mesh: &Mesh, number: usize) -> io::Result<String> {
     let scenario = &context.plan.scenario;
     let listen = mesh.own[number];
     let zone = &scenario.net.zones[number % scenario.zones()];
@@ -95,7 +95,7 @@
     Ok(format!("{head}\n[peers]\n{}{ledger}{rollout}{branch}", peers.concat()))
 }
 
-/// Returns the ledger section of a fleet file, empty if the scenario sets nothing. Creates the gateway's disk folder.
+/// Returns the ledger section of a cluster file, empty if the scenario sets nothing. Creates the gateway's disk folder.
 fn ledger_section(context: &RunContext, number: usize) -> io::Result<String> {
     let gateways = &context.plan.scenario.gateways;
     let mut lines: String =
@@ -111,7 +111,7 @@
     Ok(format!("\n[ledger]\n{lines}"))
 }
 
-/// Returns the branch section of a fleet file, empty if the scenario sets nothing.
+/// Returns the branch section of a cluster file, empty if the scenario sets nothing.
 fn branch_section(gateways: &Gateways, seats: &[String], number: usize) -> String {
     if gateways.branch.is_empty() {
         return String::new();
--- a/lab/src/scenario/parts.rs
+++ b/lab/src/scenario/parts.rs
@@ -39,7 +39,7 @@
     pub honour: f64,
     /// Range of the time-out of one attempt, as a fraction of the deadline of its class.
     pub try_share: [f64; 2],
-    /// Range of the seconds until the front stops sending to a gateway that was killed or paused.
+    /// Range of the seconds until the load balancer stops sending to a gateway that was killed or paused.
     pub notice_s: [f64; 2],
     /// Maximum client connections at one gateway.
     pub connections: usize,
@@ -191,19 +191,19 @@
     pub sockets: usize,
     /// Whether gateways reach each other over UDP; each then gets separate relay addresses for all others.
     pub peers: bool,
-    /// Fraction of each gateway's quota share that may be leased, 0 to 1, as set in the fleet file.
+    /// Fraction of each gateway's quota share that may be leased, 0 to 1, as set in the cluster file.
     pub lend: f64,
-    /// Entries of `[ledger]` in the fleet file; without any, no ledger is kept.
+    /// Entries of `[ledger]` in the cluster file; without any, no ledger is kept.
     pub ledger: BTreeMap<String, toml::Value>,
     /// Whether each gateway has a separate folder on disk that persists across restarts; needs a ledger.
     pub disks: bool,
     /// Whether routing rules may be rolled out; needs a ledger.
     pub rollout: bool,
-    /// Entries of `[branch]` in the fleet file of every gateway; without any, there are no branches.
+    /// Entries of `[branch]` in the cluster file of every gateway; without any, there are no branches.
     pub branch: BTreeMap<String, toml::Value>,
     /// Number of branches; gateways are assigned round-robin by number.
     pub branches: usize,
-    /// Additional environment variables. `{name}`, `{zone}`, `{folder}`, `{peers}` (path of the fleet file, for
+    /// Additional environment variables. `{name}`, `{zone}`, `{folder}`, `{peers}` (path of the cluster file, for
     /// `NODE_FLEET`) and `{peer_listen}` are replaced by the values of each gateway.
     pub env: BTreeMap<String, String>,
     /// Numbers of the gateways that run the second binary, if the command line gives one.
