--- a/lab/src/checker/abandoned_requests.rs
+++ b/lab/src/checker/abandoned_requests.rs
@@ -1,100 +1,116 @@
-//! What became of requests with a key, or such that must not run twice, whose gateway was lost while it had them; and
-//! whether any ran more often than its class permits.
+//! Requests abandoned by a lost gateway, among those with an idempotency key and those that are not idempotent, and
+//! requests that ran more often than their class permits.
 
-use super::invariants::Absences;
+use super::invariants::Outages;
 use crate::cluster_poll::Ledger;
 use crate::plan::{Microseconds, Plan};
 use crate::record::{End, Outcome, Record, Try};
 use crate::scenario::Effect;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The figures.
+/// Metrics of abandoned requests.
 #[derive(Debug, Default)]
-pub(super) struct Orphans {
-    /// Requests that a gateway had whole when it was lost.
+pub(super) struct AbandonedRequests {
+    /// Number of requests that a gateway had received completely when it was lost.
     pub count: usize,
-    /// The part of them whose clients got their answer.
+    /// Fraction of them whose client got an answer 200 in time.
     pub served: f64,
-    /// The part of them that a backend served, for whomever.
+    /// Fraction of them that a backend served, whether or not the client got the answer.
     pub ran: f64,
-    /// From the loss to that answer, at the middle.
+    /// Median time from the loss to the client's answer.
     pub p50_ms: f64,
-    /// 99 in 100.
+    /// 99th percentile of the time from the loss to the client's answer.
     pub p99_ms: f64,
-    /// Requests that ran more often than they may.
-    pub doubled: usize,
+    /// Number of requests of the run, abandoned or not, that ran more often than their class permits.
+    pub ran_too_often: usize,
 }
 
-pub(super) fn measure(plan: &Plan, record: &Record) -> Orphans {
-    let absences = Absences::of(record);
+pub(super) fn measure(plan: &Plan, record: &Record) -> AbandonedRequests {
+    let outages = Outages::from_record(record);
     let effect = |arrival: usize| plan.scenario.classes[plan.arrivals[arrival].class].effect;
-    let mut tries: BTreeMap<usize, Vec<&Try>> = BTreeMap::new();
-    for one in record.tries.iter().filter(|one| effect(one.arrival) != Effect::Safe) {
-        tries.entry(one.arrival).or_default().push(one);
+    let mut tries_by_arrival: BTreeMap<usize, Vec<&Try>> = BTreeMap::new();
+    for client_attempt in
+        record.tries.iter().filter(|client_attempt| effect(client_attempt.arrival) != Effect::Safe)
+    {
+        tries_by_arrival.entry(client_attempt.arrival).or_default().push(client_attempt);
     }
-    let of: BTreeMap<u64, usize> = record.tries.iter().map(|one| (one.id, one.arrival)).collect();
+    let arrival_by_id: BTreeMap<u64, usize> =
+        record.tries.iter().map(|client_attempt| (client_attempt.id, client_attempt.arrival)).collect();
     let served = record.attempts.iter().filter(|attempt| attempt.outcome == Outcome::Served);
-    let served: BTreeSet<usize> = served.filter_map(|attempt| of.get(&attempt.id).copied()).collect();
-    let (mut count, mut ran, mut waits) = (0, 0usize, Vec::new());
-    for all in tries.values_mut() {
-        all.sort_by_key(|one| one.nth);
-        let lost = |one: &&&Try| {
-            let written = one.written.unwrap_or(Microseconds::MAX);
-            matches!(one.end, End::Broken | End::GaveUp) && absences.excuses(one.gateway, written, one.ended)
+    let served: BTreeSet<usize> =
+        served.filter_map(|attempt| arrival_by_id.get(&attempt.id).copied()).collect();
+    let (mut count, mut ran, mut waits_us) = (0, 0usize, Vec::new());
+    for tries in tries_by_arrival.values_mut() {
+        tries.sort_by_key(|client_attempt| client_attempt.nth);
+        let is_lost = |client_attempt: &&&Try| {
+            let written = client_attempt.written.unwrap_or(Microseconds::MAX);
+            matches!(client_attempt.end, End::Broken | End::GaveUp)
+                && outages.any_during(client_attempt.gateway, written, client_attempt.ended)
+        };
+        // A request that was not written in full before its client's time ran out was abandoned by no gateway.
+        let Some(lost) = tries.iter().find(is_lost).filter(|client_attempt| client_attempt.written.is_some())
+        else {
+            continue;
         };
-        // A client that had no time left to come again is not missed by any gateway.
-        let Some(lost) = all.iter().find(lost).filter(|one| one.written.is_some()) else { continue };
         count += 1;
         ran += usize::from(served.contains(&lost.arrival));
-        let answer = all.iter().find(|one| matches!(one.end, End::Answer { status: 200, .. }));
-        let in_time = answer.filter(|one| one.ended <= one.until);
-        waits.extend(in_time.map(|one| one.ended.saturating_sub(lost.ended.min(lost.until))));
+        let answer =
+            tries.iter().find(|client_attempt| matches!(client_attempt.end, End::Answer { status: 200, .. }));
+        let in_time = answer.filter(|client_attempt| client_attempt.ended <= client_attempt.until);
+        waits_us.extend(
+            in_time.map(|client_attempt| client_attempt.ended.saturating_sub(lost.ended.min(lost.until))),
+        );
     }
-    waits.sort_unstable();
-    let at = |part: f64| {
-        let place = ((waits.len() as f64 * part).ceil() as usize).clamp(1, waits.len().max(1)) - 1;
-        waits.get(place).map_or(0.0, |us| *us as f64 / 1000.0)
+    waits_us.sort_unstable();
+    let quantile_ms = |quantile: f64| {
+        let index = ((waits_us.len() as f64 * quantile).ceil() as usize).clamp(1, waits_us.len().max(1)) - 1;
+        waits_us.get(index).map_or(0.0, |us| *us as f64 / 1000.0)
     };
-    Orphans {
+    AbandonedRequests {
         count,
-        served: waits.len() as f64 / (count as f64).max(1.0),
+        served: waits_us.len() as f64 / (count as f64).max(1.0),
         ran: ran as f64 / (count as f64).max(1.0),
-        p50_ms: at(0.5),
-        p99_ms: at(0.99),
-        doubled: doubled(plan, record).len(),
+        p50_ms: quantile_ms(0.5),
+        p99_ms: quantile_ms(0.99),
+        ran_too_often: ran_too_often(plan, record).len(),
     }
 }
 
-/// What all gateways said of their ledger last, in each of their lives.
+/// Sums the ledger counts over all gateway processes, each by its last report.
 pub(super) fn ledger(record: &Record) -> Ledger {
-    let mut last: BTreeMap<(usize, usize), Ledger> = BTreeMap::new();
-    for seen in &record.fleets {
-        last.insert((seen.gateway, seen.life), seen.ledger);
+    let mut last_by_process: BTreeMap<(usize, usize), Ledger> = BTreeMap::new();
+    for observation in &record.fleets {
+        last_by_process.insert((observation.gateway, observation.life), observation.ledger);
     }
-    last.into_values().fold(Ledger::default(), |sum, one| Ledger {
-        claims: sum.claims + one.claims,
-        taken_over: sum.taken_over + one.taken_over,
-        running: sum.running + one.running,
-        answered: sum.answered + one.answered,
-        unprotected: sum.unprotected + one.unprotected,
-        lost: sum.lost + one.lost,
+    last_by_process.into_values().fold(Ledger::default(), |sum, counts| Ledger {
+        claims: sum.claims + counts.claims,
+        taken_over: sum.taken_over + counts.taken_over,
+        running: sum.running + counts.running,
+        answered: sum.answered + counts.answered,
+        unprotected: sum.unprotected + counts.unprotected,
+        lost: sum.lost + counts.lost,
     })
 }
 
-/// The requests that ran more often than their class permits.
-pub(super) fn doubled(plan: &Plan, record: &Record) -> Vec<usize> {
-    let of: BTreeMap<u64, usize> = record.tries.iter().map(|one| (one.id, one.arrival)).collect();
+/// Returns the arrivals that ran more often than their class permits.
+pub(super) fn ran_too_often(plan: &Plan, record: &Record) -> Vec<usize> {
+    let arrival_by_id: BTreeMap<u64, usize> =
+        record.tries.iter().map(|client_attempt| (client_attempt.id, client_attempt.arrival)).collect();
     let mut runs: BTreeMap<usize, Vec<Microseconds>> = BTreeMap::new();
     for attempt in record.attempts.iter().filter(|attempt| attempt.ran) {
-        if let Some(arrival) = of.get(&attempt.id) {
+        if let Some(arrival) = arrival_by_id.get(&attempt.id) {
             runs.entry(*arrival).or_default().push(attempt.came);
         }
     }
     let class = |arrival: &usize| &plan.scenario.classes[plan.arrivals[*arrival].class];
-    // As all figures, from the end of the warm-up on: before it no holder of the ledger has a vote.
-    let from = crate::plan::us(plan.scenario.warm_up_s);
-    let too_often = |(arrival, _): &(usize, Vec<Microseconds>)| {
-        class(arrival).effect != Effect::Safe && plan.arrivals[*arrival].at >= from
+    // Counts from the end of the warm-up, as all metrics do: until then no ledger node has a vote.
+    let warm_up_end = crate::plan::us(plan.scenario.warm_up_s);
+    let is_violation = |(arrival, _): &(usize, Vec<Microseconds>)| {
+        class(arrival).effect != Effect::Safe && plan.arrivals[*arrival].at >= warm_up_end
     };
-    runs.into_iter().filter(|(_, at)| at.len() > 1).filter(too_often).map(|(arrival, _)| arrival).collect()
+    runs.into_iter()
+        .filter(|(_, times)| times.len() > 1)
+        .filter(is_violation)
+        .map(|(arrival, _)| arrival)
+        .collect()
 }
--- a/lab/src/checker/accepted_writes.rs
+++ b/lab/src/checker/accepted_writes.rs
@@ -1,100 +1,108 @@
-//! Writes that a branch accepted with 202, against what its clients saw and what the backends ran.
+//! Compares the writes that a branch accepted with 202 with the status that clients read and with what backends ran.
 
 use crate::plan::{Microseconds, Plan};
 use crate::record::{End, Fate, Outcome, Record};
 use std::collections::BTreeMap;
 
-/// The figures; all zero where nothing was accepted.
+/// Metrics of accepted writes; all zero if none was accepted.
 #[derive(Debug, Default)]
-pub(super) struct Accepted {
-    /// Requests that were answered 202.
+pub(super) struct AcceptedWrites {
+    /// Number of requests that were answered 202.
     pub count: usize,
-    /// Those of them that no backend had served by the end, and of which their clients were told no other end.
+    /// Writes that no backend had served by the end of the run and whose clients read no other final status.
     pub lost: Vec<usize>,
-    /// Those that did not run, as their clients were told that another stands in their place ...
+    /// Number of writes that did not run and whose status said that another write replaced them.
     pub superseded: usize,
-    /// ... that they were given up or may have run ...
+    /// Number of writes that did not run and whose status said an error, given up, or unknown.
     pub not_done: usize,
-    /// ... or that they wait still.
+    /// Number of writes that did not run and whose status said that they are still pending.
     pub open: usize,
-    /// Those that ran and were told not to have, or were told to be done and did not run.
-    pub untrue: usize,
-    /// Pairs of one customer's, the second begun after the first was accepted, that ran the other way round.
-    pub disorder: usize,
-    /// Seconds from the end of the last fault to the last of them that ran.
+    /// Number of writes that ran though the status said that they did not, or did not run though it said done.
+    pub misreported: usize,
+    /// Pairs of writes of one customer, the second begun after the first was accepted, that ran in reverse order.
+    pub reordered_pairs: usize,
+    /// Seconds from the end of the last fault to the last accepted write that ran.
     pub drained_s: f64,
 }
 
-pub(super) fn measure(plan: &Plan, record: &Record) -> Accepted {
-    // By arrival: when its first try began and when the first 202 was there; and the branch that said so.
-    let mut taken: BTreeMap<usize, (Microseconds, Microseconds)> = BTreeMap::new();
+pub(super) fn measure(plan: &Plan, record: &Record) -> AcceptedWrites {
+    // By arrival: when its first try began and when the first 202 was received; and the branch that accepted it.
+    let mut accepted: BTreeMap<usize, (Microseconds, Microseconds)> = BTreeMap::new();
     let mut branch: BTreeMap<usize, usize> = BTreeMap::new();
-    for one in record.tries.iter().filter(|t| matches!(t.end, End::Answer { status: 202, .. })) {
-        let held = taken.entry(one.arrival).or_insert((one.began, one.ended));
-        held.1 = held.1.min(one.ended);
-        branch.insert(one.arrival, one.gateway % plan.scenario.gateways.branches);
+    for client_attempt in record.tries.iter().filter(|t| matches!(t.end, End::Answer { status: 202, .. })) {
+        let times =
+            accepted.entry(client_attempt.arrival).or_insert((client_attempt.began, client_attempt.ended));
+        times.1 = times.1.min(client_attempt.ended);
+        branch.insert(client_attempt.arrival, client_attempt.gateway % plan.scenario.gateways.branches);
     }
-    for one in &record.tries {
-        taken.get_mut(&one.arrival).into_iter().for_each(|held| held.0 = held.0.min(one.began));
+    for client_attempt in &record.tries {
+        accepted
+            .get_mut(&client_attempt.arrival)
+            .into_iter()
+            .for_each(|times| times.0 = times.0.min(client_attempt.began));
     }
-    let of: BTreeMap<u64, usize> = record.tries.iter().map(|one| (one.id, one.arrival)).collect();
-    let mut ran: BTreeMap<usize, Microseconds> = BTreeMap::new();
+    let arrival_by_id: BTreeMap<u64, usize> =
+        record.tries.iter().map(|client_attempt| (client_attempt.id, client_attempt.arrival)).collect();
+    let mut ran_at: BTreeMap<usize, Microseconds> = BTreeMap::new();
     for attempt in record.attempts.iter().filter(|a| a.outcome == Outcome::Served) {
-        if let Some(arrival) = of.get(&attempt.id).filter(|arrival| taken.contains_key(arrival)) {
-            let first = ran.entry(*arrival).or_insert(attempt.came);
+        if let Some(arrival) = arrival_by_id.get(&attempt.id).filter(|arrival| accepted.contains_key(arrival))
+        {
+            let first = ran_at.entry(*arrival).or_insert(attempt.came);
             *first = (*first).min(attempt.came);
         }
     }
-    let mut of_customer: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
-    for arrival in taken.keys() {
-        of_customer.entry(plan.arrivals[*arrival].customer).or_default().push(*arrival);
+    let mut by_customer: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
+    for arrival in accepted.keys() {
+        by_customer.entry(plan.arrivals[*arrival].customer).or_default().push(*arrival);
     }
-    let wrong = |a: &usize, b: &usize| match (ran.get(a), ran.get(b)) {
-        // No order is promised between two branches.
-        (Some(first), Some(then)) => branch[a] == branch[b] && taken[a].1 < taken[b].0 && first > then,
+    let is_reordered = |a: &usize, b: &usize| match (ran_at.get(a), ran_at.get(b)) {
+        // The order of writes is guaranteed within one branch only.
+        (Some(ran_a), Some(ran_b)) => {
+            branch[a] == branch[b] && accepted[a].1 < accepted[b].0 && ran_a > ran_b
+        }
         _ => false,
     };
-    let disorder = of_customer
+    let reordered_pairs = by_customer
         .values()
-        .map(|all| all.iter().map(|a| all.iter().filter(|b| wrong(a, b)).count()).sum::<usize>());
-    let healed = plan.bands.iter().map(|band| crate::plan::us(band.to_s)).max().unwrap_or(0);
-    let last = ran.values().copied().max().unwrap_or(0);
-    let mut figures = Accepted {
-        count: taken.len(),
-        disorder: disorder.sum(),
-        drained_s: last.saturating_sub(healed) as f64 / 1e6,
-        ..Accepted::default()
+        .map(|all| all.iter().map(|a| all.iter().filter(|b| is_reordered(a, b)).count()).sum::<usize>());
+    let faults_end = plan.bands.iter().map(|band| crate::plan::us(band.to_s)).max().unwrap_or(0);
+    let last_run = ran_at.values().copied().max().unwrap_or(0);
+    let mut figures = AcceptedWrites {
+        count: accepted.len(),
+        reordered_pairs: reordered_pairs.sum(),
+        drained_s: last_run.saturating_sub(faults_end) as f64 / 1e6,
+        ..AcceptedWrites::default()
     };
-    for arrival in taken.keys() {
-        figures.hear(*arrival, ran.contains_key(arrival), &told(record, *arrival));
+    for arrival in accepted.keys() {
+        figures.count_write(*arrival, ran_at.contains_key(arrival), &reported_status(record, *arrival));
     }
     figures
 }
 
-/// The accepted writes that are lost.
+/// Returns the accepted writes that were lost.
 pub(super) fn lost(plan: &Plan, record: &Record) -> Vec<usize> {
     measure(plan, record).lost
 }
 
-/// What the client of a write was told of it, where it holds several receipts the one that says most.
-fn told(record: &Record, arrival: usize) -> Fate {
-    let certain = |fate: &Fate| match fate {
+/// Returns the status that a client read of a write; of several receipts, the most definite status.
+fn reported_status(record: &Record, arrival: usize) -> Fate {
+    let certainty = |fate: &Fate| match fate {
         Fate::Done(_) => 3,
         Fate::Superseded | Fate::GivenUp | Fate::Unknown => 2,
         Fate::Open => 1,
         Fate::Nothing | Fate::Lost => 0,
     };
-    let all = record.receipts.iter().filter(|receipt| receipt.arrival == arrival);
-    all.map(|receipt| receipt.told.clone()).max_by_key(certain).unwrap_or(Fate::Nothing)
+    let receipts = record.receipts.iter().filter(|receipt| receipt.arrival == arrival);
+    receipts.map(|receipt| receipt.told.clone()).max_by_key(certainty).unwrap_or(Fate::Nothing)
 }
 
-impl Accepted {
-    /// Holds what a client was told against what the backends saw.
-    fn hear(&mut self, arrival: usize, ran: bool, told: &Fate) {
-        match (ran, told) {
-            (true, Fate::Superseded | Fate::GivenUp) => self.untrue += 1,
+impl AcceptedWrites {
+    /// Counts a write by whether a backend served it and by the status that its client read.
+    fn count_write(&mut self, arrival: usize, ran: bool, status: &Fate) {
+        match (ran, status) {
+            (true, Fate::Superseded | Fate::GivenUp) => self.misreported += 1,
             (true, _) => {}
-            (false, Fate::Done(status)) if *status < 400 => self.untrue += 1,
+            (false, Fate::Done(status)) if *status < 400 => self.misreported += 1,
             (false, Fate::Superseded) => self.superseded += 1,
             (false, Fate::Done(_) | Fate::GivenUp | Fate::Unknown) => self.not_done += 1,
             (false, Fate::Open) => self.open += 1,
--- a/lab/src/checker/histogram.rs
+++ b/lab/src/checker/histogram.rs
@@ -1,14 +1,14 @@
-//! Times of a run as a histogram.
+//! Histograms of request times.
 
 use hdrhistogram::Histogram;
 
-/// The longest time that a histogram tells apart: an hour.
-const LONGEST_US: u64 = 3_600_000_000;
+/// Upper bound of a histogram, one hour; longer times count as this.
+const MAX_TIME_US: u64 = 3_600_000_000;
 
 pub(super) fn histogram(values: impl Iterator<Item = u64>) -> Histogram<u64> {
-    // Bounds and digits that the library takes.
-    let mut histogram =
-        Histogram::new_with_bounds(1, LONGEST_US, 3).unwrap_or_else(|_| unreachable!("sound bounds"));
-    values.for_each(|value| histogram.saturating_record(value.min(LONGEST_US)));
+    // The library rejects only bounds and precisions outside its limits.
+    let mut histogram = Histogram::new_with_bounds(1, MAX_TIME_US, 3)
+        .unwrap_or_else(|_| unreachable!("histogram bounds are valid constants"));
+    values.for_each(|value| histogram.saturating_record(value.min(MAX_TIME_US)));
     histogram
 }
--- a/lab/src/checker/invariants.rs
+++ b/lab/src/checker/invariants.rs
@@ -1,4 +1,4 @@
-//! The rules that hold always, each from the documents' words and the record of the stand-ins.
+//! Invariants that hold in every run, checked against the record of the stand-ins.
 
 use crate::plan::{Microseconds, Plan};
 use crate::record::{Attempt, End, Life, Outcome, Record, Try};
@@ -7,201 +7,224 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// A rule.
+/// Invariant of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Exactly one final answer for each request taken, in time.
+    /// Each request that a gateway received gets exactly one final answer, in time.
     Answered,
-    /// No repeat beyond the class, and no request that no client sent.
+    /// No request is sent again beyond what its class permits, and none is sent that no client sent.
     Effect,
-    /// Nothing new to a backend 1 s after hearing that it drains or is gone.
+    /// A gateway sends a backend no new request from 1 s after the notice that it is draining or gone.
     Drain,
-    /// No cold backend pushed over.
+    /// No backend that is warming up is overloaded by gateways that knew of its start.
     Cold,
-    /// The ceiling of a plan over all gateways.
+    /// No customer exceeds its plan's ceiling over all gateways.
     Ceiling,
-    /// No process ends unasked.
+    /// No gateway process ends by itself.
     Crash,
-    /// Memory and descriptors within the limits.
+    /// Each gateway stays within its limits of memory and descriptors.
     Limits,
-    /// Nobody that can be reached goes by a rollout 3 s after its end.
+    /// No reachable gateway applies a rollout later than 3 s after its end.
     Halt,
 }
 
-/// A rule that was broken: how often, and the first cases.
+/// Rule that was broken, with the number of cases and the first of them.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Broken {
-    /// Which.
+pub struct RuleViolation {
+    /// The broken rule.
     pub rule: Rule,
-    /// How often.
+    /// Number of cases.
     pub count: usize,
-    /// Up to five cases.
+    /// Descriptions of the first five cases.
     pub cases: Vec<String>,
 }
 
-/// Time limits are so much longer on sockets.
-const SLACK: Microseconds = 50_000;
-/// Nothing new this long after word of a drain.
-const DRAIN: Microseconds = 1_000_000;
-/// The ceiling's slack holds what its rate gives in this time, in seconds.
+/// Tolerance added to time limits for delays of sockets and scheduling.
+const SLACK_US: Microseconds = 50_000;
+/// Time within which a gateway has to act on the notice that a backend is draining.
+const DRAIN_NOTICE_US: Microseconds = 1_000_000;
+/// Tolerance of a ceiling beyond its slack, as the units that its rate gives in this time, in seconds.
 const CEILING_SLACK_S: f64 = 0.15;
-/// After SIGTERM what comes later than this may be lost.
-const AFTER_TERM: Microseconds = 700_000;
-/// The part of a cold backend's load that has to come from gateways that knew of its start.
-const KNOWING: f64 = 2.0 / 3.0;
-/// Cases kept of each rule.
-const CASES: usize = 5;
+/// A request that arrives later than this after SIGTERM may be lost.
+const TERM_ACCEPT_US: Microseconds = 700_000;
+/// Overload of a backend that is warming up breaks the rule if at least this fraction of its load came from gateways
+/// that knew of its start.
+const MIN_INFORMED_FRACTION: f64 = 2.0 / 3.0;
+/// Maximum number of case descriptions for each rule.
+const MAX_CASES: usize = 5;
 
-struct Book(BTreeMap<Rule, Broken>);
+struct Violations(BTreeMap<Rule, RuleViolation>);
 
-impl Book {
-    fn note(&mut self, rule: Rule, at: Microseconds, case: String) {
-        let broken = self.0.entry(rule).or_insert(Broken { rule, count: 0, cases: Vec::new() });
-        broken.count += 1;
-        if broken.cases.len() < CASES {
-            broken.cases.push(format!("{:.3} s: {case}", at as f64 / 1e6));
+impl Violations {
+    fn add(&mut self, rule: Rule, at: Microseconds, case: String) {
+        let violation = self.0.entry(rule).or_insert(RuleViolation { rule, count: 0, cases: Vec::new() });
+        violation.count += 1;
+        if violation.cases.len() < MAX_CASES {
+            violation.cases.push(format!("{:.3} s: {case}", at as f64 / 1e6));
         }
     }
 }
 
-/// When a gateway could not act: killed, paused, cut off from the clients.
-pub(super) struct Absences {
-    /// From and to, by gateway.
-    out: HashMap<usize, Vec<(Microseconds, Microseconds)>>,
+/// Times at which gateways could not act: killed, paused, or cut off from the clients.
+pub(super) struct Outages {
+    /// Start and end of each outage by kill, SIGTERM or lost connection to clients, by gateway.
+    unreachable: HashMap<usize, Vec<(Microseconds, Microseconds)>>,
+    /// Start and end of each pause, by gateway.
     pauses: HashMap<usize, Vec<(Microseconds, Microseconds)>>,
 }
 
-impl Absences {
-    pub(super) fn of(record: &Record) -> Absences {
-        let mut out: HashMap<usize, Vec<(Microseconds, Microseconds)>> = HashMap::new();
+impl Outages {
+    pub(super) fn from_record(record: &Record) -> Outages {
+        let mut unreachable: HashMap<usize, Vec<(Microseconds, Microseconds)>> = HashMap::new();
         let mut pauses: HashMap<usize, Vec<(Microseconds, Microseconds)>> = HashMap::new();
         let mut since: HashMap<usize, Microseconds> = HashMap::new();
-        let mut paused: HashMap<usize, Microseconds> = HashMap::new();
+        let mut paused_since: HashMap<usize, Microseconds> = HashMap::new();
         for event in &record.lives {
             match event.what {
-                // The signal was sent a moment before it was noted.
-                Life::Killed => drop(since.entry(event.gateway).or_insert(event.at.saturating_sub(SLACK))),
-                Life::Terminated => drop(since.entry(event.gateway).or_insert(event.at + AFTER_TERM)),
+                // The record's time is slightly later than the signal.
+                Life::Killed => drop(since.entry(event.gateway).or_insert(event.at.saturating_sub(SLACK_US))),
+                Life::Terminated => drop(since.entry(event.gateway).or_insert(event.at + TERM_ACCEPT_US)),
                 Life::Paused => {
-                    paused.insert(event.gateway, event.at);
+                    paused_since.insert(event.gateway, event.at);
                 }
                 Life::Continued => {
-                    if let Some(from) = paused.remove(&event.gateway) {
+                    if let Some(from) = paused_since.remove(&event.gateway) {
                         pauses.entry(event.gateway).or_default().push((from, event.at));
                     }
                 }
                 Life::Ready => {
                     if let Some(from) = since.remove(&event.gateway) {
-                        out.entry(event.gateway).or_default().push((from, event.at));
+                        unreachable.entry(event.gateway).or_default().push((from, event.at));
                     }
                 }
                 Life::Started | Life::Ended { .. } => {}
             }
         }
-        since
-            .into_iter()
-            .for_each(|(gateway, from)| out.entry(gateway).or_default().push((from, Microseconds::MAX)));
-        paused
+        since.into_iter().for_each(|(gateway, from)| {
+            unreachable.entry(gateway).or_default().push((from, Microseconds::MAX))
+        });
+        paused_since
             .into_iter()
             .for_each(|(gateway, from)| pauses.entry(gateway).or_default().push((from, Microseconds::MAX)));
-        for excuse in &record.excuses {
-            out.entry(excuse.gateway).or_default().push((excuse.from, excuse.to));
+        for window in &record.excuses {
+            unreachable.entry(window.gateway).or_default().push((window.from, window.to));
         }
-        Absences { out, pauses }
+        Outages { unreachable, pauses }
     }
 
     fn overlaps(
-        spans: Option<&Vec<(Microseconds, Microseconds)>>,
+        periods: Option<&Vec<(Microseconds, Microseconds)>>,
         from: Microseconds,
         to: Microseconds,
     ) -> bool {
-        spans.is_some_and(|spans| spans.iter().any(|(a, b)| *a <= to && from <= *b))
+        periods.is_some_and(|periods| periods.iter().any(|(a, b)| *a <= to && from <= *b))
     }
 
-    /// Whether nothing is owed for a request of this time.
-    pub(super) fn excuses(&self, gateway: usize, from: Microseconds, to: Microseconds) -> bool {
-        Absences::overlaps(self.out.get(&gateway), from, to)
-            || Absences::overlaps(self.pauses.get(&gateway), from, to)
+    /// Whether an outage or pause of the gateway overlaps the times, so that a request in them may go unanswered.
+    pub(super) fn any_during(&self, gateway: usize, from: Microseconds, to: Microseconds) -> bool {
+        Outages::overlaps(self.unreachable.get(&gateway), from, to)
+            || Outages::overlaps(self.pauses.get(&gateway), from, to)
     }
 
-    /// When a gateway that was told something at a time could first act on it.
-    fn awake(&self, gateway: usize, at: Microseconds, by: Microseconds) -> Microseconds {
-        let spans = self.pauses.get(&gateway).into_iter().flatten();
-        spans.filter(|(from, to)| *from <= by && at <= *to).map(|(_, to)| *to).fold(at, Microseconds::max)
+    /// Returns when a gateway could first act on a notice of the time `at`: the end of a pause if it was paused between
+    /// `at` and `by`.
+    fn first_active(&self, gateway: usize, at: Microseconds, by: Microseconds) -> Microseconds {
+        let periods = self.pauses.get(&gateway).into_iter().flatten();
+        periods.filter(|(from, to)| *from <= by && at <= *to).map(|(_, to)| *to).fold(at, Microseconds::max)
     }
 }
 
-/// All rules that were broken.
-pub(super) fn broken(plan: &Plan, record: &Record) -> Vec<Broken> {
-    let mut book = Book(BTreeMap::new());
-    let absences = Absences::of(record);
+/// Returns all rules that were broken.
+pub(super) fn violations(plan: &Plan, record: &Record) -> Vec<RuleViolation> {
+    let mut violations = Violations(BTreeMap::new());
+    let outages = Outages::from_record(record);
     let mut by_id: HashMap<u64, Vec<&Attempt>> = HashMap::new();
     for attempt in &record.attempts {
         by_id.entry(attempt.id).or_default().push(attempt);
     }
     by_id.values_mut().for_each(|attempts| attempts.sort_by_key(|a| a.first));
-    // The marks of answers that were made for any try of a request with a key: all of them are the same request.
+    // Marks of the answers made for any client attempt of a request with an idempotency key: all are the same request.
     let mut marks: HashMap<usize, HashSet<u64>> = HashMap::new();
-    for one in record.tries.iter().filter(|one| plan.keyed(plan.arrivals[one.arrival].class)) {
-        let made = by_id.get(&one.id).into_iter().flatten().filter(|a| a.mark != 0).map(|a| a.mark);
-        marks.entry(one.arrival).or_default().extend(made);
+    for client_attempt in
+        record.tries.iter().filter(|client_attempt| plan.keyed(plan.arrivals[client_attempt.arrival].class))
+    {
+        let new_marks =
+            by_id.get(&client_attempt.id).into_iter().flatten().filter(|a| a.mark != 0).map(|a| a.mark);
+        marks.entry(client_attempt.arrival).or_default().extend(new_marks);
     }
-    for one in &record.tries {
-        let attempts = by_id.get(&one.id).map_or(&[][..], Vec::as_slice);
-        answered(one, attempts, marks.get(&one.arrival), &absences, &mut book);
-        effect(plan, one, attempts, &mut book);
+    for client_attempt in &record.tries {
+        let attempts = by_id.get(&client_attempt.id).map_or(&[][..], Vec::as_slice);
+        check_answered(
+            client_attempt,
+            attempts,
+            marks.get(&client_attempt.arrival),
+            &outages,
+            &mut violations,
+        );
+        check_effect(plan, client_attempt, attempts, &mut violations);
     }
     for made_up in by_id.get(&0).into_iter().flatten() {
         let case = format!("g{} sent b{} a request that no client sent", made_up.gateway, made_up.backend);
-        book.note(Rule::Effect, made_up.first, case);
+        violations.add(Rule::Effect, made_up.first, case);
     }
-    drained(record, &absences, &mut book);
-    for fall in record.falls.iter().filter(|fall| fall.knowing >= KNOWING) {
+    check_drained(record, &outages, &mut violations);
+    for fall in record.falls.iter().filter(|fall| fall.knowing >= MIN_INFORMED_FRACTION) {
         let case = format!(
-            "b{} was cold and fell over; {:.0}% of its load came from gateways that knew",
+            "b{} was overloaded while warming up; {:.0}% of its load came from gateways that knew of its start",
             fall.backend,
             fall.knowing * 100.0
         );
-        book.note(Rule::Cold, fall.at, case);
+        violations.add(Rule::Cold, fall.at, case);
     }
-    ceilings(plan, record, &by_id, &mut book);
-    processes(plan, record, &mut book);
-    for (at, case) in super::rollout::went_on(plan, record, &absences) {
-        book.note(Rule::Halt, at, case);
+    check_ceilings(plan, record, &by_id, &mut violations);
+    check_processes(plan, record, &mut violations);
+    for (at, case) in super::rollout::applied_after_end(plan, record, &outages) {
+        violations.add(Rule::Halt, at, case);
     }
-    book.0.into_values().collect()
+    violations.0.into_values().collect()
 }
 
-fn answered(
-    one: &Try,
+fn check_answered(
+    client_attempt: &Try,
     attempts: &[&Attempt],
     marks: Option<&HashSet<u64>>,
-    absences: &Absences,
-    book: &mut Book,
+    outages: &Outages,
+    violations: &mut Violations,
 ) {
-    let Some(written) = one.written else { return };
+    let Some(written) = client_attempt.written else { return };
     let sent = written as f64 / 1e6;
-    let who = format!("g{}, id {:016x}, try {}, written at {sent:.3} s", one.gateway, one.id, one.nth);
-    if one.twice {
-        book.note(Rule::Answered, one.ended, format!("{who}: more than one answer"));
+    let request = format!(
+        "g{}, id {:016x}, client attempt {}, written at {sent:.3} s",
+        client_attempt.gateway, client_attempt.id, client_attempt.nth
+    );
+    if client_attempt.twice {
+        violations.add(Rule::Answered, client_attempt.ended, format!("{request}: more than one answer"));
     }
-    let excused = absences.excuses(one.gateway, written, one.ended);
-    match one.end {
-        End::Broken if !excused => {
-            book.note(Rule::Answered, one.ended, format!("{who}: its connection ended with no whole answer"));
+    let is_excused = outages.any_during(client_attempt.gateway, written, client_attempt.ended);
+    match client_attempt.end {
+        End::Broken if !is_excused => {
+            violations.add(
+                Rule::Answered,
+                client_attempt.ended,
+                format!("{request}: the connection ended before a complete answer"),
+            );
         }
-        End::GaveUp if !excused => {
-            book.note(Rule::Answered, one.ended, format!("{who}: no answer half a second after its time"));
+        End::GaveUp if !is_excused => {
+            violations.add(
+                Rule::Answered,
+                client_attempt.ended,
+                format!("{request}: no answer within 0.5 s after the client's time-out"),
+            );
         }
         End::Answer { status: 200, mark } => {
-            let made = attempts.iter().any(|a| a.mark != 0 && Some(a.mark) == mark)
+            let is_genuine = attempts.iter().any(|a| a.mark != 0 && Some(a.mark) == mark)
                 || mark.is_some_and(|mark| marks.is_some_and(|marks| marks.contains(&mark)));
-            if !made {
-                book.note(
+            if !is_genuine {
+                violations.add(
                     Rule::Answered,
-                    one.ended,
-                    format!("{who}: served with what no backend made for it"),
+                    client_attempt.ended,
+                    format!("{request}: answered 200 with a body that no backend made for it"),
                 );
             }
         }
@@ -209,133 +232,160 @@
     }
 }
 
-fn effect(plan: &Plan, one: &Try, attempts: &[&Attempt], book: &mut Book) {
-    let class = &plan.scenario.classes[plan.arrivals[one.arrival].class];
-    let who = format!("g{}, id {:016x}, class {}", one.gateway, one.id, class.name);
+fn check_effect(plan: &Plan, client_attempt: &Try, attempts: &[&Attempt], violations: &mut Violations) {
+    let class = &plan.scenario.classes[plan.arrivals[client_attempt.arrival].class];
+    let request = format!("g{}, id {:016x}, class {}", client_attempt.gateway, client_attempt.id, class.name);
     if attempts.len() > MOST_ATTEMPTS {
-        book.note(Rule::Effect, attempts[MOST_ATTEMPTS].first, format!("{who}: {} attempts", attempts.len()));
+        violations.add(
+            Rule::Effect,
+            attempts[MOST_ATTEMPTS].first,
+            format!("{request}: {} attempts", attempts.len()),
+        );
     }
     let may_have_run = |a: &&&Attempt| a.outcome != Outcome::TurnedAway;
     let Some(first) = attempts.iter().find(may_have_run) else { return };
     let later = attempts.iter().filter(|a| a.first > first.first);
     let window = (class.window_ms * 1000.0) as Microseconds;
     for attempt in later {
-        let late = match class.effect {
+        let is_violation = match class.effect {
             Effect::Safe => false,
-            Effect::Keyed => attempt.first > first.first + window + SLACK,
+            Effect::Keyed => attempt.first > first.first + window + SLACK_US,
             Effect::Unsafe => true,
         };
-        if late {
-            let after = (attempt.first - first.first) / 1000;
-            let case =
-                format!("{who}: sent again to b{} after {after} ms, though it may have run", attempt.backend);
-            book.note(Rule::Effect, attempt.first, case);
+        if is_violation {
+            let after_ms = (attempt.first - first.first) / 1000;
+            let case = format!(
+                "{request}: sent again to b{} after {after_ms} ms, though it may have run",
+                attempt.backend
+            );
+            violations.add(Rule::Effect, attempt.first, case);
         }
     }
-    if class.effect == Effect::Unsafe && matches!(one.end, End::Answer { status: 429 | 503, .. }) {
-        book.note(Rule::Effect, one.ended, format!("{who}: refused, though it may have run"));
+    if class.effect == Effect::Unsafe && matches!(client_attempt.end, End::Answer { status: 429 | 503, .. }) {
+        violations.add(
+            Rule::Effect,
+            client_attempt.ended,
+            format!("{request}: rejected, though it may have run"),
+        );
     }
 }
 
-/// Word of a backend: when, whether it is ready, from which process.
-type Word = (Microseconds, bool, usize);
+/// Notice of discovery on a backend: its time, whether the backend is ready, and the gateway process that received it.
+type EndpointNotice = (Microseconds, bool, usize);
 
-fn drained(record: &Record, absences: &Absences, book: &mut Book) {
-    let mut told: HashMap<(usize, usize), Vec<Word>> = HashMap::new();
-    for word in &record.told {
-        told.entry((word.gateway, word.backend)).or_default().push((word.at, word.ready, word.life));
+fn check_drained(record: &Record, outages: &Outages, violations: &mut Violations) {
+    let mut notices: HashMap<(usize, usize), Vec<EndpointNotice>> = HashMap::new();
+    for notice in &record.told {
+        notices.entry((notice.gateway, notice.backend)).or_default().push((
+            notice.at,
+            notice.ready,
+            notice.life,
+        ));
     }
     let mut starts: HashMap<usize, Vec<(Microseconds, usize)>> = HashMap::new();
     for event in record.lives.iter().filter(|event| event.what == Life::Started) {
         starts.entry(event.gateway).or_default().push((event.at, event.life));
     }
     for attempt in &record.attempts {
-        let Some(words) = told.get(&(attempt.gateway, attempt.backend)) else { continue };
+        let Some(notices_of_backend) = notices.get(&(attempt.gateway, attempt.backend)) else { continue };
         let lives = starts.get(&attempt.gateway).into_iter().flatten();
         let life = lives.filter(|(at, _)| *at <= attempt.first).map(|(_, life)| *life).max().unwrap_or(0);
-        let last =
-            words.iter().filter(|(at, _, l)| *l == life && *at <= attempt.first).max_by_key(|(at, ..)| *at);
+        let last = notices_of_backend
+            .iter()
+            .filter(|(at, _, l)| *l == life && *at <= attempt.first)
+            .max_by_key(|(at, ..)| *at);
         let Some((at, false, _)) = last else { continue };
-        let heard = absences.awake(attempt.gateway, *at, attempt.first);
-        if attempt.first > heard + DRAIN + SLACK {
-            let after = (attempt.first - heard) / 1000;
+        let noticed_at = outages.first_active(attempt.gateway, *at, attempt.first);
+        if attempt.first > noticed_at + DRAIN_NOTICE_US + SLACK_US {
+            let after_ms = (attempt.first - noticed_at) / 1000;
             let case = format!(
-                "g{} sent to b{} {after} ms after hearing that it goes",
+                "g{} sent to b{} {after_ms} ms after the notice that it is draining or gone",
                 attempt.gateway, attempt.backend
             );
-            book.note(Rule::Drain, attempt.first, case);
+            violations.add(Rule::Drain, attempt.first, case);
         }
     }
 }
 
-fn ceilings(plan: &Plan, record: &Record, by_id: &HashMap<u64, Vec<&Attempt>>, book: &mut Book) {
+fn check_ceilings(
+    plan: &Plan,
+    record: &Record,
+    by_id: &HashMap<u64, Vec<&Attempt>>,
+    violations: &mut Violations,
+) {
     let mut spent: HashMap<usize, Vec<(Microseconds, f64)>> = HashMap::new();
-    let (mut seen, mut used) = (HashSet::new(), HashSet::new());
-    for one in record.tries.iter().filter(|one| seen.insert(one.id)) {
-        let arrival = &plan.arrivals[one.arrival];
-        let Some(first) = by_id.get(&one.id).and_then(|attempts| attempts.first()) else { continue };
-        // The repeats of a request with a key are dropped, and are no further use.
-        if plan.keyed(arrival.class) && !used.insert(one.arrival) {
+    let (mut seen_ids, mut used_arrivals) = (HashSet::new(), HashSet::new());
+    for client_attempt in record.tries.iter().filter(|client_attempt| seen_ids.insert(client_attempt.id)) {
+        let arrival = &plan.arrivals[client_attempt.arrival];
+        let Some(first) = by_id.get(&client_attempt.id).and_then(|attempts| attempts.first()) else {
+            continue;
+        };
+        // Repeats of a request with an idempotency key are dropped and use no further quota.
+        if plan.keyed(arrival.class) && !used_arrivals.insert(client_attempt.arrival) {
             continue;
         }
         spent.entry(arrival.customer).or_default().push((first.first, f64::from(arrival.units)));
     }
-    for (customer, mut taken) in spent {
+    for (customer, mut spending) in spent {
         let spec = &plan.customers[customer];
         let Some((rate, burst, slack)) = plan.ceiling(spec.plan) else { continue };
-        taken.sort_by_key(|(at, _)| *at);
-        let (mut store, mut last) = (burst, 0);
-        for (at, units) in taken {
-            store = (store + rate * (at - last) as f64 / 1e6).min(burst) - units;
+        spending.sort_by_key(|(at, _)| *at);
+        let (mut level, mut last) = (burst, 0);
+        for (at, units) in spending {
+            level = (level + rate * (at - last) as f64 / 1e6).min(burst) - units;
             last = at;
-            let least = -(slack + rate * CEILING_SLACK_S);
-            if store < least - 1e-6 {
+            let min_level = -(slack + rate * CEILING_SLACK_S);
+            if level < min_level - 1e-6 {
                 let case = format!(
-                    "customer {:016x} is {:.1} units under its ceiling's store, {:.1} at most",
-                    spec.number, -store, -least
+                    "customer {:016x} is {:.1} units over its ceiling; the tolerance is {:.1} units",
+                    spec.number, -level, -min_level
                 );
-                book.note(Rule::Ceiling, at, case);
-                // Each passing counts once.
-                store = 0.0;
+                violations.add(Rule::Ceiling, at, case);
+                // Starts again from empty, so that each excess counts once.
+                level = 0.0;
             }
         }
     }
 }
 
-fn processes(plan: &Plan, record: &Record, book: &mut Book) {
+fn check_processes(plan: &Plan, record: &Record, violations: &mut Violations) {
     let mut ready = HashSet::new();
     for event in &record.lives {
         match &event.what {
             Life::Ready => drop(ready.insert((event.gateway, event.life))),
             Life::Ended { asked: false, how } => {
-                book.note(Rule::Crash, event.at, format!("g{} ended: {how}", event.gateway));
+                violations.add(Rule::Crash, event.at, format!("g{} ended: {how}", event.gateway));
             }
             _ => {}
         }
     }
     let limits = &plan.scenario.gateways;
-    let mut worst: BTreeMap<usize, (u64, usize, Microseconds)> = BTreeMap::new();
+    let mut peaks: BTreeMap<usize, (u64, usize, Microseconds)> = BTreeMap::new();
     for usage in &record.usage {
-        let entry = worst.entry(usage.gateway).or_insert((0, 0, usage.at));
-        if usage.memory > entry.0 || usage.descriptors > entry.1 {
-            entry.2 = usage.at;
+        let peak = peaks.entry(usage.gateway).or_insert((0, 0, usage.at));
+        if usage.memory > peak.0 || usage.descriptors > peak.1 {
+            peak.2 = usage.at;
         }
-        entry.0 = entry.0.max(usage.memory);
-        entry.1 = entry.1.max(usage.descriptors);
+        peak.0 = peak.0.max(usage.memory);
+        peak.1 = peak.1.max(usage.descriptors);
     }
-    for (gateway, (memory, descriptors, at)) in worst {
+    for (gateway, (memory, descriptors, at)) in peaks {
         if memory as f64 > limits.memory_mb * 1e6 {
-            book.note(
+            violations.add(
                 Rule::Limits,
                 at,
-                format!("g{gateway} held {:.1} MB, {} at most", memory as f64 / 1e6, limits.memory_mb),
+                format!(
+                    "g{gateway} used {:.1} MB; the limit is {} MB",
+                    memory as f64 / 1e6,
+                    limits.memory_mb
+                ),
             );
         }
         if descriptors > limits.sockets {
-            book.note(
+            violations.add(
                 Rule::Limits,
                 at,
-                format!("g{gateway} held {descriptors} descriptors, {} at most", limits.sockets),
+                format!("g{gateway} used {descriptors} descriptors; the limit is {}", limits.sockets),
             );
         }
     }
--- a/lab/src/checker/metrics.rs
+++ b/lab/src/checker/metrics.rs
@@ -1,6 +1,6 @@
-//! The figures of a run: the priority weight served inside quotas, and what it cost.
+//! Metrics of a run: the priority weight served within quotas, and the cost of serving it.
 
-use super::earned_weight::{earned_weights, rows, served_fraction, EarnedWeight, Row};
+use super::earned_weight::{earned_weights, served_by_name, served_fraction, EarnedWeight, ServedByName};
 use super::histogram::histogram;
 use super::quota_replay::{quota_use, QuotaUse};
 use super::timeline::{timeline, worst, Timeline};
@@ -10,16 +10,16 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
-/// The figures of a run. Fractions are from 0 to 1. Their names are the keys of `[expect]` and of reports.
+/// Metrics of a run. Fractions are from 0 to 1. The field names are the keys of `[expect]` and of reports.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Metrics {
     /// Requests, without retries of clients.
     pub requests: usize,
     /// Attempts of clients: requests and their retries.
     pub tries: usize,
-    /// Priority weight answered in time inside quotas, over the weight asked for inside quotas.
+    /// Priority weight answered in time within quotas, over the weight offered within quotas.
     pub served: f64,
-    /// `served` over the worst 10 s.
+    /// `served` of the worst 10 s.
     pub worst_10s: f64,
     /// `served` of the worst plan.
     pub worst_plan: f64,
@@ -29,7 +29,7 @@
     pub refused_with_room: f64,
     /// Units forwarded beyond quotas, over all forwarded units.
     pub beyond: f64,
-    /// What the units beyond quotas cost by their plans' prices, over the weight asked for inside quotas.
+    /// Cost of the units forwarded beyond quotas by their plans' prices, over the weight offered within quotas.
     pub over_cost: f64,
     /// The goal of the published site: 0.55 served + 0.2 worst_10s + 0.25 worst_plan - over_cost - 0.01 counter_calls
     /// - 0.01 attempts that crossed zones a request. Prices of waste and of late failures are not in it.
@@ -48,11 +48,11 @@
     pub cpu_us: f64,
     /// Processor time of the lab itself per attempt of a client, in microseconds.
     pub lab_cpu_us: f64,
-    /// Median time to an answer 200.
+    /// Median time to an answer 200, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile of the time to an answer 200.
+    /// 99th percentile of the time to an answer 200, in milliseconds.
     pub p99_ms: f64,
-    /// 99.9th percentile of the time to an answer 200.
+    /// 99.9th percentile of the time to an answer 200, in milliseconds.
     pub p999_ms: f64,
     /// Backends that failed under load while warming up, whichever gateway sent it.
     pub cold_fallen: f64,
@@ -60,30 +60,30 @@
     pub memory_mb: f64,
     /// The highest number of open descriptors of a gateway.
     pub descriptors: usize,
-    /// Fraction of the gateways running at the end whose view held exactly each other (0: nobody gossips).
+    /// Fraction of the gateways running at the end whose view contained exactly these gateways; 0 without gossip.
     pub fleet_one: f64,
     /// Seconds from the last fault's end or process start until the last poll that saw a wrong view.
     pub fleet_wrong_s: f64,
     /// Fraction of the gateways running at the end that reported agreement of all.
     pub fleet_agreed: f64,
-    /// Polls at which a working gateway was held to be down, well after every fault.
+    /// Reports, well after every fault, that a working gateway was down.
     pub fleet_false_downs: f64,
-    /// Pairs of polls at one time that saw two different agreed views under one number.
+    /// Pairs of overlapping polls that saw two different agreed views under one number.
     pub fleet_two_views: f64,
-    /// Orphans: requests with an idempotency key, or such that must not run twice, that a gateway had received
-    /// completely when it was killed, stopped or cut off.
+    /// Abandoned requests: requests with an idempotency key, and requests that are not idempotent, that a gateway had
+    /// received completely when it was killed, stopped or cut off.
     pub orphans: f64,
-    /// Fraction of the orphans whose client got an answer 200 in time.
+    /// Fraction of the abandoned requests whose client got an answer 200 in time.
     pub orphans_served: f64,
-    /// Fraction of the orphans that a backend served, whether or not their clients retried.
+    /// Fraction of the abandoned requests that a backend served, whether or not their clients retried.
     pub orphans_ran: f64,
-    /// Median time from the loss to the answer of an orphan.
+    /// Median time from the loss of the gateway to the client's answer, in milliseconds.
     pub orphan_p50_ms: f64,
-    /// 99th percentile of that time.
+    /// 99th percentile of the time from the loss of the gateway to the client's answer, in milliseconds.
     pub orphan_p99_ms: f64,
-    /// Claims of the gateways at their ledger.
+    /// Claims of the gateways at the ledger.
     pub ledger_claims: f64,
-    /// Fraction of the claims whose request went on without a record.
+    /// Fraction of the claims whose request continued without a ledger record.
     pub ledger_alone: f64,
     /// Claims that took a request over from another gateway.
     pub ledger_taken: f64,
@@ -95,15 +95,15 @@
     pub ledger_lost: f64,
     /// Writes that a branch accepted with 202.
     pub accepted: f64,
-    /// Accepted writes that did not run and have no other end that their clients were notified of.
+    /// Accepted writes that did not run and whose clients were notified of no other outcome.
     pub accepted_lost: f64,
-    /// Accepted writes that did not run as a newer one replaced them.
+    /// Accepted writes that did not run because another write replaced them.
     pub accepted_superseded: f64,
-    /// Accepted writes that were given up or may have run.
+    /// Accepted writes that did not run and were reported as failed, given up or unknown.
     pub accepted_not_done: f64,
-    /// Accepted writes that still wait.
+    /// Accepted writes that did not run and were reported as still pending.
     pub accepted_open: f64,
-    /// Accepted writes whose reported status was not true.
+    /// Accepted writes whose reported status contradicts what the backends ran.
     pub accepted_untrue: f64,
     /// Pairs of accepted writes of one customer that ran in the reverse order.
     pub accepted_disorder: f64,
@@ -113,49 +113,49 @@
     pub rollout_stage: f64,
     /// Fraction of the gateways' last reports on the rollout that said done.
     pub rollout_done: f64,
-    /// Fraction of those reports that said halted.
+    /// Fraction of the gateways' last reports on the rollout that said halted.
     pub rollout_halted: f64,
-    /// Seconds from the rollout's first stage until the first report that it was halted.
+    /// Seconds from the rollout's first stage to the first report that it was halted.
     pub halt_after_s: f64,
-    /// Seconds from that report until the last gateway that still applied it.
+    /// Seconds from the first report of the halt to the last poll of a gateway that still applied the rollout.
     pub halt_spread_s: f64,
-    /// How many processes led the rollout.
+    /// Number of gateway processes that led the rollout.
     pub rollout_leaders: f64,
-    /// Requests with a key that ran more than once within the time in which repeats are dropped, or that must not run
-    /// twice and did.
+    /// Requests that ran more often than their class permits: more than once within the deduplication window with an
+    /// idempotency key, or more than once if not idempotent.
     pub doubled: f64,
-    /// Median delay of the load generator with first attempts.
+    /// Median delay of the load generator in starting first attempts, in milliseconds.
     pub late_p50_ms: f64,
-    /// 99th percentile of the load generator's delay.
+    /// 99th percentile of the load generator's delay in starting first attempts, in milliseconds.
     pub late_p99_ms: f64,
     /// `served` by plan.
-    pub plans: Vec<Row>,
+    pub plans: Vec<ServedByName>,
     /// `served` by class.
-    pub classes: Vec<Row>,
+    pub classes: Vec<ServedByName>,
     /// `served` by the zone of the gateway that was asked first.
-    pub zones: Vec<Row>,
+    pub zones: Vec<ServedByName>,
 }
 
 impl Metrics {
-    /// The figure of a name that `[expect]` may bound.
+    /// Returns the metric of a name; `[expect]` may bound any of them.
     pub fn get(&self, name: &str) -> Option<f64> {
-        self.named().into_iter().find(|(known, _)| *known == name).map(|(_, value)| value)
+        self.named().into_iter().find(|(metric, _)| *metric == name).map(|(_, value)| value)
     }
 
-    /// The figures that can be compared and bounded, by name.
+    /// Returns the metrics that can be compared and bounded, with their names.
     pub fn named(&self) -> Vec<(&'static str, f64)> {
         let groups = [
-            self.service_figures(),
-            self.membership_figures(),
-            self.accepted_write_figures(),
-            self.rollout_figures(),
-            self.ledger_figures(),
+            self.service_metrics(),
+            self.membership_metrics(),
+            self.accepted_write_metrics(),
+            self.rollout_metrics(),
+            self.ledger_metrics(),
         ];
         groups.concat()
     }
 
-    /// Figures of requests, quotas and cost.
-    fn service_figures(&self) -> Vec<(&'static str, f64)> {
+    /// Metrics of requests, quotas and cost.
+    fn service_metrics(&self) -> Vec<(&'static str, f64)> {
         vec![
             ("served", self.served),
             ("worst_10s", self.worst_10s),
@@ -179,8 +179,8 @@
         ]
     }
 
-    /// Figures of the gateways' membership views and of requests that a gateway lost.
-    fn membership_figures(&self) -> Vec<(&'static str, f64)> {
+    /// Metrics of the gateways' membership views and of abandoned requests.
+    fn membership_metrics(&self) -> Vec<(&'static str, f64)> {
         vec![
             ("fleet_one", self.fleet_one),
             ("fleet_wrong_s", self.fleet_wrong_s),
@@ -196,8 +196,8 @@
         ]
     }
 
-    /// Figures of writes that a branch accepted with 202.
-    fn accepted_write_figures(&self) -> Vec<(&'static str, f64)> {
+    /// Metrics of the writes that a branch accepted with 202.
+    fn accepted_write_metrics(&self) -> Vec<(&'static str, f64)> {
         vec![
             ("accepted", self.accepted),
             ("accepted_lost", self.accepted_lost),
@@ -210,8 +210,8 @@
         ]
     }
 
-    /// Figures of the last rollout.
-    fn rollout_figures(&self) -> Vec<(&'static str, f64)> {
+    /// Metrics of the last rollout.
+    fn rollout_metrics(&self) -> Vec<(&'static str, f64)> {
         vec![
             ("rollout_stage", self.rollout_stage),
             ("rollout_done", self.rollout_done),
@@ -222,8 +222,8 @@
         ]
     }
 
-    /// Figures of the ledger's claims.
-    fn ledger_figures(&self) -> Vec<(&'static str, f64)> {
+    /// Metrics of the claims at the ledger.
+    fn ledger_metrics(&self) -> Vec<(&'static str, f64)> {
         vec![
             ("ledger_claims", self.ledger_claims),
             ("ledger_alone", self.ledger_alone),
@@ -235,7 +235,7 @@
     }
 }
 
-/// Measures a run. Figures count from the end of the warm-up, but for those of whole processes.
+/// Measures a run. Metrics count from the end of the warm-up, except those of whole processes.
 pub(super) fn measure(plan: &Plan, record: &Record) -> (Metrics, Timeline) {
     let from = us(plan.scenario.warm_up_s);
     let quotas = quota_use(plan, record, &first_attempts(record), from);
@@ -261,7 +261,7 @@
 impl Metrics {
     fn set_counts(&mut self, plan: &Plan, record: &Record, from: Microseconds) {
         self.requests = plan.arrivals.iter().filter(|arrival| arrival.at >= from).count();
-        self.tries = record.tries.iter().filter(|one| one.due >= from).count();
+        self.tries = record.tries.iter().filter(|client_attempt| client_attempt.due >= from).count();
     }
 
     fn set_served(&mut self, plan: &Plan, weights: &[EarnedWeight], from: Microseconds) {
@@ -272,29 +272,30 @@
         let offered = counted_sum(plan, weights, from, |weight| weight.offered);
         self.served = served_fraction(earned, offered);
         let plan_names: Vec<String> = scenario.plans.iter().map(|plan| plan.name.clone()).collect();
-        self.plans = rows(weights, &plan_names, |number| {
+        self.plans = served_by_name(weights, &plan_names, |number| {
             counted(number).then(|| plan.customers[plan.arrivals[number].customer].plan)
         });
         self.worst_plan = self.plans.iter().map(|row| row.served).fold(1.0, f64::min);
         let class_names: Vec<String> = scenario.classes.iter().map(|class| class.name.clone()).collect();
-        self.classes =
-            rows(weights, &class_names, |number| counted(number).then(|| plan.arrivals[number].class));
-        self.zones = rows(weights, &scenario.net.zones, |number| {
+        self.classes = served_by_name(weights, &class_names, |number| {
+            counted(number).then(|| plan.arrivals[number].class)
+        });
+        self.zones = served_by_name(weights, &scenario.net.zones, |number| {
             counted(number).then(|| plan.arrivals[number].gateways[0] % zone_count)
         });
     }
 
-    /// Needs `tries`.
+    /// Requires that `tries` is set.
     fn set_quotas(&mut self, plan: &Plan, quotas: &QuotaUse, weights: &[EarnedWeight], from: Microseconds) {
         let tries = self.tries.max(1) as f64;
         let offered = counted_sum(plan, weights, from, |weight| weight.offered);
-        self.refused = quotas.refused as f64 / tries;
-        self.refused_with_room = quotas.refused_with_room as f64 / tries;
-        self.beyond = quotas.beyond_units / quotas.sent_units.max(1.0);
-        self.over_cost = quotas.beyond_cost / offered.max(1e-9);
+        self.refused = quotas.rejected as f64 / tries;
+        self.refused_with_room = quotas.rejected_with_quota_left as f64 / tries;
+        self.beyond = quotas.over_quota_units / quotas.forwarded_units.max(1.0);
+        self.over_cost = quotas.over_quota_cost / offered.max(1e-9);
     }
 
-    /// Needs `requests`.
+    /// Requires that `requests` is set.
     fn set_backend_and_counter_use(&mut self, plan: &Plan, record: &Record, from: Microseconds) {
         let zone_count = plan.scenario.zones();
         let requests = self.requests.max(1) as f64;
@@ -325,11 +326,16 @@
     }
 
     fn set_latencies(&mut self, record: &Record, from: Microseconds) {
-        let counted = || record.tries.iter().filter(|one| one.due >= from);
-        let is_success = |one: &&Try| matches!(one.end, End::Answer { status: 200, .. });
-        let answers = histogram(counted().filter(is_success).map(|one| one.ended - one.due));
-        let first_tries = counted().filter(|one| one.nth == 0);
-        let lateness = histogram(first_tries.map(|one| one.began.saturating_sub(one.due)));
+        let counted = || record.tries.iter().filter(|client_attempt| client_attempt.due >= from);
+        let is_success =
+            |client_attempt: &&Try| matches!(client_attempt.end, End::Answer { status: 200, .. });
+        let answers = histogram(
+            counted().filter(is_success).map(|client_attempt| client_attempt.ended - client_attempt.due),
+        );
+        let first_tries = counted().filter(|client_attempt| client_attempt.nth == 0);
+        let lateness = histogram(
+            first_tries.map(|client_attempt| client_attempt.began.saturating_sub(client_attempt.due)),
+        );
         self.p50_ms = quantile_ms(&answers, 0.5);
         self.p99_ms = quantile_ms(&answers, 0.99);
         self.p999_ms = quantile_ms(&answers, 0.999);
@@ -338,22 +344,22 @@
     }
 
     fn set_membership(&mut self, plan: &Plan, record: &Record) {
-        let views = super::cluster::words(plan, record);
-        self.fleet_one = views.one;
-        self.fleet_wrong_s = views.wrong_for_s;
+        let views = super::cluster::measure(plan, record);
+        self.fleet_one = views.exact_views;
+        self.fleet_wrong_s = views.wrong_view_s;
         self.fleet_agreed = views.agreed;
         self.fleet_false_downs = views.false_downs as f64;
-        self.fleet_two_views = views.two_views as f64;
+        self.fleet_two_views = views.conflicting_views as f64;
     }
 
     fn set_lost_requests(&mut self, plan: &Plan, record: &Record) {
-        let orphans = super::abandoned_requests::measure(plan, record);
-        self.orphans = orphans.count as f64;
-        self.orphans_served = orphans.served;
-        self.orphans_ran = orphans.ran;
-        self.orphan_p50_ms = orphans.p50_ms;
-        self.orphan_p99_ms = orphans.p99_ms;
-        self.doubled = orphans.doubled as f64;
+        let abandoned = super::abandoned_requests::measure(plan, record);
+        self.orphans = abandoned.count as f64;
+        self.orphans_served = abandoned.served;
+        self.orphans_ran = abandoned.ran;
+        self.orphan_p50_ms = abandoned.p50_ms;
+        self.orphan_p99_ms = abandoned.p99_ms;
+        self.doubled = abandoned.ran_too_often as f64;
     }
 
     fn set_ledger(&mut self, record: &Record) {
@@ -374,13 +380,13 @@
         self.accepted_superseded = accepted.superseded as f64;
         self.accepted_not_done = accepted.not_done as f64;
         self.accepted_open = accepted.open as f64;
-        self.accepted_untrue = accepted.untrue as f64;
-        self.accepted_disorder = accepted.disorder as f64;
+        self.accepted_untrue = accepted.misreported as f64;
+        self.accepted_disorder = accepted.reordered_pairs as f64;
         self.drained_s = accepted.drained_s;
     }
 
     fn set_rollout(&mut self, record: &Record) {
-        let rollout = super::rollout::staged(record);
+        let rollout = super::rollout::measure(record);
         self.rollout_stage = rollout.stage;
         self.rollout_done = rollout.done;
         self.rollout_halted = rollout.halted;
@@ -389,7 +395,7 @@
         self.rollout_leaders = rollout.leaders;
     }
 
-    /// Needs all other figures of `goal`'s sum.
+    /// Requires that all other metrics in the sum of `goal` are set.
     fn set_goal(&mut self) {
         let crossings = self.cross_zone * self.attempts;
         let prices = self.over_cost + 0.01 * self.counter_calls + 0.01 * crossings;
@@ -397,7 +403,7 @@
     }
 }
 
-/// When the first attempt of each request id reached a backend.
+/// Returns when the first attempt of each request id reached a backend.
 fn first_attempts(record: &Record) -> HashMap<u64, Microseconds> {
     let mut first: HashMap<u64, Microseconds> = HashMap::new();
     for attempt in &record.attempts {
@@ -407,7 +413,7 @@
     first
 }
 
-/// The sum of a part of the weights over the arrivals after the warm-up.
+/// Sums one part of the weights over the arrivals from the time `from` on.
 fn counted_sum(
     plan: &Plan,
     weights: &[EarnedWeight],
@@ -418,12 +424,12 @@
     arrivals.filter(|(arrival, _)| arrival.at >= from).map(|(_, weight)| part(weight)).sum()
 }
 
-/// A quantile of times in microseconds, in milliseconds.
+/// Returns a quantile in milliseconds of times in microseconds.
 fn quantile_ms(times: &Histogram<u64>, quantile: f64) -> f64 {
     times.value_at_quantile(quantile) as f64 / 1000.0
 }
 
-/// Processor time of all gateway processes in microseconds, each by its last sample.
+/// Returns the processor time of all gateway processes in microseconds, each by its last sample.
 fn cpu_us(record: &Record) -> u64 {
     let mut last: BTreeMap<(usize, usize), u64> = BTreeMap::new();
     for usage in &record.usage {
--- a/lab/src/checker/mod.rs
+++ b/lab/src/checker/mod.rs
@@ -1,5 +1,5 @@
-//! Checks a run: invariants and metrics, from what the stand-ins saw and nothing else. It shares no code with the
-//! program's own decisions.
+//! Checks a finished run: invariants and metrics, computed from the record of the stand-ins alone. Shares no code with
+//! the gateway's own decisions, so that an error there can't hide itself here.
 
 mod abandoned_requests;
 mod accepted_writes;
@@ -15,8 +15,8 @@
 mod tests;
 mod timeline;
 
-pub use earned_weight::Row;
-pub use invariants::{Broken, Rule};
+pub use earned_weight::ServedByName;
+pub use invariants::{Rule, RuleViolation};
 pub use metrics::Metrics;
 pub use timeline::Timeline;
 
@@ -24,64 +24,64 @@
 use crate::record::Record;
 use serde::Serialize;
 
-/// What a run came to.
+/// Overall result of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Word {
-    /// Every rule held, and every expectation.
+    /// No rule was broken and every expectation was met.
     Held,
     /// A rule was broken or an expectation missed.
     Failed,
-    /// The lab itself ran late or short, so that the run says nothing.
+    /// The lab itself was late or short of resources, so the run proves nothing.
     NotValid,
 }
 
-/// Above this 99th percentile the generator was too late for a run to be valid, in milliseconds.
-pub const LATENESS_BOUND_MS: f64 = 20.0;
+/// Highest 99th percentile of the load generator's delay in a valid run, in milliseconds.
+pub const MAX_LATENESS_P99_MS: f64 = 20.0;
 
-/// The result of checking a run.
+/// Result of checking a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Verdict {
-    /// The word on it.
+    /// Overall result.
     pub word: Word,
-    /// Rules broken.
-    pub broken: Vec<Broken>,
-    /// Expectations missed, each as a sentence.
+    /// Rules that were broken.
+    pub broken: Vec<RuleViolation>,
+    /// Missed expectations, each as a sentence.
     pub missed: Vec<String>,
-    /// What became of single requests that ran too often or are lost.
+    /// Event histories of requests that ran too often or were lost.
     pub stories: Vec<String>,
-    /// Why it is not valid, where it is not.
+    /// Reasons why the run is not valid; empty if it is.
     pub doubts: Vec<String>,
-    /// The figures.
+    /// Metrics of the whole run.
     pub figures: Metrics,
-    /// How it went, second by second.
+    /// Metrics for each second of the run.
     pub timeline: Timeline,
 }
 
-/// Checks a run.
+/// Checks a run against the rules and the scenario's expectations.
 pub fn check(plan: &Plan, record: &Record) -> Verdict {
-    let broken = invariants::broken(plan, record);
+    let broken = invariants::violations(plan, record);
     let (figures, timeline) = metrics::measure(plan, record);
     let mut doubts = Vec::new();
-    if figures.late_p99_ms > LATENESS_BOUND_MS {
+    if figures.late_p99_ms > MAX_LATENESS_P99_MS {
         let late = figures.late_p99_ms;
         doubts.push(format!(
-            "the generator was {late:.1} ms late at the 99th percentile, {LATENESS_BOUND_MS} at most"
+            "the load generator was {late:.1} ms late at the 99th percentile; the limit is {MAX_LATENESS_P99_MS} ms"
         ));
     }
     if record.starved > 0 {
-        doubts.push(format!("the lab lacked ports, descriptors or memory {} times", record.starved));
+        doubts.push(format!("the lab ran out of ports, descriptors or memory {} times", record.starved));
     }
     let mut missed = Vec::new();
     for (key, bound) in &plan.scenario.expect.0 {
-        let (figure, least) = match key.strip_suffix("_min") {
-            Some(figure) => (figure, true),
+        let (metric, is_minimum) = match key.strip_suffix("_min") {
+            Some(metric) => (metric, true),
             None => (key.strip_suffix("_max").unwrap_or(key), false),
         };
-        let Some(value) = figures.get(figure) else { continue };
-        if least && value < *bound || !least && value > *bound {
-            let wanted = if least { "at least" } else { "at most" };
-            missed.push(format!("{figure} is {value:.4}, expected {wanted} {bound}"));
+        let Some(value) = figures.get(metric) else { continue };
+        if is_minimum && value < *bound || !is_minimum && value > *bound {
+            let relation = if is_minimum { "at least" } else { "at most" };
+            missed.push(format!("{metric} is {value:.4}, expected {relation} {bound}"));
         }
     }
     let word = match () {
@@ -93,7 +93,7 @@
         word,
         broken,
         missed,
-        stories: request_history::stories(plan, record),
+        stories: request_history::histories(plan, record),
         doubts,
         figures,
         timeline,
--- a/lab/src/checker/rollout.rs
+++ b/lab/src/checker/rollout.rs
@@ -1,89 +1,108 @@
-//! What gateways said of a rollout of rules, against each other and against the faults of the run.
+//! Compares the gateways' reports on a rollout of rules with each other and with the faults of the run.
 
-use super::invariants::Absences;
+use super::invariants::Outages;
 use crate::plan::{Action, Microseconds, Plan};
 use crate::record::{Record, RolloutObservation};
 use std::collections::BTreeMap;
 
-/// An end reaches every gateway that can be reached within this.
-const REACHED: Microseconds = 3_000_000;
-/// Looks are so far apart, and a gateway that has just come back may not have been told.
-const LOOK: Microseconds = 500_000;
+/// Time within which the end of a rollout has to arrive at every reachable gateway.
+const END_PROPAGATION_US: Microseconds = 3_000_000;
+/// Interval between two polls; a gateway that has just returned from an outage may not have received the end yet.
+const POLL_INTERVAL_US: Microseconds = 500_000;
 
-/// The figures; all zero where there was no rollout.
+/// Metrics of the last rollout; all zero if there was none.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Staged {
-    /// The highest stage that a gateway went by.
+pub(super) struct RolloutMetrics {
+    /// Highest stage that a gateway applied.
     pub stage: f64,
-    /// Of the gateways' last words, the part that said `done`.
+    /// Fraction of the gateways' last reports that said `done`.
     pub done: f64,
-    /// The same of `halted`.
+    /// Fraction of the gateways' last reports that said `halted`.
     pub halted: f64,
-    /// Seconds from the first stage in force until somebody said that it was halted.
+    /// Seconds from the first report of a stage in force to the first report of a halt.
     pub after_s: f64,
-    /// Seconds from then until the last gateway that went by it still.
+    /// Seconds from the first report of a halt to the last poll of a gateway that still applied the rollout.
     pub spread_s: f64,
-    /// How many gateways led it, one after another.
+    /// Number of gateway processes that led the rollout.
     pub leaders: f64,
 }
 
-fn by_number(record: &Record) -> BTreeMap<u64, Vec<&RolloutObservation>> {
+fn observations_by_number(record: &Record) -> BTreeMap<u64, Vec<&RolloutObservation>> {
     let mut all: BTreeMap<u64, Vec<&RolloutObservation>> = BTreeMap::new();
-    record.rollouts.iter().for_each(|seen| all.entry(seen.number).or_default().push(seen));
+    record
+        .rollouts
+        .iter()
+        .for_each(|observation| all.entry(observation.number).or_default().push(observation));
     all
 }
 
-/// The figures of the last rollout.
-pub(super) fn staged(record: &Record) -> Staged {
-    let all = by_number(record);
-    let Some(looks) = all.values().next_back() else { return Staged::default() };
+/// Measures the last rollout.
+pub(super) fn measure(record: &Record) -> RolloutMetrics {
+    let all = observations_by_number(record);
+    let Some(observations) = all.values().next_back() else { return RolloutMetrics::default() };
     let mut last: BTreeMap<usize, &RolloutObservation> = BTreeMap::new();
-    last.extend(looks.iter().map(|seen| (seen.gateway, *seen)));
-    let part = |state: &str| {
-        last.values().filter(|seen| seen.state == state).count() as f64 / last.len().max(1) as f64
+    last.extend(observations.iter().map(|observation| (observation.gateway, *observation)));
+    let fraction_in_state = |state: &str| {
+        last.values().filter(|observation| observation.state == state).count() as f64
+            / last.len().max(1) as f64
     };
-    let begun = looks.iter().filter(|s| s.stage > 0).map(|s| s.at).min();
-    let halted = looks.iter().filter(|s| s.state == "halted").map(|s| s.at).min();
-    let (after, spread) = match (begun, halted) {
-        (Some(begun), Some(halted)) => {
-            let still =
-                looks.iter().filter(|s| s.state == "running" && s.asked > halted).map(|s| s.asked).max();
-            (halted.saturating_sub(begun), still.map_or(0, |at| at - halted))
+    let started_at = observations.iter().filter(|s| s.stage > 0).map(|s| s.at).min();
+    let halted_at = observations.iter().filter(|s| s.state == "halted").map(|s| s.at).min();
+    let (after_us, spread_us) = match (started_at, halted_at) {
+        (Some(started_at), Some(halted_at)) => {
+            let last_running = observations
+                .iter()
+                .filter(|s| s.state == "running" && s.asked > halted_at)
+                .map(|s| s.asked)
+                .max();
+            (halted_at.saturating_sub(started_at), last_running.map_or(0, |asked| asked - halted_at))
         }
         _ => (0, 0),
     };
     let leaders: std::collections::BTreeSet<(usize, usize)> =
-        looks.iter().filter(|s| s.leads).map(|s| (s.gateway, s.life)).collect();
-    Staged {
-        stage: looks.iter().map(|s| f64::from(s.stage)).fold(0.0, f64::max),
-        done: part("done"),
-        halted: part("halted"),
-        after_s: after as f64 / 1e6,
-        spread_s: spread as f64 / 1e6,
+        observations.iter().filter(|s| s.leads).map(|s| (s.gateway, s.life)).collect();
+    RolloutMetrics {
+        stage: observations.iter().map(|s| f64::from(s.stage)).fold(0.0, f64::max),
+        done: fraction_in_state("done"),
+        halted: fraction_in_state("halted"),
+        after_s: after_us as f64 / 1e6,
+        spread_s: spread_us as f64 / 1e6,
         leaders: leaders.len() as f64,
     }
 }
 
-/// Gateways that went by a rollout for longer than they may after its end, each with when and what.
-pub(super) fn went_on(plan: &Plan, record: &Record, absences: &Absences) -> Vec<(Microseconds, String)> {
-    let mut found = Vec::new();
-    let cut = |from: Microseconds, to: Microseconds| {
+/// Returns the time and description of each report in which a reachable gateway still applied a rollout more than 3 s
+/// after its end.
+pub(super) fn applied_after_end(
+    plan: &Plan,
+    record: &Record,
+    outages: &Outages,
+) -> Vec<(Microseconds, String)> {
+    let mut violations = Vec::new();
+    let is_link_fault = |from: Microseconds, to: Microseconds| {
         let on = plan.steps.iter().filter(|s| matches!(s.action, Action::Link { on: true, .. }));
         let bands = plan.bands.iter().filter(|b| b.name.starts_with("cut") || b.name.starts_with("impair"));
         on.count() > 0
             && bands.clone().any(|b| crate::plan::us(b.from_s) <= to && from <= crate::plan::us(b.to_s))
     };
-    for (number, looks) in by_number(record) {
-        let ends = looks.iter().filter(|s| s.state != "running");
-        let Some(end) = ends.map(|s| s.at).min() else { continue };
-        for seen in looks.iter().filter(|s| s.state == "running" && s.asked > end + REACHED) {
-            let from = seen.asked - REACHED - LOOK;
-            if !absences.excuses(seen.gateway, from, seen.asked) && !cut(from, seen.asked) {
-                let after = (seen.asked - end) as f64 / 1e6;
-                let case = format!("g{} went by rollout {number} {after:.1} s after its end", seen.gateway);
-                found.push((seen.asked, case));
+    for (number, observations) in observations_by_number(record) {
+        let ended = observations.iter().filter(|s| s.state != "running");
+        let Some(ended_at) = ended.map(|s| s.at).min() else { continue };
+        for observation in
+            observations.iter().filter(|s| s.state == "running" && s.asked > ended_at + END_PROPAGATION_US)
+        {
+            let from = observation.asked - END_PROPAGATION_US - POLL_INTERVAL_US;
+            if !outages.any_during(observation.gateway, from, observation.asked)
+                && !is_link_fault(from, observation.asked)
+            {
+                let after_s = (observation.asked - ended_at) as f64 / 1e6;
+                let case = format!(
+                    "g{} still applied rollout {number} {after_s:.1} s after its end",
+                    observation.gateway
+                );
+                violations.push((observation.asked, case));
             }
         }
     }
-    found
+    violations
 }
--- a/lab/src/checker/timeline.rs
+++ b/lab/src/checker/timeline.rs
@@ -1,4 +1,4 @@
-//! A run second by second.
+//! Metrics of a run for each second.
 
 use super::earned_weight::{served_fraction, EarnedWeight};
 use super::histogram::histogram;
@@ -6,17 +6,17 @@
 use crate::record::{End, Outcome, Record};
 use serde::Serialize;
 
-/// The length of the span that `worst` looks for, in seconds.
+/// Length of the span that `worst` looks for, in seconds.
 const WORST_SPAN_S: usize = 10;
-/// The served fraction of a second in which a gateway was asked for nothing.
+/// Stands for the served fraction of a second in which nothing was offered to a gateway.
 const NOTHING_OFFERED: f64 = -1.0;
 
-/// The figures of a run, one value for each second.
+/// Metrics of a run, one value for each second.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Timeline {
-    /// Priority weight asked for inside quotas.
+    /// Priority weight offered within quotas.
     pub offered: Vec<f64>,
-    /// Priority weight answered in time, of that.
+    /// Part of the offered weight that was answered in time.
     pub served: Vec<f64>,
     /// Attempts of clients that were rejected.
     pub refused: Vec<f64>,
@@ -28,23 +28,23 @@
     pub p99_ms: Vec<f64>,
     /// Served fraction by the zone of the gateway asked first.
     pub zones: Vec<(String, Vec<f64>)>,
-    /// Served fraction by the gateway asked first; below 0 where nothing was asked.
+    /// Served fraction by the gateway asked first; below 0 where nothing was offered.
     pub gateways: Vec<Vec<f64>>,
 }
 
-/// The least served fraction over 10 s, or over the whole of a shorter run.
+/// Returns the lowest served fraction of any 10 s from the time `from` on, or of the whole of a shorter run.
 pub(super) fn worst(timeline: &Timeline, from: Microseconds) -> f64 {
     let from = (from / 1_000_000) as usize;
     let seconds = timeline.offered.len();
     let width = WORST_SPAN_S.min(seconds.saturating_sub(from)).max(1);
-    let over = |at: usize| {
-        let sum = |values: &[f64]| values.iter().skip(at).take(width).sum::<f64>();
+    let served_in_span = |first_second: usize| {
+        let sum = |values: &[f64]| values.iter().skip(first_second).take(width).sum::<f64>();
         served_fraction(sum(&timeline.served), sum(&timeline.offered))
     };
-    (from..=seconds.saturating_sub(width).max(from)).map(over).fold(1.0, f64::min)
+    (from..=seconds.saturating_sub(width).max(from)).map(served_in_span).fold(1.0, f64::min)
 }
 
-/// The timeline of a run; `weights` are those of the plan's arrivals.
+/// Returns the timeline of a run; `weights` has one entry for each arrival of the plan, in order.
 pub(super) fn timeline(plan: &Plan, record: &Record, weights: &[EarnedWeight]) -> Timeline {
     let seconds = (plan.scenario.length_s.ceil() as usize).max(1);
     let mut timeline = Timeline {
@@ -63,10 +63,10 @@
     timeline
 }
 
-/// The weight offered and earned in each second.
+/// Weight offered and earned in each second.
 type WeightBySecond = Vec<WeightSum>;
 
-/// The weight offered and earned in a second.
+/// Weight offered and earned in one second.
 #[derive(Debug, Clone, Copy, Default)]
 struct WeightSum {
     offered: f64,
@@ -83,7 +83,7 @@
         served_fraction(self.earned, self.offered)
     }
 
-    /// The served fraction, or `NOTHING_OFFERED`.
+    /// Returns the served fraction, or `NOTHING_OFFERED` if nothing was offered.
     fn served_fraction_if_offered(&self) -> f64 {
         if self.offered > 0.0 {
             self.served_fraction()
@@ -94,7 +94,7 @@
 }
 
 impl Timeline {
-    /// The second of a time; times after the end count in the last one.
+    /// Returns the second of a time; times after the end count in the last second.
     fn second(&self, at: Microseconds) -> usize {
         ((at / 1_000_000) as usize).min(self.offered.len() - 1)
     }
@@ -125,10 +125,12 @@
 
     fn add_tries(&mut self, record: &Record) {
         let mut times_us: Vec<Vec<u64>> = vec![Vec::new(); self.offered.len()];
-        for one in &record.tries {
-            let second = self.second(one.due);
-            match one.end {
-                End::Answer { status: 200, .. } => times_us[second].push(one.ended - one.due),
+        for client_attempt in &record.tries {
+            let second = self.second(client_attempt.due);
+            match client_attempt.end {
+                End::Answer { status: 200, .. } => {
+                    times_us[second].push(client_attempt.ended - client_attempt.due)
+                }
                 End::Answer { status: 429 | 503, .. } => self.refused[second] += 1.0,
                 _ => self.failed[second] += 1.0,
             }
--- a/lab/src/report/mod.rs
+++ b/lab/src/report/mod.rs
@@ -68,8 +68,9 @@
         let items: Vec<String> = items.iter().map(|item| format!("<li>{}</li>", escaped(item))).collect();
         writeln!(page, "<p class=\"{class}\"><b>{title}</b></p><ul>{}</ul>", items.concat())
     };
-    let broken =
-        |b: &crate::checker::Broken| format!("{:?}, {} times: {}", b.rule, b.count, b.cases.join("; "));
+    let broken = |b: &crate::checker::RuleViolation| {
+        format!("{:?}, {} times: {}", b.rule, b.count, b.cases.join("; "))
+    };
     list(page, "Rules broken", verdict.broken.iter().map(broken).collect())?;
     list(page, "Expected otherwise", verdict.missed.clone())?;
     list(page, "Not valid", verdict.doubts.clone())
--- a/lab/tests/checker.rs
+++ b/lab/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The judge on real processes: a sound gateway passes, and for each rule one that breaks it is caught.
+//! Tests of the checker on real processes: a correct gateway passes, and for each rule a faulty gateway is detected.
 
 use quota_gateway_lab::checker::{Rule, Word};
 use quota_gateway_lab::plan::Plan;
@@ -10,10 +10,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Two gateways and four backends, two of which are replaced: little load, so that a busy machine bears it.
+/// Two gateways and four backends, two of which are replaced, under a load low enough for a busy machine.
 const SCENARIO: &str = r#"
 name = "small"
-about = "A small fleet for the tests of the judge."
+about = "A small cluster for the tests of the checker."
 length_s = 7
 warm_up_s = 0
 load.per_s = 30
@@ -44,15 +44,15 @@
 drain_s = 4
 "#;
 
-fn rules(fault: &str, change: &[(&str, &str)]) -> (Vec<Rule>, RunResult) {
+fn run_with_fault(fault: &str, replacements: &[(&str, &str)]) -> (Vec<Rule>, RunResult) {
     let mut text = SCENARIO
         .replace("gateways.count = 2", &format!("gateways.count = 2\ngateways.env.FAULT = \"{fault}\""));
-    for (from, to) in change {
+    for (from, to) in replacements {
         assert!(text.contains(from), "{from}");
         text = text.replace(from, to);
     }
-    let scenario = Scenario::parse(PathBuf::from("small.toml"), &text, &[]).expect("a good scenario");
-    // Two tests may play the same fault at once: each run has a folder of its own.
+    let scenario = Scenario::parse(PathBuf::from("small.toml"), &text, &[]).expect("a valid scenario");
+    // Tests may run the same fault concurrently, so each run gets its own folder.
     static RUNS: AtomicUsize = AtomicUsize::new(0);
     let run = RUNS.fetch_add(1, Ordering::Relaxed);
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
@@ -64,13 +64,13 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    let result = runtime.block_on(play(&scenario, 1, &resources)).expect("it runs");
+    let result = runtime.block_on(play(&scenario, 1, &resources)).expect("the run completes");
     (result.verdict.broken.iter().map(|b| b.rule).collect(), result)
 }
 
 #[test]
-fn a_sound_gateway_breaks_no_rule_and_its_figures_stand() {
-    let (broken, result) = rules("none", &[]);
+fn correct_gateway_breaks_no_rule_and_has_plausible_metrics() {
+    let (broken, result) = run_with_fault("none", &[]);
     assert_eq!(broken, [], "{:?}", result.verdict.broken);
     let figures = &result.verdict.figures;
     assert!(figures.requests > 50 && figures.served > 0.5, "{figures:?}");
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn a_run_that_breaks_off_leaves_no_process_behind() {
-    let scenario = Scenario::parse(PathBuf::from("small.toml"), SCENARIO, &[]).expect("a good scenario");
+fn aborted_run_leaves_no_process_behind() {
+    let scenario = Scenario::parse(PathBuf::from("small.toml"), SCENARIO, &[]).expect("a valid scenario");
     let folder =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("breaks-off-{}", std::process::id()));
     let resources =
@@ -89,27 +89,27 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    let world = runtime.block_on(World::start(Plan::draw(&scenario, 1), &resources)).expect("it starts");
-    let listens = |world: &World| -> Vec<SocketAddr> {
-        world.gateways.iter().map(|g| g.place.lock().expect("whole").listen).collect()
+    let world = runtime.block_on(World::start(Plan::draw(&scenario, 1), &resources)).expect("the run starts");
+    let listen_addresses = |world: &World| -> Vec<SocketAddr> {
+        world.gateways.iter().map(|g| g.place.lock().expect("mutex is not poisoned").listen).collect()
     };
-    let listens = listens(&world);
-    assert!(listens.iter().all(|address| TcpStream::connect(address).is_ok()));
-    // As a panic would: everything is dropped where it stands.
+    let addresses = listen_addresses(&world);
+    assert!(addresses.iter().all(|address| TcpStream::connect(address).is_ok()));
+    // Drops all tasks at once, as a panic would.
     drop(runtime);
-    let until = Instant::now() + Duration::from_secs(10);
-    while listens.iter().any(|address| TcpStream::connect(address).is_ok()) {
-        assert!(Instant::now() < until, "a gateway lives on");
+    let deadline = Instant::now() + Duration::from_secs(10);
+    while addresses.iter().any(|address| TcpStream::connect(address).is_ok()) {
+        assert!(Instant::now() < deadline, "a gateway process still listens 10 s after the run was dropped");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
 #[test]
-fn requests_lost_late_answered_twice_or_with_made_up_bodies_are_caught() {
+fn lost_late_duplicate_and_forged_answers_are_detected() {
     std::thread::scope(|scope| {
         for fault in ["lose", "late", "twice", "made-up"] {
             scope.spawn(move || {
-                let (broken, result) = rules(fault, &[]);
+                let (broken, result) = run_with_fault(fault, &[]);
                 assert_eq!(broken, [Rule::Answered], "{fault}: {:?}", result.verdict.broken);
                 assert_eq!(result.verdict.word, Word::Failed, "{fault}: {:?}", result.verdict.doubts);
             });
@@ -118,42 +118,44 @@
 }
 
 #[test]
-fn repeats_beyond_the_class_are_caught() {
-    // Work longer than the window, so that every repeat comes after it.
-    let keyed = "[[class]]\nname = \"publish-cover\"\nshare = 1\nwork_ms = 60\nwork_cv = 0\naim_ms = 900\n\
+fn repeats_after_the_deduplication_window_are_detected() {
+    // The work takes longer than the deduplication window, so that every repeat comes after the window.
+    let keyed_class =
+        "[[class]]\nname = \"publish-cover\"\nshare = 1\nwork_ms = 60\nwork_cv = 0\naim_ms = 900\n\
                  deadline_ms = 2000\nworth = 1\neffect = \"keyed\"\nwindow_ms = 1\n[[fault]]";
-    let (broken, result) = rules("repeat", &[("[[fault]]", keyed), ("load.per_s = 30", "load.per_s = 10")]);
+    let (broken, result) =
+        run_with_fault("repeat", &[("[[fault]]", keyed_class), ("load.per_s = 30", "load.per_s = 10")]);
     assert_eq!(broken, [Rule::Effect], "{:?}", result.verdict.broken);
 }
 
 #[test]
-fn sends_to_what_drains_are_caught() {
-    let (broken, result) = rules("drain", &[]);
+fn requests_to_draining_backends_are_detected() {
+    let (broken, result) = run_with_fault("drain", &[]);
     assert_eq!(broken, [Rule::Drain], "{:?}", result.verdict.broken);
 }
 
 #[test]
-fn a_cold_backend_pushed_over_is_caught() {
-    let weak = (
+fn overload_of_a_backend_that_is_warming_up_is_detected() {
+    let slow_backends = (
         "backends.count = 4",
         "backends.count = 4\nbackends.cores = 0.2\nbackends.cold_s = 20\nbackends.fall_s = 1",
     );
-    let (broken, result) = rules("cold", &[weak]);
+    let (broken, result) = run_with_fault("cold", &[slow_backends]);
     assert!(broken.contains(&Rule::Cold), "{:?}", result.verdict.broken);
 }
 
 #[test]
-fn a_ceiling_passed_is_caught() {
-    let low = ("over_cost = 1", "over_cost = 1\nceiling = 1.1");
-    let heavy = ("load.heavy = 0", "load.heavy = 1\nload.heavy_x = [4, 4]");
-    let (broken, result) = rules("none", &[low, heavy]);
+fn exceeded_ceiling_is_detected() {
+    let low_ceiling = ("over_cost = 1", "over_cost = 1\nceiling = 1.1");
+    let heavy_load = ("load.heavy = 0", "load.heavy = 1\nload.heavy_x = [4, 4]");
+    let (broken, result) = run_with_fault("none", &[low_ceiling, heavy_load]);
     assert_eq!(broken, [Rule::Ceiling], "{:?}", result.verdict.broken);
 }
 
 #[test]
-fn a_crash_and_too_much_memory_are_caught() {
-    let (broken, result) = rules("crash", &[]);
+fn crash_and_exceeded_memory_limit_are_detected() {
+    let (broken, result) = run_with_fault("crash", &[]);
     assert!(broken.contains(&Rule::Crash), "{:?}", result.verdict.broken);
-    let (broken, result) = rules("memory", &[]);
+    let (broken, result) = run_with_fault("memory", &[]);
     assert!(broken.contains(&Rule::Limits), "{:?}", result.verdict.broken);
 }
