--- a/lab/src/checker/abandoned_requests.rs
+++ b/lab/src/checker/abandoned_requests.rs
@@ -2,7 +2,7 @@
 //! requests that ran more often than their class permits.
 
 use super::invariants::Outages;
-use crate::cluster_poll::Ledger;
+use crate::cluster_poll::LedgerCounts;
 use crate::plan::{Microseconds, Plan};
 use crate::record::{End, Outcome, Record, Try};
 use crate::scenario::Effect;
@@ -77,12 +77,12 @@
 }
 
 /// Sums the ledger counts over all gateway processes, each by its last report.
-pub(super) fn ledger(record: &Record) -> Ledger {
-    let mut last_by_process: BTreeMap<(usize, usize), Ledger> = BTreeMap::new();
-    for observation in &record.fleets {
+pub(super) fn ledger(record: &Record) -> LedgerCounts {
+    let mut last_by_process: BTreeMap<(usize, usize), LedgerCounts> = BTreeMap::new();
+    for observation in &record.cluster_observations {
         last_by_process.insert((observation.gateway, observation.life), observation.ledger);
     }
-    last_by_process.into_values().fold(Ledger::default(), |sum, counts| Ledger {
+    last_by_process.into_values().fold(LedgerCounts::default(), |sum, counts| LedgerCounts {
         claims: sum.claims + counts.claims,
         taken_over: sum.taken_over + counts.taken_over,
         running: sum.running + counts.running,
--- a/lab/src/checker/cluster.rs
+++ b/lab/src/checker/cluster.rs
@@ -44,7 +44,7 @@
 }
 
 pub(super) fn measure(plan: &Plan, record: &Record) -> MembershipMetrics {
-    let Some(end) = record.fleets.iter().map(|observation| observation.asked).max() else {
+    let Some(end) = record.cluster_observations.iter().map(|observation| observation.asked_at).max() else {
         return MembershipMetrics::default();
     };
     let running_spans = running_spans(record, end);
@@ -54,12 +54,12 @@
     let running = |at: Microseconds| -> Vec<usize> {
         running_spans.keys().copied().filter(|g| is_running(*g, at, at)).collect()
     };
-    let is_correct = |observation: &&ClusterObservation| observation.present == running(observation.asked);
-    let is_at_end = |observation: &&ClusterObservation| observation.asked + END_MARGIN_US >= end;
+    let is_correct = |observation: &&ClusterObservation| observation.present == running(observation.asked_at);
+    let is_at_end = |observation: &&ClusterObservation| observation.asked_at + END_MARGIN_US >= end;
     let running_at_end = running(end);
     let fraction_at_end = |matches: &dyn Fn(&&ClusterObservation) -> bool| {
         let gateways: BTreeSet<usize> = record
-            .fleets
+            .cluster_observations
             .iter()
             .filter(is_at_end)
             .filter(matches)
@@ -72,10 +72,10 @@
     let faults = plan.bands.iter().map(|band| crate::plan::us(band.to_s));
     let last_disturbance = starts.chain(faults).filter(|at| *at <= end).max().unwrap_or(0);
     let last_wrong = record
-        .fleets
+        .cluster_observations
         .iter()
         .filter(|observation| !is_correct(observation))
-        .map(|observation| observation.asked)
+        .map(|observation| observation.asked_at)
         .max()
         .unwrap_or(0);
     let has_run_20_s =
@@ -85,19 +85,22 @@
             .iter()
             .any(|b| crate::plan::us(b.from_s) <= at && at <= crate::plan::us(b.to_s) + 15_000_000)
     };
-    let outside_faults = record.fleets.iter().filter(|observation| !is_near_fault(observation.asked));
+    let outside_faults =
+        record.cluster_observations.iter().filter(|observation| !is_near_fault(observation.asked_at));
     let false_downs = outside_faults
-        .map(|observation| observation.down.iter().filter(|g| has_run_20_s(**g, observation.asked)).count())
+        .map(|observation| {
+            observation.down.iter().filter(|g| has_run_20_s(**g, observation.asked_at)).count()
+        })
         .sum();
     let mut by_number: BTreeMap<u64, Vec<&ClusterObservation>> = BTreeMap::new();
-    for observation in record.fleets.iter().filter(|observation| observation.agreed) {
+    for observation in record.cluster_observations.iter().filter(|observation| observation.agreed) {
         observation
             .view
             .iter()
             .for_each(|(number, _)| by_number.entry(*number).or_default().push(observation));
     }
     let is_conflict = |a: &ClusterObservation, b: &ClusterObservation| {
-        a.view != b.view && a.asked <= b.at && b.asked <= a.at
+        a.view != b.view && a.asked_at <= b.answered_at && b.asked_at <= a.answered_at
     };
     let conflicts = |observations: &Vec<&ClusterObservation>| {
         observations
--- a/lab/src/checker/rollout.rs
+++ b/lab/src/checker/rollout.rs
@@ -46,16 +46,16 @@
         last.values().filter(|observation| observation.state == state).count() as f64
             / last.len().max(1) as f64
     };
-    let started_at = observations.iter().filter(|s| s.stage > 0).map(|s| s.at).min();
-    let halted_at = observations.iter().filter(|s| s.state == "halted").map(|s| s.at).min();
+    let started_at = observations.iter().filter(|s| s.stage > 0).map(|s| s.answered_at).min();
+    let halted_at = observations.iter().filter(|s| s.state == "halted").map(|s| s.answered_at).min();
     let (after_us, spread_us) = match (started_at, halted_at) {
         (Some(started_at), Some(halted_at)) => {
             let last_running = observations
                 .iter()
-                .filter(|s| s.state == "running" && s.asked > halted_at)
-                .map(|s| s.asked)
+                .filter(|s| s.state == "running" && s.asked_at > halted_at)
+                .map(|s| s.asked_at)
                 .max();
-            (halted_at.saturating_sub(started_at), last_running.map_or(0, |asked| asked - halted_at))
+            (halted_at.saturating_sub(started_at), last_running.map_or(0, |asked_at| asked_at - halted_at))
         }
         _ => (0, 0),
     };
@@ -87,20 +87,20 @@
     };
     for (number, observations) in observations_by_number(record) {
         let ended = observations.iter().filter(|s| s.state != "running");
-        let Some(ended_at) = ended.map(|s| s.at).min() else { continue };
+        let Some(ended_at) = ended.map(|s| s.answered_at).min() else { continue };
         for observation in
-            observations.iter().filter(|s| s.state == "running" && s.asked > ended_at + END_PROPAGATION_US)
+            observations.iter().filter(|s| s.state == "running" && s.asked_at > ended_at + END_PROPAGATION_US)
         {
-            let from = observation.asked - END_PROPAGATION_US - POLL_INTERVAL_US;
-            if !outages.any_during(observation.gateway, from, observation.asked)
-                && !is_link_fault(from, observation.asked)
+            let from = observation.asked_at - END_PROPAGATION_US - POLL_INTERVAL_US;
+            if !outages.any_during(observation.gateway, from, observation.asked_at)
+                && !is_link_fault(from, observation.asked_at)
             {
-                let after_s = (observation.asked - ended_at) as f64 / 1e6;
+                let after_s = (observation.asked_at - ended_at) as f64 / 1e6;
                 let case = format!(
                     "g{} still applied rollout {number} {after_s:.1} s after its end",
                     observation.gateway
                 );
-                violations.push((observation.asked, case));
+                violations.push((observation.asked_at, case));
             }
         }
     }
--- a/lab/src/cluster_poll.rs
+++ b/lab/src/cluster_poll.rs
@@ -1,4 +1,4 @@
-//! What gateways say of their fleet, asked again and again at their operators' addresses.
+//! Polls the cluster state and rollout state of all gateways at their admin addresses.
 
 use crate::gateway::Gateway;
 use crate::link::lock;
@@ -11,40 +11,40 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{sleep, timeout};
 
-/// Between two looks at all gateways.
-const LOOK: Duration = Duration::from_millis(500);
-/// The longest wait for an answer.
-const PATIENCE: Duration = Duration::from_millis(900);
-/// The longest answer that is read.
-const LONGEST: u64 = 1 << 20;
+/// Interval between two polls of all gateways.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Time-out of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
+/// Maximum length of an answer, in bytes; the rest is cut off.
+const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
 #[derive(Deserialize)]
-struct Report {
+struct ClusterReport {
     #[serde(default)]
     members: Vec<Member>,
     view: Option<View>,
-    ledger: Option<Ledger>,
+    ledger: Option<LedgerCounts>,
 }
 
-/// How a gateway's claims at the ledger ended so far.
+/// Outcomes of a gateway's claims at the ledger so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Deserialize)]
-pub struct Ledger {
-    /// All of them.
+pub struct LedgerCounts {
+    /// Number of all claims.
     pub claims: u64,
-    /// Such that an earlier owner had left.
+    /// Claims that took a request over from an earlier owner.
     pub taken_over: u64,
-    /// Found in work elsewhere.
+    /// Claims that found the request running at another gateway.
     pub running: u64,
-    /// Found answered.
+    /// Claims that found the request answered.
     pub answered: u64,
-    /// Work that went on without a record.
+    /// Claims whose request continued without a ledger record.
     pub unprotected: u64,
-    /// Lost to another owner.
+    /// Claims lost to another owner.
     pub lost: u64,
 }
 
 #[derive(Deserialize)]
-struct Rollout {
+struct RolloutReport {
     number: u64,
     stage: (u8, usize),
     state: String,
@@ -65,32 +65,33 @@
     share_for_ms: u64,
 }
 
-/// Looks at what the gateways say for as long as it is let.
+/// Polls all gateways until the task is aborted.
 pub async fn watch_fleets(context: Arc<RunContext>, gateways: Vec<Arc<Gateway>>) {
     loop {
-        let looks: Vec<_> =
-            gateways.iter().map(|gateway| tokio::spawn(look(context.clone(), gateway.clone()))).collect();
-        sleep(LOOK).await;
-        for look in looks {
-            // A look that failed saw nothing.
-            let _ = look.await;
+        let polls: Vec<_> =
+            gateways.iter().map(|gateway| tokio::spawn(poll(context.clone(), gateway.clone()))).collect();
+        sleep(POLL_INTERVAL).await;
+        for poll in polls {
+            // A poll that failed records nothing.
+            let _ = poll.await;
         }
     }
 }
 
-async fn look(context: Arc<RunContext>, gateway: Arc<Gateway>) {
-    let ops = lock(&gateway.place).ops;
-    let (life, asked) = (context.life(gateway.number), context.clock.now());
+async fn poll(context: Arc<RunContext>, gateway: Arc<Gateway>) {
+    let admin = lock(&gateway.place).ops;
+    let (life, asked_at) = (context.life(gateway.number), context.clock.now());
     if context.plan.scenario.gateways.rollout {
-        if let Ok(Some(said)) = timeout(PATIENCE, ask::<Rollout>(ops, "/rollout")).await {
-            let (number, stage, state, leads) = (said.number, said.stage.0, said.state, said.leads);
-            let (gateway, at) = (gateway.number, context.clock.now());
+        if let Ok(Some(rollout)) = timeout(REQUEST_TIMEOUT, fetch::<RolloutReport>(admin, "/rollout")).await {
+            let (number, stage, state, leads) =
+                (rollout.number, rollout.stage.0, rollout.state, rollout.leads);
+            let (gateway, answered_at) = (gateway.number, context.clock.now());
             context.note(|record| {
                 record.rollouts.push(RolloutObservation {
                     gateway,
                     life,
-                    asked,
-                    at,
+                    asked_at,
+                    answered_at,
                     number,
                     stage,
                     state,
@@ -99,41 +100,43 @@
             });
         }
     }
-    let Ok(Some(report)) = timeout(PATIENCE, ask::<Report>(ops, "/fleet")).await else { return };
-    let number = |name: &str| name.strip_prefix('g').and_then(|n| n.parse::<usize>().ok());
+    let Ok(Some(report)) = timeout(REQUEST_TIMEOUT, fetch::<ClusterReport>(admin, "/fleet")).await else {
+        return;
+    };
+    let gateway_number = |name: &str| name.strip_prefix('g').and_then(|n| n.parse::<usize>().ok());
     let present = report.members.iter().filter(|m| matches!(m.state.as_str(), "alive" | "suspect"));
-    let mut present: Vec<usize> = present.filter_map(|m| number(&m.name)).collect();
+    let mut present: Vec<usize> = present.filter_map(|m| gateway_number(&m.name)).collect();
     present.push(gateway.number);
     present.sort_unstable();
-    let down = report.members.iter().filter(|m| m.state == "down").filter_map(|m| number(&m.name));
+    let down = report.members.iter().filter(|m| m.state == "down").filter_map(|m| gateway_number(&m.name));
     let down = down.collect();
-    let seen = ClusterObservation {
+    let observation = ClusterObservation {
         gateway: gateway.number,
         life,
-        asked,
-        at: context.clock.now(),
+        asked_at,
+        answered_at: context.clock.now(),
         present,
         down,
         view: report.view.as_ref().map(|v| (v.number, v.digest.clone())),
         agreed: report.view.as_ref().is_some_and(|v| v.agreement == "agreed"),
         ledger: report.ledger.unwrap_or_default(),
-        whole: report.view.as_ref().is_some_and(|v| v.share_for_ms > 0),
+        has_quota_share: report.view.as_ref().is_some_and(|v| v.share_for_ms > 0),
     };
-    context.note(|record| record.fleets.push(seen));
+    context.note(|record| record.cluster_observations.push(observation));
 }
 
-async fn ask<T: for<'de> Deserialize<'de>>(ops: SocketAddr, path: &str) -> Option<T> {
-    let call = format!("GET {path} HTTP/1.1\r\nHost: ops\r\nConnection: close\r\n\r\n");
-    let text = call_ops(ops, &call).await?;
-    let (_, body) = text.split_once("\r\n\r\n").filter(|(head, _)| head.starts_with("HTTP/1.1 200"))?;
+async fn fetch<T: for<'de> Deserialize<'de>>(admin: SocketAddr, path: &str) -> Option<T> {
+    let request = format!("GET {path} HTTP/1.1\r\nHost: ops\r\nConnection: close\r\n\r\n");
+    let answer = call_ops(admin, &request).await?;
+    let (_, body) = answer.split_once("\r\n\r\n").filter(|(head, _)| head.starts_with("HTTP/1.1 200"))?;
     serde_json::from_str(body).ok()
 }
 
-/// Calls an operators' address, and returns the whole answer.
-pub async fn call_ops(ops: SocketAddr, call: &str) -> Option<String> {
-    let mut stream = tokio::net::TcpStream::connect(ops).await.ok()?;
-    stream.write_all(call.as_bytes()).await.ok()?;
+/// Sends a request to an admin address and returns the answer up to the close of the connection; `None` if it failed.
+pub async fn call_ops(admin: SocketAddr, request: &str) -> Option<String> {
+    let mut stream = tokio::net::TcpStream::connect(admin).await.ok()?;
+    stream.write_all(request.as_bytes()).await.ok()?;
     let mut answer = Vec::new();
-    stream.take(LONGEST).read_to_end(&mut answer).await.ok()?;
+    stream.take(MAX_ANSWER_BYTES).read_to_end(&mut answer).await.ok()?;
     String::from_utf8(answer).ok()
 }
--- a/lab/src/record.rs
+++ b/lab/src/record.rs
@@ -1,302 +1,302 @@
-//! What the stand-ins saw of a run: the only thing that the judge goes by.
+//! Record of a run as the stand-ins saw it; the only input of the checker besides the plan.
 
-use crate::cluster_poll::Ledger;
+use crate::cluster_poll::LedgerCounts;
 use crate::plan::Microseconds;
 
-/// How one try of a client ended.
+/// How one attempt of a client ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum End {
-    /// A whole answer: its status, and the mark in the body, if it has the form of a backend's body.
+    /// A complete answer, with its status and the mark in its body; no mark if no backend makes such a body.
     #[allow(missing_docs)]
     Answer { status: u16, mark: Option<u64> },
-    /// No answer in the client's time; it closed the connection.
+    /// The client got no answer before its time-out and closed the connection.
     GaveUp,
-    /// The connection was refused, or never came up.
+    /// The connection could not be opened in time, or the request could not be written.
     Unreachable,
-    /// The connection ended after the request was written and before a whole answer.
+    /// The connection ended after the request was written and before a complete answer.
     Broken,
     /// The run ended first.
     Open,
 }
 
-/// One try: a request as a gateway saw it.
+/// One attempt of a client: a request sent to a gateway, or its retry.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Try {
-    /// Its number in the plan's arrivals.
+    /// Index of the request in the plan's arrivals.
     pub arrival: usize,
-    /// 0 for the first try.
+    /// Number of the attempt; 0 for the first.
     pub nth: u32,
-    /// The id on the wire.
+    /// Request id on the wire.
     pub id: u64,
-    /// The gateway that it went to.
+    /// Gateway that the attempt was sent to.
     pub gateway: usize,
-    /// The process of the gateway, counted from 0 over its restarts.
+    /// Number of the gateway's process, counted from 0 over its restarts.
     pub life: usize,
-    /// When its client wanted to send it.
+    /// Time at which the attempt was due.
     pub due: Microseconds,
-    /// When its client stops waiting, as the request says.
+    /// Time at which the client stops waiting, as announced in the request.
     pub until: Microseconds,
-    /// When its client began to send it.
+    /// Time at which the client began the attempt.
     pub began: Microseconds,
-    /// When the request's last byte was written.
+    /// Time at which the request was written completely; `None` if it never was.
     pub written: Option<Microseconds>,
-    /// When it ended.
+    /// Time at which the attempt ended.
     pub ended: Microseconds,
-    /// How.
+    /// How the attempt ended.
     pub end: End,
-    /// The gateway wrote more than one answer.
+    /// Whether the gateway wrote more than one answer.
     pub twice: bool,
 }
 
 /// How an attempt ended at its backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole 200 was given out.
+    /// A complete answer 200 was handed to the connection.
     Served,
-    /// A 500.
+    /// Answered 500.
     Error,
-    /// Turned away; it never ran.
+    /// Rejected with 503 before it ran.
     TurnedAway,
-    /// An answer that broke off.
+    /// The answer was cut off by an injected fault.
     Half,
-    /// The gateway gave it up, or its connection broke.
+    /// The gateway cancelled the attempt, or the connection broke.
     Abandoned,
-    /// The backend died with it.
+    /// The backend's process ended while it had the request.
     Died,
     /// The run ended first.
     Open,
 }
 
-/// A request as it came to a backend.
+/// One attempt at a backend: a request that a gateway forwarded.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Attempt {
-    /// The id on the wire; 0 where it is none that a client sent.
+    /// Request id on the wire; 0 if no client sent this id.
     pub id: u64,
-    /// The backend.
+    /// Backend that received the request.
     pub backend: usize,
-    /// The gateway that sent it.
+    /// Gateway that sent the request.
     pub gateway: usize,
-    /// When its first byte was read.
+    /// Time at which the first byte was read.
     pub first: Microseconds,
-    /// When its last byte had come.
+    /// Time at which the request was received completely.
     pub came: Microseconds,
-    /// When it ended.
+    /// Time at which the attempt ended.
     pub ended: Microseconds,
-    /// How.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// It was begun.
+    /// Whether the backend began to run the request; false for a repeat dropped by deduplication.
     pub ran: bool,
-    /// The mark in its answer's body.
+    /// Mark in the body of the answer; 0 if none was sent.
     pub mark: u64,
-    /// Work that it asked for, of a core of speed 1.
+    /// Work of the request, as microseconds of one core at speed 1.
     pub work_us: f64,
 }
 
-/// Discovery told a gateway something.
+/// Notice on a backend that discovery sent to a gateway.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Told {
-    /// The gateway, and its process.
+    /// Gateway that was notified.
     pub gateway: usize,
-    /// Counted from 0 over its restarts.
+    /// Number of the gateway's process, counted from 0 over its restarts.
     pub life: usize,
-    /// The backend.
+    /// Backend that the notice is about.
     pub backend: usize,
-    /// Whether it takes work, as told.
+    /// Whether the backend accepts requests, according to the notice.
     pub ready: bool,
-    /// When it was told, or counts as told.
+    /// Time at which the gateway received the notice, or counts as having received it.
     pub at: Microseconds,
 }
 
-/// A cold backend was sent more than it bears.
+/// Overload of a backend that was warming up, on which its process ended.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fall {
-    /// The backend.
+    /// Backend that was overloaded.
     pub backend: usize,
-    /// When.
+    /// Time of the overload.
     pub at: Microseconds,
-    /// The part of the load that came from gateways that knew of its start.
+    /// Fraction of the load that came from gateways that knew of the backend's start.
     pub knowing: f64,
 }
 
-/// A call to the counter.
+/// Call to the shared counter.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Call {
-    /// Who called.
+    /// Gateway that called.
     pub gateway: usize,
-    /// When it came.
+    /// Time at which the call was received.
     pub at: Microseconds,
-    /// The status of its answer; 0: none.
+    /// Status of the answer; 0 if there was none.
     pub status: u16,
 }
 
-/// What clients were told of a write at the address that came with its 202.
+/// Status of an accepted write, as a client reads it at the address that the 202 answer gave.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fate {
-    /// Nobody answered, or in words that nobody knows.
+    /// No gateway answered, or the status text was unknown.
     Nothing,
-    /// It waits, or is under way.
+    /// The write is queued or in flight.
     Open,
     /// A backend answered with this status.
     Done(u16),
-    /// Another, accepted at the same time, stands in its place.
+    /// Another write that was accepted at the same time replaced this one.
     Superseded,
-    /// It was given up before it ran.
+    /// The write was given up before it ran.
     GivenUp,
-    /// It may have run.
+    /// The write may have run.
     Unknown,
-    /// It is lost, or was never accepted.
+    /// The write is lost, or was never accepted.
     Lost,
 }
 
-/// A 202, and what became of the write by its address, asked after the run.
+/// An answer 202 and the status of its write, polled after the run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Receipt {
-    /// Its number in the plan's arrivals.
+    /// Index of the request in the plan's arrivals.
     pub arrival: usize,
-    /// The address.
+    /// Path at which the status can be polled.
     pub place: String,
-    /// What it told.
+    /// Status that was read there.
     pub told: Fate,
 }
 
-/// What became of a gateway's process.
+/// Change in the life cycle of a gateway's process.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Life {
-    /// It was started.
+    /// The process was started.
     Started,
-    /// Its first `/_health` with 200.
+    /// `/_health` answered 200 for the first time.
     Ready,
-    /// The lab killed it.
+    /// The lab sent SIGKILL.
     Killed,
     /// The lab sent SIGTERM.
     Terminated,
-    /// The lab stopped it.
+    /// The lab sent SIGSTOP.
     Paused,
-    /// The lab let it go on.
+    /// The lab sent SIGCONT.
     Continued,
     #[allow(missing_docs)]
-    /// It ended; `asked`: after the lab's signal, and with success where that was SIGTERM.
+    /// The process ended. `asked` is true if the lab had sent a signal and, after SIGTERM, the exit was successful.
     Ended { asked: bool, how: String },
 }
 
-/// An event in the life of a gateway.
+/// Event in the life cycle of a gateway's process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LifeEvent {
-    /// The gateway.
+    /// Number of the gateway.
     pub gateway: usize,
-    /// Counted from 0 over its restarts.
+    /// Number of the gateway's process, counted from 0 over its restarts.
     pub life: usize,
-    /// When.
+    /// Time of the event.
     pub at: Microseconds,
-    /// What.
+    /// Change that took place.
     pub what: Life,
 }
 
-/// What a process used, sampled.
+/// Sample of a gateway process's use of resources.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Usage {
-    /// The gateway.
+    /// Number of the gateway.
     pub gateway: usize,
-    /// Counted from 0 over its restarts.
+    /// Number of the gateway's process, counted from 0 over its restarts.
     pub life: usize,
-    /// When.
+    /// Time of the sample.
     pub at: Microseconds,
-    /// Processor time of this process so far.
+    /// Processor time of the process so far, in microseconds.
     pub cpu_us: u64,
     /// Resident memory in bytes.
     pub memory: u64,
-    /// Open descriptors.
+    /// Number of open descriptors.
     pub descriptors: usize,
 }
 
-/// What a gateway said of its fleet.
+/// Answer of a gateway to one poll of its cluster state.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClusterObservation {
-    /// The gateway.
+    /// Number of the gateway.
     pub gateway: usize,
-    /// Counted from 0 over its restarts.
+    /// Number of the gateway's process, counted from 0 over its restarts.
     pub life: usize,
-    /// When it was asked.
-    pub asked: Microseconds,
-    /// When its answer was there.
-    pub at: Microseconds,
-    /// Gateways that take part, itself among them, in order.
+    /// Time at which the gateway was polled.
+    pub asked_at: Microseconds,
+    /// Time at which the answer was received.
+    pub answered_at: Microseconds,
+    /// Gateways that the view holds alive or suspected, and the polled gateway itself, in ascending order.
     pub present: Vec<usize>,
-    /// Gateways that it holds down.
+    /// Gateways that the view holds down.
     pub down: Vec<usize>,
-    /// Its view's number and digest.
+    /// Number and digest of the view.
     pub view: Option<(u64, String)>,
-    /// It says that all agree.
+    /// Whether the gateway reported agreement of all on the view.
     pub agreed: bool,
-    /// Its share is whole.
-    pub whole: bool,
-    /// How its claims at the ledger ended so far.
-    pub ledger: Ledger,
+    /// Whether the gateway's quota share was valid.
+    pub has_quota_share: bool,
+    /// Outcomes of the gateway's claims at the ledger so far.
+    pub ledger: LedgerCounts,
 }
 
-/// What a gateway said of a rollout of rules.
+/// Answer of a gateway to one poll of a rollout of rules.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutObservation {
-    /// The gateway.
+    /// Number of the gateway.
     pub gateway: usize,
-    /// Counted from 0 over its restarts.
+    /// Number of the gateway's process, counted from 0 over its restarts.
     pub life: usize,
-    /// When it was asked.
-    pub asked: Microseconds,
-    /// When its answer was there.
-    pub at: Microseconds,
-    /// The rollout's number.
+    /// Time at which the gateway was polled.
+    pub asked_at: Microseconds,
+    /// Time at which the answer was received.
+    pub answered_at: Microseconds,
+    /// Number of the rollout.
     pub number: u64,
-    /// The stage that it goes by.
+    /// Stage that the gateway applied.
     pub stage: u8,
-    /// `running`, `done`, `aborted` or `halted`.
+    /// State of the rollout: `running`, `done`, `aborted` or `halted`.
     pub state: String,
-    /// It leads.
+    /// Whether the gateway leads the rollout.
     pub leads: bool,
 }
 
-/// Who was cut off from the clients, and when: nothing is owed there.
+/// Time in which clients could not reach a gateway because of a fault, so that it need not answer them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FaultWindow {
-    /// The gateway.
+    /// Number of the gateway.
     pub gateway: usize,
-    /// From.
+    /// Start of the fault.
     pub from: Microseconds,
-    /// To.
+    /// End of the fault, with time for delayed data to arrive.
     pub to: Microseconds,
 }
 
-/// All of it.
+/// Everything that was recorded in a run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Record {
-    /// Tries of clients.
+    /// Attempts of clients.
     pub tries: Vec<Try>,
     /// Writes that were accepted with 202.
     pub receipts: Vec<Receipt>,
     /// Attempts at backends.
     pub attempts: Vec<Attempt>,
-    /// What discovery told.
+    /// Notices of discovery to gateways.
     pub told: Vec<Told>,
-    /// Cold backends pushed over.
+    /// Overloads of backends that were warming up.
     pub falls: Vec<Fall>,
-    /// Calls to the counter.
+    /// Calls to the shared counter.
     pub calls: Vec<Call>,
-    /// Lives of the gateways' processes.
+    /// Life cycle events of the gateways' processes.
     pub lives: Vec<LifeEvent>,
-    /// What they used.
+    /// Samples of the gateway processes' use of resources.
     pub usage: Vec<Usage>,
-    /// What they said of their fleet.
-    pub fleets: Vec<ClusterObservation>,
-    /// What they said of a rollout.
+    /// Polls of the gateways' cluster state.
+    pub cluster_observations: Vec<ClusterObservation>,
+    /// Polls of the gateways' rollout state.
     pub rollouts: Vec<RolloutObservation>,
-    /// Clients' ways that were cut or broken on purpose.
+    /// Faults on the links between clients and gateways.
     pub excuses: Vec<FaultWindow>,
-    /// Connections that gateways opened to backends: backend by gateway.
+    /// Number of connections that gateways opened to backends.
     pub connections: usize,
-    /// Times that the lab itself lacked a port or a descriptor.
+    /// Number of times that the lab itself lacked a port, a descriptor or memory.
     pub starved: usize,
-    /// Processor time of the lab itself over the run.
+    /// Processor time of the lab itself over the run, in microseconds.
     pub lab_cpu_us: u64,
-    /// When the last arrival's settling was over.
+    /// Time at which the record was closed, after the last requests had ended and the accepted writes were polled.
     pub ended: Microseconds,
 }
--- a/lab/src/report/mod.rs
+++ b/lab/src/report/mod.rs
@@ -1,10 +1,10 @@
-//! A run as one page of HTML that holds all it shows: plots as SVG, tables, the verdict.
+//! Report of a run as one self-contained HTML page: verdict, plots as SVG, and tables.
 
 mod plots;
 
 use crate::checker::Word;
 use crate::runner::RunResult;
-use crate::table::number;
+use crate::table::format_metric;
 use std::fmt::Write;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -16,7 +16,7 @@
 .held{color:#0a6b2d}.failed{color:#b00020}.not-valid{color:#8a5a00}.small{color:#666;font-size:.87em}
 ul{margin:.2em 0;padding-left:1.3em}";
 
-/// Writes the page into a folder and returns its path.
+/// Writes the report of a run into a folder and returns the path of its file.
 pub fn write(result: &RunResult, folder: &Path) -> io::Result<PathBuf> {
     std::fs::create_dir_all(folder)?;
     let path = folder.join(format!("{}-{}.html", result.scenario, result.seed));
@@ -28,10 +28,10 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
-/// The page's text.
+/// Returns the report of a run as HTML.
 pub fn page(result: &RunResult) -> Result<String, plots::PlotError> {
     let mut page = String::new();
-    // Writing to a string fails never.
+    // Writing to a `String` never fails.
     let _ = head(&mut page, result);
     for (title, plot) in plots::all(result)? {
         let _ = writeln!(page, "<h2>{}</h2>\n{plot}", escaped(&title));
@@ -68,11 +68,11 @@
         let items: Vec<String> = items.iter().map(|item| format!("<li>{}</li>", escaped(item))).collect();
         writeln!(page, "<p class=\"{class}\"><b>{title}</b></p><ul>{}</ul>", items.concat())
     };
-    let broken = |b: &crate::checker::RuleViolation| {
-        format!("{:?}, {} times: {}", b.rule, b.count, b.cases.join("; "))
+    let violation_text = |violation: &crate::checker::RuleViolation| {
+        format!("{:?}, {} times: {}", violation.rule, violation.count, violation.cases.join("; "))
     };
-    list(page, "Rules broken", verdict.broken.iter().map(broken).collect())?;
-    list(page, "Expected otherwise", verdict.missed.clone())?;
+    list(page, "Rules broken", verdict.broken.iter().map(violation_text).collect())?;
+    list(page, "Expectations missed", verdict.missed.clone())?;
     list(page, "Not valid", verdict.doubts.clone())
 }
 
@@ -82,16 +82,17 @@
         format!("<tr><td>{}</td><td class=\"n\">{}</td></tr>", escaped(name), escaped(value))
     };
     let mut rows: Vec<String> =
-        figures.named().iter().map(|(name, value)| row(name, &number(*value))).collect();
-    rows.push(row("memory_mb, most", &number(figures.memory_mb)));
-    rows.push(row("descriptors, most", &figures.descriptors.to_string()));
-    let late = format!("{:.2}, {:.2} ms", figures.late_p50_ms, figures.late_p99_ms);
-    rows.push(row("generator late, p50, p99", &late));
+        figures.named().iter().map(|(name, value)| row(name, &format_metric(*value))).collect();
+    rows.push(row("memory_mb (maximum)", &format_metric(figures.memory_mb)));
+    rows.push(row("descriptors (maximum)", &figures.descriptors.to_string()));
+    let delay = format!("{:.2}, {:.2} ms", figures.late_p50_ms, figures.late_p99_ms);
+    rows.push(row("load generator delay p50, p99", &delay));
     write!(page, "<h2>Metrics</h2>\n<div class=\"cols\"><table>{}</table>\n<table>", rows.concat())?;
-    for (what, rows) in [("plan", &figures.plans), ("class", &figures.classes), ("zone", &figures.zones)] {
-        write!(page, "<tr><th colspan=\"2\">served by {what}</th></tr>")?;
-        for one in rows {
-            write!(page, "{}", row(&one.name, &format!("{:.3}", one.served)))?;
+    for (grouping, rows) in [("plan", &figures.plans), ("class", &figures.classes), ("zone", &figures.zones)]
+    {
+        write!(page, "<tr><th colspan=\"2\">served by {grouping}</th></tr>")?;
+        for served_by_name in rows {
+            write!(page, "{}", row(&served_by_name.name, &format!("{:.3}", served_by_name.served)))?;
         }
     }
     let faults: Vec<String> = result
--- a/lab/src/report/plots.rs
+++ b/lab/src/report/plots.rs
@@ -1,18 +1,18 @@
-//! The plots of a report: figures over time with the faults as bands, and a strip of colour for each gateway.
+//! Plots of a report: metrics over time with the faults as bands, and a heat map with one row for each gateway.
 
 use crate::plan::Band;
 use crate::runner::RunResult;
 use plotters::prelude::*;
 
-/// A plot that could not be drawn.
+/// Error for a plot that could not be drawn.
 #[derive(Debug, thiserror::Error)]
 #[error("a plot could not be drawn: {0}")]
 pub struct PlotError(String);
 
 const WIDTH: u32 = 940;
 const HEIGHT: u32 = 230;
-/// Pixels of a gateway's strip.
-const STRIP: u32 = 11;
+/// Height of a gateway's row in the heat map, in pixels.
+const ROW_HEIGHT: u32 = 11;
 const COLOURS: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 39, 40),
@@ -22,13 +22,13 @@
     RGBColor(140, 86, 75),
 ];
 
-/// A line over the seconds of a run.
+/// Label of a line, and its value for each second of the run.
 type Line<'a> = (&'a str, Vec<f64>);
 
-/// All plots, each with its title.
+/// Draws all plots of a run; returns the title and SVG text of each.
 pub fn all(result: &RunResult) -> Result<Vec<(String, String)>, PlotError> {
     let timeline = &result.verdict.timeline;
-    let share: Vec<f64> = timeline
+    let served_fraction: Vec<f64> = timeline
         .served
         .iter()
         .zip(&timeline.offered)
@@ -42,36 +42,41 @@
         ("failed", timeline.failed.clone()),
         ("attempts", timeline.attempts.clone()),
     ];
-    let plot = |title: &str, lines: &[Line], top: Option<f64>| -> Result<(String, String), PlotError> {
-        let drawn =
-            lines_over_time(lines, bands, result.length_s, top).map_err(|e| PlotError(e.to_string()))?;
-        Ok((title.to_string(), drawn))
+    let plot = |title: &str, lines: &[Line], y_max: Option<f64>| -> Result<(String, String), PlotError> {
+        let svg =
+            lines_over_time(lines, bands, result.length_s, y_max).map_err(|e| PlotError(e.to_string()))?;
+        Ok((title.to_string(), svg))
     };
     let mut all = vec![
         plot(
-            "Worth served in time inside quotas, share of what was asked",
-            &[("served", share)],
+            "Priority weight served in time within quotas, fraction of the weight offered",
+            &[("served", served_fraction)],
             Some(1.02),
         )?,
-        plot("Tries refused and failed, and attempts, a second", &rates, None)?,
-        plot("99th percentile of served answers, ms", &[("p99", timeline.p99_ms.clone())], None)?,
+        plot("Client attempts refused and failed, and attempts at backends, per second", &rates, None)?,
+        plot(
+            "99th percentile of the time to an answer 200, in ms",
+            &[("p99", timeline.p99_ms.clone())],
+            None,
+        )?,
     ];
     if zones.len() > 1 {
-        all.push(plot("Served share by the zone of the gateway asked first", &zones, Some(1.02))?);
+        all.push(plot("Served fraction by the zone of the gateway asked first", &zones, Some(1.02))?);
     }
-    let strip = heat(&timeline.gateways, bands, result.length_s).map_err(|e| PlotError(e.to_string()))?;
+    let heat_map_svg =
+        heat_map(&timeline.gateways, bands, result.length_s).map_err(|e| PlotError(e.to_string()))?;
     all.push((
-        "Served share by the gateway asked first (green all, red none, grey nothing asked)".into(),
-        strip,
+        "Served fraction by the gateway asked first (green: all, red: none, grey: nothing offered)".into(),
+        heat_map_svg,
     ));
     Ok(all)
 }
 
-type Drawn = Result<String, Box<dyn std::error::Error>>;
+type SvgResult = Result<String, Box<dyn std::error::Error>>;
 
-fn lines_over_time(lines: &[Line], bands: &[Band], length: f64, top: Option<f64>) -> Drawn {
-    let most = lines.iter().flat_map(|(_, values)| values).copied().fold(0.0, f64::max);
-    let top = top.unwrap_or(most * 1.15).max(1e-3);
+fn lines_over_time(lines: &[Line], bands: &[Band], length_s: f64, y_max: Option<f64>) -> SvgResult {
+    let max_value = lines.iter().flat_map(|(_, values)| values).copied().fold(0.0, f64::max);
+    let y_max = y_max.unwrap_or(max_value * 1.15).max(1e-3);
     let mut text = String::new();
     {
         let area = SVGBackend::with_string(&mut text, (WIDTH, HEIGHT)).into_drawing_area();
@@ -80,7 +85,7 @@
             .margin_right(18)
             .x_label_area_size(24)
             .y_label_area_size(46)
-            .build_cartesian_2d(0.0..length, 0.0..top)?;
+            .build_cartesian_2d(0.0..length_s, 0.0..y_max)?;
         chart
             .configure_mesh()
             .disable_x_mesh()
@@ -89,26 +94,29 @@
             .x_labels(12)
             .y_labels(5)
             .x_label_formatter(&|s| format!("{s:.0} s"))
-            .y_label_formatter(&|v| if top > 20.0 { format!("{v:.0}") } else { format!("{v:.1}") })
+            .y_label_formatter(&|v| if y_max > 20.0 { format!("{v:.0}") } else { format!("{v:.1}") })
             .draw()?;
         for (row, band) in bands.iter().enumerate() {
-            let to = band.to_s.min(length).max(band.from_s);
+            let to = band.to_s.min(length_s).max(band.from_s);
             let shade =
-                Rectangle::new([(band.from_s, 0.0), (to, top)], RGBColor(200, 120, 0).mix(0.13).filled());
+                Rectangle::new([(band.from_s, 0.0), (to, y_max)], RGBColor(200, 120, 0).mix(0.13).filled());
             chart.draw_series([shade])?;
-            // Names below each other, so that overlapping faults can be read.
-            let place = (band.from_s + length * 0.004, top * (0.99 - 0.085 * (row % 5) as f64));
+            // Names are staggered vertically, so that those of overlapping faults stay readable.
+            let label_position = (band.from_s + length_s * 0.004, y_max * (0.99 - 0.085 * (row % 5) as f64));
             chart.draw_series([Text::new(
                 band.name.clone(),
-                place,
+                label_position,
                 ("sans-serif", 11).into_font().color(&RGBColor(120, 75, 0)),
             )])?;
         }
-        for (number, (name, values)) in lines.iter().enumerate() {
-            let colour = COLOURS[number % COLOURS.len()];
+        for (index, (name, values)) in lines.iter().enumerate() {
+            let colour = COLOURS[index % COLOURS.len()];
             let points = values.iter().enumerate().map(|(at, value)| (at as f64 + 0.5, *value));
             chart
-                .draw_series(LineSeries::new(points.filter(|(at, _)| *at <= length), colour.stroke_width(2)))?
+                .draw_series(LineSeries::new(
+                    points.filter(|(at, _)| *at <= length_s),
+                    colour.stroke_width(2),
+                ))?
                 .label(*name)
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour.stroke_width(2)));
         }
@@ -121,38 +129,44 @@
     Ok(text)
 }
 
-/// Red for none, through yellow, to green for all; grey where there was nothing.
-fn colour(share: f64) -> RGBColor {
-    if share < 0.0 {
+/// Returns the colour of a served fraction: red for 0, through yellow, to green for 1; grey below 0, which stands for
+/// nothing offered.
+fn colour(served_fraction: f64) -> RGBColor {
+    if served_fraction < 0.0 {
         return RGBColor(228, 228, 228);
     }
-    let mix =
-        |from: u8, to: u8, part: f64| (f64::from(from) + (f64::from(to) - f64::from(from)) * part) as u8;
-    let (from, to, part) = match share {
-        s if s < 0.5 => ((200, 30, 40), (250, 210, 80), s * 2.0),
-        s => ((250, 210, 80), (60, 160, 75), (s * 2.0 - 1.0).min(1.0)),
+    let mix = |from: u8, to: u8, mix_fraction: f64| {
+        (f64::from(from) + (f64::from(to) - f64::from(from)) * mix_fraction) as u8
+    };
+    let (from, to, mix_fraction) = match served_fraction {
+        fraction if fraction < 0.5 => ((200, 30, 40), (250, 210, 80), fraction * 2.0),
+        fraction => ((250, 210, 80), (60, 160, 75), (fraction * 2.0 - 1.0).min(1.0)),
     };
-    RGBColor(mix(from.0, to.0, part), mix(from.1, to.1, part), mix(from.2, to.2, part))
+    RGBColor(
+        mix(from.0, to.0, mix_fraction),
+        mix(from.1, to.1, mix_fraction),
+        mix(from.2, to.2, mix_fraction),
+    )
 }
 
-fn heat(gateways: &[Vec<f64>], bands: &[Band], length: f64) -> Drawn {
+fn heat_map(gateways: &[Vec<f64>], bands: &[Band], length_s: f64) -> SvgResult {
     let count = gateways.len();
     let mut text = String::new();
     {
-        let height = 40 + STRIP * count as u32;
+        let height = 40 + ROW_HEIGHT * count as u32;
         let area = SVGBackend::with_string(&mut text, (WIDTH, height)).into_drawing_area();
         let mut chart = ChartBuilder::on(&area)
             .margin(6)
             .margin_right(18)
             .x_label_area_size(24)
             .y_label_area_size(46)
-            .build_cartesian_2d(0.0..length, 0.0..count as f64)?;
+            .build_cartesian_2d(0.0..length_s, 0.0..count as f64)?;
         let every = (count / 20).max(1);
         for (row, values) in gateways.iter().enumerate() {
             let low = (count - 1 - row) as f64;
-            let cell = |(at, share): (usize, &f64)| {
-                let to = ((at + 1) as f64).min(length);
-                Rectangle::new([(at as f64, low + 0.06), (to, low + 0.94)], colour(*share).filled())
+            let cell = |(at, served_fraction): (usize, &f64)| {
+                let to = ((at + 1) as f64).min(length_s);
+                Rectangle::new([(at as f64, low + 0.06), (to, low + 0.94)], colour(*served_fraction).filled())
             };
             chart.draw_series(values.iter().enumerate().map(cell))?;
             if row % every == 0 {
@@ -168,7 +182,7 @@
             .x_label_formatter(&|s| format!("{s:.0} s"))
             .draw()?;
         for band in bands {
-            for at in [band.from_s, band.to_s.min(length)] {
+            for at in [band.from_s, band.to_s.min(length_s)] {
                 chart.draw_series([PathElement::new(
                     [(at, 0.0), (at, count as f64)],
                     RGBColor(60, 60, 60).mix(0.6),
--- a/lab/src/runner.rs
+++ b/lab/src/runner.rs
@@ -1,4 +1,4 @@
-//! One run from a scenario to its verdict, with a progress bar on a terminal.
+//! Plays one run of a scenario and checks it, with a progress bar on a terminal.
 
 use crate::checker::{check, Verdict};
 use crate::plan::{Band, Plan};
@@ -10,37 +10,37 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A run that goes so far past its time is ended.
-const BEYOND: Duration = Duration::from_secs(30);
+/// Time after its planned end at which a run is aborted.
+const OVERRUN_LIMIT: Duration = Duration::from_secs(30);
 
-/// What a run came to, with what it was played with.
+/// Result of a run, with the parameters that it was played with.
 #[derive(Debug, Clone, Serialize)]
 pub struct RunResult {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// What the scenario shows.
+    /// Description of the scenario.
     pub about: String,
-    /// The seed.
+    /// Seed of the plan.
     pub seed: u64,
     /// SHA-256 of the plan of arrivals and faults.
     pub digest: String,
-    /// How many gateways, backends and customers there were.
+    /// Numbers of gateways, backends and customers.
     pub sizes: [usize; 3],
-    /// How long requests arrived, in seconds.
+    /// Duration of the load, in seconds.
     pub length_s: f64,
-    /// The faults, resolved.
+    /// Time spans and targets of the faults.
     pub faults: Vec<Band>,
-    /// The judgement.
+    /// Result of the checks.
     pub verdict: Verdict,
 }
 
-/// A run that did not come to its end.
+/// Error of a run that was not completed.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// It could not be set up.
+    /// The run could not be set up.
     #[error("{0}")]
     SetUp(#[from] SetUpError),
-    /// Somebody stopped it.
+    /// The run was stopped by Ctrl-C or SIGTERM.
     #[error("stopped; no gateway is left behind")]
     Stopped,
 }
@@ -48,13 +48,13 @@
 /// Plays a scenario with a seed. Ctrl-C and SIGTERM end the run and all of its processes.
 pub async fn play(scenario: &Scenario, seed: u64, resources: &RunResources) -> Result<RunResult, RunError> {
     let plan = Plan::draw(scenario, seed);
-    let bar = bar(&plan);
+    let bar = progress_bar(&plan);
     let world = tokio::select! {
         world = World::start(plan.clone(), resources) => world?,
-        // What has started by then ends with its handles.
+        // Dropping the handles ends the processes that were started so far.
         () = crate::shutdown_signal::asked() => return Err(RunError::Stopped),
     };
-    let _watchdog = Watchdog::over(&world, scenario);
+    let _watchdog = Watchdog::start(&world, scenario);
     let record = tokio::select! {
         record = world.play(|sent| bar.set_position(sent as u64)) => record,
         () = crate::shutdown_signal::asked() => {
@@ -77,30 +77,31 @@
     })
 }
 
-/// Ends the whole program, gateways first, when a run goes far past its time: no run may stand for ever.
+/// Kills the gateways and exits the program if a run exceeds its time limit, so that no run hangs for ever.
 struct Watchdog(Arc<AtomicBool>);
 
 impl Watchdog {
-    fn over(world: &World, scenario: &Scenario) -> Watchdog {
-        let longest = scenario.classes.iter().map(|c| c.deadline_ms / 1000.0).fold(0.0, f64::max);
-        let until = Instant::now() + Duration::from_secs_f64(scenario.length_s + longest) + BEYOND;
-        let (off, gateways) = (Arc::new(AtomicBool::new(false)), world.gateways.clone());
-        let watched = off.clone();
-        // A thread of its own: what it guards against may have stopped all others.
+    fn start(world: &World, scenario: &Scenario) -> Watchdog {
+        let longest_deadline_s = scenario.classes.iter().map(|c| c.deadline_ms / 1000.0).fold(0.0, f64::max);
+        let deadline =
+            Instant::now() + Duration::from_secs_f64(scenario.length_s + longest_deadline_s) + OVERRUN_LIMIT;
+        let (is_cancelled, gateways) = (Arc::new(AtomicBool::new(false)), world.gateways.clone());
+        let is_cancelled_in_thread = is_cancelled.clone();
+        // Runs in its own thread, because the fault that makes a run hang may block all threads of the runtime.
         std::thread::spawn(move || {
-            while !watched.load(Ordering::Relaxed) {
-                if Instant::now() > until {
+            while !is_cancelled_in_thread.load(Ordering::Relaxed) {
+                if Instant::now() > deadline {
                     gateways.iter().for_each(|gateway| gateway.end_now());
                     eprintln!(
-                        "quota-gateway-lab: the run went {} s past its time and was ended",
-                        BEYOND.as_secs()
+                        "quota-gateway-lab: the run exceeded its planned end by {} s and was aborted",
+                        OVERRUN_LIMIT.as_secs()
                     );
                     std::process::exit(1);
                 }
                 std::thread::sleep(Duration::from_millis(100));
             }
         });
-        Watchdog(off)
+        Watchdog(is_cancelled)
     }
 }
 
@@ -110,8 +111,8 @@
     }
 }
 
-fn bar(plan: &Plan) -> ProgressBar {
-    // Drawn on a terminal only.
+fn progress_bar(plan: &Plan) -> ProgressBar {
+    // The progress bar is drawn on a terminal only.
     let bar = ProgressBar::with_draw_target(
         Some(plan.arrivals.len() as u64),
         ProgressDrawTarget::stderr_with_hz(5),
--- a/lab/src/table.rs
+++ b/lab/src/table.rs
@@ -1,13 +1,13 @@
-//! Plain tables and the text of a run's result.
+//! Plain-text tables and the text form of a run's result.
 
 use crate::checker::{Metrics, Verdict, Word};
 use crate::runner::RunResult;
 use std::fmt::Write;
 
-/// Digits of the plan's digest that the text shows.
+/// Number of digits of the plan's digest in the text.
 const DIGEST_DIGITS: usize = 16;
 
-/// Lines of cells, columns as wide as their widest cell; the first column to the left, others to the right.
+/// Formats rows of cells as lines. Columns are as wide as their widest cell; the first is aligned left, others right.
 pub fn table(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |column: usize| {
@@ -18,10 +18,10 @@
     for row in rows {
         let mut line = String::new();
         for (column, cell) in row.iter().enumerate() {
-            let pad = " ".repeat(widths[column].saturating_sub(cell.chars().count()));
+            let padding = " ".repeat(widths[column].saturating_sub(cell.chars().count()));
             match column {
-                0 => line.push_str(&format!("{cell}{pad}")),
-                _ => line.push_str(&format!("  {pad}{cell}")),
+                0 => line.push_str(&format!("{cell}{padding}")),
+                _ => line.push_str(&format!("  {padding}{cell}")),
             }
         }
         text.push_str(line.trim_end());
@@ -30,7 +30,7 @@
     text
 }
 
-/// The result of a run as a person reads it.
+/// Returns the result of a run as text for a terminal.
 pub fn result(result: &RunResult) -> String {
     let mut text = heading(result);
     text.push_str(&figures(&result.verdict.figures));
@@ -39,11 +39,11 @@
     text
 }
 
-/// The scenario, its sizes and its faults.
+/// Returns the lines on the scenario, its size and its faults.
 fn heading(result: &RunResult) -> String {
     let mut text = String::new();
     let [gateways, backends, customers] = result.sizes;
-    // Writing to a string never fails; the same holds below.
+    // Writing to a `String` never fails, here and below.
     let _ = writeln!(text, "{}, seed {}: {}", result.scenario, result.seed, result.about.trim());
     let _ = writeln!(
         text,
@@ -57,28 +57,30 @@
     text
 }
 
-/// The figures as a table, and the served fractions by plan, class and zone.
+/// Returns the metrics as a table, and the served fractions by plan, class and zone.
 fn figures(figures: &Metrics) -> String {
     let mut text = String::new();
     let named = figures.named().into_iter();
     let mut rows: Vec<Vec<String>> =
-        named.map(|(name, value)| vec![name.to_string(), number(value)]).collect();
-    rows.push(vec!["memory_mb (most)".into(), number(figures.memory_mb)]);
-    rows.push(vec!["descriptors (most)".into(), figures.descriptors.to_string()]);
+        named.map(|(name, value)| vec![name.to_string(), format_metric(value)]).collect();
+    rows.push(vec!["memory_mb (maximum)".into(), format_metric(figures.memory_mb)]);
+    rows.push(vec!["descriptors (maximum)".into(), figures.descriptors.to_string()]);
     rows.push(vec![
-        "generator late p50, p99 ms".into(),
+        "load generator delay p50, p99 (ms)".into(),
         format!("{:.2}, {:.2}", figures.late_p50_ms, figures.late_p99_ms),
     ]);
-    let _ = write!(text, "\n{} requests, {} tries\n{}", figures.requests, figures.tries, table(&rows));
+    let _ =
+        write!(text, "\n{} requests, {} client attempts\n{}", figures.requests, figures.tries, table(&rows));
     let groups = [("plan", &figures.plans), ("class", &figures.classes), ("zone", &figures.zones)];
-    for (what, rows) in groups {
+    for (grouping, rows) in groups {
         let served: Vec<String> = rows.iter().map(|row| format!("{} {:.3}", row.name, row.served)).collect();
-        let _ = writeln!(text, "served by {what}: {}", served.join(", "));
+        let _ = writeln!(text, "served by {grouping}: {}", served.join(", "));
     }
     text
 }
 
-/// Broken rules, missed bounds, stories and doubts, then the verdict.
+/// Returns the broken rules, missed expectations, request histories and reasons why the run is not valid, then the
+/// verdict.
 fn verdict(verdict: &Verdict) -> String {
     let mut text = String::new();
     for broken in &verdict.broken {
@@ -88,13 +90,13 @@
         }
     }
     for missed in &verdict.missed {
-        let _ = writeln!(text, "EXPECTED OTHERWISE {missed}");
+        let _ = writeln!(text, "EXPECTATION MISSED {missed}");
     }
-    for story in &verdict.stories {
-        let _ = writeln!(text, "{story}");
+    for history in &verdict.stories {
+        let _ = writeln!(text, "{history}");
     }
-    for doubt in &verdict.doubts {
-        let _ = writeln!(text, "NOT VALID {doubt}");
+    for reason in &verdict.doubts {
+        let _ = writeln!(text, "NOT VALID {reason}");
     }
     let word = match verdict.word {
         Word::Held => "held",
@@ -105,8 +107,8 @@
     text
 }
 
-/// A figure with as many digits as say something.
-pub fn number(value: f64) -> String {
+/// Formats a metric with three decimals, from 10 on with one and from 100 on with none.
+pub fn format_metric(value: f64) -> String {
     match value.abs() {
         v if v >= 100.0 => format!("{value:.0}"),
         v if v >= 10.0 => format!("{value:.1}"),
