--- a/lab/src/checker/abandoned_requests.rs
+++ b/lab/src/checker/abandoned_requests.rs
@@ -13,15 +13,15 @@
 pub(super) struct AbandonedRequests {
     /// Number of requests that a gateway had received completely when it was lost.
     pub count: usize,
-    /// Fraction of them whose client got an answer 200 in time.
+    /// Fraction of the abandoned requests whose client got an answer 200 in time.
     pub served: f64,
-    /// Fraction of them that a backend served, whether or not the client got the answer.
+    /// Fraction of the abandoned requests that a backend served, whether or not the client got the answer.
     pub ran: f64,
     /// Median time from the loss to the client's answer.
     pub p50_ms: f64,
     /// 99th percentile of the time from the loss to the client's answer.
     pub p99_ms: f64,
-    /// Number of requests of the run, abandoned or not, that ran more often than their class permits.
+    /// Number of requests of the run, abandoned or not, that backends ran more than once.
     pub ran_too_often: usize,
 }
 
@@ -92,7 +92,7 @@
     })
 }
 
-/// Returns the arrivals that ran more often than their class permits.
+/// Returns the arrivals that backends ran more than once although they are not idempotent or have an idempotency key.
 pub(super) fn ran_too_often(plan: &Plan, record: &Record) -> Vec<usize> {
     let arrival_by_id: BTreeMap<u64, usize> =
         record.tries.iter().map(|client_attempt| (client_attempt.id, client_attempt.arrival)).collect();
--- a/lab/src/checker/accepted_writes.rs
+++ b/lab/src/checker/accepted_writes.rs
@@ -13,7 +13,7 @@
     pub lost: Vec<usize>,
     /// Number of writes that did not run and whose status said that another write replaced them.
     pub superseded: usize,
-    /// Number of writes that did not run and whose status said an error, given up, or unknown.
+    /// Number of writes that did not run and whose status was an error, given up or unknown.
     pub not_done: usize,
     /// Number of writes that did not run and whose status said that they are still pending.
     pub open: usize,
@@ -26,7 +26,8 @@
 }
 
 pub(super) fn measure(plan: &Plan, record: &Record) -> AcceptedWrites {
-    // By arrival: when its first try began and when the first 202 was received; and the branch that accepted it.
+    // By arrival: when the first client attempt began and the first 202 was received, and the branch that accepted the
+    // write.
     let mut accepted: BTreeMap<usize, (Microseconds, Microseconds)> = BTreeMap::new();
     let mut branch: BTreeMap<usize, usize> = BTreeMap::new();
     for client_attempt in record.tries.iter().filter(|t| matches!(t.end, End::Answer { status: 202, .. })) {
--- a/lab/src/checker/invariants.rs
+++ b/lab/src/checker/invariants.rs
@@ -13,7 +13,7 @@
 pub enum Rule {
     /// Each request that a gateway received gets exactly one final answer, in time.
     Answered,
-    /// No request is sent again beyond what its class permits, and none is sent that no client sent.
+    /// No request is repeated beyond what its class permits, and each forwarded request was sent by a client.
     Effect,
     /// A gateway sends a backend no new request from 1 s after the notice that it is draining or gone.
     Drain,
--- a/lab/src/checker/metrics.rs
+++ b/lab/src/checker/metrics.rs
@@ -32,7 +32,7 @@
     /// Cost of the units forwarded beyond quotas by their plans' prices, over the weight offered within quotas.
     pub over_cost: f64,
     /// The goal of the published site: 0.55 served + 0.2 worst_10s + 0.25 worst_plan - over_cost - 0.01 counter_calls
-    /// - 0.01 attempts that crossed zones a request. Prices of waste and of late failures are not in it.
+    /// - 0.01 attempts that crossed zones per request. Prices of waste and of late failures are not in it.
     pub goal: f64,
     /// Attempts at backends per request.
     pub attempts: f64,
@@ -40,7 +40,7 @@
     pub cross_zone: f64,
     /// Calls to the counter per request.
     pub counter_calls: f64,
-    /// Fraction of the calls to the counter that it rejected.
+    /// Fraction of the calls to the counter that were rejected.
     pub counter_full: f64,
     /// New connections at backends per request.
     pub connections: f64,
@@ -54,7 +54,7 @@
     pub p99_ms: f64,
     /// 99.9th percentile of the time to an answer 200, in milliseconds.
     pub p999_ms: f64,
-    /// Backends that failed under load while warming up, whichever gateway sent it.
+    /// Backends that failed from overload while warming up, whichever gateways sent the load.
     pub cold_fallen: f64,
     /// The highest resident memory of a gateway, in millions of bytes.
     pub memory_mb: f64,
@@ -121,8 +121,8 @@
     pub halt_spread_s: f64,
     /// Number of gateway processes that led the rollout.
     pub rollout_leaders: f64,
-    /// Requests that ran more often than their class permits: more than once within the deduplication window with an
-    /// idempotency key, or more than once if not idempotent.
+    /// Requests with an idempotency key, and requests that are not idempotent, that backends ran more than once.
+    /// Repeats that a backend dropped within the deduplication window don't count.
     pub doubled: f64,
     /// Median delay of the load generator in starting first attempts, in milliseconds.
     pub late_p50_ms: f64,
--- a/lab/src/record.rs
+++ b/lab/src/record.rs
@@ -84,7 +84,7 @@
     pub ended: Microseconds,
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// Whether the backend began to run the request; false for a repeat dropped by deduplication.
+    /// Whether the backend ran the request; false if it was rejected, cancelled while queued or dropped as a repeat.
     pub ran: bool,
     /// Mark in the body of the answer; 0 if none was sent.
     pub mark: u64,
