--- a/lab/src/backend.rs
+++ b/lab/src/backend.rs
@@ -1,4 +1,4 @@
-//! The stand-in of a backend: the model of its machine behind HTTP, with its faults.
+//! Stand-in for a backend: an HTTP server in front of the machine model, with injected faults.
 
 use crate::backend_model::{Job, Machine, Offer};
 use crate::fault_targets::Party;
@@ -7,7 +7,7 @@
 use crate::record::{Attempt, Fall, Outcome};
 use crate::relay::LastRead;
 use crate::run_context::RunContext;
-use crate::serve::{answer, connection, half, Answer};
+use crate::serve::{answer, connection, truncated_answer, Answer};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -21,48 +21,49 @@
 
 const REJECTED: HeaderName = HeaderName::from_static("x-rejected");
 const REPORT: HeaderName = HeaderName::from_static("x-load-report");
-/// The longest body of a request.
+/// Maximum size of a request body.
 const LONGEST_BODY_BYTES: usize = 64 * 1024;
-/// Work of a repeat that is dropped, and of a probe, in microseconds.
+/// Work of a repeated request that is dropped, and of a load report request, in microseconds.
 const SMALL_WORK_US: f64 = 250.0;
 
 struct State {
     machine: Machine,
-    waiting: HashMap<Job, oneshot::Sender<()>>,
-    next: Job,
+    completions: HashMap<Job, oneshot::Sender<()>>,
+    next_job: Job,
     faults: Vec<BackendFault>,
     connections: usize,
     report: (Microseconds, String),
     draining: bool,
 }
 
-/// A request that was offered to the machine.
+/// Request that was offered to the machine, with the machine's decision.
 struct OfferedJob {
     offer: Offer,
-    /// Fires when the job is done; closed when the process dies.
+    /// Receives a message when the job is done; closed when the backend's process ends.
     done: oneshot::Receiver<()>,
-    /// The faults that were on at that time.
+    /// Faults that were active when the job was offered.
     faults: Vec<BackendFault>,
 }
 
-/// One backend, over all of its processes.
+/// One backend, across restarts of its process.
 pub struct Backend {
-    /// Its number.
+    /// Number of the backend.
     pub number: usize,
-    /// The name in discovery's list.
+    /// Id of the backend in the endpoint list.
     pub id: String,
     context: Arc<RunContext>,
     speed: f64,
     state: Mutex<State>,
     changed: Notify,
-    /// Whether its process runs.
+    /// Whether the backend's process is running.
     pub alive: watch::Sender<bool>,
-    /// When it last started; 0: long ago.
+    /// Time of the last process start; 0 if the process started before the run.
     started: Mutex<Microseconds>,
 }
 
 impl Backend {
-    /// A backend; `since`: it starts now, cold.
+    /// Creates a running backend. With `since` its process starts at that time and is still warming up; with `None` it
+    /// started before the run.
     pub fn new(
         context: Arc<RunContext>,
         number: usize,
@@ -72,8 +73,8 @@
         let spec = &context.plan.scenario.backends;
         let state = State {
             machine: Machine::new(spec, speed, since),
-            waiting: HashMap::new(),
-            next: 0,
+            completions: HashMap::new(),
+            next_job: 0,
             faults: Vec::new(),
             connections: 0,
             report: (0, String::new()),
@@ -90,95 +91,98 @@
             alive: watch::Sender::new(true),
             started: Mutex::new(since.unwrap_or(0)),
         });
-        tokio::spawn(backend.clone().work());
+        tokio::spawn(backend.clone().run_machine());
         backend
     }
 
-    /// When it last started; 0: long ago.
+    /// Returns the time of the last process start; 0 if the process started before the run.
     pub fn started(&self) -> Microseconds {
         *lock(&self.started)
     }
 
-    /// Its process dies: connections are reset, work is lost.
+    /// Ends the backend's process: its connections are reset and its jobs are lost.
     pub fn die(&self) {
         self.alive.send_replace(false);
         let mut state = lock(&self.state);
         let spec = &self.context.plan.scenario.backends;
         state.machine = Machine::new(spec, self.speed, None);
-        state.waiting.clear();
+        state.completions.clear();
         state.connections = 0;
     }
 
-    /// Its process starts, cold.
+    /// Starts the backend's process, which is then warming up.
     pub fn start(&self) {
         let now = self.context.clock.now().max(1);
         *lock(&self.started) = now;
         let mut state = lock(&self.state);
         state.machine = Machine::new(&self.context.plan.scenario.backends, self.speed, Some(now));
         state.machine.advance(now);
-        slow_down(&mut state, now);
+        apply_slowdown(&mut state, now);
         state.draining = false;
         drop(state);
         self.alive.send_replace(true);
     }
 
-    /// From now on it turns new work away and finishes what it has.
+    /// Starts draining: new requests are rejected, accepted ones are completed.
     pub fn drain(&self) {
         lock(&self.state).draining = true;
     }
 
-    /// Begins a fault, or ends it.
+    /// Starts or ends a fault.
     pub fn set_fault(&self, fault: BackendFault, on: bool) {
         let now = self.context.clock.now();
         let mut state = lock(&self.state);
         if on {
             state.faults.push(fault);
-        } else if let Some(place) = state.faults.iter().position(|known| *known == fault) {
-            state.faults.remove(place);
+        } else if let Some(index) = state.faults.iter().position(|active| *active == fault) {
+            state.faults.remove(index);
         }
-        let done = slow_down(&mut state, now);
-        finish(&mut state, done);
+        let done = apply_slowdown(&mut state, now);
+        notify_completed(&mut state, done);
         drop(state);
         self.changed.notify_one();
     }
 
-    /// Ends jobs when their time has come.
-    async fn work(self: Arc<Backend>) {
+    /// Advances the machine whenever its next job is due or its load has changed.
+    async fn run_machine(self: Arc<Backend>) {
         loop {
-            let next = lock(&self.state).machine.next();
+            let next_due = lock(&self.state).machine.next_due();
             tokio::select! {
                 () = self.changed.notified() => {}
-                () = self.context.clock.until(next.unwrap_or(0)), if next.is_some() => {}
+                () = self.context.clock.until(next_due.unwrap_or(0)), if next_due.is_some() => {}
             }
             let mut state = lock(&self.state);
             let done = state.machine.advance(self.context.clock.now());
-            finish(&mut state, done);
+            notify_completed(&mut state, done);
         }
     }
 
-    /// Takes a gateway's connection.
+    /// Accepts a gateway's connection, up to the machine's connection limit.
     pub fn accept(self: &Arc<Backend>, stream: DuplexStream, stamp: LastRead, gateway: usize) {
         let spec = &self.context.plan.scenario.backends;
-        let most = (spec.connections_per_core as f64 * spec.cores) as usize;
+        let max_connections = (spec.connections_per_core as f64 * spec.cores) as usize;
         let now = self.context.clock.now();
         {
             let mut state = lock(&self.state);
-            if state.connections >= most {
+            if state.connections >= max_connections {
                 return;
             }
             state.connections += 1;
-            let work = spec.handshake_us;
-            state.machine.burden(now, work);
+            let overhead_us = spec.handshake_us;
+            state.machine.add_overhead(now, overhead_us);
         }
         self.changed.notify_one();
         self.context.note(|record| record.connections += 1);
         let backend = self.clone();
         let idle = Duration::from_secs_f64(spec.idle_s);
         let mut alive = self.alive.subscribe();
-        let (own, from) = (Party::Backend(self.number), Party::Gateway(gateway));
-        let (up, down) = (self.context.links.get(from, own), self.context.links.get(own, from));
+        let (backend_party, gateway_party) = (Party::Backend(self.number), Party::Gateway(gateway));
+        let (up, down) = (
+            self.context.links.get(gateway_party, backend_party),
+            self.context.links.get(backend_party, gateway_party),
+        );
         tokio::spawn(async move {
-            // A handshake takes a round trip more before the first request is read.
+            // A handshake adds one round trip before the first request is read.
             down.cross(&mut down.watch()).await;
             up.cross(&mut up.watch()).await;
             let serving = connection(stream, idle, |request| {
@@ -199,17 +203,17 @@
         match request.uri().path() {
             "/ping" => return answer(StatusCode::OK, ""),
             "/_load" => {
-                lock(&self.state).machine.burden(self.context.clock.now(), SMALL_WORK_US);
+                lock(&self.state).machine.add_overhead(self.context.clock.now(), SMALL_WORK_US);
                 return answer(StatusCode::OK, self.report());
             }
             _ => {}
         }
-        let id = id_of(request.headers());
+        let id = request_id(request.headers());
         let body = Limited::new(request.into_body(), LONGEST_BODY_BYTES).collect().await;
         let Ok(_) = body else { return answer(StatusCode::BAD_REQUEST, "") };
         let came = self.context.clock.now();
         let arrival = id.and_then(|id| self.context.arrival(id));
-        let mut open = Open {
+        let mut guard = AttemptGuard {
             context: &self.context,
             backend: self,
             job: None,
@@ -228,98 +232,107 @@
         };
         let (Some(id), Some(arrival)) = (id, arrival) else {
             let status = if id.is_some() { StatusCode::BAD_REQUEST } else { StatusCode::NOT_FOUND };
-            open.end(Outcome::Error);
+            guard.end(Outcome::Error);
             return answer(status, "");
         };
-        self.run(id, arrival, gateway, came, open).await
+        self.run(id, arrival, gateway, came, guard).await
     }
 
-    /// Offers a request to the machine. The attempt is noted as run if it was taken and is no repeat.
-    fn offer(&self, arrival: usize, gateway: usize, now: Microseconds, open: &mut Open<'_>) -> OfferedJob {
+    /// Offers a request to the machine. The attempt is recorded as run if it was accepted and is not a repeat within its
+    /// deduplication window.
+    fn offer(
+        &self,
+        arrival: usize,
+        gateway: usize,
+        now: Microseconds,
+        guard: &mut AttemptGuard<'_>,
+    ) -> OfferedJob {
         let arrival_spec = &self.context.plan.arrivals[arrival];
         let class = &self.context.plan.scenario.classes[arrival_spec.class];
         let window = (class.window_ms * 1000.0) as Microseconds;
         let keyed = self.context.plan.keyed(arrival_spec.class);
         let mut state = lock(&self.state);
         let ended = state.machine.advance(now);
-        finish(&mut state, ended);
-        let repeated = keyed && self.context.repeated(arrival, window, now);
+        notify_completed(&mut state, ended);
+        let repeated = keyed && self.context.is_repeated(arrival, window, now);
         let work_us = if repeated { SMALL_WORK_US } else { arrival_spec.work_us };
-        let knowing = self.context.knows(gateway, self.number, self.started());
-        let job = state.next;
-        state.next += 1;
+        let informed = self.context.knows_start(gateway, self.number, self.started());
+        let job = state.next_job;
+        state.next_job += 1;
         let offer =
-            if state.draining { Offer::Full } else { state.machine.offer(now, job, work_us, knowing) };
+            if state.draining { Offer::QueueFull } else { state.machine.offer(now, job, work_us, informed) };
         let (done_sender, done) = oneshot::channel();
-        if offer == Offer::Taken {
-            state.waiting.insert(job, done_sender);
-            open.job = Some(job);
-            open.change(|attempt| {
+        if offer == Offer::Accepted {
+            state.completions.insert(job, done_sender);
+            guard.job = Some(job);
+            guard.update(|attempt| {
                 attempt.ran = !repeated;
                 attempt.work_us = work_us;
             });
         }
-        if offer == Offer::Fell {
-            let fall = Fall { backend: self.number, at: now, knowing: state.machine.knowing() };
+        if offer == Offer::Overloaded {
+            let fall = Fall { backend: self.number, at: now, knowing: state.machine.informed_fraction() };
             self.context.note(|record| record.falls.push(fall));
         }
         OfferedJob { offer, done, faults: state.faults.clone() }
     }
 
-    /// Runs a request to its answer; one that gets none ends with its connection.
+    /// Runs a request and returns its answer. A request that gets no answer stays pending until its connection ends.
     async fn run(
         &self,
         id: u64,
         arrival: usize,
         gateway: usize,
         now: Microseconds,
-        mut open: Open<'_>,
+        mut guard: AttemptGuard<'_>,
     ) -> Answer {
-        let OfferedJob { offer, done, faults } = self.offer(arrival, gateway, now, &mut open);
+        let OfferedJob { offer, done, faults } = self.offer(arrival, gateway, now, &mut guard);
         match offer {
-            Offer::Fell => {
+            Offer::Overloaded => {
                 self.die();
-                open.end(Outcome::Died);
+                guard.end(Outcome::Died);
                 return std::future::pending().await;
             }
-            Offer::Full => {
-                open.end(Outcome::TurnedAway);
+            Offer::QueueFull => {
+                guard.end(Outcome::TurnedAway);
                 return self.rejection();
             }
-            Offer::Taken => self.changed.notify_one(),
+            Offer::Accepted => self.changed.notify_one(),
         }
         let died = done.await.is_err();
         if died || faults.contains(&BackendFault::Silent) {
             if died {
-                open.end(Outcome::Died);
+                guard.end(Outcome::Died);
             }
-            // Until the gateway closes the connection, or the process's end does.
+            // Pending until the gateway closes the connection or the process ends.
             return std::future::pending().await;
         }
-        open.job = None;
-        self.reply(id, &faults, open)
+        guard.job = None;
+        self.reply(id, &faults, guard)
     }
 
-    /// The answer of a job that is done.
-    fn reply(&self, id: u64, faults: &[BackendFault], mut open: Open<'_>) -> Answer {
-        let rate =
+    /// Builds the answer to a completed job, with the injected faults.
+    fn reply(&self, id: u64, faults: &[BackendFault], mut guard: AttemptGuard<'_>) -> Answer {
+        let max_rate =
             |pick: fn(&BackendFault) -> Option<f64>| faults.iter().filter_map(pick).fold(0.0, f64::max);
-        let errors = rate(|fault| if let BackendFault::Errors(rate) = fault { Some(*rate) } else { None });
-        let halves = rate(|fault| if let BackendFault::Half(rate) = fault { Some(*rate) } else { None });
-        let errors = errors.max(self.context.plan.scenario.backends.error_rate);
+        let error_rate =
+            max_rate(|fault| if let BackendFault::Errors(rate) = fault { Some(*rate) } else { None });
+        let truncation_rate =
+            max_rate(|fault| if let BackendFault::Half(rate) = fault { Some(*rate) } else { None });
+        let error_rate = error_rate.max(self.context.plan.scenario.backends.error_rate);
         let mark = self.context.mark(id, self.number);
-        // The same request fares alike when it comes again to this backend.
-        if self.context.part(id, 1 << 20 | self.number as u64) < errors {
-            open.end(Outcome::Error);
+        // The draw depends on request and backend alone, so that a repeat at this backend has the same outcome.
+        if self.context.unit_draw(id, 1 << 20 | self.number as u64) < error_rate {
+            guard.end(Outcome::Error);
             return self.with_report(answer(StatusCode::INTERNAL_SERVER_ERROR, ""));
         }
         let body = Bytes::from(format!("lab {mark:016x} {:>180}\n", self.id));
-        if self.context.part(id, 2 << 20 | self.number as u64) < halves {
-            open.end(Outcome::Half);
-            return half(body);
+        if self.context.unit_draw(id, 2 << 20 | self.number as u64) < truncation_rate {
+            guard.end(Outcome::Half);
+            return truncated_answer(body);
         }
-        open.change(|attempt| attempt.mark = mark);
-        open.end(Outcome::Served);
+        guard.update(|attempt| attempt.mark = mark);
+        guard.end(Outcome::Served);
         self.with_report(answer(StatusCode::OK, body))
     }
 
@@ -332,10 +345,10 @@
     fn report(&self) -> String {
         let now = self.context.clock.now();
         let mut state = lock(&self.state);
-        let fresh = (self.context.plan.scenario.backends.report_ms * 1000.0) as Microseconds;
-        if state.report.1.is_empty() || now >= state.report.0 + fresh {
-            let (held, busy) = (state.machine.held(), state.machine.busy());
-            state.report = (now, format!("TEXT concurrent={held}, load_share={busy:.3}"));
+        let interval_us = (self.context.plan.scenario.backends.report_ms * 1000.0) as Microseconds;
+        if state.report.1.is_empty() || now >= state.report.0 + interval_us {
+            let (requests, utilization) = (state.machine.request_count(), state.machine.utilization());
+            state.report = (now, format!("TEXT concurrent={requests}, load_share={utilization:.3}"));
         }
         state.report.1.clone()
     }
@@ -348,34 +361,34 @@
     }
 }
 
-fn slow_down(state: &mut State, now: Microseconds) -> Vec<Job> {
+fn apply_slowdown(state: &mut State, now: Microseconds) -> Vec<Job> {
     let done = state.machine.advance(now);
-    let slower =
-        state.faults.iter().map(|fault| if let BackendFault::Slow(times) = fault { *times } else { 1.0 });
-    let slower = slower.product();
-    state.machine.slow(now, slower);
+    let slowdown =
+        state.faults.iter().map(|fault| if let BackendFault::Slow(factor) = fault { *factor } else { 1.0 });
+    let slowdown = slowdown.product();
+    state.machine.set_slowdown(now, slowdown);
     done
 }
 
-fn finish(state: &mut State, done: Vec<Job>) {
-    for tell in done.into_iter().filter_map(|job| state.waiting.remove(&job)) {
-        // Nobody waits for it if the attempt was given up.
-        let _ = tell.send(());
+fn notify_completed(state: &mut State, done: Vec<Job>) {
+    for completion in done.into_iter().filter_map(|job| state.completions.remove(&job)) {
+        // Fails if the attempt was cancelled and its receiver is gone.
+        let _ = completion.send(());
     }
 }
 
-/// An attempt that has not ended; given up where it is dropped.
-struct Open<'a> {
+/// Attempt that has not ended. Dropping the guard records the attempt as abandoned, or as lost with its process.
+struct AttemptGuard<'a> {
     context: &'a RunContext,
     backend: &'a Backend,
     job: Option<Job>,
     attempt: Option<Attempt>,
 }
 
-impl Open<'_> {
-    fn change(&mut self, change: impl FnOnce(&mut Attempt)) {
+impl AttemptGuard<'_> {
+    fn update(&mut self, update: impl FnOnce(&mut Attempt)) {
         if let Some(attempt) = &mut self.attempt {
-            change(attempt);
+            update(attempt);
         }
     }
 
@@ -387,15 +400,15 @@
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
         let mut outcome = Outcome::Abandoned;
         if let Some(job) = self.job.take() {
             let mut state = lock(&self.backend.state);
-            let drops = self.context.plan.scenario.backends.drops_cancelled;
-            if drops && state.machine.drop_waiting(job) {
-                state.waiting.remove(&job);
-                self.change(|attempt| attempt.ran = false);
+            let drops_cancelled = self.context.plan.scenario.backends.drops_cancelled;
+            if drops_cancelled && state.machine.cancel_queued(job) {
+                state.completions.remove(&job);
+                self.update(|attempt| attempt.ran = false);
             }
         }
         if !*self.backend.alive.borrow() {
@@ -405,8 +418,8 @@
     }
 }
 
-/// The id in the form in which clients send it.
-fn id_of(headers: &HeaderMap) -> Option<u64> {
+/// Reads the request id, 16 hexadecimal digits.
+fn request_id(headers: &HeaderMap) -> Option<u64> {
     let text = headers.get("x-call-id")?.to_str().ok()?;
     (text.len() == 16).then(|| u64::from_str_radix(text, 16).ok())?
 }
--- a/lab/src/backend_model.rs
+++ b/lab/src/backend_model.rs
@@ -1,5 +1,5 @@
-//! The model of a backend's machine: cores shared by the requests in work, a waiting room, a cold start, and
-//! falling over. No I/O; time is passed in.
+//! Model of a backend's machine: cores shared by the running requests, a bounded queue, a warm-up after the start, and
+//! a crash on overload during the warm-up. Performs no I/O; the caller passes the time.
 
 use crate::plan::Microseconds;
 use crate::scenario::Backends;
@@ -8,73 +8,73 @@
 #[cfg(test)]
 mod tests;
 
-/// Names a job at its machine.
+/// Number of a job at its machine.
 pub type Job = u64;
 
-/// What became of an offered job.
+/// Decision of a machine on an offered job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Offer {
-    /// It is in work or waits.
-    Taken,
-    /// There is no room: it is turned away.
-    Full,
-    /// The machine was cold, and this was too much: it falls over.
-    Fell,
+    /// The job is running or queued.
+    Accepted,
+    /// The queue is full; the job is rejected.
+    QueueFull,
+    /// The job overloaded a machine that was still warming up; the machine crashes.
+    Overloaded,
 }
 
 #[derive(Debug, Clone)]
 struct Work {
     job: Job,
-    left: f64,
+    remaining_us: f64,
 }
 
-/// One machine, from the start of its process to the end.
+/// Machine of one backend process, from its start to its end.
 #[derive(Debug, Clone)]
 pub struct Machine {
     cores: f64,
     speed: f64,
     slots: usize,
-    room: usize,
+    queue_capacity: usize,
     cold_from: f64,
     cold_us: f64,
-    fall_multiple: f64,
-    fall_us: Microseconds,
-    /// When it started; `None`: long ago.
+    overload_multiple: f64,
+    overload_window_us: Microseconds,
+    /// Time of the start; `None` if the machine is warm from the beginning.
     since: Option<Microseconds>,
-    slower: f64,
+    slowdown: f64,
     running: Vec<Work>,
-    waiting: VecDeque<Work>,
-    /// Work sent while it was cold: when, how much, and whether its sender knew of the start.
-    sent: VecDeque<(Microseconds, f64, bool)>,
-    last: Microseconds,
+    queue: VecDeque<Work>,
+    /// Load received while warming up: time, work, and whether the sender had been notified of the start.
+    warm_up_load: VecDeque<(Microseconds, f64, bool)>,
+    advanced_to: Microseconds,
 }
 
-/// Slack of the rule on falling over, for chance: the work of so many seconds of the present capacity.
-const CHANCE_S: f64 = 0.25;
+/// Allowance of the overload rule for random bursts, in seconds of work at the present capacity.
+const OVERLOAD_ALLOWANCE_S: f64 = 0.25;
 
 impl Machine {
-    /// A machine by its scenario; `since` as it started, `None` for long ago.
+    /// Creates a machine for a scenario's backends. `since` is the time of its start; `None` makes it warm at once.
     pub fn new(spec: &Backends, speed: f64, since: Option<Microseconds>) -> Machine {
         Machine {
             cores: spec.cores,
             speed,
             slots: ((spec.cores * spec.slots_per_core) as usize).max(1),
-            room: (spec.cores * spec.queue_per_core) as usize,
+            queue_capacity: (spec.cores * spec.queue_per_core) as usize,
             cold_from: spec.cold_from,
             cold_us: spec.cold_s * 1e6,
-            fall_multiple: spec.fall_multiple,
-            fall_us: (spec.fall_s * 1e6) as Microseconds,
+            overload_multiple: spec.fall_multiple,
+            overload_window_us: (spec.fall_s * 1e6) as Microseconds,
             since,
-            slower: 1.0,
+            slowdown: 1.0,
             running: Vec::new(),
-            waiting: VecDeque::new(),
-            sent: VecDeque::new(),
-            last: 0,
+            queue: VecDeque::new(),
+            warm_up_load: VecDeque::new(),
+            advanced_to: 0,
         }
     }
 
-    /// How warm it is: the part of its capacity that it has, up to 1.
-    pub fn warmth(&self, now: Microseconds) -> f64 {
+    /// Returns the available fraction of the capacity: `cold_from` at the start, 1 after the warm-up.
+    pub fn available_fraction(&self, now: Microseconds) -> f64 {
         let Some(since) = self.since else { return 1.0 };
         let age = now.saturating_sub(since) as f64;
         if age >= self.cold_us {
@@ -83,125 +83,133 @@
         self.cold_from + (1.0 - self.cold_from) * age / self.cold_us
     }
 
-    /// Work that it can do in a microsecond now, over all cores.
+    /// Returns the work that all cores can do in one microsecond.
     fn capacity(&self, now: Microseconds) -> f64 {
-        self.cores * self.speed * self.warmth(now) / self.slower
+        self.cores * self.speed * self.available_fraction(now) / self.slowdown
     }
 
-    /// Work done in a microsecond on each of the requests in work.
-    fn pace(&self, now: Microseconds) -> f64 {
+    /// Returns the work done in one microsecond on each running request.
+    fn work_per_us(&self, now: Microseconds) -> f64 {
         let share = (self.cores / self.running.len().max(1) as f64).min(1.0);
         self.capacity(now) / self.cores * share
     }
 
-    /// Makes it so many times slower.
-    pub fn slow(&mut self, now: Microseconds, times: f64) {
+    /// Divides the capacity by a factor from now on.
+    pub fn set_slowdown(&mut self, now: Microseconds, factor: f64) {
         self.advance(now);
-        self.slower = times.max(0.001);
+        self.slowdown = factor.max(0.001);
     }
 
-    /// Requests that it holds.
-    pub fn held(&self) -> usize {
-        self.running.len() + self.waiting.len()
+    /// Returns the number of running and queued requests.
+    pub fn request_count(&self) -> usize {
+        self.running.len() + self.queue.len()
     }
 
-    /// How busy its cores are, from 0 to 1.
-    pub fn busy(&self) -> f64 {
+    /// Returns the fraction of busy cores, from 0 to 1.
+    pub fn utilization(&self) -> f64 {
         (self.running.len() as f64 / self.cores).min(1.0)
     }
 
-    /// Lets the work go on to a time; returns the jobs done by then, in order.
+    /// Advances the work to `now` and returns the jobs completed by then, in order of completion.
     pub fn advance(&mut self, now: Microseconds) -> Vec<Job> {
         let mut done = Vec::new();
-        while self.last < now {
-            // Steps of at most 20 ms while cold, as the capacity changes meanwhile.
-            let cold = self.warmth(self.last) < 1.0;
-            let most = if cold { now.min(self.last + 20_000) } else { now };
-            let pace = self.pace(self.last);
-            let least = self.running.iter().map(|work| work.left).fold(f64::INFINITY, f64::min);
-            // Until the first one is done, at the least a microsecond.
-            let step = if pace > 0.0 { (least / pace).ceil().max(1.0) } else { f64::INFINITY };
-            let to = if step < (most - self.last) as f64 { self.last + step as Microseconds } else { most };
-            let each = pace * (to - self.last) as f64;
-            self.last = to;
+        while self.advanced_to < now {
+            // Steps of at most 20 ms while warming up, because the capacity changes during that time.
+            let cold = self.available_fraction(self.advanced_to) < 1.0;
+            let step_limit = if cold { now.min(self.advanced_to + 20_000) } else { now };
+            let work_per_us = self.work_per_us(self.advanced_to);
+            let least_work = self.running.iter().map(|work| work.remaining_us).fold(f64::INFINITY, f64::min);
+            // Up to the first completion, but at least one microsecond.
+            let step =
+                if work_per_us > 0.0 { (least_work / work_per_us).ceil().max(1.0) } else { f64::INFINITY };
+            let to = if step < (step_limit - self.advanced_to) as f64 {
+                self.advanced_to + step as Microseconds
+            } else {
+                step_limit
+            };
+            let work_each = work_per_us * (to - self.advanced_to) as f64;
+            self.advanced_to = to;
             self.running.retain_mut(|work| {
-                work.left -= each;
-                if work.left <= 1e-6 {
+                work.remaining_us -= work_each;
+                if work.remaining_us <= 1e-6 {
                     done.push(work.job);
                 }
-                work.left > 1e-6
+                work.remaining_us > 1e-6
             });
-            self.fill();
+            self.start_queued();
             if self.running.is_empty() {
-                self.last = now;
+                self.advanced_to = now;
             }
         }
         done
     }
 
-    fn fill(&mut self) {
+    fn start_queued(&mut self) {
         while self.running.len() < self.slots {
-            let Some(work) = self.waiting.pop_front() else { return };
+            let Some(work) = self.queue.pop_front() else { return };
             self.running.push(work);
         }
     }
 
-    /// When the next job is done if nothing else comes.
-    pub fn next(&self) -> Option<Microseconds> {
-        let least = self.running.iter().map(|work| work.left).reduce(f64::min)?;
-        let pace = self.pace(self.last);
-        (pace > 0.0).then(|| self.last + (least / pace).ceil().max(1.0) as Microseconds)
+    /// Returns the time of the next completion if no other job arrives.
+    pub fn next_due(&self) -> Option<Microseconds> {
+        let least_work = self.running.iter().map(|work| work.remaining_us).reduce(f64::min)?;
+        let work_per_us = self.work_per_us(self.advanced_to);
+        (work_per_us > 0.0)
+            .then(|| self.advanced_to + (least_work / work_per_us).ceil().max(1.0) as Microseconds)
     }
 
-    /// Work of its own, such as a handshake, that slows down the others by taking a part of the cores.
-    pub fn burden(&mut self, now: Microseconds, work_us: f64) {
+    /// Adds work outside of jobs, such as a handshake. It delays the running jobs by its share of the cores.
+    pub fn add_overhead(&mut self, now: Microseconds, work_us: f64) {
         self.advance(now);
         let all = self.running.len().max(1) as f64;
-        let each = work_us / all;
-        self.running.iter_mut().for_each(|work| work.left += each);
+        let work_each = work_us / all;
+        self.running.iter_mut().for_each(|work| work.remaining_us += work_each);
     }
 
-    /// Offers a job; `knowing`: its sender has been told when this machine started. `advance` comes first.
-    pub fn offer(&mut self, now: Microseconds, job: Job, work_us: f64, knowing: bool) -> Offer {
-        if self.warmth(now) < 1.0 {
-            self.sent.push_back((now, work_us, knowing));
-            while self.sent.front().is_some_and(|(at, ..)| at + self.fall_us < now) {
-                self.sent.pop_front();
+    /// Offers a job. `informed` says whether its sender has been notified of this machine's start. The caller must call
+    /// `advance` first.
+    pub fn offer(&mut self, now: Microseconds, job: Job, work_us: f64, informed: bool) -> Offer {
+        if self.available_fraction(now) < 1.0 {
+            self.warm_up_load.push_back((now, work_us, informed));
+            while self.warm_up_load.front().is_some_and(|(at, ..)| at + self.overload_window_us < now) {
+                self.warm_up_load.pop_front();
             }
-            let sum: f64 = self.sent.iter().map(|(_, work, _)| work).sum();
-            let span = self.fall_us as f64;
-            let present = self.cores * self.speed * self.warmth(now);
-            if sum > self.fall_multiple * present * (span + CHANCE_S * 1e6) {
-                return Offer::Fell;
+            let total_work: f64 = self.warm_up_load.iter().map(|(_, work, _)| work).sum();
+            let window_us = self.overload_window_us as f64;
+            let present = self.cores * self.speed * self.available_fraction(now);
+            if total_work > self.overload_multiple * present * (window_us + OVERLOAD_ALLOWANCE_S * 1e6) {
+                return Offer::Overloaded;
             }
         } else {
-            self.sent.clear();
+            self.warm_up_load.clear();
         }
         if self.running.len() < self.slots {
-            self.running.push(Work { job, left: work_us.max(1.0) });
-        } else if self.waiting.len() < self.room {
-            self.waiting.push_back(Work { job, left: work_us.max(1.0) });
+            self.running.push(Work { job, remaining_us: work_us.max(1.0) });
+        } else if self.queue.len() < self.queue_capacity {
+            self.queue.push_back(Work { job, remaining_us: work_us.max(1.0) });
         } else {
-            return Offer::Full;
+            return Offer::QueueFull;
         }
-        Offer::Taken
+        Offer::Accepted
     }
 
-    /// The part of the cold load that came from those who knew of the start.
-    pub fn knowing(&self) -> f64 {
-        let all: f64 = self.sent.iter().map(|(_, work, _)| work).sum();
-        let knowing: f64 = self.sent.iter().filter(|(.., knowing)| *knowing).map(|(_, work, _)| work).sum();
+    /// Returns the fraction of the load during the warm-up that came from senders notified of the start.
+    pub fn informed_fraction(&self) -> f64 {
+        let all: f64 = self.warm_up_load.iter().map(|(_, work, _)| work).sum();
+        let informed: f64 =
+            self.warm_up_load.iter().filter(|(.., informed)| *informed).map(|(_, work, _)| work).sum();
         if all > 0.0 {
-            knowing / all
+            informed / all
         } else {
             0.0
         }
     }
 
-    /// Drops a job that still waits; false: it is in work and goes on.
-    pub fn drop_waiting(&mut self, job: Job) -> bool {
-        let before = self.waiting.len();
-        self.waiting.retain(|work| work.job != job);
-        self.waiting.len() < before
+    /// Removes a job that is still queued. Returns false if the job is not queued; a running job continues.
+    pub fn cancel_queued(&mut self, job: Job) -> bool {
+        let before = self.queue.len();
+        self.queue.retain(|work| work.job != job);
+        self.queue.len() < before
     }
 }
--- a/lab/src/client.rs
+++ b/lab/src/client.rs
@@ -1,11 +1,11 @@
-//! Clients and the front: requests at their times, whatever became of those before; retries; connections kept.
+//! Clients and the front end that distributes their requests: an open-loop load with retries and reused connections.
 
 use crate::fault_targets::Party;
-use crate::http::{Answer, Connection, Idle};
+use crate::http::{Answer, Connection, IdleState};
 use crate::link::lock;
 use crate::plan::{us, Microseconds};
 use crate::record::{End, Fate, Receipt, Try};
-use crate::relay::{through, Way};
+use crate::relay::{relay_stream, Way};
 use crate::run_context::RunContext;
 use crate::scenario::Effect;
 use std::io;
@@ -17,66 +17,69 @@
 use tokio::sync::{oneshot, Semaphore};
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// Requests under way at once; beyond that the lab itself is too slow.
-const MOST_OPEN: usize = 20_000;
-/// A client hears an answer for so long after its time; it earns nothing, but is not lost.
+/// Maximum number of open requests; more of them mean that the lab itself is too slow.
+const MAX_OPEN_REQUESTS: usize = 20_000;
+/// Time in microseconds for which an answer is still read after the client's time-out. Such an answer earns nothing,
+/// but does not count as lost.
 pub const GRACE: Microseconds = 500_000;
-/// A close that came so soon after a request crossed it.
-const CROSSED: Duration = Duration::from_millis(30);
+/// A reused connection that closes this soon after a request was written was closed before the gateway read the request.
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(30);
 
-/// A connection kept, and the try that it carried last.
-struct Kept {
+/// Idle connection to a gateway.
+struct IdleConnection {
     connection: Connection,
+    /// Arrival and attempt number of the last request.
     last: (usize, u32),
+    /// Number of the gateway's process that the connection was opened to.
     life: usize,
 }
 
-struct Line {
+struct GatewayTarget {
     address: SocketAddr,
     way: Way,
-    kept: Mutex<Vec<Kept>>,
-    /// One for each connection that may carry a request.
-    places: Semaphore,
-    /// The front has noticed that it is down.
+    idle_connections: Mutex<Vec<IdleConnection>>,
+    /// Permits for connections that carry a request.
+    connection_permits: Semaphore,
+    /// Whether the front end has noticed that the gateway is down.
     down: AtomicBool,
 }
 
-/// All clients, and the front that deals their requests out.
+/// All clients, and the front end that distributes their requests over the gateways.
 pub struct Clients {
     context: Arc<RunContext>,
-    lines: Vec<Line>,
+    targets: Vec<GatewayTarget>,
     open: AtomicUsize,
 }
 
 impl Clients {
-    /// Clients of gateways at these addresses.
+    /// Creates the clients of the gateways at these addresses.
     pub fn new(context: Arc<RunContext>, addresses: &[SocketAddr]) -> Arc<Clients> {
-        let line = |(number, address): (usize, &SocketAddr)| Line {
+        let target = |(number, address): (usize, &SocketAddr)| GatewayTarget {
             address: *address,
             way: Way {
                 up: context.links.get(Party::Clients, Party::Gateway(number)),
                 down: context.links.get(Party::Gateway(number), Party::Clients),
                 clock: context.clock.clone(),
             },
-            kept: Mutex::default(),
-            places: Semaphore::new(context.plan.scenario.load.connections),
+            idle_connections: Mutex::default(),
+            connection_permits: Semaphore::new(context.plan.scenario.load.connections),
             down: AtomicBool::new(false),
         };
-        let lines = addresses.iter().enumerate().map(line).collect();
-        Arc::new(Clients { context, lines, open: AtomicUsize::new(0) })
+        let targets = addresses.iter().enumerate().map(target).collect();
+        Arc::new(Clients { context, targets, open: AtomicUsize::new(0) })
     }
 
-    /// The front notices that a gateway is down, or that it is back.
+    /// Marks a gateway as down or up at the front end.
     pub fn front(&self, gateway: usize, down: bool) {
-        self.lines[gateway].down.store(down, Ordering::Relaxed);
+        self.targets[gateway].down.store(down, Ordering::Relaxed);
     }
 
-    /// Requests under way.
+    /// Returns the number of open requests.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Sends every request of the plan at its time; `seen` hears how many are sent.
+    /// Sends every request of the plan at its time. `seen` is called with the index of each arrival.
     pub async fn send_all(self: &Arc<Clients>, seen: impl Fn(usize)) {
         for arrival in 0..self.context.plan.arrivals.len() {
             let at = self.context.plan.arrivals[arrival].at;
@@ -84,7 +87,7 @@
                 self.context.clock.until(at).await;
             }
             seen(arrival);
-            if self.open() >= MOST_OPEN {
+            if self.open() >= MAX_OPEN_REQUESTS {
                 self.context.starved.note(&io::ErrorKind::OutOfMemory.into());
                 continue;
             }
@@ -97,51 +100,53 @@
         }
     }
 
-    /// One request with its retries.
+    /// Sends one request and its retries.
     async fn request(self: &Arc<Clients>, arrival: usize) {
         let spec = &self.context.plan.arrivals[arrival];
         let class = &self.context.plan.scenario.classes[spec.class];
         let load = &self.context.plan.scenario.load;
-        let over = spec.at + us(class.deadline_ms / 1000.0);
-        let window_over = spec.at + us(class.window_ms / 1000.0);
+        let deadline = spec.at + us(class.deadline_ms / 1000.0);
+        let window_end = spec.at + us(class.window_ms / 1000.0);
         let mut due = spec.at;
         for nth in 0..=load.retries {
-            let until = (due + spec.patience_us).min(over);
+            let until = (due + spec.patience_us).min(deadline);
             let (end, retry_after) = self.attempt(arrival, nth, due, until).await;
             let now = self.context.clock.now();
-            let again = match end {
+            let retryable = match end {
                 End::Answer { status: 200 | 202, .. } | End::Open => return,
                 End::Answer { status: 429 | 503, .. } | End::Unreachable => true,
                 _ => match class.effect {
                     Effect::Safe => true,
-                    Effect::Keyed => now < window_over,
+                    Effect::Keyed => now < window_end,
                     Effect::Unsafe => false,
                 },
             };
             let id = self.context.plan.id(arrival, nth);
             let mut pause = load.backoff_ms / 1000.0 * f64::from(1 << nth.min(10));
-            pause *= 0.5 + self.context.part(id, 11);
-            if let Some(told) = retry_after.filter(|_| self.context.part(id, 12) < load.honour) {
-                pause = pause.max(told);
+            pause *= 0.5 + self.context.unit_draw(id, 11);
+            if let Some(retry_after_s) = retry_after.filter(|_| self.context.unit_draw(id, 12) < load.honour)
+            {
+                pause = pause.max(retry_after_s);
             }
             due = now + us(pause);
-            if !again || due + 1000 >= over {
+            if !retryable || due + 1000 >= deadline {
                 return;
             }
             sleep(Duration::from_secs_f64(pause)).await;
         }
     }
 
-    /// The gateway that a try goes to: the next of the customer's set that the front believes to be up.
+    /// Selects the gateway of an attempt: the attempts rotate over those of the customer's gateways that are up according
+    /// to the front end, or over all of them if none is.
     fn pick(&self, arrival: usize, nth: u32) -> usize {
         let set = &self.context.plan.arrivals[arrival].gateways;
         let up: Vec<usize> =
-            set.iter().copied().filter(|g| !self.lines[*g].down.load(Ordering::Relaxed)).collect();
-        let from = if up.is_empty() { set } else { &up };
-        from[nth as usize % from.len()]
+            set.iter().copied().filter(|g| !self.targets[*g].down.load(Ordering::Relaxed)).collect();
+        let candidates = if up.is_empty() { set } else { &up };
+        candidates[nth as usize % candidates.len()]
     }
 
-    /// One attempt. It ends for its client at `until`; the connection is watched for `GRACE` longer.
+    /// Makes one attempt. The client stops waiting at `until`; the connection is read for `GRACE` longer.
     async fn attempt(
         self: &Arc<Clients>,
         arrival: usize,
@@ -151,7 +156,7 @@
     ) -> (End, Option<f64>) {
         let gateway = self.pick(arrival, nth);
         let id = self.context.plan.id(arrival, nth);
-        self.context.announce(id, arrival);
+        self.context.register_id(id, arrival);
         let began = self.context.clock.now();
         let attempt = Try {
             arrival,
@@ -168,12 +173,12 @@
             twice: false,
         };
         let budget_ms = until.saturating_sub(due) / 1000;
-        let text = self.text(arrival, nth, id, budget_ms.max(1));
+        let text = self.request_text(arrival, nth, id, budget_ms.max(1));
         let (result_sender, result) = oneshot::channel();
         let clients = self.clone();
         tokio::spawn(async move {
             let ended = clients.run_attempt(attempt, &text).await;
-            // Its client may have gone on to another attempt.
+            // Fails if the client has timed out and its receiver is gone.
             let _ = result_sender.send(ended);
         });
         match timeout_at(self.context.clock.instant(until), result).await {
@@ -182,8 +187,8 @@
         }
     }
 
-    /// Runs an attempt to its end, which may be later than its client waits, and records it. Returns how it ended and
-    /// the seconds of its `Retry-After`.
+    /// Runs an attempt to its end, which may be after the client's time-out, and records it. Returns the end and the
+    /// `Retry-After` in seconds.
     async fn run_attempt(&self, mut attempt: Try, text: &[u8]) -> (End, Option<f64>) {
         let deadline = self.context.clock.instant(attempt.until + GRACE);
         let until = self.context.clock.instant(attempt.until);
@@ -192,7 +197,7 @@
             Ok((end, answer)) => {
                 if let Some(answer) = answer {
                     retry_after = answer.retry_after;
-                    self.note_receipt(attempt.arrival, end, answer.location);
+                    self.record_receipt(attempt.arrival, end, answer.location);
                 }
                 end
             }
@@ -206,28 +211,28 @@
     }
 
     /// Records where the status of a write that was accepted with 202 can be polled.
-    fn note_receipt(&self, arrival: usize, end: End, location: Option<String>) {
+    fn record_receipt(&self, arrival: usize, end: End, location: Option<String>) {
         if !matches!(end, End::Answer { status: 202, .. }) {
             return;
         }
-        if let Some(place) = location {
-            let receipt = Receipt { arrival, place, told: Fate::Nothing };
+        if let Some(path) = location {
+            let receipt = Receipt { arrival, place: path, told: Fate::Nothing };
             self.context.note(|record| record.receipts.push(receipt));
         }
     }
 
-    /// Writes the request and waits for its answer, once more where a close crossed it. Nothing is written past the
-    /// client's time.
-    async fn exchange(&self, this: &mut Try, text: &[u8], until: Instant) -> (End, Option<Answer>) {
-        let line = &self.lines[this.gateway];
-        // Nobody closes the places.
-        let Ok(Ok(_place)) = timeout_at(until, line.places.acquire()).await else {
+    /// Writes the request and reads its answer. If a reused connection was closed just as the request was written, the
+    /// request is sent again. Nothing is written after the client's time-out.
+    async fn exchange(&self, attempt: &mut Try, text: &[u8], until: Instant) -> (End, Option<Answer>) {
+        let target = &self.targets[attempt.gateway];
+        // The semaphore is never closed.
+        let Ok(Ok(_permit)) = timeout_at(until, target.connection_permits.acquire()).await else {
             return (End::Unreachable, None);
         };
         loop {
-            let mut connection = match self.take(this).await {
+            let mut connection = match self.take_idle(attempt).await {
                 Some(connection) => connection,
-                None => match timeout_at(until, self.connect(line)).await {
+                None => match timeout_at(until, self.connect(target)).await {
                     Ok(Ok(connection)) => connection,
                     Ok(Err(error)) => {
                         self.context.starved.note(&error);
@@ -240,24 +245,28 @@
                 return (End::Unreachable, None);
             }
             let reused = connection.used > 0;
-            let wrote = Instant::now();
+            let written_at = Instant::now();
             let written = connection.write(text).await.is_ok();
             if written {
-                this.written = Some(self.context.clock.now());
+                attempt.written = Some(self.context.clock.now());
             }
-            let read = if written { connection.read().await } else { Ok(None) };
-            match read {
+            let answer = if written { connection.read().await } else { Ok(None) };
+            match answer {
                 Ok(Some(answer)) => {
-                    let mark = mark(&answer.body);
+                    let mark = parse_mark(&answer.body);
                     let end = End::Answer { status: answer.status, mark };
-                    let kept = Kept { connection, last: (this.arrival, this.nth), life: this.life };
-                    if answer.keep {
-                        self.keep(line, kept);
+                    let idle = IdleConnection {
+                        connection,
+                        last: (attempt.arrival, attempt.nth),
+                        life: attempt.life,
+                    };
+                    if answer.keep_alive {
+                        self.store_idle(target, idle);
                     }
                     return (end, Some(answer));
                 }
-                Ok(None) if reused && wrote.elapsed() < CROSSED => {
-                    this.written = None;
+                Ok(None) if reused && written_at.elapsed() < CLOSE_RACE_WINDOW => {
+                    attempt.written = None;
                 }
                 Ok(None) if !written => return (End::Unreachable, None),
                 _ => return (End::Broken, None),
@@ -265,57 +274,59 @@
         }
     }
 
-    /// A kept connection that shows nothing.
-    async fn take(&self, this: &Try) -> Option<Connection> {
+    /// Takes an idle connection to the gateway's present process on which no unexpected data has arrived.
+    async fn take_idle(&self, attempt: &Try) -> Option<Connection> {
         loop {
-            let mut kept = lock(&self.lines[this.gateway].kept).pop()?;
-            match kept.connection.idle().await {
-                Idle::Quiet if kept.life == this.life => return Some(kept.connection),
-                Idle::Speaks => self.spoke(&kept),
+            let mut idle = lock(&self.targets[attempt.gateway].idle_connections).pop()?;
+            match idle.connection.idle_state().await {
+                IdleState::Usable if idle.life == attempt.life => return Some(idle.connection),
+                IdleState::UnexpectedData => self.record_duplicate_answer(&idle),
                 _ => {}
             }
         }
     }
 
-    fn keep(&self, line: &Line, kept: Kept) {
-        let mut all = lock(&line.kept);
+    fn store_idle(&self, target: &GatewayTarget, idle: IdleConnection) {
+        let mut all = lock(&target.idle_connections);
         if all.len() < self.context.plan.scenario.load.connections {
-            all.push(kept);
+            all.push(idle);
         }
     }
 
-    /// Looks at the connections that are kept still: whoever wrote on one of them answered twice.
+    /// Checks the remaining idle connections: data on one of them is a second answer to its last request.
     pub async fn look_at_kept(&self) {
-        for line in &self.lines {
-            let all = std::mem::take(&mut *lock(&line.kept));
-            for mut kept in all {
-                if kept.connection.idle().await == Idle::Speaks {
-                    self.spoke(&kept);
+        for target in &self.targets {
+            let all = std::mem::take(&mut *lock(&target.idle_connections));
+            for mut idle in all {
+                if idle.connection.idle_state().await == IdleState::UnexpectedData {
+                    self.record_duplicate_answer(&idle);
                 }
             }
         }
     }
 
-    fn spoke(&self, kept: &Kept) {
+    fn record_duplicate_answer(&self, idle: &IdleConnection) {
         self.context.note(|record| {
-            let (arrival, nth) = kept.last;
+            let (arrival, nth) = idle.last;
             let mut latest_first = record.tries.iter_mut().rev();
-            if let Some(attempt) = latest_first.find(|one| one.arrival == arrival && one.nth == nth) {
+            if let Some(attempt) =
+                latest_first.find(|attempt| attempt.arrival == arrival && attempt.nth == nth)
+            {
                 attempt.twice = true;
             }
         });
     }
 
-    async fn connect(&self, line: &Line) -> io::Result<Connection> {
-        // Nothing comes up over a way that is cut.
-        for link in [&line.way.up, &line.way.down] {
+    async fn connect(&self, target: &GatewayTarget) -> io::Result<Connection> {
+        // No connection is established while either direction is cut.
+        for link in [&target.way.up, &target.way.down] {
             let _ = link.watch().wait_for(|view| !view.cut()).await;
         }
-        let stream = TcpStream::connect(line.address).await?;
-        Ok(Connection::new(through(stream, line.way.clone(), None).0))
+        let stream = TcpStream::connect(target.address).await?;
+        Ok(Connection::new(relay_stream(stream, target.way.clone(), None).0))
     }
 
-    fn text(&self, arrival: usize, nth: u32, id: u64, budget_ms: u64) -> Vec<u8> {
+    fn request_text(&self, arrival: usize, nth: u32, id: u64, budget_ms: u64) -> Vec<u8> {
         let plan = &self.context.plan;
         let spec = &plan.arrivals[arrival];
         let customer = &plan.customers[spec.customer];
@@ -352,8 +363,8 @@
     }
 }
 
-/// The mark in a body of a backend of the lab.
-fn mark(body: &[u8]) -> Option<u64> {
+/// Reads the mark from the body of an answer by one of the lab's backends.
+fn parse_mark(body: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(body).ok()?.strip_prefix("lab ")?;
     u64::from_str_radix(text.get(..16)?, 16).ok()
 }
--- a/lab/src/datagrams.rs
+++ b/lab/src/datagrams.rs
@@ -1,5 +1,5 @@
-//! Datagrams between gateways: for each pair an address on either side, boundaries kept, the sender seen at the
-//! address that the receiver knows it by.
+//! Datagram relays between gateways. Each pair has one relay address per side; datagrams keep their boundaries and arrive
+//! from the address by which the receiver knows the sender.
 
 use crate::fault_targets::Party;
 use crate::link::Links;
@@ -9,22 +9,22 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, Duration};
 
-/// The longest datagram that is carried; longer ones are dropped, as a network would drop their fragments.
-pub const LONGEST: usize = 9000;
-/// The pause after a read that failed: a receiver that is not there answers a send with an error.
-const PAUSE: Duration = Duration::from_millis(1);
+/// Maximum size of a datagram in bytes. Longer ones are dropped, as a network would drop their fragments.
+pub const MAX_DATAGRAM_BYTES: usize = 9000;
+/// Pause after a failed read. Reads fail because the kernel reports a send to a closed port as an error.
+const ERROR_PAUSE: Duration = Duration::from_millis(1);
 
-/// The addresses of all gateways, each as every other one sees them.
+/// Relay addresses between all gateways.
 pub struct Mesh {
-    /// `seen[a][b]`: where `a` sends what is for `b`.
+    /// Address to which gateway `a` sends datagrams for gateway `b`, at `seen[a][b]`.
     pub seen: Vec<Vec<SocketAddr>>,
-    /// Where each gateway has to listen.
+    /// Address at which each gateway listens.
     pub own: Vec<SocketAddr>,
 }
 
 impl Mesh {
-    /// Opens the relays: `ips` holds the address that is set aside for each gateway's side, `own` where each
-    /// one listens.
+    /// Opens the relays. `ips` holds the relay address on each gateway's side, `own` the address at which each gateway
+    /// listens.
     pub async fn open(ips: &[IpAddr], own: Vec<SocketAddr>, links: &Links) -> io::Result<Mesh> {
         let count = ips.len();
         let mut sockets: Vec<Vec<Arc<UdpSocket>>> = Vec::with_capacity(count);
@@ -41,23 +41,25 @@
         }
         for a in 0..count {
             for b in (0..count).filter(|b| *b != a) {
-                // What comes in where `a` reaches `b` goes out to `b` from where `b` reaches `a`.
+                // Datagrams from `a` for `b` are sent to `b` from the address at which `b` reaches `a`.
                 let (from, out) = (sockets[a][b].clone(), sockets[b][a].clone());
                 let link = links.get(Party::Gateway(a), Party::Gateway(b));
                 let (sender, to) = (own[a], own[b]);
                 tokio::spawn(async move {
-                    let mut buffer = vec![0; LONGEST + 1];
+                    let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
                     loop {
                         match from.recv_from(&mut buffer).await {
-                            // Only the gateway whose address this is may be heard here.
-                            Ok((length, peer)) if length <= LONGEST && peer.ip() == sender.ip() => {
-                                let fate = link.datagram();
-                                for _ in 0..fate.copies {
-                                    carry(&out, buffer[..length].to_vec(), to, fate.delay);
+                            // Only datagrams of the gateway that this address belongs to are relayed.
+                            Ok((length, peer))
+                                if length <= MAX_DATAGRAM_BYTES && peer.ip() == sender.ip() =>
+                            {
+                                let delivery = link.datagram();
+                                for _ in 0..delivery.copies {
+                                    deliver(&out, buffer[..length].to_vec(), to, delivery.delay);
                                 }
                             }
                             Ok(_) => {}
-                            Err(_) => sleep(PAUSE).await,
+                            Err(_) => sleep(ERROR_PAUSE).await,
                         }
                     }
                 });
@@ -67,13 +69,13 @@
     }
 }
 
-fn carry(out: &Arc<UdpSocket>, bytes: Vec<u8>, to: SocketAddr, delay: Duration) {
+fn deliver(out: &Arc<UdpSocket>, bytes: Vec<u8>, to: SocketAddr, delay: Duration) {
     let out = out.clone();
     tokio::spawn(async move {
         if !delay.is_zero() {
             sleep(delay).await;
         }
-        // Nobody hears a datagram to a process that is not there.
+        // A datagram to a process that is not running is lost.
         let _ = out.send_to(&bytes, to).await;
     });
 }
--- a/lab/src/fault_targets.rs
+++ b/lab/src/fault_targets.rs
@@ -1,26 +1,26 @@
-//! Targets of faults: parties by name, by zone, or some of a kind drawn by the seed.
+//! Targets of faults: parties by name or by zone, or a random selection of gateways or backends.
 
 use crate::plan::Draw;
 use crate::scenario::Scenario;
 use std::collections::BTreeSet;
 
-/// A party of a run.
+/// Participant of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Party {
-    /// All clients and the front.
+    /// All clients and the front end.
     Clients,
-    /// A gateway by its number.
+    /// Gateway with a number.
     Gateway(usize),
-    /// A backend by its number.
+    /// Backend with a number.
     Backend(usize),
-    /// The counter.
+    /// Shared counter.
     Counter,
-    /// Where the agents have their lists from.
+    /// Source of the discovery agents' lists.
     Discovery,
 }
 
 impl Party {
-    /// Its name in scenarios, logs and reports.
+    /// Returns the name used in scenarios, logs and reports.
     pub fn name(self) -> String {
         match self {
             Party::Clients => "clients".into(),
@@ -31,8 +31,8 @@
         }
     }
 
-    /// The number of the zone where it stands. Gateways and backends are dealt out in turn; counter and
-    /// discovery stand in the first; clients in none.
+    /// Returns the number of the party's zone. Gateways and backends are distributed round-robin; counter and discovery are
+    /// in the first zone; clients have none.
     pub fn zone(self, zones: usize) -> Option<usize> {
         match self {
             Party::Clients => None,
@@ -42,82 +42,82 @@
     }
 }
 
-/// How many of a kind.
+/// Size of a selection.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Some_ {
+enum Selection {
     All,
     Count(usize),
-    Part(f64),
+    Fraction(f64),
 }
 
-/// A target as a scenario names it: `clients`, `counter`, `discovery`, `zone:NAME` (all that stand there),
-/// `g3`, `b12`, or `gateways`/`backends` with `@ZONE` and `:COUNT` or `:PERCENT%` behind it, in this order.
+/// Target of a fault in a scenario: `clients`, `counter`, `discovery`, `zone:NAME` (all parties of a zone), `g3`, `b12`,
+/// or `gateways`/`backends`, optionally followed by `@ZONE` and by `:COUNT` or `:PERCENT%`, in this order.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Target(Form);
+pub struct Target(TargetForm);
 
 #[derive(Debug, Clone, PartialEq)]
-enum Form {
+enum TargetForm {
     One(Party),
     Zone(usize),
-    Some { backends: bool, zone: Option<usize>, some: Some_ },
+    Group { backends: bool, zone: Option<usize>, selection: Selection },
 }
 
 impl Target {
-    /// Reads a target; the error says what was expected.
+    /// Parses a target. The error names the expected forms.
     pub fn read(text: &str, scenario: &Scenario) -> Result<Target, String> {
         let zone = |name: &str| {
-            let place = scenario.net.zones.iter().position(|z| z == name);
-            place.ok_or_else(|| format!("'{text}': there is no zone '{name}'"))
+            let index = scenario.net.zones.iter().position(|z| z == name);
+            index.ok_or_else(|| format!("'{text}': there is no zone '{name}'"))
         };
         let form = match text {
-            "clients" => Form::One(Party::Clients),
-            "counter" => Form::One(Party::Counter),
-            "discovery" => Form::One(Party::Discovery),
+            "clients" => TargetForm::One(Party::Clients),
+            "counter" => TargetForm::One(Party::Counter),
+            "discovery" => TargetForm::One(Party::Discovery),
             _ => match text.strip_prefix("zone:") {
-                Some(name) => Form::Zone(zone(name)?),
-                None => match one(text) {
+                Some(name) => TargetForm::Zone(zone(name)?),
+                None => match parse_party(text) {
                     Some(party) => {
-                        let there = match party {
+                        let exists = match party {
                             Party::Gateway(n) => n < scenario.gateways.count,
                             Party::Backend(n) => n < scenario.backends.count,
                             _ => true,
                         };
-                        if !there {
+                        if !exists {
                             return Err(format!("there is no '{text}'"));
                         }
-                        Form::One(party)
+                        TargetForm::One(party)
                     }
-                    None => some(text, zone)?,
+                    None => parse_group(text, zone)?,
                 },
             },
         };
         Ok(Target(form))
     }
 
-    /// The parties meant; those that are drawn are drawn here.
+    /// Returns the target's parties, drawing the members of a random selection.
     pub fn resolve(&self, scenario: &Scenario, draw: &mut Draw) -> BTreeSet<Party> {
         let zones = scenario.zones();
         let gateways = (0..scenario.gateways.count).map(Party::Gateway);
         let backends = (0..scenario.backends.count).map(Party::Backend);
         match &self.0 {
-            Form::One(party) => BTreeSet::from([*party]),
-            Form::Zone(zone) => gateways
+            TargetForm::One(party) => BTreeSet::from([*party]),
+            TargetForm::Zone(zone) => gateways
                 .chain(backends)
                 .chain([Party::Counter, Party::Discovery])
                 .filter(|party| party.zone(zones) == Some(*zone))
                 .collect(),
-            Form::Some { backends: of_backends, zone, some } => {
+            TargetForm::Group { backends: of_backends, zone, selection } => {
                 let all: Vec<Party> = match of_backends {
                     true => backends.collect(),
                     false => gateways.collect(),
                 };
                 let mut all: Vec<Party> =
                     all.into_iter().filter(|p| zone.is_none() || p.zone(zones) == *zone).collect();
-                let count = match some {
-                    Some_::All => all.len(),
-                    Some_::Count(count) => *count,
-                    // At least one, or the fault would be none.
-                    Some_::Part(part) => ((all.len() as f64 * part).round() as usize).max(1),
+                let count = match selection {
+                    Selection::All => all.len(),
+                    Selection::Count(count) => *count,
+                    // At least one, otherwise the fault would have no effect.
+                    Selection::Fraction(fraction) => ((all.len() as f64 * fraction).round() as usize).max(1),
                 };
                 draw.shuffle(&mut all);
                 all.into_iter().take(count).collect()
@@ -126,7 +126,7 @@
     }
 }
 
-fn one(text: &str) -> Option<Party> {
+fn parse_party(text: &str) -> Option<Party> {
     let (kind, number) = text.split_at_checked(1)?;
     let number = number.parse().ok()?;
     match kind {
@@ -136,7 +136,7 @@
     }
 }
 
-fn some(text: &str, zone: impl Fn(&str) -> Result<usize, String>) -> Result<Form, String> {
+fn parse_group(text: &str, zone: impl Fn(&str) -> Result<usize, String>) -> Result<TargetForm, String> {
     let expected = || {
         format!(
             "'{text}': expected clients, counter, discovery, zone:NAME, g0, b0, or gateways or backends, \
@@ -150,18 +150,18 @@
         "backends" => true,
         _ => return Err(expected()),
     };
-    let some = match amount {
-        None => Some_::All,
+    let selection = match amount {
+        None => Selection::All,
         Some(amount) => match amount.strip_suffix('%') {
-            Some(part) => {
-                let part: f64 = part.parse().map_err(|_| expected())?;
-                if !(part > 0.0 && part <= 100.0) {
-                    return Err(format!("'{text}': expected a part over 0% and up to 100%"));
+            Some(fraction) => {
+                let fraction: f64 = fraction.parse().map_err(|_| expected())?;
+                if !(fraction > 0.0 && fraction <= 100.0) {
+                    return Err(format!("'{text}': expected a percentage above 0% and up to 100%"));
                 }
-                Some_::Part(part / 100.0)
+                Selection::Fraction(fraction / 100.0)
             }
-            None => Some_::Count(amount.parse().map_err(|_| expected())?),
+            None => Selection::Count(amount.parse().map_err(|_| expected())?),
         },
     };
-    Ok(Form::Some { backends, zone: at.map(zone).transpose()?, some })
+    Ok(TargetForm::Group { backends, zone: at.map(zone).transpose()?, selection })
 }
--- a/lab/src/gateway.rs
+++ b/lab/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Processes of the program: started with a configuration of their own, watched, signalled, started again.
+//! Gateway processes: each is configured, started, monitored and signalled, and can be restarted.
 
 use crate::client::Clients;
 use crate::link::lock;
@@ -18,70 +18,70 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// A gateway has to be ready within this.
+/// Time within which a process must become ready, or exit after SIGKILL.
 pub const READY_TIME: Duration = Duration::from_secs(15);
-/// Between two looks at what processes use.
-const SAMPLE: Duration = Duration::from_millis(250);
-/// After SIGTERM a process has the longest deadline (or 3 s, if that is longer), and so much more.
-const AFTER_TERM: Microseconds = 700_000;
+/// Interval between samples of the processes' resource usage.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
+/// After SIGTERM a process may run for the longest deadline of a class, but at least 3 s, plus this many microseconds.
+const TERM_ALLOWANCE_US: Microseconds = 700_000;
 
-/// Where one gateway finds the others, and what it is told.
+/// Addresses, environment and program of a gateway.
 pub struct Place {
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Where operators call.
+    /// Address of the admin server.
     pub ops: SocketAddr,
-    /// Its agent.
+    /// Address of the gateway's discovery agent.
     pub discovery: SocketAddr,
-    /// The counter, as it reaches it.
+    /// Address at which the gateway reaches the counter.
     pub counter: SocketAddr,
-    /// Further environment.
+    /// Additional environment variables.
     pub env: Vec<(String, String)>,
-    /// The program.
+    /// Path of the gateway program.
     pub binary: PathBuf,
 }
 
 struct Process {
     pid: Option<i32>,
-    /// The lab ended it, or asked it to end.
+    /// Last SIGKILL or SIGTERM that the lab sent.
     asked: Option<Signal>,
     paused: bool,
 }
 
-/// One gateway over all of its processes.
+/// One gateway, across restarts of its process.
 pub struct Gateway {
-    /// Its number.
+    /// Number of the gateway.
     pub number: usize,
     context: Arc<RunContext>,
-    /// Where it stands; a reload moves its services.
+    /// Addresses and environment; a reload changes the addresses of discovery and counter.
     pub place: Mutex<Place>,
     process: Mutex<Process>,
     running: watch::Sender<bool>,
 }
 
-/// A gateway did not start.
+/// Error on starting a gateway.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The program could not be run.
-    #[error("{0}: can't be run: {1}")]
+    /// The program could not be executed.
+    #[error("{0}: cannot execute the gateway program: {1}")]
     Run(PathBuf, io::Error),
-    /// Its files could not be written.
-    #[error("{0}: {1}")]
+    /// Configuration, folder or log could not be written.
+    #[error("{0}: cannot write: {1}")]
     Files(PathBuf, io::Error),
-    /// It was not ready in time, or ended first.
+    /// The process was not ready in time, or ended before.
     #[error("gateway g{0} {1}; the last lines of its log:\n{2}")]
     NotReady(usize, &'static str, String),
 }
 
 impl Gateway {
-    /// A gateway that is not started yet.
+    /// Creates a gateway without a process.
     pub fn new(context: Arc<RunContext>, number: usize, place: Place) -> Arc<Gateway> {
         let process = Mutex::new(Process { pid: None, asked: None, paused: false });
         let running = watch::Sender::new(false);
         Arc::new(Gateway { number, context, place: Mutex::new(place), process, running })
     }
 
-    fn event(&self, what: Life) {
+    fn record_event(&self, what: Life) {
         let event = LifeEvent {
             gateway: self.number,
             life: self.context.life(self.number),
@@ -91,12 +91,12 @@
         self.context.note(|record| record.lives.push(event));
     }
 
-    /// Its log so far.
+    /// Returns the path of the log, to which all of the gateway's processes append.
     pub fn log(&self) -> PathBuf {
         self.context.folder.join(format!("g{}.log", self.number))
     }
 
-    /// Writes its configuration, with the list of backends that it had last.
+    /// Writes the configuration file, with the endpoint list that the gateway last had.
     pub fn configure(&self, known: &Value) -> Result<PathBuf, StartError> {
         let path = self.context.folder.join(format!("g{}.json", self.number));
         let place = lock(&self.place);
@@ -114,10 +114,10 @@
             "known": known,
             "settings": crate::settings::settings(&self.context.plan, self.number),
         });
-        // In one step, so that no reader finds half of it.
-        let fresh = path.with_extension("new");
+        // Renamed into place, so that a reader never finds an incomplete file.
+        let temporary = path.with_extension("new");
         let written =
-            std::fs::write(&fresh, config.to_string()).and_then(|()| std::fs::rename(&fresh, &path));
+            std::fs::write(&temporary, config.to_string()).and_then(|()| std::fs::rename(&temporary, &path));
         written.map_err(|e| StartError::Files(path.clone(), e))?;
         Ok(path)
     }
@@ -137,14 +137,14 @@
         command.env("NODE_DISCOVERY", place.discovery.to_string()).env("TMPDIR", &folder);
         command.envs(place.env.iter().cloned());
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::from(log));
-        // Not in the lab's group: a Ctrl-C at the terminal is for the lab alone, which then ends its gateways.
+        // In a process group of its own: Ctrl-C at the terminal must reach the lab alone, which then stops its gateways.
         command.process_group(0).kill_on_drop(true);
         let child = command.spawn().map_err(|e| StartError::Run(place.binary.clone(), e))?;
         drop(place);
         let pid = child.id().map(|id| id as i32);
         *lock(&self.process) = Process { pid, asked: None, paused: false };
         self.running.send_replace(true);
-        self.event(Life::Started);
+        self.record_event(Life::Started);
         let gateway = self.clone();
         tokio::spawn(async move { gateway.wait(child).await });
         Ok(())
@@ -161,22 +161,22 @@
             Ok(status) => status.to_string(),
             Err(error) => error.to_string(),
         };
-        let well = status.is_ok_and(|status| status.success());
+        let succeeded = status.is_ok_and(|status| status.success());
         let asked = match asked {
-            Some(Signal::SIGTERM) => well,
+            Some(Signal::SIGTERM) => succeeded,
             Some(_) => true,
             None => false,
         };
-        self.event(Life::Ended { asked, how });
+        self.record_event(Life::Ended { asked, how });
         self.running.send_replace(false);
     }
 
-    /// Waits until its first `/_health` with 200.
+    /// Waits until `/_health` answers 200 for the first time.
     pub async fn ready(&self) -> Result<(), StartError> {
         let listen = lock(&self.place).listen;
         let mut running = self.running.subscribe();
         let ready = async {
-            while !health(listen).await {
+            while !is_healthy(listen).await {
                 sleep(Duration::from_millis(20)).await;
             }
         };
@@ -187,10 +187,10 @@
         };
         match failed {
             None => {
-                self.event(Life::Ready);
+                self.record_event(Life::Ready);
                 Ok(())
             }
-            Some(how) => Err(StartError::NotReady(self.number, how, self.last_lines())),
+            Some(reason) => Err(StartError::NotReady(self.number, reason, self.last_lines())),
         }
     }
 
@@ -201,7 +201,7 @@
         lines[lines.len().saturating_sub(8)..].join("\n")
     }
 
-    /// Sends a signal to its process, if it has one.
+    /// Sends a signal to the process. Returns false if there is none, or if the signal could not be sent.
     fn signal(&self, signal: Signal) -> bool {
         let mut process = lock(&self.process);
         let Some(pid) = process.pid else { return false };
@@ -213,49 +213,49 @@
             Signal::SIGCONT => process.paused = false,
             _ => {}
         }
-        // The process has not been waited for, so that its number names no other one.
+        // The process has not been reaped, so that its pid cannot have been reused.
         kill(Pid::from_raw(pid), signal).is_ok()
     }
 
-    /// SIGKILL; returns when the process is gone.
+    /// Sends SIGKILL and waits until the process has ended, for `READY_TIME` at most.
     pub async fn kill(&self) {
         if self.signal(Signal::SIGKILL) {
-            self.event(Life::Killed);
+            self.record_event(Life::Killed);
         }
         let _ = timeout(READY_TIME, self.running.subscribe().wait_for(|running| !running)).await;
     }
 
-    /// SIGKILL, without waiting.
+    /// Sends SIGKILL without waiting.
     pub fn end_now(&self) {
         self.signal(Signal::SIGKILL);
     }
 
-    /// SIGTERM, and SIGKILL for a process that goes on past its time.
+    /// Sends SIGTERM, and SIGKILL if the process has not ended within its time-out.
     pub async fn terminate(&self) {
         if self.signal(Signal::SIGTERM) {
-            self.event(Life::Terminated);
+            self.record_event(Life::Terminated);
         }
         let longest = self.context.plan.scenario.classes.iter().map(|c| us(c.deadline_ms / 1000.0)).max();
-        let time = longest.unwrap_or(0).max(3_000_000) + AFTER_TERM;
+        let time_out_us = longest.unwrap_or(0).max(3_000_000) + TERM_ALLOWANCE_US;
         let mut running = self.running.subscribe();
-        if timeout(Duration::from_micros(time), running.wait_for(|running| !running)).await.is_err() {
+        if timeout(Duration::from_micros(time_out_us), running.wait_for(|running| !running)).await.is_err() {
             self.kill().await;
         }
     }
 
-    /// SIGSTOP, or SIGCONT.
+    /// Pauses the process with SIGSTOP, or continues it with SIGCONT.
     pub fn pause(&self, on: bool) {
         if self.signal(if on { Signal::SIGSTOP } else { Signal::SIGCONT }) {
-            self.event(if on { Life::Paused } else { Life::Continued });
+            self.record_event(if on { Life::Paused } else { Life::Continued });
         }
     }
 
-    /// SIGHUP.
+    /// Requests a reload of the configuration with SIGHUP.
     pub fn reload(&self) {
         self.signal(Signal::SIGHUP);
     }
 
-    /// Whether a process of it runs.
+    /// Returns whether a process is running.
     pub fn runs(&self) -> bool {
         *self.running.borrow()
     }
@@ -275,47 +275,48 @@
     }
 }
 
-/// What a process has used, by its number or `self`: processor time in microseconds, resident memory in bytes.
+/// Returns the resource usage of a process, given by its pid or as `self`: processor time in microseconds and resident
+/// memory in bytes.
 pub fn used(process: &str) -> Option<(u64, u64)> {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).ok()?;
-    // The name in brackets may hold anything; the fields after it are counted from the state, field 3.
+    // The command name in parentheses may contain any character; after it the fields start with the state, field 3.
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks: u64 = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
     let pages: u64 = fields.get(21)?.parse().ok()?;
-    // Linux counts in hundredths of a second, and in pages of 4 KiB on this platform.
+    // Linux reports ticks of 10 ms, and pages of 4 KiB on this platform.
     Some((ticks * 10_000, pages * 4096))
 }
 
-/// Looks at what all gateways use, again and again.
+/// Samples the resource usage of all gateways until it is cancelled.
 pub async fn watch_usage(context: Arc<RunContext>, gateways: Vec<Arc<Gateway>>) {
     loop {
         let samples: Vec<Usage> = gateways.iter().filter_map(|gateway| gateway.sample()).collect();
         context.note(|record| record.usage.extend(samples));
-        sleep(SAMPLE).await;
+        sleep(SAMPLE_INTERVAL).await;
     }
 }
 
-/// Whether `/_health` answers with 200.
-async fn health(address: SocketAddr) -> bool {
+/// Returns whether `/_health` answers 200 within 500 ms.
+async fn is_healthy(address: SocketAddr) -> bool {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let ask = async {
+    let check = async {
         let mut stream = tokio::net::TcpStream::connect(address).await?;
         stream.write_all(b"GET /_health HTTP/1.1\r\nHost: origin.svc\r\nConnection: close\r\n\r\n").await?;
         let mut head = [0; 12];
         stream.read_exact(&mut head).await?;
         Ok::<bool, io::Error>(head == *b"HTTP/1.1 200")
     };
-    matches!(timeout(Duration::from_millis(500), ask).await, Ok(Ok(true)))
+    matches!(timeout(Duration::from_millis(500), check).await, Ok(Ok(true)))
 }
 
-/// The front notices a gateway's end after some seconds, drawn by the seed.
+/// Lets the front end notice that a gateway has stopped or paused, after a delay drawn from the seed.
 pub fn notice(context: &RunContext, clients: &Arc<Clients>, gateway: &Arc<Gateway>) {
     let life = context.life(gateway.number);
     let stream = 8 << 32 | (life as u64) << 16 | gateway.number as u64;
-    let after = Draw::new(context.plan.seed, stream).between(context.plan.scenario.load.notice_s);
+    let delay_s = Draw::new(context.plan.seed, stream).between(context.plan.scenario.load.notice_s);
     let (clients, gateway) = (clients.clone(), gateway.clone());
     tokio::spawn(async move {
-        sleep(Duration::from_secs_f64(after)).await;
+        sleep(Duration::from_secs_f64(delay_s)).await;
         let paused = lock(&gateway.process).paused;
         if !gateway.runs() || paused {
             clients.front(gateway.number, true);
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -1,7 +1,7 @@
-//! Streams over links: listeners at addresses of a gateway's own, and connections that suffer what is on the link.
+//! TCP relays over links: listeners at addresses of one gateway, and connections to which the links' faults apply.
 
 use crate::clock::Clock;
-use crate::link::{Link, View};
+use crate::link::{Link, LinkState};
 use crate::plan::Microseconds;
 use socket2::SockRef;
 use std::io;
@@ -14,30 +14,30 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// What is read at once from a connection.
-const PIECE: usize = 4096;
-/// Connections that wait to be accepted.
+/// Maximum number of bytes per read, which cross the link together.
+const READ_SIZE: usize = 4096;
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 512;
-/// The pause after the lab itself lacked a descriptor or a port.
-const STARVED: Duration = Duration::from_millis(50);
+/// Pause after a failure for lack of a descriptor or a port in the lab itself.
+const SHORTAGE_PAUSE: Duration = Duration::from_millis(50);
 
-/// Both directions of a way.
+/// Links of a connection in both directions.
 #[derive(Clone)]
 pub struct Way {
-    /// From the side that connects.
+    /// Link from the connecting side.
     pub up: Arc<Link>,
-    /// To it.
+    /// Link to the connecting side.
     pub down: Arc<Link>,
-    /// The run's clock.
+    /// Clock of the run.
     pub clock: Clock,
 }
 
-/// When the last piece came off a connection's socket, before it crossed the link: when it was sent.
+/// Time of the last read from a connection's socket, before the data crossed the link; approximates the time of sending.
 #[derive(Debug, Clone, Default)]
 pub struct LastRead(Arc<AtomicU64>);
 
 impl LastRead {
-    /// That time.
+    /// Returns the time of the last read.
     pub fn last(&self) -> Microseconds {
         self.0.load(Ordering::Relaxed)
     }
@@ -47,53 +47,54 @@
 }
 
 impl Way {
-    fn cut(&self, up: &mut watch::Receiver<View>, down: &mut watch::Receiver<View>) -> bool {
-        // A connection needs both directions to come up.
+    fn cut(&self, up: &mut watch::Receiver<LinkState>, down: &mut watch::Receiver<LinkState>) -> bool {
+        // A connection is established only if neither direction is cut.
         up.borrow_and_update().cut() | down.borrow_and_update().cut()
     }
 }
 
-/// Times that the lab itself lacked a port or a descriptor, so that a run is not valid.
+/// Number of times that the lab itself lacked a port, a descriptor or memory, which makes a run invalid.
 #[derive(Debug, Default)]
-pub struct StarvedReads(AtomicUsize);
+pub struct ResourceShortages(AtomicUsize);
 
-impl StarvedReads {
-    /// How often so far.
+impl ResourceShortages {
+    /// Returns the number so far.
     pub fn count(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
-    /// Notes an error if it means this.
+    /// Counts an error if it means that a resource was lacking.
     pub fn note(&self, error: &io::Error) {
-        let lacking = [io::ErrorKind::AddrNotAvailable, io::ErrorKind::AddrInUse, io::ErrorKind::OutOfMemory];
-        // 23 and 24: too many files in the system, in the process.
-        if lacking.contains(&error.kind()) || matches!(error.raw_os_error(), Some(23 | 24)) {
+        let shortages =
+            [io::ErrorKind::AddrNotAvailable, io::ErrorKind::AddrInUse, io::ErrorKind::OutOfMemory];
+        // ENFILE (23) and EMFILE (24): too many open files in the system or in the process.
+        if shortages.contains(&error.kind()) || matches!(error.raw_os_error(), Some(23 | 24)) {
             self.0.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-/// What stands behind a listener and takes its connections.
+/// Handler of the connections that a listener accepts.
 pub type Serve = Arc<dyn Fn(DuplexStream, LastRead) + Send + Sync>;
 
-/// A listener at an address of one gateway's own, behind which another party stands.
+/// Listener at an address that only one gateway uses, in front of another party.
 pub struct GatewayListener {
-    /// Where it listens.
+    /// Address of the listener.
     pub address: SocketAddr,
     open: watch::Sender<bool>,
 }
 
-/// What keeps a door's connections: the party behind it lives, and the door is open.
+/// Condition for a listener's connections: the party behind it is running and the listener is open.
 #[derive(Clone)]
-pub struct Standing {
+pub struct Availability {
     alive: watch::Receiver<bool>,
     open: watch::Receiver<bool>,
 }
 
-impl Standing {
-    fn now(&mut self) -> bool {
+impl Availability {
+    fn is_available(&mut self) -> bool {
         *self.alive.borrow_and_update() & *self.open.borrow_and_update()
     }
-    /// Waits for a change; `None`: the party or the door is gone for good.
+    /// Waits for a change. Returns `None` if the party or the listener no longer exists.
     async fn changed(&mut self) -> Option<()> {
         tokio::select! {
             changed = self.alive.changed() => changed.ok(),
@@ -101,7 +102,7 @@
         }
     }
     async fn ended(mut self) {
-        while self.now() {
+        while self.is_available() {
             if self.changed().await.is_none() {
                 return;
             }
@@ -110,29 +111,29 @@
 }
 
 impl GatewayListener {
-    /// Opens one at any port of an address. While `alive` is false new connections are refused, and those there
-    /// are reset.
+    /// Opens a listener at a free port of an address. While `alive` is false, new connections are refused and existing
+    /// ones are reset.
     pub fn open(
         ip: IpAddr,
         way: Way,
         alive: watch::Receiver<bool>,
-        starved: Arc<StarvedReads>,
+        starved: Arc<ResourceShortages>,
         serve: Serve,
     ) -> io::Result<GatewayListener> {
         let listener = listen(SocketAddr::new(ip, 0))?;
         let address = listener.local_addr()?;
         let open = watch::Sender::new(true);
-        let standing = Standing { alive, open: open.subscribe() };
+        let availability = Availability { alive, open: open.subscribe() };
         tokio::spawn(async move {
             let up = way.up.watch();
             let down = way.down.watch();
-            let task = ListenerTask { address, way, up, down, standing, starved, serve };
+            let task = ListenerTask { address, way, up, down, availability, starved, serve };
             task.run(listener).await;
         });
         Ok(GatewayListener { address, open })
     }
 
-    /// Ends it: its connections are reset, new ones are refused.
+    /// Closes the listener: its connections are reset and new ones are refused.
     pub fn close(&self) {
         self.open.send_replace(false);
     }
@@ -145,25 +146,25 @@
     socket.listen(BACKLOG)
 }
 
-/// The task of a listener: accepts while the party behind it lives, and is closed while it does not.
+/// Task of a listener: accepts connections while the party behind it is running, and is closed otherwise.
 struct ListenerTask {
     address: SocketAddr,
     way: Way,
-    up: watch::Receiver<View>,
-    down: watch::Receiver<View>,
-    standing: Standing,
-    starved: Arc<StarvedReads>,
+    up: watch::Receiver<LinkState>,
+    down: watch::Receiver<LinkState>,
+    availability: Availability,
+    starved: Arc<ResourceShortages>,
     serve: Serve,
 }
 
 impl ListenerTask {
-    /// Runs until the party behind the listener, or the listener itself, is gone for good.
+    /// Runs until the party behind the listener, or the listener itself, no longer exists.
     async fn run(mut self, listener: TcpListener) {
         let mut open = Some(listener);
         loop {
-            if !self.standing.now() {
+            if !self.availability.is_available() {
                 open = None;
-                if self.standing.changed().await.is_none() {
+                if self.availability.changed().await.is_none() {
                     return;
                 }
                 continue;
@@ -173,83 +174,91 @@
                 continue;
             };
             let is_cut = self.way.cut(&mut self.up, &mut self.down);
-            let stands = if is_cut {
-                self.hang_connections(listener).await
+            let exists = if is_cut {
+                self.hold_connections(listener).await
             } else {
                 self.accept_or_change(listener).await
             };
-            if stands.is_none() {
+            if exists.is_none() {
                 return;
             }
         }
     }
 
-    /// Listens at the same address as before; `None` after a pause where that failed.
+    /// Listens at the same address as before. On failure, returns `None` after a pause.
     async fn listen_again(&self) -> Option<TcpListener> {
         match listen(self.address) {
             Ok(listener) => Some(listener),
             Err(error) => {
                 self.starved.note(&error);
-                sleep(STARVED).await;
+                sleep(SHORTAGE_PAUSE).await;
                 None
             }
         }
     }
 
-    /// Waits for one connection or one change of state. `None`: the party or the listener is gone for good.
+    /// Waits for one connection or one change of state. Returns `None` if the party or the listener no longer exists.
     async fn accept_or_change(&mut self, listener: &TcpListener) -> Option<()> {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    let (stream, stamp) = through(stream, self.way.clone(), Some(self.standing.clone()));
+                    let (stream, stamp) = relay_stream(stream, self.way.clone(), Some(self.availability.clone()));
                     (self.serve)(stream, stamp);
                 }
                 Err(error) => {
                     self.starved.note(&error);
-                    sleep(STARVED).await;
+                    sleep(SHORTAGE_PAUSE).await;
                 }
             },
             _ = self.up.changed() => {}
             _ = self.down.changed() => {}
-            changed = self.standing.changed() => changed?,
+            changed = self.availability.changed() => changed?,
         }
         Some(())
     }
 
-    async fn hang_connections(&mut self, listener: &TcpListener) -> Option<()> {
-        let standing = &mut self.standing;
-        black_hole(listener, self.address, &self.way, &mut self.up, &mut self.down, standing).await
+    async fn hold_connections(&mut self, listener: &TcpListener) -> Option<()> {
+        let availability = &mut self.availability;
+        drop_connections_during_cut(
+            listener,
+            self.address,
+            &self.way,
+            &mut self.up,
+            &mut self.down,
+            availability,
+        )
+        .await
     }
 }
 
-/// Lets new connections hang until the cut is over: a listener whose queue is full drops what comes. `None`: the
-/// party behind it is gone for good.
-async fn black_hole(
+/// Leaves new connections unanswered until the cut ends, by keeping the accept queue full: the kernel then drops
+/// incoming connection requests. Returns `None` if the party or the listener no longer exists.
+async fn drop_connections_during_cut(
     listener: &TcpListener,
     address: SocketAddr,
     way: &Way,
-    up: &mut watch::Receiver<View>,
-    down: &mut watch::Receiver<View>,
-    standing: &mut Standing,
+    up: &mut watch::Receiver<LinkState>,
+    down: &mut watch::Receiver<LinkState>,
+    availability: &mut Availability,
 ) -> Option<()> {
     let queue = SockRef::from(listener);
-    // Fails only on a socket that does not listen.
+    // Fails only on a socket that is not listening.
     let _ = queue.listen(0);
-    // Fills the queue's one place; where another connection waits there already, this one hangs and is dropped.
+    // Fills the queue's only slot. If another connection is already there, this one times out and is dropped.
     let filler = timeout(Duration::from_millis(100), TcpStream::connect(address)).await;
     let filler = filler.ok().and_then(Result::ok);
-    while standing.now() && way.cut(up, down) {
+    while availability.is_available() && way.cut(up, down) {
         tokio::select! {
             _ = up.changed() => {}
             _ = down.changed() => {}
-            changed = standing.changed() => changed?,
+            changed = availability.changed() => changed?,
         }
     }
     let _ = queue.listen(BACKLOG as i32);
-    if let Some(own) = filler.as_ref().and_then(|f| f.local_addr().ok()) {
-        // Whoever stands before it in the queue has been cut off as well, and is dropped.
+    if let Some(filler_address) = filler.as_ref().and_then(|f| f.local_addr().ok()) {
+        // Connections before it in the queue were made during the cut as well, and are dropped.
         while let Ok(Ok((_, peer))) = timeout(Duration::from_millis(50), listener.accept()).await {
-            if peer == own {
+            if peer == filler_address {
                 break;
             }
         }
@@ -257,72 +266,80 @@
     Some(())
 }
 
-/// The lab's end of a connection that suffers what is on its way. `standing`: the party at the lab's end; when it
-/// dies the connection is reset.
-pub fn through(stream: TcpStream, way: Way, standing: Option<Standing>) -> (DuplexStream, LastRead) {
-    // Small messages must not wait for each other; it can fail on a connection that is broken already.
+/// Relays a connection over its links and returns the lab's end of it. If `availability` is given, the connection is
+/// reset when the party at the lab's end stops or its listener is closed.
+pub fn relay_stream(
+    stream: TcpStream,
+    way: Way,
+    availability: Option<Availability>,
+) -> (DuplexStream, LastRead) {
+    // Without TCP_NODELAY small messages would wait for each other. Fails only on a connection that is already broken.
     let _ = stream.set_nodelay(true);
     let (inner, outer) = duplex(16 * 1024);
     let stamp = LastRead::default();
-    tokio::spawn(carry(stream, outer, way, stamp.clone(), standing));
+    tokio::spawn(relay(stream, outer, way, stamp.clone(), availability));
     (inner, stamp)
 }
 
-async fn carry(
+async fn relay(
     mut stream: TcpStream,
     outer: DuplexStream,
     way: Way,
     stamp: LastRead,
-    standing: Option<Standing>,
+    availability: Option<Availability>,
 ) {
     let (read, write) = stream.split();
     let (from, to) = tokio::io::split(outer);
     let broken = {
-        let came = || stamp.set(way.clock.now());
-        let both =
-            async { tokio::try_join!(pump(read, to, &way.up, came), pump(from, write, &way.down, || {})) };
-        let dead = async {
-            match standing {
-                Some(standing) => standing.ended().await,
+        let on_read = || stamp.set(way.clock.now());
+        let relaying = async {
+            tokio::try_join!(
+                copy_over_link(read, to, &way.up, on_read),
+                copy_over_link(from, write, &way.down, || {})
+            )
+        };
+        let unavailable = async {
+            match availability {
+                Some(availability) => availability.ended().await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
-            done = both => done.is_err(),
-            () = reset(&way.up) => true,
-            () = reset(&way.down) => true,
-            () = dead => true,
+            done = relaying => done.is_err(),
+            () = wait_for_reset(&way.up) => true,
+            () = wait_for_reset(&way.down) => true,
+            () = unavailable => true,
         }
     };
     if broken {
-        // Fails on a connection that is gone already.
+        // A linger time of 0 resets the connection on close. Fails on a connection that is already gone.
         let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     }
 }
 
-async fn reset(link: &Link) {
+async fn wait_for_reset(link: &Link) {
     let mut watch = link.watch();
     let before = watch.borrow_and_update().resets;
-    if watch.wait_for(|view| view.resets != before).await.is_err() {
+    if watch.wait_for(|state| state.resets != before).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-async fn pump(
+async fn copy_over_link(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
     link: &Link,
-    came: impl Fn(),
+    on_read: impl Fn(),
 ) -> io::Result<()> {
     let mut watch = link.watch();
-    let mut piece = vec![0; PIECE];
+    let mut buffer = vec![0; READ_SIZE];
     loop {
-        let length = from.read(&mut piece).await?;
-        came();
+        let length = from.read(&mut buffer).await?;
+        on_read();
         link.cross(&mut watch).await;
         if length == 0 {
             return to.shutdown().await;
         }
-        to.write_all(&piece[..length]).await?;
+        to.write_all(&buffer[..length]).await?;
     }
 }
--- a/lab/src/run_context.rs
+++ b/lab/src/run_context.rs
@@ -1,42 +1,43 @@
-//! What all stand-ins of a run share: plan, clock, links, the record, and which request an id on the wire names.
+//! State shared by all stand-ins of a run: plan, clock, links, record, and the requests by their ids on the wire.
 
 use crate::clock::Clock;
 use crate::link::{lock, Links};
 use crate::plan::{Microseconds, Plan};
 use crate::record::{Record, Told};
-use crate::relay::StarvedReads;
+use crate::relay::ResourceShortages;
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
 
-/// Shared by all stand-ins.
+/// State shared by all stand-ins of a run.
 pub struct RunContext {
-    /// All that the seed decided.
+    /// Plan of the run, drawn from the seed.
     pub plan: Plan,
-    /// The run's clock.
+    /// Clock of the run.
     pub clock: Clock,
-    /// The state of the ways.
+    /// Links between the parties.
     pub links: Links,
-    /// What was seen so far.
+    /// Observations so far.
     pub record: Mutex<Record>,
-    /// Lacks of the lab itself.
-    pub starved: Arc<StarvedReads>,
-    /// Where configurations and logs are kept.
+    /// Resource shortages of the lab itself.
+    pub starved: Arc<ResourceShortages>,
+    /// Folder of configurations and logs.
     pub folder: PathBuf,
-    /// The second byte of this run's loopback addresses.
+    /// Second byte of the run's loopback addresses.
     pub net: u8,
-    /// Arrivals by the ids that clients have sent.
-    ids: Mutex<HashMap<u64, usize>>,
-    /// Keyed arrivals that have been begun: when.
-    keys: Mutex<HashMap<usize, Microseconds>>,
-    /// What each gateway's living process knows of starts: gateway and backend.
-    knows: Mutex<HashMap<(usize, usize), Microseconds>>,
-    lives: Mutex<Vec<usize>>,
+    /// Indexes of the arrivals by the ids that clients have sent.
+    arrivals_by_id: Mutex<HashMap<u64, usize>>,
+    /// Time at which each arrival with an idempotency key was last started at a backend.
+    started_at: Mutex<HashMap<usize, Microseconds>>,
+    /// Backend start that each gateway's present process was last notified of, by gateway and backend.
+    known_starts: Mutex<HashMap<(usize, usize), Microseconds>>,
+    /// Number of each gateway's present process.
+    process_numbers: Mutex<Vec<usize>>,
 }
 
 impl RunContext {
-    /// A new context; `net` is the second byte of its loopback addresses.
+    /// Creates the context of a run. `net` is the second byte of the run's loopback addresses.
     pub fn new(plan: Plan, clock: Clock, folder: PathBuf, net: u8) -> RunContext {
         let links = Links::new(&plan.scenario, plan.seed);
         let gateways = plan.scenario.gateways.count;
@@ -48,73 +49,82 @@
             starved: Arc::default(),
             folder,
             net,
-            ids: Mutex::default(),
-            keys: Mutex::default(),
-            knows: Mutex::default(),
-            lives: Mutex::new(vec![0; gateways]),
+            arrivals_by_id: Mutex::default(),
+            started_at: Mutex::default(),
+            known_starts: Mutex::default(),
+            process_numbers: Mutex::new(vec![0; gateways]),
         }
     }
 
-    /// Loopback address `last` of the side of a gateway.
+    /// Returns the loopback address on a gateway's side with the given last byte.
     pub fn side(&self, gateway: usize, last: u8) -> IpAddr {
         IpAddr::V4(Ipv4Addr::new(127, self.net, gateway as u8 + 1, last))
     }
 
-    /// Notes something in the record.
+    /// Updates the record.
     pub fn note(&self, change: impl FnOnce(&mut Record)) {
         change(&mut lock(&self.record));
     }
 
-    /// Says that a client is about to send a request under this id.
-    pub fn announce(&self, id: u64, arrival: usize) {
-        lock(&self.ids).insert(id, arrival);
+    /// Registers the id of a request that a client is about to send.
+    pub fn register_id(&self, id: u64, arrival: usize) {
+        lock(&self.arrivals_by_id).insert(id, arrival);
     }
 
-    /// The arrival that an id names.
+    /// Returns the index of the arrival with a request id. If the plan accepts any id, unknown ones map to some arrival.
     pub fn arrival(&self, id: u64) -> Option<usize> {
-        let known = lock(&self.ids).get(&id).copied();
-        let any = self.plan.open_ids && !self.plan.arrivals.is_empty();
-        known.or_else(|| any.then(|| id as usize % self.plan.arrivals.len()))
+        let known = lock(&self.arrivals_by_id).get(&id).copied();
+        let accept_any = self.plan.open_ids && !self.plan.arrivals.is_empty();
+        known.or_else(|| accept_any.then(|| id as usize % self.plan.arrivals.len()))
     }
 
-    /// Whether a keyed request has been begun within its window; if not, it is from now on.
-    pub fn repeated(&self, arrival: usize, window: Microseconds, now: Microseconds) -> bool {
-        let mut keys = lock(&self.keys);
-        match keys.get(&arrival) {
+    /// Returns whether a request with an idempotency key was already started within its deduplication window. If not, it
+    /// counts as started now.
+    pub fn is_repeated(&self, arrival: usize, window: Microseconds, now: Microseconds) -> bool {
+        let mut started_at = lock(&self.started_at);
+        match started_at.get(&arrival) {
             Some(at) if now < at + window => true,
             _ => {
-                keys.insert(arrival, now);
+                started_at.insert(arrival, now);
                 false
             }
         }
     }
 
-    /// The process that a gateway runs now, counted from 0.
+    /// Returns the number of a gateway's present process, counted from 0.
     pub fn life(&self, gateway: usize) -> usize {
-        lock(&self.lives)[gateway]
+        lock(&self.process_numbers)[gateway]
     }
 
-    /// A gateway's next process starts, knowing nothing.
+    /// Increments a gateway's process number and removes the notices that its previous process received.
     pub fn next_life(&self, gateway: usize) {
-        lock(&self.lives)[gateway] += 1;
-        lock(&self.knows).retain(|(g, _), _| *g != gateway);
+        lock(&self.process_numbers)[gateway] += 1;
+        lock(&self.known_starts).retain(|(g, _), _| *g != gateway);
     }
 
-    /// Notes that discovery told a gateway of a backend.
-    pub fn told(&self, gateway: usize, backend: usize, ready: bool, started: Microseconds, at: Microseconds) {
+    /// Records that discovery notified a gateway of a backend's state.
+    pub fn record_notice(
+        &self,
+        gateway: usize,
+        backend: usize,
+        ready: bool,
+        started: Microseconds,
+        at: Microseconds,
+    ) {
         let life = self.life(gateway);
         if ready {
-            lock(&self.knows).insert((gateway, backend), started);
+            lock(&self.known_starts).insert((gateway, backend), started);
         }
         self.note(|record| record.told.push(Told { gateway, life, backend, ready, at }));
     }
 
-    /// Whether a gateway's process was told of a backend's start at this time.
-    pub fn knows(&self, gateway: usize, backend: usize, started: Microseconds) -> bool {
-        lock(&self.knows).get(&(gateway, backend)).is_some_and(|at| *at >= started)
+    /// Returns whether a gateway's present process was notified of a backend's start at time `started` or later.
+    pub fn knows_start(&self, gateway: usize, backend: usize, started: Microseconds) -> bool {
+        lock(&self.known_starts).get(&(gateway, backend)).is_some_and(|at| *at >= started)
     }
 
-    /// A mark for a body that only this run's backends can make: the same for all of a backend's answers to an id.
+    /// Returns the mark for an answer's body. It depends on seed, id and backend, so that a gateway cannot invent it and
+    /// all answers of a backend to an id carry the same one.
     pub fn mark(&self, id: u64, backend: usize) -> u64 {
         let mut x =
             id ^ self.plan.seed.rotate_left(17) ^ (backend as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -122,8 +132,8 @@
         x ^ (x >> 32)
     }
 
-    /// A draw from 0 to under 1 that an id and a purpose decide.
-    pub fn part(&self, id: u64, purpose: u64) -> f64 {
+    /// Returns a pseudo-random number in [0, 1) that depends on seed, id and purpose alone.
+    pub fn unit_draw(&self, id: u64, purpose: u64) -> f64 {
         (self.mark(id, purpose as usize) >> 11) as f64 / (1u64 << 53) as f64
     }
 }
--- a/lab/src/serve.rs
+++ b/lab/src/serve.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection at a stand-in: hyper over a link, with a limit on idle time.
+//! Server side of an HTTP/1.1 connection at a stand-in, with an idle time-out.
 
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -19,15 +19,15 @@
 use tokio::io::DuplexStream;
 use tokio::time::{sleep_until, Instant};
 
-/// An answer's body.
-pub type Answer = Response<UnsyncBoxBody<Bytes, Broken>>;
+/// Answer of a stand-in.
+pub type Answer = Response<UnsyncBoxBody<Bytes, TruncatedAnswer>>;
 
-/// An answer that breaks off on purpose.
+/// Error of an answer's body that is cut off by an injected fault.
 #[derive(Debug, thiserror::Error)]
-#[error("this answer breaks off")]
-pub struct Broken;
+#[error("answer cut off by an injected fault")]
+pub struct TruncatedAnswer;
 
-/// An answer with a body.
+/// Builds an answer with a status and a body.
 pub fn answer(status: StatusCode, body: impl Into<Bytes>) -> Answer {
     let body = Full::new(body.into()).map_err(|never: Infallible| match never {}).boxed_unsync();
     let mut response = Response::new(body);
@@ -35,31 +35,32 @@
     response
 }
 
-/// A 200 that says it is longer than it is, and ends.
-pub fn half(body: Bytes) -> Answer {
+/// Builds an answer 200 whose `Content-Length` exceeds its body, after which the connection breaks.
+pub fn truncated_answer(body: Bytes) -> Answer {
     let length = body.len() * 2 + 2;
-    let mut response = Response::new(Half(Some(body)).boxed_unsync());
+    let mut response = Response::new(TruncatedBody(Some(body)).boxed_unsync());
     response.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(length));
     response
 }
 
-struct Half(Option<Bytes>);
+struct TruncatedBody(Option<Bytes>);
 
-impl Body for Half {
+impl Body for TruncatedBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = TruncatedAnswer;
     fn poll_frame(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
-        Poll::Ready(Some(self.0.take().map(Frame::data).ok_or(Broken)))
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswer>>> {
+        Poll::Ready(Some(self.0.take().map(Frame::data).ok_or(TruncatedAnswer)))
     }
     fn size_hint(&self) -> SizeHint {
         SizeHint::default()
     }
 }
 
-/// Serves a connection until it ends. It is closed when it has stood idle for so long.
+/// Serves a connection until it ends. A connection without an open request is closed after one to two times the idle
+/// time-out.
 pub async fn connection<F, R>(stream: DuplexStream, idle: Duration, handle: F)
 where
     F: Fn(Request<Incoming>) -> R,
@@ -70,9 +71,9 @@
     let service = service_fn(|request| {
         let (open, served) = (open.clone(), served.clone());
         open.fetch_add(1, Ordering::Relaxed);
-        let work = handle(request);
+        let answering = handle(request);
         async move {
-            let answer = work.await;
+            let answer = answering.await;
             open.fetch_sub(1, Ordering::Relaxed);
             served.fetch_add(1, Ordering::Relaxed);
             Ok::<_, Infallible>(answer)
@@ -81,18 +82,18 @@
     let connection =
         http1::Builder::new().max_buf_size(128 * 1024).serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let mut seen = 0;
+    let mut last_count = 0;
     let mut until = Instant::now() + idle;
     loop {
         tokio::select! {
-            // However it ends, the attempts on it have noted what became of them.
+            // An error is ignored: the attempts on the connection record their own outcomes.
             _ = connection.as_mut() => return,
             () = sleep_until(until) => {
-                let now = served.load(Ordering::Relaxed);
-                if open.load(Ordering::Relaxed) == 0 && now == seen {
+                let count = served.load(Ordering::Relaxed);
+                if open.load(Ordering::Relaxed) == 0 && count == last_count {
                     connection.as_mut().graceful_shutdown();
                 }
-                seen = now;
+                last_count = count;
                 until = Instant::now() + idle;
             }
         }
