--- a/lab/src/checker/invariants.rs
+++ b/lab/src/checker/invariants.rs
@@ -3,7 +3,7 @@
 use crate::plan::{Microseconds, Plan};
 use crate::record::{Attempt, End, Life, Outcome, Record, Try};
 use crate::scenario::Effect;
-use crate::settings::MOST_ATTEMPTS;
+use crate::settings::MAX_ATTEMPTS;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -235,10 +235,10 @@
 fn check_effect(plan: &Plan, client_attempt: &Try, attempts: &[&Attempt], violations: &mut Violations) {
     let class = &plan.scenario.classes[plan.arrivals[client_attempt.arrival].class];
     let request = format!("g{}, id {:016x}, class {}", client_attempt.gateway, client_attempt.id, class.name);
-    if attempts.len() > MOST_ATTEMPTS {
+    if attempts.len() > MAX_ATTEMPTS {
         violations.add(
             Rule::Effect,
-            attempts[MOST_ATTEMPTS].first,
+            attempts[MAX_ATTEMPTS].first,
             format!("{request}: {} attempts", attempts.len()),
         );
     }
--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -1,5 +1,5 @@
-//! The command line: what a user asks for, and the exit code: 0 held, 1 a rule broken or an expectation missed,
-//! or a run that says nothing, 2 bad use.
+//! Command line of the lab. Exit codes: 0 all checks passed; 1 a rule was violated, an expectation was missed or the run
+//! is not valid; 2 usage error.
 
 use crate::checker::Word;
 use crate::run::RunResources;
@@ -9,13 +9,14 @@
 use clap::{Args, Parser, Subcommand};
 use std::path::{Path, PathBuf};
 
-/// Plays a fleet of gateway processes between stand-ins for everything round them, with faults between them, and
-/// judges what they did.
+/// Runs a cluster of gateway processes against stand-ins for clients, backends, counter and discovery, injects faults,
+/// and checks the gateways' behaviour.
 ///
-/// Begin with `quota-gateway-lab up`, which starts a small fleet to try by hand, or with
+/// Begin with `quota-gateway-lab up`, which starts a small cluster for manual requests, or with
 /// `quota-gateway-lab run lab/scenarios/calm.toml`.
 ///
-/// Exit codes: 0 all held; 1 a rule was broken, an expectation was missed, or the run is not valid; 2 bad use.
+/// Exit codes: 0 all checks passed; 1 a rule was violated, an expectation was missed, or the run is not valid; 2 usage
+/// error.
 #[derive(Debug, Parser)]
 #[command(name = "quota-gateway-lab", version, max_term_width = 100)]
 pub struct Cli {
@@ -25,19 +26,19 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Play a scenario once and judge it.
+    /// Run a scenario once and check the result.
     Run(Run),
-    /// Play a scenario with many seeds and settings: CSV, and a table of medians with spread.
+    /// Run a scenario with several seeds and settings; writes CSV and a table of medians and spreads.
     Sweep(Sweep),
-    /// Play two builds or settings in turns, A B A B, and say whether they differ.
+    /// Run two builds or settings alternately (A B A B) and report whether they differ.
     Compare(Compare),
-    /// Start stand-ins and a few gateways that stay until Ctrl-C, to try by hand.
+    /// Start stand-ins and a few gateways for manual requests, until Ctrl-C.
     Up(Up),
-    /// Measure the gateways' membership under virtual time at several sizes of the fleet: a table.
+    /// Measure the gateways' membership protocol in virtual time at several cluster sizes and print a table.
     Members(Members),
-    /// Say everything that is wrong with a scenario, without playing it.
+    /// Report all errors of scenario files without running them.
     Check {
-        /// The scenario files.
+        /// Scenario files.
         #[arg(required = true)]
         scenarios: Vec<PathBuf>,
     },
@@ -45,13 +46,13 @@
 
 #[derive(Debug, Args)]
 struct Common {
-    /// The gateway's program [default: `quota-gateway` beside this program, else target/release/quota-gateway].
+    /// Gateway program [default: `quota-gateway` beside this program, else target/release/quota-gateway].
     #[arg(long, value_name = "BIN")]
     gateway: Option<PathBuf>,
-    /// The program of the gateways that `gateways.second` names: two builds in one fleet.
+    /// Program of the gateways listed in `gateways.second`, to run two builds in one cluster.
     #[arg(long, value_name = "BIN")]
     second: Option<PathBuf>,
-    /// Where configurations and logs are kept [default: a folder of the system's temporary one].
+    /// Folder for configurations and logs [default: a new folder in the system's temporary folder].
     #[arg(long, value_name = "DIR")]
     logs: Option<PathBuf>,
 }
@@ -60,20 +61,20 @@
 struct Run {
     /// The scenario file.
     scenario: PathBuf,
-    /// The seed of every choice [default: the scenario's].
+    /// Seed of all random draws [default: the scenario's seed].
     #[arg(long)]
     seed: Option<u64>,
-    /// Replace a value of the scenario, as in `gateways.count=40`; may be given again.
+    /// Override a value of the scenario, for example `gateways.count=40`; can be repeated.
     #[arg(long, value_name = "KEY=VALUE", value_parser = setting)]
     set: Vec<Setting>,
-    /// Judge by the rules alone: neither expectations nor a late generator change the exit code. For machines that
-    /// do other work as well.
+    /// Check the rules alone: neither missed expectations nor a late load generator change the exit code. For machines
+    /// that do other work as well.
     #[arg(long)]
     rules_only: bool,
-    /// Write the result as JSON.
+    /// Write the result as JSON to this file.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Write one page of HTML with plots into this folder.
+    /// Write an HTML page with plots into this folder.
     #[arg(long, value_name = "DIR")]
     report: Option<PathBuf>,
     #[command(flatten)]
@@ -84,13 +85,13 @@
 struct Sweep {
     /// The scenario file.
     scenario: PathBuf,
-    /// Seeds: `1..8` (both ends count) or `1,5,9`.
+    /// Seeds, as a range `1..8` (both ends included) or a list `1,5,9`.
     #[arg(long, value_parser = seeds, default_value = "1..3")]
     seeds: Seeds,
-    /// Values to try, as in `load.per_s=100,200`; given again, all combinations.
+    /// Values of a setting, for example `load.per_s=100,200`; if repeated, all combinations are run.
     #[arg(long, value_name = "KEY=A,B,C", value_parser = values)]
     set: Vec<Values>,
-    /// Write every play as a line of CSV [default: to standard output, before the table].
+    /// Write one line of CSV for each run to this file [default: to standard output, before the table].
     #[arg(long, value_name = "FILE")]
     csv: Option<PathBuf>,
     #[command(flatten)]
@@ -101,13 +102,13 @@
 struct Compare {
     /// The scenario file.
     scenario: PathBuf,
-    /// One side: a gateway's program, or settings as in `gateways.peers=true;load.per_s=50`.
+    /// First variant: a gateway program, or settings, for example `gateways.peers=true;load.per_s=50`.
     #[arg(long, value_name = "BIN_OR_SETTINGS")]
     a: String,
-    /// The other side.
+    /// Second variant, in the same form.
     #[arg(long, value_name = "BIN_OR_SETTINGS")]
     b: String,
-    /// Pairs of plays, six at least for a word on a difference; pair n has the scenario's seed plus n - 1.
+    /// Number of pairs of runs; at least six are needed to report a difference. Pair n has the scenario's seed plus n - 1.
     #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u32).range(1..=1000))]
     pairs: u32,
     #[command(flatten)]
@@ -116,10 +117,10 @@
 
 #[derive(Debug, Args)]
 struct Up {
-    /// How many gateways.
+    /// Number of gateways.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(1..=40))]
     gateways: u16,
-    /// How many backends.
+    /// Number of backends.
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u16).range(1..=80))]
     backends: u16,
     #[command(flatten)]
@@ -128,16 +129,16 @@
 
 #[derive(Debug, Args)]
 struct Members {
-    /// Sizes of the fleet.
+    /// Cluster sizes.
     #[arg(long, value_delimiter = ',', default_value = "10,30,100", value_name = "N,N")]
     sizes: Vec<usize>,
-    /// Plays of each size, with the seeds 1, 2, and so on.
+    /// Number of runs at each size, with the seeds 1, 2, and so on.
     #[arg(long, default_value_t = 3)]
     plays: u64,
-    /// Deaths in each play.
+    /// Number of members that crash in each run.
     #[arg(long, default_value_t = 10)]
     deaths: usize,
-    /// Leave out the ten minutes of loss and pauses.
+    /// Skip the ten minutes of packet loss and process pauses.
     #[arg(long)]
     no_storm: bool,
 }
@@ -146,12 +147,12 @@
 #[derive(Debug, Clone)]
 pub struct Seeds(pub Vec<u64>);
 
-/// Values of one key.
+/// Values of one scenario key in a sweep.
 #[derive(Debug, Clone)]
 pub struct Values {
-    /// The key.
+    /// Scenario key.
     pub key: String,
-    /// Its values.
+    /// Values of the key.
     pub values: Vec<String>,
 }
 
@@ -162,8 +163,8 @@
 
 fn values(text: &str) -> Result<Values, String> {
     let Setting { key, value } = setting(text)?;
-    // Commas within brackets belong to one value.
-    let (mut values, mut depth, mut one) = (Vec::new(), 0, String::new());
+    // Commas within brackets do not separate values.
+    let (mut values, mut depth, mut current) = (Vec::new(), 0, String::new());
     for c in value.chars() {
         match c {
             '[' => depth += 1,
@@ -171,41 +172,42 @@
             _ => {}
         }
         if c == ',' && depth == 0 {
-            values.push(std::mem::take(&mut one));
+            values.push(std::mem::take(&mut current));
         } else {
-            one.push(c);
+            current.push(c);
         }
     }
-    values.push(one);
+    values.push(current);
     Ok(Values { key, values })
 }
 
 fn seeds(text: &str) -> Result<Seeds, String> {
-    let wrong = || format!("expected 1..8 or 1,5,9, found '{text}'");
+    let invalid = || format!("expected 1..8 or 1,5,9, found '{text}'");
     let list: Vec<u64> = match text.split_once("..") {
         Some((from, to)) => {
             let (from, to): (u64, u64) =
-                (from.parse().map_err(|_| wrong())?, to.parse().map_err(|_| wrong())?);
+                (from.parse().map_err(|_| invalid())?, to.parse().map_err(|_| invalid())?);
             if to < from || to - from >= 10_000 {
-                return Err(wrong());
+                return Err(invalid());
             }
             (from..=to).collect()
         }
-        None => {
-            text.split(',').map(|one| one.trim().parse().map_err(|_| wrong())).collect::<Result<_, _>>()?
-        }
+        None => text
+            .split(',')
+            .map(|value| value.trim().parse().map_err(|_| invalid()))
+            .collect::<Result<_, _>>()?,
     };
     Ok(Seeds(list))
 }
 
-/// What could not be done; `use_error`: by the user's words.
+/// Error message and exit code of a command that failed.
 pub(crate) struct Failure {
     pub(crate) text: String,
     pub(crate) code: u8,
 }
 
 impl Failure {
-    /// The user asked for what can't be.
+    /// Creates a usage error, with exit code 2.
     pub(crate) fn of_use(text: impl ToString) -> Failure {
         Failure { text: text.to_string(), code: 2 }
     }
@@ -218,9 +220,9 @@
     }
 }
 
-/// Does what the command line asks for; returns the exit code.
+/// Executes the command and returns the exit code.
 pub async fn main(cli: Cli) -> u8 {
-    let done = match cli.command {
+    let outcome = match cli.command {
         Command::Run(run) => one_run(run).await,
         Command::Sweep(sweep) => {
             experiment::sweep(&sweep.scenario, &sweep.seeds, &sweep.set, sweep.csv.as_deref(), |_| {
@@ -239,13 +241,21 @@
             Ok(resources) => interactive::up(up.gateways.into(), up.backends.into(), &resources).await,
             Err(failure) => Err(failure),
         },
-        Command::Members(m) => {
-            print!("{}", crate::members::measure::table(&m.sizes, m.plays, m.deaths, !m.no_storm));
+        Command::Members(members) => {
+            print!(
+                "{}",
+                crate::members::measure::table(
+                    &members.sizes,
+                    members.plays,
+                    members.deaths,
+                    !members.no_storm
+                )
+            );
             Ok(0)
         }
         Command::Check { scenarios } => Ok(check(&scenarios)),
     };
-    done.unwrap_or_else(|failure| {
+    outcome.unwrap_or_else(|failure| {
         eprintln!("quota-gateway-lab: {}", failure.text);
         failure.code
     })
@@ -255,7 +265,7 @@
     let mut code = 0;
     for path in scenarios {
         match Scenario::load(path, &[]) {
-            Ok(scenario) => println!("{}: {}: good", path.display(), scenario.name),
+            Ok(scenario) => println!("{}: {}: valid", path.display(), scenario.name),
             Err(problems) => {
                 eprintln!("{problems}");
                 code = 2;
@@ -265,37 +275,38 @@
     code
 }
 
-/// The program to play, and where its files go.
+/// Returns the gateway programs and the folder for their files.
 fn resources(common: &Common) -> Result<RunResources, Failure> {
     let binary = match &common.gateway {
         Some(path) => path.clone(),
         None => {
-            let beside =
-                std::env::current_exe().ok().and_then(|own| Some(own.parent()?.join("quota-gateway")));
-            let places = [beside, Some(PathBuf::from("target/release/quota-gateway"))];
-            places.into_iter().flatten().find(|path| path.is_file()).ok_or_else(|| {
+            let sibling = std::env::current_exe()
+                .ok()
+                .and_then(|executable| Some(executable.parent()?.join("quota-gateway")));
+            let candidates = [sibling, Some(PathBuf::from("target/release/quota-gateway"))];
+            candidates.into_iter().flatten().find(|path| path.is_file()).ok_or_else(|| {
                 Failure::of_use(
-                    "no gateway program found: build it by `cargo build --release`, or name one by --gateway",
+                    "gateway program not found: build it with `cargo build --release`, or set its path with --gateway",
                 )
             })?
         }
     };
     let missing = [Some(&binary), common.second.as_ref()].into_iter().flatten().find(|path| !path.is_file());
     if let Some(path) = missing {
-        return Err(Failure::of_use(format!("{}: there is no such program", path.display())));
+        return Err(Failure::of_use(format!("{}: program not found", path.display())));
     }
-    // Processes are started from elsewhere.
-    let whole = |path: &Path| std::fs::canonicalize(path).unwrap_or_else(|_| path.to_path_buf());
+    // Absolute paths, because the processes may be started from another folder.
+    let absolute = |path: &Path| std::fs::canonicalize(path).unwrap_or_else(|_| path.to_path_buf());
     let folder = common.logs.clone().unwrap_or_else(|| {
-        let own = format!("quota-gateway-lab-{}", std::process::id());
-        std::env::temp_dir().join(own)
+        let name = format!("quota-gateway-lab-{}", std::process::id());
+        std::env::temp_dir().join(name)
     });
-    let second = common.second.as_deref().map(whole);
+    let second = common.second.as_deref().map(absolute);
     let folder = std::path::absolute(&folder).unwrap_or(folder);
-    Ok(RunResources { binary: whole(&binary), second, folder })
+    Ok(RunResources { binary: absolute(&binary), second, folder })
 }
 
-/// 0 if it held.
+/// Returns exit code 0 if all checks passed, otherwise 1.
 pub(crate) fn code(result: &RunResult) -> u8 {
     u8::from(result.verdict.word != Word::Held)
 }
@@ -306,13 +317,13 @@
     let result = play(&scenario, run.seed.unwrap_or(scenario.seed), &resources).await?;
     print!("{}", table::result(&result));
     println!("logs: {}", resources.folder.display());
-    let written = |path: &Path, error| Failure { text: format!("{}: {error}", path.display()), code: 1 };
+    let write_error = |path: &Path, error| Failure { text: format!("{}: {error}", path.display()), code: 1 };
     if let Some(path) = &run.json {
-        let text = serde_json::to_string_pretty(&result).map_err(|e| written(path, e.to_string()))?;
-        std::fs::write(path, text).map_err(|e| written(path, e.to_string()))?;
+        let text = serde_json::to_string_pretty(&result).map_err(|e| write_error(path, e.to_string()))?;
+        std::fs::write(path, text).map_err(|e| write_error(path, e.to_string()))?;
     }
     if let Some(folder) = &run.report {
-        let path = report::write(&result, folder).map_err(|e| written(folder, e.to_string()))?;
+        let path = report::write(&result, folder).map_err(|e| write_error(folder, e.to_string()))?;
         println!("report: {}", path.display());
     }
     Ok(if run.rules_only { u8::from(!result.verdict.broken.is_empty()) } else { code(&result) })
--- a/lab/src/interactive.rs
+++ b/lab/src/interactive.rs
@@ -1,4 +1,4 @@
-//! A small fleet that stays until Ctrl-C, to try by hand.
+//! The `up` command: a small cluster for manual requests, which runs until Ctrl-C.
 
 use crate::cli::Failure;
 use crate::link::lock;
@@ -8,22 +8,22 @@
 use crate::scenario::Scenario;
 use std::path::PathBuf;
 
-/// Seconds that the stand-ins' clock counts for: far longer than anybody stays.
-const LONG: &str = "length_s = 3600\nload.per_s = 0.1\ncounter.per_s = 2000\n";
+/// Scenario settings of the interactive cluster. Its length of one hour exceeds any expected session.
+const SETTINGS: &str = "length_s = 3600\nload.per_s = 0.1\ncounter.per_s = 2000\n";
 
-/// Starts it, says where everything is, and stays.
+/// Starts the cluster, prints its addresses and an example request, and waits for a signal to stop.
 pub(crate) async fn up(gateways: usize, backends: usize, resources: &RunResources) -> Result<u8, Failure> {
     let text = format!(
-        "name = \"up\"\nabout = \"A fleet to try by hand.\"\n{LONG}gateways.count = {gateways}\n\
+        "name = \"up\"\nabout = \"A cluster for manual requests.\"\n{SETTINGS}gateways.count = {gateways}\n\
          backends.count = {backends}\nload.spread = [1, {gateways}]\n"
     );
     let scenario = Scenario::parse(PathBuf::from("up"), &text, &[]).map_err(Failure::of_use)?;
     let mut plan = Plan::draw(&scenario, 1);
-    // Whoever stays calls by hand: any id in the right form stands for a request of the plan.
+    // Ids of manual requests are not in the plan, so that any well-formed id is accepted.
     plan.open_ids = true;
     let class = plan.scenario.classes[0].name.clone();
     let customer = plan.customers[0].number;
-    let tariff = plan.scenario.plans[plan.customers[0].plan].name.clone();
+    let plan_name = plan.scenario.plans[plan.customers[0].plan].name.clone();
     let world = tokio::select! {
         world = World::start(plan, resources) => world.map_err(|e: SetUpError| RunError::from(e))?,
         () = crate::shutdown_signal::asked() => return Err(RunError::Stopped.into()),
@@ -38,15 +38,15 @@
         (place.listen, place.ops)
     };
     println!("logs     {}", resources.folder.display());
-    println!("\nA request, and the figures:\n");
+    println!("\nExample request, and statistics:\n");
     println!(
         "curl -i -H \"X-Call-Id: $(od -An -N8 -tx8 /dev/urandom | tr -d ' ')\" -H 'X-Call-Class: {class}' \
-         -H 'X-Plan: {tariff}' -H 'X-Budget-Ms: 1500' -H 'X-Quota: units=1,spread=1,first=0' \
+         -H 'X-Plan: {plan_name}' -H 'X-Budget-Ms: 1500' -H 'X-Quota: units=1,spread=1,first=0' \
          'http://{listen}/api?customer={customer:016x}'"
     );
-    println!("curl http://{ops}/stats\n\nCtrl-C ends it all.");
+    println!("curl http://{ops}/stats\n\nPress Ctrl-C to stop the cluster.");
     crate::shutdown_signal::asked().await;
     world.end().await;
-    println!("\nall ended");
+    println!("\ncluster stopped");
     Ok(0)
 }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The lab: plays a fleet of gateway processes between stand-ins, with faults between them, and judges what they
-//! did by what the stand-ins saw.
+//! Test lab for clusters of gateway processes: runs them between stand-ins for clients, backends, counter and discovery,
+//! injects faults, and checks the gateways' behaviour as the stand-ins recorded it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,11 +1,11 @@
-//! The lab's program.
+//! Command line program of the lab.
 #![forbid(unsafe_code)]
 
 use clap::Parser;
 use quota_gateway_lab::cli::{main as run, Cli};
 use std::process::ExitCode;
 
-/// Threads beside the one that sends requests; the rest of the machine is the gateways'.
+/// Number of worker threads beside the main thread, which sends the requests. The other cores are left to the gateways.
 const THREADS: usize = 3;
 
 fn main() -> ExitCode {
--- a/lab/src/shutdown_signal.rs
+++ b/lab/src/shutdown_signal.rs
@@ -1,8 +1,9 @@
-//! Word that the lab has to stop: Ctrl-C, SIGTERM, or the end of its terminal.
+//! Signals that stop the lab: SIGINT, SIGTERM and SIGHUP.
 
 use tokio::signal::unix::{signal, SignalKind};
 
-/// Waits for it. Where signals can't be waited for there is no way to stop in order, so it is time at once.
+/// Waits for a signal to stop. Returns at once if no handler can be installed, because the lab could then not be
+/// stopped in order.
 pub async fn asked() {
     let kinds = [SignalKind::interrupt(), SignalKind::terminate(), SignalKind::hangup()];
     let [Ok(mut interrupt), Ok(mut terminate), Ok(mut hang_up)] = kinds.map(signal) else { return };
--- a/lab/tests/faulty_gateway/gateway.rs
+++ b/lab/tests/faulty_gateway/gateway.rs
@@ -1,5 +1,6 @@
-//! A very small gateway for the lab's own tests: sound, or breaking the one rule that `FAULT` names. It asks no
-//! counter and knows no quota; it exists to show that the judge catches what it should, and nothing else.
+//! Minimal gateway for the lab's own tests: correct, or violating the one rule that the environment variable `FAULT`
+//! names. It calls no counter and enforces no quota. The tests use it to show that the checker reports exactly the rules
+//! that are violated.
 #![forbid(unsafe_code)]
 
 use serde_json::Value;
@@ -13,7 +14,7 @@
 
 type AnyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// One message: first line, headers in lower case, body.
+/// HTTP message: first line, headers with names in lower case, body.
 #[derive(Default)]
 struct Message {
     line: String,
@@ -56,7 +57,7 @@
     }
 }
 
-/// What the list says of a backend, and when it was heard.
+/// Backend as listed by discovery.
 struct Backend {
     address: SocketAddr,
     ready: bool,
@@ -68,15 +69,15 @@
     began: Instant,
     backends: Mutex<BTreeMap<String, Backend>>,
     ballast: Mutex<Vec<u8>>,
-    turn: Mutex<usize>,
+    next_index: Mutex<usize>,
 }
 
 impl Gateway {
-    fn does(&self, what: &str) -> bool {
-        self.fault == what
+    fn has_fault(&self, name: &str) -> bool {
+        self.fault == name
     }
 
-    fn learn(&self, list: &Value) {
+    fn update_backends(&self, list: &Value) {
         let mut backends = self.backends.lock().unwrap_or_else(|e| e.into_inner());
         for member in list["members"].as_array().into_iter().flatten() {
             let (Some(id), Some(address)) = (member["id"].as_str(), member["host_port"].as_str()) else {
@@ -85,26 +86,27 @@
             let Ok(address) = address.parse() else { continue };
             let ready = member["phase"] == "ready";
             let started = member["up_since_ms"].as_u64().unwrap_or(0);
-            // One that ignores drains never hears that a backend goes.
-            if ready || !self.does("drain") {
+            // With the fault `drain`, notices that a backend is draining or gone are ignored.
+            if ready || !self.has_fault("drain") {
                 backends.insert(id.to_string(), Backend { address, ready, started });
             }
         }
     }
 
-    /// The next backend in turn; one that pushes over what is cold picks what started last.
+    /// Selects the next ready backend round-robin. With the fault `cold`, selects the one that started last, so that it is
+    /// overloaded while warming up.
     fn pick(&self) -> Option<SocketAddr> {
         let backends = self.backends.lock().unwrap_or_else(|e| e.into_inner());
         let ready: Vec<&Backend> = backends.values().filter(|b| b.ready).collect();
-        if self.does("cold") {
+        if self.has_fault("cold") {
             return ready.iter().max_by_key(|b| b.started).map(|b| b.address);
         }
-        let mut turn = self.turn.lock().unwrap_or_else(|e| e.into_inner());
-        *turn += 1;
-        ready.get(*turn % ready.len().max(1)).map(|b| b.address)
+        let mut next_index = self.next_index.lock().unwrap_or_else(|e| e.into_inner());
+        *next_index += 1;
+        ready.get(*next_index % ready.len().max(1)).map(|b| b.address)
     }
 
-    /// One attempt: the answer's status and body, or nothing.
+    /// Makes one attempt and returns the answer, or `None` if there was none.
     fn attempt(&self, request: &Message) -> Option<Message> {
         let budget = request.header("x-budget-ms").and_then(|text| text.parse().ok()).unwrap_or(100);
         let mut stream = TcpStream::connect_timeout(&self.pick()?, Duration::from_millis(200)).ok()?;
@@ -119,32 +121,32 @@
         Message::read(&mut BufReader::new(stream)).ok()?
     }
 
-    /// The answer to a client; `None` closes the connection without one.
+    /// Returns the answer to a client, or `None` to close the connection without an answer.
     fn answer(&self, request: &Message) -> Option<String> {
         let number = request.header("x-call-id").and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or(0);
-        let now_and_then = number.is_multiple_of(20);
+        let every_twentieth = number.is_multiple_of(20);
         let full = |status: &str, body: &[u8]| {
             let body = String::from_utf8_lossy(body);
             format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
         };
-        if self.does("lose") && now_and_then {
+        if self.has_fault("lose") && every_twentieth {
             return None;
         }
-        if self.does("late") && now_and_then {
+        if self.has_fault("late") && every_twentieth {
             thread::sleep(Duration::from_secs(4));
         }
-        if self.does("made-up") && now_and_then {
+        if self.has_fault("made-up") && every_twentieth {
             return Some(full("200 OK", b"lab 0123456789abcdef\n"));
         }
         let mut response = self.attempt(request);
-        if self.does("repeat") && request.is("publish-cover") {
+        if self.has_fault("repeat") && request.is("publish-cover") {
             response = self.attempt(request);
         }
         let Some(response) = response.filter(|response| response.status() == 200) else {
             return Some(full("502 Bad Gateway", b""));
         };
         let text = full("200 OK", &response.body);
-        Some(if self.does("twice") && now_and_then { format!("{text}{text}") } else { text })
+        Some(if self.has_fault("twice") && every_twentieth { format!("{text}{text}") } else { text })
     }
 
     fn serve(&self, stream: TcpStream) -> Result<(), AnyError> {
@@ -155,10 +157,10 @@
                 stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")?;
                 continue;
             }
-            if self.does("crash") && self.began.elapsed() > Duration::from_secs(2) {
+            if self.has_fault("crash") && self.began.elapsed() > Duration::from_secs(2) {
                 std::process::exit(3);
             }
-            if self.does("memory") {
+            if self.has_fault("memory") {
                 let mut ballast = self.ballast.lock().unwrap_or_else(|e| e.into_inner());
                 if ballast.is_empty() {
                     *ballast = vec![7; 64 << 20];
@@ -179,13 +181,13 @@
             write!(stream, "GET {path} HTTP/1.1\r\nHost: d\r\nConnection: close\r\n\r\n")?;
             let answer = Message::read(&mut BufReader::new(stream))?.ok_or("no answer")?;
             let list: Value = serde_json::from_slice(&answer.body)?;
-            self.learn(&list);
+            self.update_backends(&list);
             path = format!("/catalog/members?from={}&hold_ms=5000", list["revision"]);
         }
     }
 }
 
-/// Ends the process at SIGTERM, when what is under way has been answered.
+/// Ends the process 600 ms after SIGTERM, so that requests in flight are answered.
 fn end_at_term() -> Result<(), AnyError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
@@ -207,13 +209,13 @@
         began: Instant::now(),
         backends: Mutex::default(),
         ballast: Mutex::default(),
-        turn: Mutex::default(),
+        next_index: Mutex::default(),
     });
-    gateway.learn(&config["known"]);
+    gateway.update_backends(&config["known"]);
     let discovery = env::var("NODE_DISCOVERY")?;
     let watcher = gateway.clone();
     thread::spawn(move || loop {
-        // Asks again when discovery could not be heard.
+        // Retries after a pause if discovery did not answer.
         let _ = watcher.watch(&discovery);
         thread::sleep(Duration::from_millis(50));
     });
--- a/lab/tests/links.rs
+++ b/lab/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links on real sockets: silent cuts, resets, and datagrams that keep their boundaries and their sender.
+//! Links over real sockets: cuts without resets, resets, and datagrams that keep their boundaries and sender address.
 
 use quota_gateway_lab::clock::Clock;
 use quota_gateway_lab::datagrams::Mesh;
@@ -16,19 +16,19 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Long enough on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// What has not come by then is held up.
+/// Time-out of operations that must succeed, with allowance for a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(10);
+/// Time after which data that has not arrived counts as held up.
 const HELD_UP: Duration = Duration::from_millis(300);
 const CUT: LinkChange =
     LinkChange { cut: true, delay_us: 0, jitter_us: 0, loss: 0, duplicate: 0, reorder: 0 };
 
 fn links() -> Links {
-    links_of("")
+    links_with("")
 }
 
-/// Links of a scenario with these lines.
-fn links_of(lines: &str) -> Links {
+/// Returns the links of a scenario with additional lines.
+fn links_with(lines: &str) -> Links {
     let text = format!("name = \"x\"\nabout = \"x.\"\nlength_s = 5\n{lines}");
     Links::new(&Scenario::parse(PathBuf::from("x"), &text, &[]).expect("good"), 1)
 }
@@ -37,7 +37,7 @@
     Ipv4Addr::LOCALHOST.into()
 }
 
-/// A door of gateway 0 to backend 0, which sends back what it hears.
+/// Opens a listener for gateway 0 in front of backend 0, which echoes what it receives.
 fn echo(links: &Links, alive: &watch::Sender<bool>) -> GatewayListener {
     let (gateway, backend) = (Party::Gateway(0), Party::Backend(0));
     let way =
@@ -45,96 +45,100 @@
     let serve: Serve = Arc::new(|stream, _| {
         tokio::spawn(async move {
             let (mut read, mut write) = tokio::io::split(stream);
-            // Ends with the connection.
+            // Fails when the connection is reset.
             let _ = tokio::io::copy(&mut read, &mut write).await;
         });
     });
     GatewayListener::open(local(), way, alive.subscribe(), Arc::default(), serve).expect("a port")
 }
 
-async fn says(stream: &mut TcpStream, text: &[u8], within: Duration) -> bool {
+async fn echoes(stream: &mut TcpStream, text: &[u8], within: Duration) -> bool {
     stream.write_all(text).await.expect("open");
-    hears(stream, text, within).await
+    receives(stream, text, within).await
 }
 
-async fn hears(stream: &mut TcpStream, text: &[u8], within: Duration) -> bool {
+async fn receives(stream: &mut TcpStream, text: &[u8], within: Duration) -> bool {
     let mut buffer = vec![0; text.len()];
     matches!(timeout(within, stream.read_exact(&mut buffer)).await, Ok(Ok(_)) if buffer == text)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn over_a_cut_nothing_crosses_nothing_comes_up_and_after_it_both_go_on() {
+async fn a_cut_holds_up_data_and_new_connections_until_it_ends() {
     let (links, alive) = (links(), watch::Sender::new(true));
-    let door = echo(&links, &alive);
+    let listener = echo(&links, &alive);
     let link = links.get(Party::Gateway(0), Party::Backend(0));
-    let mut old = TcpStream::connect(door.address).await.expect("it listens");
-    assert!(says(&mut old, b"before", PATIENCE).await);
+    let mut existing = TcpStream::connect(listener.address).await.expect("it listens");
+    assert!(echoes(&mut existing, b"before", TIMEOUT).await);
     link.change(&CUT, true);
-    assert!(!says(&mut old, b"during", HELD_UP).await, "nothing crosses");
-    let mut fresh = tokio::spawn(TcpStream::connect(door.address));
-    assert!(timeout(HELD_UP, &mut fresh).await.is_err(), "a new connection neither comes up nor fails");
+    assert!(!echoes(&mut existing, b"during", HELD_UP).await, "no data arrives during the cut");
+    let mut new_connection = tokio::spawn(TcpStream::connect(listener.address));
+    assert!(
+        timeout(HELD_UP, &mut new_connection).await.is_err(),
+        "a new connection is neither established nor refused"
+    );
     link.change(&CUT, false);
-    assert!(hears(&mut old, b"during", PATIENCE).await, "what was held up arrives");
-    let mut fresh = timeout(PATIENCE, fresh).await.expect("in time").expect("no panic").expect("it comes up");
-    assert!(says(&mut fresh, b"after", PATIENCE).await);
+    assert!(receives(&mut existing, b"during", TIMEOUT).await, "the held up data arrives");
+    let mut new_connection =
+        timeout(TIMEOUT, new_connection).await.expect("in time").expect("no panic").expect("connected");
+    assert!(echoes(&mut new_connection, b"after", TIMEOUT).await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn two_cuts_at_once_end_with_the_later_one() {
+async fn overlapping_cuts_end_with_the_last_one() {
     let (links, alive) = (links(), watch::Sender::new(true));
-    let door = echo(&links, &alive);
+    let listener = echo(&links, &alive);
     let link = links.get(Party::Backend(0), Party::Gateway(0));
-    let mut stream = TcpStream::connect(door.address).await.expect("it listens");
-    assert!(says(&mut stream, b"before", PATIENCE).await);
+    let mut stream = TcpStream::connect(listener.address).await.expect("it listens");
+    assert!(echoes(&mut stream, b"before", TIMEOUT).await);
     link.change(&CUT, true);
     link.change(&CUT, true);
     link.change(&CUT, false);
-    assert!(!says(&mut stream, b"during", HELD_UP).await, "one of them is still on");
+    assert!(!echoes(&mut stream, b"during", HELD_UP).await, "one cut is still active");
     link.change(&CUT, false);
-    assert!(hears(&mut stream, b"during", PATIENCE).await);
+    assert!(receives(&mut stream, b"during", TIMEOUT).await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_reset_or_a_death_breaks_connections_and_only_death_refuses_new_ones() {
+async fn a_reset_breaks_connections_and_a_stopped_party_also_refuses_new_ones() {
     let (links, alive) = (links(), watch::Sender::new(true));
-    let door = echo(&links, &alive);
+    let listener = echo(&links, &alive);
     let broken = |mut stream: TcpStream| async move {
         let mut byte = [0; 1];
-        matches!(timeout(PATIENCE, stream.read(&mut byte)).await, Ok(Err(e)) if e.kind() == std::io::ErrorKind::ConnectionReset)
+        matches!(timeout(TIMEOUT, stream.read(&mut byte)).await, Ok(Err(e)) if e.kind() == std::io::ErrorKind::ConnectionReset)
     };
-    let mut stream = TcpStream::connect(door.address).await.expect("it listens");
-    assert!(says(&mut stream, b"before", PATIENCE).await);
+    let mut stream = TcpStream::connect(listener.address).await.expect("it listens");
+    assert!(echoes(&mut stream, b"before", TIMEOUT).await);
     links.get(Party::Gateway(0), Party::Backend(0)).reset();
     assert!(broken(stream).await);
-    let mut stream = TcpStream::connect(door.address).await.expect("it listens still");
-    assert!(says(&mut stream, b"again", PATIENCE).await);
+    let mut stream = TcpStream::connect(listener.address).await.expect("it listens still");
+    assert!(echoes(&mut stream, b"again", TIMEOUT).await);
     alive.send_replace(false);
     assert!(broken(stream).await);
-    // Its connections and its listener end in tasks of their own, in no order.
+    // The connections and the listener end in separate tasks, in no particular order.
     let refused = async {
-        while TcpStream::connect(door.address).await.is_ok() {
+        while TcpStream::connect(listener.address).await.is_ok() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, refused).await.expect("a dead party refuses");
+    timeout(TIMEOUT, refused).await.expect("a stopped party refuses connections");
     for _ in 0..20 {
-        assert!(TcpStream::connect(door.address).await.is_err(), "and goes on refusing");
+        assert!(TcpStream::connect(listener.address).await.is_err(), "connections are still refused");
     }
     alive.send_replace(true);
     let back = async {
         loop {
-            match TcpStream::connect(door.address).await {
+            match TcpStream::connect(listener.address).await {
                 Ok(stream) => return stream,
                 Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
             }
         }
     };
-    let mut stream = timeout(PATIENCE, back).await.expect("at the same address");
-    assert!(says(&mut stream, b"back", PATIENCE).await);
+    let mut stream = timeout(TIMEOUT, back).await.expect("at the same address");
+    assert!(echoes(&mut stream, b"back", TIMEOUT).await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn datagrams_keep_boundaries_and_their_receiver_sees_the_sender_where_it_knows_it() {
+async fn datagrams_keep_their_boundaries_and_come_from_the_senders_known_address() {
     let links = links();
     let parties = [
         UdpSocket::bind((local(), 0)).await.expect("a port"),
@@ -146,18 +150,18 @@
     for length in [1, 1200, 7] {
         parties[0].send_to(&vec![length as u8; length], mesh.seen[0][1]).await.expect("sent");
         let (got, from) =
-            timeout(PATIENCE, parties[1].recv_from(&mut buffer)).await.expect("in time").expect("received");
+            timeout(TIMEOUT, parties[1].recv_from(&mut buffer)).await.expect("in time").expect("received");
         assert_eq!(
             (got, from),
             (length, mesh.seen[1][0]),
-            "one datagram, from where gateway 1 knows gateway 0"
+            "one datagram, from the address by which gateway 1 knows gateway 0"
         );
     }
     parties[1].send_to(b"back", mesh.seen[1][0]).await.expect("sent");
     let (got, from) =
-        timeout(PATIENCE, parties[0].recv_from(&mut buffer)).await.expect("in time").expect("received");
+        timeout(TIMEOUT, parties[0].recv_from(&mut buffer)).await.expect("in time").expect("received");
     assert_eq!((&buffer[..got], from), (&b"back"[..], mesh.seen[0][1]));
-    // One way is cut, the other is not; a doubled one comes twice.
+    // One direction is cut and the other duplicates datagrams, which then arrive twice.
     links.get(Party::Gateway(0), Party::Gateway(1)).change(&CUT, true);
     links
         .get(Party::Gateway(1), Party::Gateway(0))
@@ -167,15 +171,15 @@
     parties[1].send_to(b"double", mesh.seen[1][0]).await.expect("sent");
     for _ in 0..2 {
         let (got, _) =
-            timeout(PATIENCE, parties[0].recv_from(&mut buffer)).await.expect("in time").expect("received");
+            timeout(TIMEOUT, parties[0].recv_from(&mut buffer)).await.expect("in time").expect("received");
         assert_eq!(&buffer[..got], b"double");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn reordered_datagrams_all_come_out_of_turn_and_lost_ones_stay_away() {
-    // Without delays of their own, which would overtake each other as well.
-    let links = links_of("net.cross_ms = 0\nnet.jitter = 0\n");
+async fn reordered_datagrams_all_arrive_and_lost_ones_do_not() {
+    // No base delay and no jitter, because jitter would reorder datagrams as well.
+    let links = links_with("net.cross_ms = 0\nnet.jitter = 0\n");
     let parties = [
         UdpSocket::bind((local(), 0)).await.expect("a port"),
         UdpSocket::bind((local(), 0)).await.expect("a port"),
@@ -183,25 +187,31 @@
     let own = parties.iter().map(|p| p.local_addr().expect("bound")).collect();
     let mesh = Mesh::open(&[local(), local()], own, &links).await.expect("ports");
     let link = links.get(Party::Gateway(0), Party::Gateway(1));
-    let half = LinkChange { cut: false, reorder: 500_000, ..CUT };
-    link.change(&half, true);
-    let mut heard = Vec::new();
+    let reorder_half = LinkChange { cut: false, reorder: 500_000, ..CUT };
+    link.change(&reorder_half, true);
+    let mut received = Vec::new();
     for number in 0..100u8 {
         parties[0].send_to(&[number], mesh.seen[0][1]).await.expect("sent");
-        // One after another, so that only what is held up on purpose is overtaken.
+        // Sent with a pause, so that only datagrams delayed by the fault are overtaken.
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    while heard.len() < 100 {
+    while received.len() < 100 {
         let mut byte = [0];
-        timeout(PATIENCE, parties[1].recv_from(&mut byte)).await.expect("all come").expect("received");
-        heard.push(byte[0]);
+        timeout(TIMEOUT, parties[1].recv_from(&mut byte))
+            .await
+            .expect("all datagrams arrive")
+            .expect("received");
+        received.push(byte[0]);
     }
-    let overtaken = |place: usize| heard[place..].iter().filter(|later| **later < heard[place]).count();
-    let inversions: usize = (0..heard.len()).map(overtaken).sum();
-    assert!(inversions > 50, "half of them were overtaken by several behind them: {inversions}");
-    heard.sort_unstable();
-    assert_eq!(heard, (0..100).collect::<Vec<u8>>(), "each came once");
-    link.change(&half, false);
+    let overtaken = |index: usize| received[index..].iter().filter(|later| **later < received[index]).count();
+    let inversions: usize = (0..received.len()).map(overtaken).sum();
+    assert!(
+        inversions > 50,
+        "about half of the datagrams must be overtaken by several later ones, got {inversions} inversions"
+    );
+    received.sort_unstable();
+    assert_eq!(received, (0..100).collect::<Vec<u8>>(), "each datagram must arrive once");
+    link.change(&reorder_half, false);
     link.change(&LinkChange { cut: false, loss: 1_000_000, ..CUT }, true);
     parties[0].send_to(b"lost", mesh.seen[0][1]).await.expect("sent");
     assert!(timeout(HELD_UP, parties[1].recv_from(&mut [0; 8])).await.is_err());
--- a/lab/tests/program.rs
+++ b/lab/tests/program.rs
@@ -1,4 +1,5 @@
-//! The lab's program as its users meet it: bad use, gateways that do not start, an end by Ctrl-C that leaves nothing behind.
+//! The lab's command line program: usage errors, gateways that do not start, result files, and a shutdown by signal that
+//! leaves no process behind.
 
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -26,29 +27,29 @@
                      load.spread = [1, 2]\ngateways.count = 2\nbackends.count = 2\n";
 
 #[test]
-fn bad_use_ends_with_2_and_one_plain_line_each() {
-    let (wrong, good) = (file("wrong.toml", &format!("{SMALL}speed = 3\n")), file("good.toml", SMALL));
-    let (wrong, good) = (wrong.to_str().expect("text"), good.to_str().expect("text"));
+fn usage_errors_exit_with_2_and_without_a_panic() {
+    let (invalid, valid) = (file("wrong.toml", &format!("{SMALL}speed = 3\n")), file("good.toml", SMALL));
+    let (invalid, valid) = (invalid.to_str().expect("text"), valid.to_str().expect("text"));
     for arguments in [
-        &["run", wrong][..],
-        &["check", good, wrong],
+        &["run", invalid][..],
+        &["check", valid, invalid],
         &["run", "nowhere.toml"],
-        &["run", good, "--gateway", "/nowhere"],
-        &["run", good, "--set", "gateways"],
-        &["run", good, "--set", "gateways.count=0"],
-        &["sweep", good, "--seeds", "9..1"],
-        &["compare", good, "--a", "nothing", "--b", "load.per_s=10"],
+        &["run", valid, "--gateway", "/nowhere"],
+        &["run", valid, "--set", "gateways"],
+        &["run", valid, "--set", "gateways.count=0"],
+        &["sweep", valid, "--seeds", "9..1"],
+        &["compare", valid, "--a", "nothing", "--b", "load.per_s=10"],
         &["fly"],
     ] {
         let (code, text) = lab(arguments);
         assert_eq!(code, Some(2), "{arguments:?}: {text}");
         assert!(!text.contains("panicked"), "{text}");
     }
-    assert!(lab(&["check", wrong]).1.contains("wrong.toml:9: speed: unknown field"));
+    assert!(lab(&["check", invalid]).1.contains("wrong.toml:9: speed: unknown field"));
 }
 
 #[test]
-fn a_gateway_that_ends_at_its_start_is_named_with_its_last_lines() {
+fn a_gateway_that_exits_at_its_start_is_reported_with_the_end_of_its_log() {
     let path = file("stillborn.toml", &format!("{SMALL}gateways.env.FAULT = \"stillborn\"\n"));
     let (code, text) = lab(&["run", path.to_str().expect("text"), "--gateway", GATEWAY]);
     assert_eq!(code, Some(1));
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn a_run_writes_its_result_and_a_page_that_stands_alone() {
+fn a_run_writes_its_result_and_a_self_contained_page() {
     let path = file(
         "page.toml",
         &format!("{SMALL}[[fault]]\nkind = \"slow\"\nat_s = 0.5\nfor_s = 1\nwho = [\"b1\"]\nfactor = 2\n"),
@@ -68,37 +69,37 @@
     let text = |path: &PathBuf| path.to_str().expect("text").to_string();
     let arguments =
         ["run", &text(&path), "--gateway", GATEWAY, "--json", &text(&json), "--report", &text(&folder)];
-    let (code, told) = lab(&[&arguments[..], &["--rules-only", "--seed", "3"]].concat());
-    assert_eq!(code, Some(0), "{told}");
+    let (code, output) = lab(&[&arguments[..], &["--rules-only", "--seed", "3"]].concat());
+    assert_eq!(code, Some(0), "{output}");
     let result: serde_json::Value =
         serde_json::from_str(&std::fs::read_to_string(&json).expect("written")).expect("JSON");
     assert_eq!((result["seed"].as_u64(), result["digest"].as_str().map(str::len)), (Some(3), Some(64)));
     let page = std::fs::read_to_string(folder.join("small-3.html")).expect("written");
     assert!(page.matches("<svg").count() >= 4 && page.contains("slow b1"));
-    assert!(!page.contains("src=") && !page.contains("href="), "nothing is fetched from elsewhere");
+    assert!(!page.contains("src=") && !page.contains("href="), "the page must not load external resources");
 }
 
 #[test]
-fn any_signal_to_end_ends_the_fleet_and_leaves_no_process_behind() {
+fn each_stop_signal_ends_the_cluster_and_leaves_no_process_behind() {
     for signal in [Signal::SIGINT, Signal::SIGTERM, Signal::SIGHUP] {
-        ends_by(signal);
+        stops_on(signal);
     }
 }
 
-fn ends_by(signal: Signal) {
+fn stops_on(signal: Signal) {
     let mut child = Command::new(LAB)
         .args(["up", "--gateways", "2", "--backends", "2", "--gateway", GATEWAY])
         .stdout(Stdio::piped())
         .spawn()
         .expect("it runs");
-    let mut told = BufReader::new(child.stdout.take().expect("piped"));
+    let mut output = BufReader::new(child.stdout.take().expect("piped"));
     let mut addresses: Vec<SocketAddr> = Vec::new();
-    let mut curl = String::new();
-    while !curl.starts_with("curl http") {
-        curl.clear();
-        assert!(told.read_line(&mut curl).expect("text") > 0, "it ended before it was up");
-        if curl.starts_with('g') && !curl.starts_with("gateway") {
-            addresses.extend(curl.split_whitespace().nth(1).and_then(|a| a.parse::<SocketAddr>().ok()));
+    let mut line = String::new();
+    while !line.starts_with("curl http") {
+        line.clear();
+        assert!(output.read_line(&mut line).expect("text") > 0, "the lab ended before the cluster was ready");
+        if line.starts_with('g') && !line.starts_with("gateway") {
+            addresses.extend(line.split_whitespace().nth(1).and_then(|a| a.parse::<SocketAddr>().ok()));
         }
     }
     assert_eq!(addresses.len(), 2);
@@ -108,10 +109,10 @@
     let status = loop {
         match child.try_wait().expect("a child") {
             Some(status) => break status,
-            None if Instant::now() > until => panic!("it did not end"),
+            None if Instant::now() > until => panic!("the lab did not end within 20 s of the signal"),
             None => std::thread::sleep(Duration::from_millis(10)),
         }
     };
     assert_eq!(status.code(), Some(0));
-    assert!(addresses.iter().all(|a| TcpStream::connect(a).is_err()), "no gateway is left");
+    assert!(addresses.iter().all(|a| TcpStream::connect(a).is_err()), "no gateway may be left running");
 }
