--- a/lab/shim/src/plan.rs
+++ b/lab/shim/src/plan.rs
@@ -1,11 +1,11 @@
-//! Which calls fail, how and when, as the environment says.
+//! Plan of the system call faults and the clock step, read from the environment.
 
 use std::fs::File;
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::LazyLock;
 
-/// A call that can be made to fail.
+/// System call that can be made to fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Call {
     Accept,
@@ -17,12 +17,12 @@
     Wait,
 }
 
-/// How it fails.
+/// Kind of failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// With this number.
+    /// The call fails with this errno.
     Error(i32),
-    /// It takes one byte, or one piece, alone.
+    /// The call transfers only one byte, or one buffer of `writev`.
     Short,
 }
 
@@ -33,26 +33,27 @@
     share: f64,
 }
 
-struct Step {
+struct ClockStep {
     seconds: i64,
+    /// Seconds between the first reading and the step.
     after: f64,
-    /// The bits of the time of the first reading; 0 before it.
+    /// Bits of the monotonic time, as `f64`, at which the wall clock was first read; 0 before that.
     first: AtomicU64,
 }
 
-/// All that the environment asks for.
+/// Faults that the environment configures.
 pub struct Plan {
     rules: Vec<Rule>,
     seed: u64,
     calls: AtomicU64,
-    step: Option<Step>,
+    step: Option<ClockStep>,
     report: Option<File>,
 }
 
-/// The plan of this process.
+/// Plan of this process.
 pub static PLAN: LazyLock<Plan> = LazyLock::new(Plan::read);
 
-fn call_of(name: &str) -> Option<Call> {
+fn parse_call(name: &str) -> Option<Call> {
     Some(match name {
         "accept4" => Call::Accept,
         "connect" => Call::Connect,
@@ -63,7 +64,7 @@
     })
 }
 
-fn fault_of(name: &str) -> Option<Fault> {
+fn parse_fault(name: &str) -> Option<Fault> {
     Some(Fault::Error(match name {
         "short" => return Some(Fault::Short),
         "ECONNABORTED" => libc::ECONNABORTED,
@@ -79,29 +80,30 @@
     }))
 }
 
-fn rule_of(text: &str) -> Option<Rule> {
+fn parse_rule(text: &str) -> Option<Rule> {
     let (call, rest) = text.split_once('=')?;
     let (fault, share) = rest.split_once('@')?;
     let name = format!("{call} {fault}\n");
-    Some(Rule { call: call_of(call)?, fault: fault_of(fault)?, name, share: share.parse().ok()? })
+    Some(Rule { call: parse_call(call)?, fault: parse_fault(fault)?, name, share: share.parse().ok()? })
 }
 
-fn step_of(text: &str) -> Option<Step> {
+fn parse_clock_step(text: &str) -> Option<ClockStep> {
     let (seconds, after) = text.split_once('@')?;
-    Some(Step { seconds: seconds.parse().ok()?, after: after.parse().ok()?, first: AtomicU64::new(0) })
+    Some(ClockStep { seconds: seconds.parse().ok()?, after: after.parse().ok()?, first: AtomicU64::new(0) })
 }
 
 impl Plan {
-    /// A plan that can't be read ends the process: a test must not pass without its faults.
+    /// Reads the plan from the environment. Aborts the process if it is invalid, because a test must not pass without its
+    /// faults.
     fn read() -> Plan {
         let text = |name| std::env::var(name).unwrap_or_default();
-        let whole = text("SHIM_PLAN");
-        let parts: Vec<&str> = whole.split(';').filter(|part| !part.is_empty()).collect();
-        let rules: Vec<Rule> = parts.iter().filter_map(|part| rule_of(part)).collect();
+        let plan = text("SHIM_PLAN");
+        let parts: Vec<&str> = plan.split(';').filter(|part| !part.is_empty()).collect();
+        let rules: Vec<Rule> = parts.iter().filter_map(|part| parse_rule(part)).collect();
         let clock = text("SHIM_CLOCK");
-        let step = step_of(&clock);
+        let step = parse_clock_step(&clock);
         if rules.len() != parts.len() || step.is_none() != clock.is_empty() {
-            eprintln!("shim: can't read SHIM_PLAN '{whole}' or SHIM_CLOCK '{clock}'");
+            eprintln!("shim: invalid SHIM_PLAN '{plan}' or SHIM_CLOCK '{clock}'");
             std::process::abort();
         }
         let report = File::options().append(true).create(true).open(text("SHIM_REPORT")).ok();
@@ -109,18 +111,18 @@
         Plan { rules, seed, calls: AtomicU64::new(0), step, report }
     }
 
-    /// Whether any rule is about this call.
-    pub fn concerns(&self, call: Call) -> bool {
+    /// Returns whether any rule applies to a call.
+    pub fn has_rule(&self, call: Call) -> bool {
         self.rules.iter().any(|rule| rule.call == call)
     }
 
-    /// What befalls the next call, if anything; noted in the report.
+    /// Draws the fault of the next call, if any, and appends it to the report.
     pub fn draw(&self, call: Call) -> Option<Fault> {
         let number = self.calls.fetch_add(1, Ordering::Relaxed);
         let mut chance = (mix(self.seed ^ mix(number)) >> 11) as f64 / (1_u64 << 53) as f64;
         for rule in self.rules.iter().filter(|rule| rule.call == call) {
             if chance < rule.share {
-                // Lines of a few bytes that are appended stay whole.
+                // Appending a few bytes is a single write, so that lines of several threads are not mixed.
                 let _ = self.report.as_ref().map(|mut report| report.write_all(rule.name.as_bytes()));
                 return Some(rule.fault);
             }
@@ -129,13 +131,13 @@
         None
     }
 
-    /// Whether the wall clock steps at some time.
-    pub fn steps(&self) -> bool {
+    /// Returns whether a step of the wall clock is configured.
+    pub fn has_clock_step(&self) -> bool {
         self.step.is_some()
     }
 
-    /// By how much the wall clock is off at this time of the monotonic one, in seconds.
-    pub fn step_at(&self, now: f64) -> i64 {
+    /// Returns the offset of the wall clock in seconds at a time of the monotonic clock.
+    pub fn clock_offset(&self, now: f64) -> i64 {
         let Some(step) = &self.step else { return 0 };
         let first = step.first.compare_exchange(0, now.to_bits(), Ordering::Relaxed, Ordering::Relaxed);
         let first = f64::from_bits(first.unwrap_or_else(|first| first));
@@ -147,7 +149,7 @@
     }
 }
 
-/// The finaliser of SplitMix64.
+/// SplitMix64: increment and finalizer.
 fn mix(x: u64) -> u64 {
     let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
