--- a/lab/src/backend.rs
+++ b/lab/src/backend.rs
@@ -4,7 +4,7 @@
 use crate::fault_targets::Party;
 use crate::link::lock;
 use crate::plan::{BackendFault, Microseconds};
-use crate::record::{Attempt, Fall, Outcome};
+use crate::record::{BackendAttempt, Outcome, Overload};
 use crate::relay::LastRead;
 use crate::run_context::RunContext;
 use crate::serve::{answer, connection, truncated_answer, Answer};
@@ -211,19 +211,19 @@
         let id = request_id(request.headers());
         let body = Limited::new(request.into_body(), LONGEST_BODY_BYTES).collect().await;
         let Ok(_) = body else { return answer(StatusCode::BAD_REQUEST, "") };
-        let came = self.context.clock.now();
+        let received_at = self.context.clock.now();
         let arrival = id.and_then(|id| self.context.arrival(id));
         let mut guard = AttemptGuard {
             context: &self.context,
             backend: self,
             job: None,
-            attempt: Some(Attempt {
+            attempt: Some(BackendAttempt {
                 id: id.filter(|_| arrival.is_some()).unwrap_or(0),
                 backend: self.number,
                 gateway,
                 first,
-                came,
-                ended: came,
+                received_at,
+                ended: received_at,
                 outcome: Outcome::Abandoned,
                 ran: false,
                 mark: 0,
@@ -235,7 +235,7 @@
             guard.end(Outcome::Error);
             return answer(status, "");
         };
-        self.run(id, arrival, gateway, came, guard).await
+        self.run(id, arrival, gateway, received_at, guard).await
     }
 
     /// Offers a request to the machine. The attempt is recorded as run if it was accepted and is not a repeat within its
@@ -271,8 +271,12 @@
             });
         }
         if offer == Offer::Overloaded {
-            let fall = Fall { backend: self.number, at: now, knowing: state.machine.informed_fraction() };
-            self.context.note(|record| record.falls.push(fall));
+            let overload = Overload {
+                backend: self.number,
+                at: now,
+                informed_fraction: state.machine.informed_fraction(),
+            };
+            self.context.note(|record| record.overloads.push(overload));
         }
         OfferedJob { offer, done, faults: state.faults.clone() }
     }
@@ -382,11 +386,11 @@
     context: &'a RunContext,
     backend: &'a Backend,
     job: Option<Job>,
-    attempt: Option<Attempt>,
+    attempt: Option<BackendAttempt>,
 }
 
 impl AttemptGuard<'_> {
-    fn update(&mut self, update: impl FnOnce(&mut Attempt)) {
+    fn update(&mut self, update: impl FnOnce(&mut BackendAttempt)) {
         if let Some(attempt) = &mut self.attempt {
             update(attempt);
         }
@@ -395,7 +399,7 @@
     fn end(&mut self, outcome: Outcome) {
         let ended = self.context.clock.now();
         if let Some(attempt) = self.attempt.take() {
-            self.context.note(|record| record.attempts.push(Attempt { outcome, ended, ..attempt }));
+            self.context.note(|record| record.attempts.push(BackendAttempt { outcome, ended, ..attempt }));
         }
     }
 }
--- a/lab/src/checker/abandoned_requests.rs
+++ b/lab/src/checker/abandoned_requests.rs
@@ -4,7 +4,7 @@
 use super::invariants::Outages;
 use crate::cluster_poll::LedgerCounts;
 use crate::plan::{Microseconds, Plan};
-use crate::record::{End, Outcome, Record, Try};
+use crate::record::{ClientAttempt, End, Outcome, Record};
 use crate::scenario::Effect;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,7 +28,7 @@
 pub(super) fn measure(plan: &Plan, record: &Record) -> AbandonedRequests {
     let outages = Outages::from_record(record);
     let effect = |arrival: usize| plan.scenario.classes[plan.arrivals[arrival].class].effect;
-    let mut tries_by_arrival: BTreeMap<usize, Vec<&Try>> = BTreeMap::new();
+    let mut tries_by_arrival: BTreeMap<usize, Vec<&ClientAttempt>> = BTreeMap::new();
     for client_attempt in
         record.tries.iter().filter(|client_attempt| effect(client_attempt.arrival) != Effect::Safe)
     {
@@ -42,7 +42,7 @@
     let (mut count, mut ran, mut waits_us) = (0, 0usize, Vec::new());
     for tries in tries_by_arrival.values_mut() {
         tries.sort_by_key(|client_attempt| client_attempt.nth);
-        let is_lost = |client_attempt: &&&Try| {
+        let is_lost = |client_attempt: &&&ClientAttempt| {
             let written = client_attempt.written.unwrap_or(Microseconds::MAX);
             matches!(client_attempt.end, End::Broken | End::GaveUp)
                 && outages.any_during(client_attempt.gateway, written, client_attempt.ended)
@@ -80,7 +80,7 @@
 pub(super) fn ledger(record: &Record) -> LedgerCounts {
     let mut last_by_process: BTreeMap<(usize, usize), LedgerCounts> = BTreeMap::new();
     for observation in &record.cluster_observations {
-        last_by_process.insert((observation.gateway, observation.life), observation.ledger);
+        last_by_process.insert((observation.gateway, observation.process_number), observation.ledger);
     }
     last_by_process.into_values().fold(LedgerCounts::default(), |sum, counts| LedgerCounts {
         claims: sum.claims + counts.claims,
@@ -99,7 +99,7 @@
     let mut runs: BTreeMap<usize, Vec<Microseconds>> = BTreeMap::new();
     for attempt in record.attempts.iter().filter(|attempt| attempt.ran) {
         if let Some(arrival) = arrival_by_id.get(&attempt.id) {
-            runs.entry(*arrival).or_default().push(attempt.came);
+            runs.entry(*arrival).or_default().push(attempt.received_at);
         }
     }
     let class = |arrival: &usize| &plan.scenario.classes[plan.arrivals[*arrival].class];
--- a/lab/src/checker/accepted_writes.rs
+++ b/lab/src/checker/accepted_writes.rs
@@ -1,7 +1,7 @@
 //! Compares the writes that a branch accepted with 202 with the status that clients read and with what backends ran.
 
 use crate::plan::{Microseconds, Plan};
-use crate::record::{End, Fate, Outcome, Record};
+use crate::record::{End, Outcome, Record, WriteStatus};
 use std::collections::BTreeMap;
 
 /// Metrics of accepted writes; all zero if none was accepted.
@@ -48,8 +48,8 @@
     for attempt in record.attempts.iter().filter(|a| a.outcome == Outcome::Served) {
         if let Some(arrival) = arrival_by_id.get(&attempt.id).filter(|arrival| accepted.contains_key(arrival))
         {
-            let first = ran_at.entry(*arrival).or_insert(attempt.came);
-            *first = (*first).min(attempt.came);
+            let first = ran_at.entry(*arrival).or_insert(attempt.received_at);
+            *first = (*first).min(attempt.received_at);
         }
     }
     let mut by_customer: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
@@ -86,28 +86,28 @@
 }
 
 /// Returns the status that a client read of a write; of several receipts, the most definite status.
-fn reported_status(record: &Record, arrival: usize) -> Fate {
-    let certainty = |fate: &Fate| match fate {
-        Fate::Done(_) => 3,
-        Fate::Superseded | Fate::GivenUp | Fate::Unknown => 2,
-        Fate::Open => 1,
-        Fate::Nothing | Fate::Lost => 0,
+fn reported_status(record: &Record, arrival: usize) -> WriteStatus {
+    let certainty = |fate: &WriteStatus| match fate {
+        WriteStatus::Done(_) => 3,
+        WriteStatus::Superseded | WriteStatus::GivenUp | WriteStatus::Unknown => 2,
+        WriteStatus::Open => 1,
+        WriteStatus::Nothing | WriteStatus::Lost => 0,
     };
     let receipts = record.receipts.iter().filter(|receipt| receipt.arrival == arrival);
-    receipts.map(|receipt| receipt.told.clone()).max_by_key(certainty).unwrap_or(Fate::Nothing)
+    receipts.map(|receipt| receipt.status.clone()).max_by_key(certainty).unwrap_or(WriteStatus::Nothing)
 }
 
 impl AcceptedWrites {
     /// Counts a write by whether a backend served it and by the status that its client read.
-    fn count_write(&mut self, arrival: usize, ran: bool, status: &Fate) {
+    fn count_write(&mut self, arrival: usize, ran: bool, status: &WriteStatus) {
         match (ran, status) {
-            (true, Fate::Superseded | Fate::GivenUp) => self.misreported += 1,
+            (true, WriteStatus::Superseded | WriteStatus::GivenUp) => self.misreported += 1,
             (true, _) => {}
-            (false, Fate::Done(status)) if *status < 400 => self.misreported += 1,
-            (false, Fate::Superseded) => self.superseded += 1,
-            (false, Fate::Done(_) | Fate::GivenUp | Fate::Unknown) => self.not_done += 1,
-            (false, Fate::Open) => self.open += 1,
-            (false, Fate::Nothing | Fate::Lost) => self.lost.push(arrival),
+            (false, WriteStatus::Done(status)) if *status < 400 => self.misreported += 1,
+            (false, WriteStatus::Superseded) => self.superseded += 1,
+            (false, WriteStatus::Done(_) | WriteStatus::GivenUp | WriteStatus::Unknown) => self.not_done += 1,
+            (false, WriteStatus::Open) => self.open += 1,
+            (false, WriteStatus::Nothing | WriteStatus::Lost) => self.lost.push(arrival),
         }
     }
 }
--- a/lab/src/checker/cluster.rs
+++ b/lab/src/checker/cluster.rs
@@ -26,7 +26,7 @@
 fn running_spans(record: &Record, end: Microseconds) -> BTreeMap<usize, Vec<(Microseconds, Microseconds)>> {
     let mut running_spans: BTreeMap<usize, Vec<(Microseconds, Microseconds)>> = BTreeMap::new();
     let mut running_since: BTreeMap<usize, Microseconds> = BTreeMap::new();
-    for event in record.lives.iter().filter(|event| event.at <= end) {
+    for event in record.process_events.iter().filter(|event| event.at <= end) {
         match event.what {
             Life::Ready | Life::Continued => drop(running_since.entry(event.gateway).or_insert(event.at)),
             Life::Started => {}
@@ -68,7 +68,7 @@
         running_at_end.iter().filter(|g| gateways.contains(g)).count() as f64
             / running_at_end.len().max(1) as f64
     };
-    let starts = record.lives.iter().filter(|e| e.what == Life::Ready).map(|e| e.at);
+    let starts = record.process_events.iter().filter(|e| e.what == Life::Ready).map(|e| e.at);
     let faults = plan.bands.iter().map(|band| crate::plan::us(band.to_s));
     let last_disturbance = starts.chain(faults).filter(|at| *at <= end).max().unwrap_or(0);
     let last_wrong = record
--- a/lab/src/checker/invariants.rs
+++ b/lab/src/checker/invariants.rs
@@ -1,7 +1,7 @@
 //! Invariants that hold in every run, checked against the record of the stand-ins.
 
 use crate::plan::{Microseconds, Plan};
-use crate::record::{Attempt, End, Life, Outcome, Record, Try};
+use crate::record::{BackendAttempt, ClientAttempt, End, Life, Outcome, Record};
 use crate::scenario::Effect;
 use crate::settings::MAX_ATTEMPTS;
 use serde::Serialize;
@@ -80,7 +80,7 @@
         let mut pauses: HashMap<usize, Vec<(Microseconds, Microseconds)>> = HashMap::new();
         let mut since: HashMap<usize, Microseconds> = HashMap::new();
         let mut paused_since: HashMap<usize, Microseconds> = HashMap::new();
-        for event in &record.lives {
+        for event in &record.process_events {
             match event.what {
                 // The record's time is slightly later than the signal.
                 Life::Killed => drop(since.entry(event.gateway).or_insert(event.at.saturating_sub(SLACK_US))),
@@ -107,7 +107,7 @@
         paused_since
             .into_iter()
             .for_each(|(gateway, from)| pauses.entry(gateway).or_default().push((from, Microseconds::MAX)));
-        for window in &record.excuses {
+        for window in &record.client_faults {
             unreachable.entry(window.gateway).or_default().push((window.from, window.to));
         }
         Outages { unreachable, pauses }
@@ -139,7 +139,7 @@
 pub(super) fn violations(plan: &Plan, record: &Record) -> Vec<RuleViolation> {
     let mut violations = Violations(BTreeMap::new());
     let outages = Outages::from_record(record);
-    let mut by_id: HashMap<u64, Vec<&Attempt>> = HashMap::new();
+    let mut by_id: HashMap<u64, Vec<&BackendAttempt>> = HashMap::new();
     for attempt in &record.attempts {
         by_id.entry(attempt.id).or_default().push(attempt);
     }
@@ -169,13 +169,15 @@
         violations.add(Rule::Effect, made_up.first, case);
     }
     check_drained(record, &outages, &mut violations);
-    for fall in record.falls.iter().filter(|fall| fall.knowing >= MIN_INFORMED_FRACTION) {
+    for overload in
+        record.overloads.iter().filter(|overload| overload.informed_fraction >= MIN_INFORMED_FRACTION)
+    {
         let case = format!(
             "b{} was overloaded while warming up; {:.0}% of its load came from gateways that knew of its start",
-            fall.backend,
-            fall.knowing * 100.0
+            overload.backend,
+            overload.informed_fraction * 100.0
         );
-        violations.add(Rule::Cold, fall.at, case);
+        violations.add(Rule::Cold, overload.at, case);
     }
     check_ceilings(plan, record, &by_id, &mut violations);
     check_processes(plan, record, &mut violations);
@@ -186,8 +188,8 @@
 }
 
 fn check_answered(
-    client_attempt: &Try,
-    attempts: &[&Attempt],
+    client_attempt: &ClientAttempt,
+    attempts: &[&BackendAttempt],
     marks: Option<&HashSet<u64>>,
     outages: &Outages,
     violations: &mut Violations,
@@ -198,7 +200,7 @@
         "g{}, id {:016x}, client attempt {}, written at {sent:.3} s",
         client_attempt.gateway, client_attempt.id, client_attempt.nth
     );
-    if client_attempt.twice {
+    if client_attempt.duplicate_answer {
         violations.add(Rule::Answered, client_attempt.ended, format!("{request}: more than one answer"));
     }
     let is_excused = outages.any_during(client_attempt.gateway, written, client_attempt.ended);
@@ -232,7 +234,12 @@
     }
 }
 
-fn check_effect(plan: &Plan, client_attempt: &Try, attempts: &[&Attempt], violations: &mut Violations) {
+fn check_effect(
+    plan: &Plan,
+    client_attempt: &ClientAttempt,
+    attempts: &[&BackendAttempt],
+    violations: &mut Violations,
+) {
     let class = &plan.scenario.classes[plan.arrivals[client_attempt.arrival].class];
     let request = format!("g{}, id {:016x}, class {}", client_attempt.gateway, client_attempt.id, class.name);
     if attempts.len() > MAX_ATTEMPTS {
@@ -242,7 +249,7 @@
             format!("{request}: {} attempts", attempts.len()),
         );
     }
-    let may_have_run = |a: &&&Attempt| a.outcome != Outcome::TurnedAway;
+    let may_have_run = |a: &&&BackendAttempt| a.outcome != Outcome::TurnedAway;
     let Some(first) = attempts.iter().find(may_have_run) else { return };
     let later = attempts.iter().filter(|a| a.first > first.first);
     let window = (class.window_ms * 1000.0) as Microseconds;
@@ -275,24 +282,28 @@
 
 fn check_drained(record: &Record, outages: &Outages, violations: &mut Violations) {
     let mut notices: HashMap<(usize, usize), Vec<EndpointNotice>> = HashMap::new();
-    for notice in &record.told {
+    for notice in &record.endpoint_notices {
         notices.entry((notice.gateway, notice.backend)).or_default().push((
             notice.at,
             notice.ready,
-            notice.life,
+            notice.process_number,
         ));
     }
     let mut starts: HashMap<usize, Vec<(Microseconds, usize)>> = HashMap::new();
-    for event in record.lives.iter().filter(|event| event.what == Life::Started) {
-        starts.entry(event.gateway).or_default().push((event.at, event.life));
+    for event in record.process_events.iter().filter(|event| event.what == Life::Started) {
+        starts.entry(event.gateway).or_default().push((event.at, event.process_number));
     }
     for attempt in &record.attempts {
         let Some(notices_of_backend) = notices.get(&(attempt.gateway, attempt.backend)) else { continue };
-        let lives = starts.get(&attempt.gateway).into_iter().flatten();
-        let life = lives.filter(|(at, _)| *at <= attempt.first).map(|(_, life)| *life).max().unwrap_or(0);
+        let processes = starts.get(&attempt.gateway).into_iter().flatten();
+        let process_number = processes
+            .filter(|(at, _)| *at <= attempt.first)
+            .map(|(_, process_number)| *process_number)
+            .max()
+            .unwrap_or(0);
         let last = notices_of_backend
             .iter()
-            .filter(|(at, _, l)| *l == life && *at <= attempt.first)
+            .filter(|(at, _, l)| *l == process_number && *at <= attempt.first)
             .max_by_key(|(at, ..)| *at);
         let Some((at, false, _)) = last else { continue };
         let noticed_at = outages.first_active(attempt.gateway, *at, attempt.first);
@@ -310,7 +321,7 @@
 fn check_ceilings(
     plan: &Plan,
     record: &Record,
-    by_id: &HashMap<u64, Vec<&Attempt>>,
+    by_id: &HashMap<u64, Vec<&BackendAttempt>>,
     violations: &mut Violations,
 ) {
     let mut spent: HashMap<usize, Vec<(Microseconds, f64)>> = HashMap::new();
@@ -350,9 +361,9 @@
 
 fn check_processes(plan: &Plan, record: &Record, violations: &mut Violations) {
     let mut ready = HashSet::new();
-    for event in &record.lives {
+    for event in &record.process_events {
         match &event.what {
-            Life::Ready => drop(ready.insert((event.gateway, event.life))),
+            Life::Ready => drop(ready.insert((event.gateway, event.process_number))),
             Life::Ended { asked: false, how } => {
                 violations.add(Rule::Crash, event.at, format!("g{} ended: {how}", event.gateway));
             }
--- a/lab/src/checker/metrics.rs
+++ b/lab/src/checker/metrics.rs
@@ -5,7 +5,7 @@
 use super::quota_replay::{quota_use, QuotaUse};
 use super::timeline::{timeline, worst, Timeline};
 use crate::plan::{us, Microseconds, Plan};
-use crate::record::{Attempt, End, Record, Try};
+use crate::record::{BackendAttempt, ClientAttempt, End, Record};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
@@ -299,9 +299,9 @@
     fn set_backend_and_counter_use(&mut self, plan: &Plan, record: &Record, from: Microseconds) {
         let zone_count = plan.scenario.zones();
         let requests = self.requests.max(1) as f64;
-        let attempts: Vec<&Attempt> =
+        let attempts: Vec<&BackendAttempt> =
             record.attempts.iter().filter(|attempt| attempt.first >= from).collect();
-        let crossed_zones = |attempt: &&&Attempt| {
+        let crossed_zones = |attempt: &&&BackendAttempt| {
             let backend = plan.backends.get(attempt.backend);
             backend.is_some_and(|backend| backend.zone != attempt.gateway % zone_count)
         };
@@ -313,7 +313,7 @@
         self.counter_calls = counted_calls as f64 / requests;
         self.counter_full = rejected_calls as f64 / record.calls.len().max(1) as f64;
         self.connections = record.connections as f64 / plan.arrivals.len().max(1) as f64;
-        self.cold_fallen = record.falls.len() as f64;
+        self.cold_fallen = record.overloads.len() as f64;
     }
 
     fn set_process_use(&mut self, record: &Record) {
@@ -328,7 +328,7 @@
     fn set_latencies(&mut self, record: &Record, from: Microseconds) {
         let counted = || record.tries.iter().filter(|client_attempt| client_attempt.due >= from);
         let is_success =
-            |client_attempt: &&Try| matches!(client_attempt.end, End::Answer { status: 200, .. });
+            |client_attempt: &&ClientAttempt| matches!(client_attempt.end, End::Answer { status: 200, .. });
         let answers = histogram(
             counted().filter(is_success).map(|client_attempt| client_attempt.ended - client_attempt.due),
         );
@@ -433,7 +433,7 @@
 fn cpu_us(record: &Record) -> u64 {
     let mut last: BTreeMap<(usize, usize), u64> = BTreeMap::new();
     for usage in &record.usage {
-        last.insert((usage.gateway, usage.life), usage.cpu_us);
+        last.insert((usage.gateway, usage.process_number), usage.cpu_us);
     }
     last.values().sum()
 }
--- a/lab/src/checker/mod.rs
+++ b/lab/src/checker/mod.rs
@@ -69,8 +69,11 @@
             "the load generator was {late:.1} ms late at the 99th percentile; the limit is {MAX_LATENESS_P99_MS} ms"
         ));
     }
-    if record.starved > 0 {
-        doubts.push(format!("the lab ran out of ports, descriptors or memory {} times", record.starved));
+    if record.resource_shortages > 0 {
+        doubts.push(format!(
+            "the lab ran out of ports, descriptors or memory {} times",
+            record.resource_shortages
+        ));
     }
     let mut missed = Vec::new();
     for (key, bound) in &plan.scenario.expect.0 {
--- a/lab/src/checker/quota_replay.rs
+++ b/lab/src/checker/quota_replay.rs
@@ -2,11 +2,11 @@
 
 use super::earned_weight::weight;
 use crate::plan::{Microseconds, Plan};
-use crate::record::{End, Record, Try};
+use crate::record::{ClientAttempt, End, Record};
 use std::collections::HashMap;
 
 /// Whether the gateway rejected the attempt, so that the client may retry.
-pub(super) fn is_rejected(client_attempt: &Try) -> bool {
+pub(super) fn is_rejected(client_attempt: &ClientAttempt) -> bool {
     matches!(client_attempt.end, End::Answer { status: 429 | 503, .. })
 }
 
@@ -75,7 +75,7 @@
     counted_from: Microseconds,
 ) -> QuotaUse {
     // Time of each forwarded or rejected attempt, and whether it was forwarded.
-    let mut events: Vec<(Microseconds, &Try, bool)> = Vec::new();
+    let mut events: Vec<(Microseconds, &ClientAttempt, bool)> = Vec::new();
     for client_attempt in &record.tries {
         match first_attempts.get(&client_attempt.id) {
             Some(at) => events.push((*at, client_attempt, true)),
--- a/lab/src/checker/request_history.rs
+++ b/lab/src/checker/request_history.rs
@@ -30,7 +30,7 @@
             client_attempt.began,
             format!(
                 "client attempt {} sent to g{} (process {})",
-                client_attempt.nth, client_attempt.gateway, client_attempt.life
+                client_attempt.nth, client_attempt.gateway, client_attempt.process_number
             ),
         ));
         events.push((
@@ -43,11 +43,11 @@
     {
         let sender = format!("g{} at b{}", attempt.gateway, attempt.backend);
         let start_note = if attempt.ran { "" } else { ", not started" };
-        events.push((attempt.came, format!("attempt of {sender} received")));
+        events.push((attempt.received_at, format!("attempt of {sender} received")));
         events.push((attempt.ended, format!("attempt of {sender} ended: {:?}{start_note}", attempt.outcome)));
     }
     for receipt in record.receipts.iter().filter(|receipt| receipt.arrival == arrival) {
-        events.push((record.ended, format!("status at {}: {:?}", receipt.place, receipt.told)));
+        events.push((record.ended, format!("status at {}: {:?}", receipt.path, receipt.status)));
     }
     events.sort();
     let customer = plan.customers[plan.arrivals[arrival].customer].number;
--- a/lab/src/checker/rollout.rs
+++ b/lab/src/checker/rollout.rs
@@ -60,7 +60,7 @@
         _ => (0, 0),
     };
     let leaders: std::collections::BTreeSet<(usize, usize)> =
-        observations.iter().filter(|s| s.leads).map(|s| (s.gateway, s.life)).collect();
+        observations.iter().filter(|s| s.leads).map(|s| (s.gateway, s.process_number)).collect();
     RolloutMetrics {
         stage: observations.iter().map(|s| f64::from(s.stage)).fold(0.0, f64::max),
         done: fraction_in_state("done"),
--- a/lab/src/checker/tests.rs
+++ b/lab/src/checker/tests.rs
@@ -2,7 +2,10 @@
 
 use super::*;
 use crate::plan::us;
-use crate::record::{Attempt, End, Fate, FaultWindow, Life, LifeEvent, Outcome, Receipt, Told, Try, Usage};
+use crate::record::{
+    BackendAttempt, ClientAttempt, End, EndpointNotice, FaultWindow, Life, Outcome, ProcessEvent, Receipt,
+    Usage, WriteStatus,
+};
 use crate::scenario::{Effect, Scenario};
 
 fn plan() -> Plan {
@@ -18,32 +21,32 @@
     let mut record = Record::default();
     for (arrival, spec) in plan.arrivals.iter().enumerate() {
         let id = plan.id(arrival, 0);
-        let (came, ended, gateway) = (spec.at + 1000, spec.at + 30_000, spec.gateways[0]);
-        record.attempts.push(Attempt {
+        let (received_at, ended, gateway) = (spec.at + 1000, spec.at + 30_000, spec.gateways[0]);
+        record.attempts.push(BackendAttempt {
             id,
             backend: 0,
             gateway,
-            first: came,
-            came,
+            first: received_at,
+            received_at,
             ended,
             outcome: Outcome::Served,
             ran: true,
             mark: 7,
             work_us: 20_000.0,
         });
-        record.tries.push(Try {
+        record.tries.push(ClientAttempt {
             arrival,
             nth: 0,
             id,
             gateway,
-            life: 0,
+            process_number: 0,
             due: spec.at,
             until: spec.at + spec.patience_us,
             began: spec.at,
             written: Some(spec.at + 500),
             ended,
             end: End::Answer { status: 200, mark: Some(7) },
-            twice: false,
+            duplicate_answer: false,
         });
     }
     record
@@ -59,8 +62,8 @@
     let mut late_start = record.clone();
     late_start.tries.iter_mut().for_each(|client_attempt| client_attempt.began += 30_000);
     assert_eq!(check(&plan, &late_start).word, Word::NotValid);
-    let starved = Record { starved: 1, ..record };
-    assert_eq!(check(&plan, &starved).word, Word::NotValid);
+    let short_of_resources = Record { resource_shortages: 1, ..record };
+    assert_eq!(check(&plan, &short_of_resources).word, Word::NotValid);
 }
 
 #[test]
@@ -81,23 +84,27 @@
     let mut record = flawless_record(&plan);
     let lost_index = record.tries.len() / 2;
     record.tries[lost_index].end = End::Broken;
-    let Try { gateway, written, ended, .. } = record.tries[lost_index].clone();
+    let ClientAttempt { gateway, written, ended, .. } = record.tries[lost_index].clone();
     assert_eq!(check(&plan, &record).broken[0].rule, Rule::Answered);
-    let event = |at, what| LifeEvent { gateway, life: 0, at, what };
-    let after_kill = Record { lives: vec![event(ended, Life::Killed)], ..record.clone() };
+    let event = |at, what| ProcessEvent { gateway, process_number: 0, at, what };
+    let after_kill = Record { process_events: vec![event(ended, Life::Killed)], ..record.clone() };
     assert_eq!(check(&plan, &after_kill).broken, []);
     let outage = FaultWindow { gateway, from: written.unwrap_or(0), to: ended };
-    assert_eq!(check(&plan, &Record { excuses: vec![outage], ..record.clone() }).broken, []);
+    assert_eq!(check(&plan, &Record { client_faults: vec![outage], ..record.clone() }).broken, []);
     // A gateway that was killed but ready again long before the request has to answer it.
     assert!(ended > 100_000, "the request is from the middle of the run");
     let early_kill = vec![event(0, Life::Killed), event(1, Life::Ready)];
-    let killed_too_early = Record { lives: early_kill, ..record.clone() };
+    let killed_too_early = Record { process_events: early_kill, ..record.clone() };
     assert_eq!(check(&plan, &killed_too_early).broken.len(), 1);
     // A request may be lost if it arrives 0.7 s or more after SIGTERM, and not earlier.
     for (before, broken) in [(us(0.5), 1), (us(0.9), 0)] {
         let signal_time = written.unwrap_or(0).saturating_sub(before);
-        let lives = vec![event(signal_time, Life::Terminated)];
-        assert_eq!(check(&plan, &Record { lives, ..record.clone() }).broken.len(), broken, "{before}");
+        let process_events = vec![event(signal_time, Life::Terminated)];
+        assert_eq!(
+            check(&plan, &Record { process_events, ..record.clone() }).broken.len(),
+            broken,
+            "{before}"
+        );
     }
 }
 
@@ -106,13 +113,14 @@
     let plan = plan();
     let mut record = flawless_record(&plan);
     let attempt = record.attempts.last().expect("the record has attempts").clone();
-    let notice = |at| Told { gateway: attempt.gateway, life: 0, backend: 0, ready: false, at };
+    let notice =
+        |at| EndpointNotice { gateway: attempt.gateway, process_number: 0, backend: 0, ready: false, at };
     let notified_at = attempt.first - us(2.0);
-    record.told = vec![notice(notified_at)];
+    record.endpoint_notices = vec![notice(notified_at)];
     let without_pause = check(&plan, &record);
     assert_eq!(without_pause.broken.iter().map(|b| b.rule).collect::<Vec<_>>(), [Rule::Drain]);
-    let event = |at, what| LifeEvent { gateway: attempt.gateway, life: 0, at, what };
-    record.lives =
+    let event = |at, what| ProcessEvent { gateway: attempt.gateway, process_number: 0, at, what };
+    record.process_events =
         vec![event(notified_at - 1000, Life::Paused), event(attempt.first - us(0.5), Life::Continued)];
     assert!(
         check(&plan, &record).broken.iter().all(|b| b.count < without_pause.broken[0].count),
@@ -127,9 +135,9 @@
     unsafe_plan.scenario.classes.iter_mut().for_each(|class| class.effect = Effect::Unsafe);
     let repeated = |repeats: u64, outcome: Outcome| {
         let mut record = flawless_record(&plain_plan);
-        let attempt = Attempt { outcome, ..record.attempts[0].clone() };
+        let attempt = BackendAttempt { outcome, ..record.attempts[0].clone() };
         record.attempts[0].outcome = outcome;
-        let further_attempts = (1..=repeats).map(|n| Attempt {
+        let further_attempts = (1..=repeats).map(|n| BackendAttempt {
             first: attempt.first + n * 100,
             outcome: Outcome::Served,
             ..attempt.clone()
@@ -152,7 +160,7 @@
     assert_eq!(rules(&unsafe_plan, &rejected), [Rule::Effect], "rejected, though the request may have run");
     assert_eq!(rules(&plain_plan, &rejected), []);
     let mut unknown_id = flawless_record(&plain_plan);
-    unknown_id.attempts.push(Attempt { id: 0, ..unknown_id.attempts[0].clone() });
+    unknown_id.attempts.push(BackendAttempt { id: 0, ..unknown_id.attempts[0].clone() });
     assert_eq!(rules(&plain_plan, &unknown_id), [Rule::Effect], "no client sent the request");
 }
 
@@ -163,7 +171,7 @@
     for (memory, descriptors, broken) in
         [(memory, descriptors, 0), (memory + 1, descriptors, 1), (memory, descriptors + 1, 1)]
     {
-        let usage = vec![Usage { gateway: 0, life: 0, at: 1, cpu_us: 0, memory, descriptors }];
+        let usage = vec![Usage { gateway: 0, process_number: 0, at: 1, cpu_us: 0, memory, descriptors }];
         let found = check(&plan, &Record { usage, ..flawless_record(&plan) }).broken;
         assert_eq!(found.len(), broken, "{found:?}");
         assert!(found.iter().all(|b| b.rule == Rule::Limits));
@@ -173,14 +181,14 @@
 #[test]
 fn accepted_write_ran_or_its_client_read_its_true_status() {
     let plan = plan();
-    let status_counts = |ran: bool, status: Option<Fate>| {
+    let status_counts = |ran: bool, status: Option<WriteStatus>| {
         let mut record = flawless_record(&plan);
         let arrival = record.tries[0].arrival;
         record.tries[0].end = End::Answer { status: 202, mark: None };
         if !ran {
             record.attempts.remove(0);
         }
-        let receipt = |told| Receipt { arrival, place: "/writes/1".into(), told };
+        let receipt = |status| Receipt { arrival, path: "/writes/1".into(), status };
         record.receipts.extend(status.map(receipt));
         let figures = check(&plan, &record).figures;
         [
@@ -191,23 +199,23 @@
             figures.accepted_untrue,
         ]
     };
-    assert_eq!(status_counts(true, Some(Fate::Done(200))), [0.0; 5]);
+    assert_eq!(status_counts(true, Some(WriteStatus::Done(200))), [0.0; 5]);
     assert_eq!(status_counts(false, None), [1.0, 0.0, 0.0, 0.0, 0.0], "no status was reported");
     assert_eq!(
-        status_counts(false, Some(Fate::Lost)),
+        status_counts(false, Some(WriteStatus::Lost)),
         [1.0, 0.0, 0.0, 0.0, 0.0],
         "lost is not a final status"
     );
-    assert_eq!(status_counts(false, Some(Fate::Superseded)), [0.0, 1.0, 0.0, 0.0, 0.0]);
-    assert_eq!(status_counts(false, Some(Fate::Unknown)), [0.0, 0.0, 1.0, 0.0, 0.0]);
-    assert_eq!(status_counts(false, Some(Fate::Open)), [0.0, 0.0, 0.0, 1.0, 0.0]);
+    assert_eq!(status_counts(false, Some(WriteStatus::Superseded)), [0.0, 1.0, 0.0, 0.0, 0.0]);
+    assert_eq!(status_counts(false, Some(WriteStatus::Unknown)), [0.0, 0.0, 1.0, 0.0, 0.0]);
+    assert_eq!(status_counts(false, Some(WriteStatus::Open)), [0.0, 0.0, 0.0, 1.0, 0.0]);
     assert_eq!(
-        status_counts(false, Some(Fate::Done(200))),
+        status_counts(false, Some(WriteStatus::Done(200))),
         [0.0, 0.0, 0.0, 0.0, 1.0],
         "reported as done, but never ran"
     );
     assert_eq!(
-        status_counts(true, Some(Fate::Superseded)),
+        status_counts(true, Some(WriteStatus::Superseded)),
         [0.0, 0.0, 0.0, 0.0, 1.0],
         "reported as replaced, but ran"
     );
--- a/lab/src/client.rs
+++ b/lab/src/client.rs
@@ -4,7 +4,7 @@
 use crate::http::{Answer, Connection, IdleState};
 use crate::link::lock;
 use crate::plan::{us, Microseconds};
-use crate::record::{End, Fate, Receipt, Try};
+use crate::record::{ClientAttempt, End, Receipt, WriteStatus};
 use crate::relay::{relay_stream, Way};
 use crate::run_context::RunContext;
 use crate::scenario::Effect;
@@ -31,7 +31,7 @@
     /// Arrival and attempt number of the last request.
     last: (usize, u32),
     /// Number of the gateway's process that the connection was opened to.
-    life: usize,
+    process_number: usize,
 }
 
 struct GatewayTarget {
@@ -88,7 +88,7 @@
             }
             seen(arrival);
             if self.open() >= MAX_OPEN_REQUESTS {
-                self.context.starved.note(&io::ErrorKind::OutOfMemory.into());
+                self.context.resource_shortages.note(&io::ErrorKind::OutOfMemory.into());
                 continue;
             }
             self.open.fetch_add(1, Ordering::Relaxed);
@@ -158,19 +158,19 @@
         let id = self.context.plan.id(arrival, nth);
         self.context.register_id(id, arrival);
         let began = self.context.clock.now();
-        let attempt = Try {
+        let attempt = ClientAttempt {
             arrival,
             nth,
             id,
             gateway,
-            life: self.context.life(gateway),
+            process_number: self.context.process_number(gateway),
             due,
             until,
             began,
             written: None,
             ended: began,
             end: End::Open,
-            twice: false,
+            duplicate_answer: false,
         };
         let budget_ms = until.saturating_sub(due) / 1000;
         let text = self.request_text(arrival, nth, id, budget_ms.max(1));
@@ -189,7 +189,7 @@
 
     /// Runs an attempt to its end, which may be after the client's time-out, and records it. Returns the end and the
     /// `Retry-After` in seconds.
-    async fn run_attempt(&self, mut attempt: Try, text: &[u8]) -> (End, Option<f64>) {
+    async fn run_attempt(&self, mut attempt: ClientAttempt, text: &[u8]) -> (End, Option<f64>) {
         let deadline = self.context.clock.instant(attempt.until + GRACE);
         let until = self.context.clock.instant(attempt.until);
         let mut retry_after = None;
@@ -216,14 +216,19 @@
             return;
         }
         if let Some(path) = location {
-            let receipt = Receipt { arrival, place: path, told: Fate::Nothing };
+            let receipt = Receipt { arrival, path, status: WriteStatus::Nothing };
             self.context.note(|record| record.receipts.push(receipt));
         }
     }
 
     /// Writes the request and reads its answer. If a reused connection was closed just as the request was written, the
     /// request is sent again. Nothing is written after the client's time-out.
-    async fn exchange(&self, attempt: &mut Try, text: &[u8], until: Instant) -> (End, Option<Answer>) {
+    async fn exchange(
+        &self,
+        attempt: &mut ClientAttempt,
+        text: &[u8],
+        until: Instant,
+    ) -> (End, Option<Answer>) {
         let target = &self.targets[attempt.gateway];
         // The semaphore is never closed.
         let Ok(Ok(_permit)) = timeout_at(until, target.connection_permits.acquire()).await else {
@@ -235,7 +240,7 @@
                 None => match timeout_at(until, self.connect(target)).await {
                     Ok(Ok(connection)) => connection,
                     Ok(Err(error)) => {
-                        self.context.starved.note(&error);
+                        self.context.resource_shortages.note(&error);
                         return (End::Unreachable, None);
                     }
                     Err(_) => return (End::Unreachable, None),
@@ -258,7 +263,7 @@
                     let idle = IdleConnection {
                         connection,
                         last: (attempt.arrival, attempt.nth),
-                        life: attempt.life,
+                        process_number: attempt.process_number,
                     };
                     if answer.keep_alive {
                         self.store_idle(target, idle);
@@ -275,11 +280,13 @@
     }
 
     /// Takes an idle connection to the gateway's present process on which no unexpected data has arrived.
-    async fn take_idle(&self, attempt: &Try) -> Option<Connection> {
+    async fn take_idle(&self, attempt: &ClientAttempt) -> Option<Connection> {
         loop {
             let mut idle = lock(&self.targets[attempt.gateway].idle_connections).pop()?;
             match idle.connection.idle_state().await {
-                IdleState::Usable if idle.life == attempt.life => return Some(idle.connection),
+                IdleState::Usable if idle.process_number == attempt.process_number => {
+                    return Some(idle.connection)
+                }
                 IdleState::UnexpectedData => self.record_duplicate_answer(&idle),
                 _ => {}
             }
@@ -312,7 +319,7 @@
             if let Some(attempt) =
                 latest_first.find(|attempt| attempt.arrival == arrival && attempt.nth == nth)
             {
-                attempt.twice = true;
+                attempt.duplicate_answer = true;
             }
         });
     }
--- a/lab/src/cluster_poll.rs
+++ b/lab/src/cluster_poll.rs
@@ -80,7 +80,7 @@
 
 async fn poll(context: Arc<RunContext>, gateway: Arc<Gateway>) {
     let admin = lock(&gateway.place).ops;
-    let (life, asked_at) = (context.life(gateway.number), context.clock.now());
+    let (process_number, asked_at) = (context.process_number(gateway.number), context.clock.now());
     if context.plan.scenario.gateways.rollout {
         if let Ok(Some(rollout)) = timeout(REQUEST_TIMEOUT, fetch::<RolloutReport>(admin, "/rollout")).await {
             let (number, stage, state, leads) =
@@ -89,7 +89,7 @@
             context.note(|record| {
                 record.rollouts.push(RolloutObservation {
                     gateway,
-                    life,
+                    process_number,
                     asked_at,
                     answered_at,
                     number,
@@ -112,7 +112,7 @@
     let down = down.collect();
     let observation = ClusterObservation {
         gateway: gateway.number,
-        life,
+        process_number,
         asked_at,
         answered_at: context.clock.now(),
         present,
--- a/lab/src/counter.rs
+++ b/lab/src/counter.rs
@@ -2,7 +2,7 @@
 
 use crate::link::lock;
 use crate::plan::Microseconds;
-use crate::record::Call;
+use crate::record::CounterCall;
 use crate::run_context::RunContext;
 use crate::serve::{answer, connection, Answer};
 use hyper::body::Incoming;
@@ -139,7 +139,8 @@
     async fn call(self: &Arc<Counter>, request: &Request<Incoming>, gateway: usize) -> Answer {
         let at = self.context.clock.now();
         let record_call = |status: StatusCode| {
-            self.context.note(|record| record.calls.push(Call { gateway, at, status: status.as_u16() }));
+            self.context
+                .note(|record| record.calls.push(CounterCall { gateway, at, status: status.as_u16() }));
         };
         let call = (request.method() == Method::POST)
             .then(|| parse_call(request.uri().path(), request.uri().query().unwrap_or("")))
--- a/lab/src/discovery.rs
+++ b/lab/src/discovery.rs
@@ -183,9 +183,9 @@
             revision
         };
         agent.revision.send_replace(revision);
-        let life = self.context.life(agent.gateway);
+        let process_number = self.context.process_number(agent.gateway);
         sleep(Duration::from_micros(ASSUMED_NOTIFIED_AFTER)).await;
-        if self.context.life(agent.gateway) == life {
+        if self.context.process_number(agent.gateway) == process_number {
             self.record_notices(agent, |entry, number| number == backend && entry.revision == revision);
         }
     }
--- a/lab/src/gateway.rs
+++ b/lab/src/gateway.rs
@@ -3,7 +3,7 @@
 use crate::client::Clients;
 use crate::link::lock;
 use crate::plan::{us, Draw, Microseconds};
-use crate::record::{Life, LifeEvent, Usage};
+use crate::record::{Life, ProcessEvent, Usage};
 use crate::run_context::RunContext;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -82,13 +82,13 @@
     }
 
     fn record_event(&self, what: Life) {
-        let event = LifeEvent {
+        let event = ProcessEvent {
             gateway: self.number,
-            life: self.context.life(self.number),
+            process_number: self.context.process_number(self.number),
             at: self.context.clock.now(),
             what,
         };
-        self.context.note(|record| record.lives.push(event));
+        self.context.note(|record| record.process_events.push(event));
     }
 
     /// Returns the path of the log, to which all of the gateway's processes append.
@@ -100,9 +100,10 @@
     pub fn configure(&self, known: &Value) -> Result<PathBuf, StartError> {
         let path = self.context.folder.join(format!("g{}.json", self.number));
         let place = lock(&self.place);
-        let life = self.context.life(self.number) as u64;
+        let process_number = self.context.process_number(self.number) as u64;
         let scenario = &self.context.plan.scenario;
-        let seed = Draw::new(self.context.plan.seed, 9 << 32 | life << 16 | self.number as u64).bits();
+        let seed =
+            Draw::new(self.context.plan.seed, 9 << 32 | process_number << 16 | self.number as u64).bits();
         let config = json!({
             "name": format!("g{}", self.number),
             "listen": place.listen.to_string(),
@@ -266,7 +267,7 @@
         let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, |list| list.count());
         Some(Usage {
             gateway: self.number,
-            life: self.context.life(self.number),
+            process_number: self.context.process_number(self.number),
             at: self.context.clock.now(),
             cpu_us,
             memory,
@@ -311,8 +312,8 @@
 
 /// Lets the front end notice that a gateway has stopped or paused, after a delay drawn from the seed.
 pub fn notice(context: &RunContext, clients: &Arc<Clients>, gateway: &Arc<Gateway>) {
-    let life = context.life(gateway.number);
-    let stream = 8 << 32 | (life as u64) << 16 | gateway.number as u64;
+    let process_number = context.process_number(gateway.number);
+    let stream = 8 << 32 | (process_number as u64) << 16 | gateway.number as u64;
     let delay_s = Draw::new(context.plan.seed, stream).between(context.plan.scenario.load.notice_s);
     let (clients, gateway) = (clients.clone(), gateway.clone());
     tokio::spawn(async move {
--- a/lab/src/record.rs
+++ b/lab/src/record.rs
@@ -21,7 +21,7 @@
 
 /// One attempt of a client: a request sent to a gateway, or its retry.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Try {
+pub struct ClientAttempt {
     /// Index of the request in the plan's arrivals.
     pub arrival: usize,
     /// Number of the attempt; 0 for the first.
@@ -31,7 +31,7 @@
     /// Gateway that the attempt was sent to.
     pub gateway: usize,
     /// Number of the gateway's process, counted from 0 over its restarts.
-    pub life: usize,
+    pub process_number: usize,
     /// Time at which the attempt was due.
     pub due: Microseconds,
     /// Time at which the client stops waiting, as announced in the request.
@@ -45,7 +45,7 @@
     /// How the attempt ended.
     pub end: End,
     /// Whether the gateway wrote more than one answer.
-    pub twice: bool,
+    pub duplicate_answer: bool,
 }
 
 /// How an attempt ended at its backend.
@@ -69,7 +69,7 @@
 
 /// One attempt at a backend: a request that a gateway forwarded.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Attempt {
+pub struct BackendAttempt {
     /// Request id on the wire; 0 if no client sent this id.
     pub id: u64,
     /// Backend that received the request.
@@ -79,7 +79,7 @@
     /// Time at which the first byte was read.
     pub first: Microseconds,
     /// Time at which the request was received completely.
-    pub came: Microseconds,
+    pub received_at: Microseconds,
     /// Time at which the attempt ended.
     pub ended: Microseconds,
     /// How the attempt ended.
@@ -94,11 +94,11 @@
 
 /// Notice on a backend that discovery sent to a gateway.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Told {
+pub struct EndpointNotice {
     /// Gateway that was notified.
     pub gateway: usize,
     /// Number of the gateway's process, counted from 0 over its restarts.
-    pub life: usize,
+    pub process_number: usize,
     /// Backend that the notice is about.
     pub backend: usize,
     /// Whether the backend accepts requests, according to the notice.
@@ -109,18 +109,18 @@
 
 /// Overload of a backend that was warming up, on which its process ended.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Fall {
+pub struct Overload {
     /// Backend that was overloaded.
     pub backend: usize,
     /// Time of the overload.
     pub at: Microseconds,
     /// Fraction of the load that came from gateways that knew of the backend's start.
-    pub knowing: f64,
+    pub informed_fraction: f64,
 }
 
 /// Call to the shared counter.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Call {
+pub struct CounterCall {
     /// Gateway that called.
     pub gateway: usize,
     /// Time at which the call was received.
@@ -131,7 +131,7 @@
 
 /// Status of an accepted write, as a client reads it at the address that the 202 answer gave.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Fate {
+pub enum WriteStatus {
     /// No gateway answered, or the status text was unknown.
     Nothing,
     /// The write is queued or in flight.
@@ -154,9 +154,9 @@
     /// Index of the request in the plan's arrivals.
     pub arrival: usize,
     /// Path at which the status can be polled.
-    pub place: String,
+    pub path: String,
     /// Status that was read there.
-    pub told: Fate,
+    pub status: WriteStatus,
 }
 
 /// Change in the life cycle of a gateway's process.
@@ -181,11 +181,11 @@
 
 /// Event in the life cycle of a gateway's process.
 #[derive(Debug, Clone, PartialEq)]
-pub struct LifeEvent {
+pub struct ProcessEvent {
     /// Number of the gateway.
     pub gateway: usize,
     /// Number of the gateway's process, counted from 0 over its restarts.
-    pub life: usize,
+    pub process_number: usize,
     /// Time of the event.
     pub at: Microseconds,
     /// Change that took place.
@@ -198,7 +198,7 @@
     /// Number of the gateway.
     pub gateway: usize,
     /// Number of the gateway's process, counted from 0 over its restarts.
-    pub life: usize,
+    pub process_number: usize,
     /// Time of the sample.
     pub at: Microseconds,
     /// Processor time of the process so far, in microseconds.
@@ -215,7 +215,7 @@
     /// Number of the gateway.
     pub gateway: usize,
     /// Number of the gateway's process, counted from 0 over its restarts.
-    pub life: usize,
+    pub process_number: usize,
     /// Time at which the gateway was polled.
     pub asked_at: Microseconds,
     /// Time at which the answer was received.
@@ -240,7 +240,7 @@
     /// Number of the gateway.
     pub gateway: usize,
     /// Number of the gateway's process, counted from 0 over its restarts.
-    pub life: usize,
+    pub process_number: usize,
     /// Time at which the gateway was polled.
     pub asked_at: Microseconds,
     /// Time at which the answer was received.
@@ -270,19 +270,19 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Record {
     /// Attempts of clients.
-    pub tries: Vec<Try>,
+    pub tries: Vec<ClientAttempt>,
     /// Writes that were accepted with 202.
     pub receipts: Vec<Receipt>,
     /// Attempts at backends.
-    pub attempts: Vec<Attempt>,
+    pub attempts: Vec<BackendAttempt>,
     /// Notices of discovery to gateways.
-    pub told: Vec<Told>,
+    pub endpoint_notices: Vec<EndpointNotice>,
     /// Overloads of backends that were warming up.
-    pub falls: Vec<Fall>,
+    pub overloads: Vec<Overload>,
     /// Calls to the shared counter.
-    pub calls: Vec<Call>,
+    pub calls: Vec<CounterCall>,
     /// Life cycle events of the gateways' processes.
-    pub lives: Vec<LifeEvent>,
+    pub process_events: Vec<ProcessEvent>,
     /// Samples of the gateway processes' use of resources.
     pub usage: Vec<Usage>,
     /// Polls of the gateways' cluster state.
@@ -290,11 +290,11 @@
     /// Polls of the gateways' rollout state.
     pub rollouts: Vec<RolloutObservation>,
     /// Faults on the links between clients and gateways.
-    pub excuses: Vec<FaultWindow>,
+    pub client_faults: Vec<FaultWindow>,
     /// Number of connections that gateways opened to backends.
     pub connections: usize,
     /// Number of times that the lab itself lacked a port, a descriptor or memory.
-    pub starved: usize,
+    pub resource_shortages: usize,
     /// Processor time of the lab itself over the run, in microseconds.
     pub lab_cpu_us: u64,
     /// Time at which the record was closed, after the last requests had ended and the accepted writes were polled.
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -117,7 +117,7 @@
         ip: IpAddr,
         way: Way,
         alive: watch::Receiver<bool>,
-        starved: Arc<ResourceShortages>,
+        resource_shortages: Arc<ResourceShortages>,
         serve: Serve,
     ) -> io::Result<GatewayListener> {
         let listener = listen(SocketAddr::new(ip, 0))?;
@@ -127,7 +127,7 @@
         tokio::spawn(async move {
             let up = way.up.watch();
             let down = way.down.watch();
-            let task = ListenerTask { address, way, up, down, availability, starved, serve };
+            let task = ListenerTask { address, way, up, down, availability, resource_shortages, serve };
             task.run(listener).await;
         });
         Ok(GatewayListener { address, open })
@@ -153,7 +153,7 @@
     up: watch::Receiver<LinkState>,
     down: watch::Receiver<LinkState>,
     availability: Availability,
-    starved: Arc<ResourceShortages>,
+    resource_shortages: Arc<ResourceShortages>,
     serve: Serve,
 }
 
@@ -190,7 +190,7 @@
         match listen(self.address) {
             Ok(listener) => Some(listener),
             Err(error) => {
-                self.starved.note(&error);
+                self.resource_shortages.note(&error);
                 sleep(SHORTAGE_PAUSE).await;
                 None
             }
@@ -206,7 +206,7 @@
                     (self.serve)(stream, stamp);
                 }
                 Err(error) => {
-                    self.starved.note(&error);
+                    self.resource_shortages.note(&error);
                     sleep(SHORTAGE_PAUSE).await;
                 }
             },
--- a/lab/src/run/actions.rs
+++ b/lab/src/run/actions.rs
@@ -78,7 +78,7 @@
         let started = Some(self.context.clock.now().max(1));
         match self.add_backend(new, started) {
             Ok(backend) => self.discovery.add(&backend, label),
-            Err(error) => self.context.starved.note(&error),
+            Err(error) => self.context.resource_shortages.note(&error),
         }
     }
 
@@ -87,7 +87,7 @@
         let Some(backend) = self.backend(number) else { return };
         for gateway in 0..self.gateways.len() {
             if let Err(error) = self.backend_door(gateway, &backend) {
-                self.context.starved.note(&error);
+                self.context.resource_shortages.note(&error);
             }
         }
         self.discovery.moved(number);
@@ -171,7 +171,7 @@
             while gateway.runs() {
                 sleep(PROCESS_POLL).await;
             }
-            world.context.next_life(number);
+            world.context.next_process(number);
             world.discovery.forget(number);
             let known = lock(&world.known).get(&number).cloned();
             let known = known.unwrap_or_else(|| world.discovery.known(number));
--- a/lab/src/run/mod.rs
+++ b/lab/src/run/mod.rs
@@ -154,9 +154,9 @@
         fleets.into_iter().for_each(|fleets| fleets.abort());
         context.note(|record| {
             record.lab_cpu_us = own().saturating_sub(before);
-            record.starved = context.starved.count();
+            record.resource_shortages = context.resource_shortages.count();
             record.ended = context.clock.now();
-            record.excuses = fault_windows(&context.plan);
+            record.client_faults = fault_windows(&context.plan);
         });
         self.end().await;
         std::mem::take(&mut *lock(&context.record))
@@ -202,8 +202,13 @@
         let serve: Serve = Arc::new(move |stream, stamp| behind.accept(stream, stamp, gateway));
         let way = self.way(gateway, Party::Backend(backend.number));
         let ip = self.context.side(gateway, last_byte::BACKENDS);
-        let door =
-            GatewayListener::open(ip, way, backend.alive.subscribe(), self.context.starved.clone(), serve)?;
+        let door = GatewayListener::open(
+            ip,
+            way,
+            backend.alive.subscribe(),
+            self.context.resource_shortages.clone(),
+            serve,
+        )?;
         self.discovery.door(gateway, backend.number, door.address);
         if let Some(old) = lock(&self.doors).insert((gateway, backend.number), door) {
             old.close();
@@ -219,7 +224,7 @@
                 context.side(gateway, last),
                 self.way(gateway, party),
                 alive,
-                context.starved.clone(),
+                context.resource_shortages.clone(),
                 serve,
             )
         };
--- a/lab/src/run_context.rs
+++ b/lab/src/run_context.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::link::{lock, Links};
 use crate::plan::{Microseconds, Plan};
-use crate::record::{Record, Told};
+use crate::record::{EndpointNotice, Record};
 use crate::relay::ResourceShortages;
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr};
@@ -21,7 +21,7 @@
     /// Observations so far.
     pub record: Mutex<Record>,
     /// Resource shortages of the lab itself.
-    pub starved: Arc<ResourceShortages>,
+    pub resource_shortages: Arc<ResourceShortages>,
     /// Folder of configurations and logs.
     pub folder: PathBuf,
     /// Second byte of the run's loopback addresses.
@@ -46,7 +46,7 @@
             clock,
             links,
             record: Mutex::default(),
-            starved: Arc::default(),
+            resource_shortages: Arc::default(),
             folder,
             net,
             arrivals_by_id: Mutex::default(),
@@ -92,12 +92,12 @@
     }
 
     /// Returns the number of a gateway's present process, counted from 0.
-    pub fn life(&self, gateway: usize) -> usize {
+    pub fn process_number(&self, gateway: usize) -> usize {
         lock(&self.process_numbers)[gateway]
     }
 
     /// Increments a gateway's process number and removes the notices that its previous process received.
-    pub fn next_life(&self, gateway: usize) {
+    pub fn next_process(&self, gateway: usize) {
         lock(&self.process_numbers)[gateway] += 1;
         lock(&self.known_starts).retain(|(g, _), _| *g != gateway);
     }
@@ -111,11 +111,13 @@
         started: Microseconds,
         at: Microseconds,
     ) {
-        let life = self.life(gateway);
+        let process_number = self.process_number(gateway);
         if ready {
             lock(&self.known_starts).insert((gateway, backend), started);
         }
-        self.note(|record| record.told.push(Told { gateway, life, backend, ready, at }));
+        self.note(|record| {
+            record.endpoint_notices.push(EndpointNotice { gateway, process_number, backend, ready, at })
+        });
     }
 
     /// Returns whether a gateway's present process was notified of a backend's start at time `started` or later.
