--- a/lab/src/checker/mod.rs
+++ b/lab/src/checker/mod.rs
@@ -27,7 +27,7 @@
 /// Overall result of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Word {
+pub enum VerdictKind {
     /// No rule was broken and every expectation was met.
     Held,
     /// A rule was broken or an expectation missed.
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, Serialize)]
 pub struct Verdict {
     /// Overall result.
-    pub word: Word,
+    pub word: VerdictKind,
     /// Rules that were broken.
     pub broken: Vec<RuleViolation>,
     /// Missed expectations, each as a sentence.
@@ -88,9 +88,9 @@
         }
     }
     let word = match () {
-        () if !doubts.is_empty() => Word::NotValid,
-        () if broken.is_empty() && missed.is_empty() => Word::Held,
-        () => Word::Failed,
+        () if !doubts.is_empty() => VerdictKind::NotValid,
+        () if broken.is_empty() && missed.is_empty() => VerdictKind::Held,
+        () => VerdictKind::Failed,
     };
     Verdict {
         word,
--- a/lab/src/checker/tests.rs
+++ b/lab/src/checker/tests.rs
@@ -57,13 +57,13 @@
     let plan = plan();
     let record = flawless_record(&plan);
     let verdict = check(&plan, &record);
-    assert_eq!((verdict.word, verdict.broken.len()), (Word::Held, 0), "{:?}", verdict.missed);
+    assert_eq!((verdict.word, verdict.broken.len()), (VerdictKind::Held, 0), "{:?}", verdict.missed);
     assert!(verdict.figures.served > 0.99 && (verdict.figures.attempts - 1.0).abs() < 1e-9);
     let mut late_start = record.clone();
     late_start.tries.iter_mut().for_each(|client_attempt| client_attempt.began += 30_000);
-    assert_eq!(check(&plan, &late_start).word, Word::NotValid);
+    assert_eq!(check(&plan, &late_start).word, VerdictKind::NotValid);
     let short_of_resources = Record { resource_shortages: 1, ..record };
-    assert_eq!(check(&plan, &short_of_resources).word, Word::NotValid);
+    assert_eq!(check(&plan, &short_of_resources).word, VerdictKind::NotValid);
 }
 
 #[test]
@@ -75,7 +75,7 @@
         .iter_mut()
         .for_each(|client_attempt| client_attempt.end = End::Answer { status: 502, mark: None });
     let verdict = check(&plan, &record);
-    assert_eq!((verdict.word, verdict.missed.len()), (Word::Failed, 1));
+    assert_eq!((verdict.word, verdict.missed.len()), (VerdictKind::Failed, 1));
 }
 
 #[test]
--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -1,7 +1,7 @@
 //! Command line of the lab. Exit codes: 0 all checks passed; 1 a rule was violated, an expectation was missed or the run
 //! is not valid; 2 usage error.
 
-use crate::checker::Word;
+use crate::checker::VerdictKind;
 use crate::run::RunResources;
 use crate::runner::{play, RunError, RunResult};
 use crate::scenario::{Scenario, Setting};
@@ -308,7 +308,7 @@
 
 /// Returns exit code 0 if all checks passed, otherwise 1.
 pub(crate) fn code(result: &RunResult) -> u8 {
-    u8::from(result.verdict.word != Word::Held)
+    u8::from(result.verdict.word != VerdictKind::Held)
 }
 
 async fn one_run(run: Run) -> Result<u8, Failure> {
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -1,6 +1,6 @@
 //! Experiments of many runs: sweeps over seeds and settings, and comparisons of two builds or settings.
 
-use crate::checker::Word;
+use crate::checker::VerdictKind;
 use crate::cli::{code, Failure, Seeds, Values};
 use crate::run::RunResources;
 use crate::runner::{play, RunResult};
@@ -13,9 +13,9 @@
 /// Returns the verdict on a run as one word or the broken rules, for a table or CSV.
 fn verdict_label(result: &RunResult) -> String {
     match result.verdict.word {
-        Word::Held => "held".into(),
-        Word::NotValid => "not valid".into(),
-        Word::Failed => {
+        VerdictKind::Held => "held".into(),
+        VerdictKind::NotValid => "not valid".into(),
+        VerdictKind::Failed => {
             let rules: Vec<String> = result.verdict.broken.iter().map(|b| format!("{:?}", b.rule)).collect();
             if rules.is_empty() {
                 "missed".into()
@@ -108,7 +108,7 @@
             for ((_, value), values) in named.iter().zip(&mut figures) {
                 values.push(*value);
             }
-            held += usize::from(result.verdict.word == Word::Held);
+            held += usize::from(result.verdict.word == VerdictKind::Held);
             self.highest_code = self.highest_code.max(code(&result));
         }
         let held = format!("{held}/{}", self.seeds.0.len());
--- a/lab/src/report/mod.rs
+++ b/lab/src/report/mod.rs
@@ -2,7 +2,7 @@
 
 mod plots;
 
-use crate::checker::Word;
+use crate::checker::VerdictKind;
 use crate::runner::RunResult;
 use crate::table::format_metric;
 use std::fmt::Write;
@@ -44,9 +44,9 @@
 fn head(page: &mut String, result: &RunResult) -> std::fmt::Result {
     let verdict = &result.verdict;
     let (class, word) = match verdict.word {
-        Word::Held => ("held", "held"),
-        Word::Failed => ("failed", "failed"),
-        Word::NotValid => ("not-valid", "not valid"),
+        VerdictKind::Held => ("held", "held"),
+        VerdictKind::Failed => ("failed", "failed"),
+        VerdictKind::NotValid => ("not-valid", "not valid"),
     };
     let name = escaped(&result.scenario);
     let [gateways, backends, customers] = result.sizes;
--- a/lab/src/table.rs
+++ b/lab/src/table.rs
@@ -1,6 +1,6 @@
 //! Plain-text tables and the text form of a run's result.
 
-use crate::checker::{Metrics, Verdict, Word};
+use crate::checker::{Metrics, Verdict, VerdictKind};
 use crate::runner::RunResult;
 use std::fmt::Write;
 
@@ -99,9 +99,9 @@
         let _ = writeln!(text, "NOT VALID {reason}");
     }
     let word = match verdict.word {
-        Word::Held => "held",
-        Word::Failed => "failed",
-        Word::NotValid => "not valid",
+        VerdictKind::Held => "held",
+        VerdictKind::Failed => "failed",
+        VerdictKind::NotValid => "not valid",
     };
     let _ = writeln!(text, "verdict: {word}");
     text
--- a/lab/tests/checker.rs
+++ b/lab/tests/checker.rs
@@ -1,6 +1,6 @@
 //! Tests of the checker on real processes: a correct gateway passes, and for each rule a faulty gateway is detected.
 
-use quota_gateway_lab::checker::{Rule, Word};
+use quota_gateway_lab::checker::{Rule, VerdictKind};
 use quota_gateway_lab::plan::Plan;
 use quota_gateway_lab::run::{RunResources, World};
 use quota_gateway_lab::runner::{play, RunResult};
@@ -111,7 +111,7 @@
             scope.spawn(move || {
                 let (broken, result) = run_with_fault(fault, &[]);
                 assert_eq!(broken, [Rule::Answered], "{fault}: {:?}", result.verdict.broken);
-                assert_eq!(result.verdict.word, Word::Failed, "{fault}: {:?}", result.verdict.doubts);
+                assert_eq!(result.verdict.word, VerdictKind::Failed, "{fault}: {:?}", result.verdict.doubts);
             });
         }
     });
