--- a/lab/src/backend.rs
+++ b/lab/src/backend.rs
@@ -21,8 +21,8 @@
 
 const REJECTED: HeaderName = HeaderName::from_static("x-rejected");
 const REPORT: HeaderName = HeaderName::from_static("x-load-report");
-/// Maximum size of a request body.
-const LONGEST_BODY_BYTES: usize = 64 * 1024;
+/// Maximum size of a request body in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Work of a repeated request that is dropped, and of a load report request, in microseconds.
 const SMALL_WORK_US: f64 = 250.0;
 
@@ -158,7 +158,7 @@
     }
 
     /// Accepts a gateway's connection, up to the machine's connection limit.
-    pub fn accept(self: &Arc<Backend>, stream: DuplexStream, stamp: LastRead, gateway: usize) {
+    pub fn accept(self: &Arc<Backend>, stream: DuplexStream, last_read: LastRead, gateway: usize) {
         let spec = &self.context.plan.scenario.backends;
         let max_connections = (spec.connections_per_core as f64 * spec.cores) as usize;
         let now = self.context.clock.now();
@@ -186,7 +186,7 @@
             down.cross(&mut down.watch()).await;
             up.cross(&mut up.watch()).await;
             let serving = connection(stream, idle, |request| {
-                let (backend, first) = (backend.clone(), stamp.last());
+                let (backend, first) = (backend.clone(), last_read.last());
                 async move { backend.serve(request, gateway, first).await }
             });
             tokio::select! {
@@ -209,7 +209,7 @@
             _ => {}
         }
         let id = request_id(request.headers());
-        let body = Limited::new(request.into_body(), LONGEST_BODY_BYTES).collect().await;
+        let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await;
         let Ok(_) = body else { return answer(StatusCode::BAD_REQUEST, "") };
         let received_at = self.context.clock.now();
         let arrival = id.and_then(|id| self.context.arrival(id));
--- a/lab/src/client.rs
+++ b/lab/src/client.rs
@@ -22,7 +22,7 @@
 /// Time in microseconds for which an answer is still read after the client's time-out. Such an answer earns nothing,
 /// but does not count as lost.
 pub const GRACE: Microseconds = 500_000;
-/// A reused connection that closes this soon after a request was written was closed before the gateway read the request.
+/// A reused connection that closes this soon after a request was written counts as closed before the gateway read it.
 const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(30);
 
 /// Idle connection to a gateway.
--- a/lab/src/discovery.rs
+++ b/lab/src/discovery.rs
@@ -109,7 +109,7 @@
         lock(&self.addresses).insert((gateway, backend), address);
     }
 
-    /// Lists a backend of the initial fleet at every agent at once.
+    /// Lists a backend that exists from the start, at every agent at once.
     pub fn list(&self, backend: &Arc<Backend>, label: &str) {
         lock(&self.backends).insert(backend.number, backend.clone());
         lock(&self.labels).insert(backend.number, label.to_string());
--- a/lab/src/link.rs
+++ b/lab/src/link.rs
@@ -43,7 +43,7 @@
     draw: Mutex<Draw>,
 }
 
-/// Additional delay of lost stream data, which stands for its retransmission.
+/// Additional delay of lost stream data, which simulates its retransmission.
 const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
 
 /// Number and delay of a datagram's deliveries.
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -202,8 +202,8 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    let (stream, stamp) = relay_stream(stream, self.way.clone(), Some(self.availability.clone()));
-                    (self.serve)(stream, stamp);
+                    let (stream, last_read) = relay_stream(stream, self.way.clone(), Some(self.availability.clone()));
+                    (self.serve)(stream, last_read);
                 }
                 Err(error) => {
                     self.resource_shortages.note(&error);
@@ -276,22 +276,22 @@
     // Without TCP_NODELAY small messages would wait for each other. Fails only on a connection that is already broken.
     let _ = stream.set_nodelay(true);
     let (inner, outer) = duplex(16 * 1024);
-    let stamp = LastRead::default();
-    tokio::spawn(relay(stream, outer, way, stamp.clone(), availability));
-    (inner, stamp)
+    let last_read = LastRead::default();
+    tokio::spawn(relay(stream, outer, way, last_read.clone(), availability));
+    (inner, last_read)
 }
 
 async fn relay(
     mut stream: TcpStream,
     outer: DuplexStream,
     way: Way,
-    stamp: LastRead,
+    last_read: LastRead,
     availability: Option<Availability>,
 ) {
     let (read, write) = stream.split();
     let (from, to) = tokio::io::split(outer);
     let broken = {
-        let on_read = || stamp.set(way.clock.now());
+        let on_read = || last_read.set(way.clock.now());
         let relaying = async {
             tokio::try_join!(
                 copy_over_link(read, to, &way.up, on_read),
