--- a/lab/src/run/mod.rs
+++ b/lab/src/run/mod.rs
@@ -158,9 +158,9 @@
         cluster_watch.into_iter().for_each(|cluster_watch| cluster_watch.abort());
         context.note(|record| {
             record.lab_cpu_us = used_cpu_us().saturating_sub(before);
-            record.starved = context.starved.count();
+            record.resource_shortages = context.resource_shortages.count();
             record.ended = context.clock.now();
-            record.excuses = fault_windows(&context.plan);
+            record.client_faults = fault_windows(&context.plan);
         });
         self.end().await;
         std::mem::take(&mut *lock(&context.record))
@@ -206,8 +206,13 @@
         let serve: Serve = Arc::new(move |stream, stamp| behind.accept(stream, stamp, gateway));
         let way = self.link_to(gateway, Party::Backend(backend.number));
         let ip = self.context.side(gateway, last_byte::BACKENDS);
-        let listener =
-            GatewayListener::open(ip, way, backend.alive.subscribe(), self.context.starved.clone(), serve)?;
+        let listener = GatewayListener::open(
+            ip,
+            way,
+            backend.alive.subscribe(),
+            self.context.resource_shortages.clone(),
+            serve,
+        )?;
         self.discovery.door(gateway, backend.number, listener.address);
         if let Some(old) = lock(&self.backend_listeners).insert((gateway, backend.number), listener) {
             old.close();
@@ -223,7 +228,7 @@
                 context.side(gateway, last),
                 self.link_to(gateway, party),
                 alive,
-                context.starved.clone(),
+                context.resource_shortages.clone(),
                 serve,
             )
         };
