--- a/src/decision/admission/counter_calls.rs
+++ b/src/decision/admission/counter_calls.rs
@@ -49,8 +49,8 @@
     /// The request that waits for the reply.
     pub(crate) request: Option<RequestId>,
     pub(crate) amount: f64,
-    /// Part of the amount that was owed from earlier requests.
-    pub(crate) owed_amount: f64,
+    /// Part of the amount that earlier requests left unreported.
+    pub(crate) unreported_amount: f64,
     /// Whether the call is a circuit breaker's probe.
     pub(crate) is_probe: bool,
 }
--- a/src/decision/admission/customer.rs
+++ b/src/decision/admission/customer.rs
@@ -100,7 +100,7 @@
         }
         let epoch = Period::at(now, id, CONCURRENCY_EPOCH).number;
         if self.epoch.period != epoch {
-            self.epoch = SharedCount { period: epoch, owed: self.in_flight, ..SharedCount::default() };
+            self.epoch = SharedCount { period: epoch, unreported: self.in_flight, ..SharedCount::default() };
         }
     }
 
--- a/src/decision/admission/shared_count.rs
+++ b/src/decision/admission/shared_count.rs
@@ -8,9 +8,9 @@
     pub(crate) period: u64,
     /// Increments by this gateway that the counter is known to include.
     pub(crate) own_counted: f64,
-    /// Spending of this gateway that no call has carried to the counter yet.
-    pub(crate) owed: f64,
-    /// Earlier spending of this gateway that calls in flight carry.
+    /// Spending of this gateway that no call has reported to the counter yet.
+    pub(crate) unreported: f64,
+    /// Earlier spending of this gateway that calls in flight report.
     pub(crate) in_transit: f64,
     /// The last total that the counter reported.
     pub(crate) last_total: f64,
@@ -27,25 +27,25 @@
 impl SharedCount {
     /// Returns the total as far as known here, including spending that the counter does not include yet.
     pub(crate) fn known_total(&self) -> f64 {
-        self.last_total + self.owed + self.in_transit
+        self.last_total + self.unreported + self.in_transit
     }
 
     /// Returns this gateway's spending, whether the counter includes it or not.
     pub(crate) fn own_total(&self) -> f64 {
-        self.own_counted + self.in_transit + self.owed
+        self.own_counted + self.in_transit + self.unreported
     }
 
     /// Returns this gateway's spending that a total reported just now does not include.
     pub(crate) fn not_yet_counted(&self) -> f64 {
-        self.owed + self.in_transit
+        self.unreported + self.in_transit
     }
 
-    /// Moves all that is owed to the call that begins, and returns the amount.
-    pub(crate) fn carry_owed(&mut self) -> f64 {
-        let owed = self.owed;
-        self.owed -= owed;
-        self.in_transit += owed;
-        owed
+    /// Moves all unreported spending to the call that begins, and returns the amount.
+    pub(crate) fn take_unreported(&mut self) -> f64 {
+        let unreported = self.unreported;
+        self.unreported -= unreported;
+        self.in_transit += unreported;
+        unreported
     }
 
     /// Returns by how much a reported total is below this gateway's own increments, if that proves that the
@@ -54,9 +54,9 @@
         Some(self.own_counted - total).filter(|lost| *lost > LOSS_TOLERANCE)
     }
 
-    /// Marks own increments that the counter lost as owed again.
-    pub(crate) fn owe_again(&mut self, lost: f64, total: f64) {
-        self.owed += lost;
+    /// Marks own increments that the counter lost as unreported again, given its total.
+    pub(crate) fn mark_unreported(&mut self, lost: f64, total: f64) {
+        self.unreported += lost;
         self.own_counted = total;
     }
 
--- a/src/decision/gateway/attempts.rs
+++ b/src/decision/gateway/attempts.rs
@@ -133,7 +133,7 @@
         let actual_units = end.settled_units.filter(|_| end.outcome == Outcome::Success);
         let customer = self.customers.get_mut(&request.arrival.customer);
         if let (Some(actual_units), Some(customer)) = (actual_units, customer) {
-            customer.window.owed += actual_units - request.arrival.units;
+            customer.window.unreported += actual_units - request.arrival.units;
         }
     }
 
--- a/src/decision/gateway/counter.rs
+++ b/src/decision/gateway/counter.rs
@@ -71,17 +71,17 @@
             CounterPurpose::QuotaWindow => &mut customer.window,
             CounterPurpose::Concurrency => &mut customer.epoch,
         };
-        let amount = own_amount + count.owed;
+        let amount = own_amount + count.unreported;
         if amount == 0.0 && request.is_none() {
             return;
         }
-        let (period, owed_amount) = (count.period, count.carry_owed());
+        let (period, unreported_amount) = (count.period, count.take_unreported());
         let plan = &self.context.settings.plans[customer.plan.0];
         let key = purpose.key(customer_id, period);
         let lifetime = purpose.lifetime(plan);
         let is_probe = request.is_some() && (self.counter.breaker.probing || customer.breaker.probing);
         let customer = customer_id;
-        let call = CounterCall { purpose, customer, period, request, amount, owed_amount, is_probe };
+        let call = CounterCall { purpose, customer, period, request, amount, unreported_amount, is_probe };
         self.counter.sent(key, call);
         if let Some(request) = request.and_then(|id| self.requests.get_mut(&id)) {
             request.pending_counter_calls += 1;
@@ -113,7 +113,7 @@
             }
         }
         if total.is_some() && call.purpose == CounterPurpose::QuotaWindow {
-            self.report_owed_units(call.customer);
+            self.report_unreported_units(call.customer);
         }
         if let Some(id) = call.request {
             self.release_if_finished(id);
@@ -131,13 +131,13 @@
         };
         let mut total_with_own = total;
         if count.period == call.period {
-            count.in_transit -= call.owed_amount;
+            count.in_transit -= call.unreported_amount;
             count.own_counted += call.amount;
             // A total below this gateway's own additions proves that the counter lost its state. The lost
             // spending is reported again with a later call, and is added to the total here until then.
             let lost_units = count.lost_by(total).filter(|_| call.purpose == CounterPurpose::QuotaWindow);
             if let Some(lost_units) = lost_units {
-                count.owe_again(lost_units, total);
+                count.mark_unreported(lost_units, total);
                 // Other gateways may admit the lost units once more, so they are charged to the hard limit.
                 customer.ceiling_bucket.level -= lost_units;
             }
@@ -159,9 +159,9 @@
             CounterPurpose::Concurrency => &mut customer.epoch,
         };
         if count.period == call.period {
-            count.in_transit -= call.owed_amount;
+            count.in_transit -= call.unreported_amount;
             if outcome.never_ran() {
-                count.owed += call.owed_amount;
+                count.unreported += call.unreported_amount;
             }
             if outcome == Outcome::ServerError {
                 count.added_without_total(call.amount);
@@ -182,9 +182,9 @@
         }
     }
 
-    fn report_owed_units(&mut self, customer_id: CustomerId) {
-        let owed = self.customers.get(&customer_id).map_or(0.0, |customer| customer.window.owed);
-        if owed > MAX_UNREPORTED_UNITS {
+    fn report_unreported_units(&mut self, customer_id: CustomerId) {
+        let unreported = self.customers.get(&customer_id).map_or(0.0, |customer| customer.window.unreported);
+        if unreported > MAX_UNREPORTED_UNITS {
             self.call_counter(CounterPurpose::QuotaWindow, customer_id, None, 0.0);
         }
     }
@@ -205,7 +205,7 @@
             self.call_counter(CounterPurpose::QuotaWindow, customer_id, None, -units);
         } else {
             // No gateway could use so few units now, or the breaker is open: they are refunded with the next call.
-            customer.window.owed -= units;
+            customer.window.unreported -= units;
         }
     }
 
@@ -252,7 +252,7 @@
         let is_within = customer.take_above_quota(&self.context, plan, units)
             && customer.take_local(&self.context, &self.lease, id, customer_plan, plan, units);
         if is_within && request.counted_in_window.is_none() {
-            customer.window.owed += units;
+            customer.window.unreported += units;
         }
         is_within
     }
@@ -285,7 +285,7 @@
         let is_open = self.counter.breaker.is_open();
         let Some(customer) = self.customers.get_mut(&customer_id).filter(|_| !is_open) else { return };
         if let Some(surplus) = customer.concurrency_surplus() {
-            customer.epoch.owed -= surplus;
+            customer.epoch.unreported -= surplus;
             self.call_counter(CounterPurpose::Concurrency, customer_id, None, 0.0);
         }
     }
--- a/src/decision/gateway/handover.rs
+++ b/src/decision/gateway/handover.rs
@@ -86,7 +86,7 @@
         in_flight: 0.0,
         ..customer.clone()
     };
-    customer.window.last_total += customer.window.owed;
-    customer.window.owed = 0.0;
+    customer.window.last_total += customer.window.unreported;
+    customer.window.unreported = 0.0;
     successor_customer
 }
--- a/src/decision/handover_state.rs
+++ b/src/decision/handover_state.rs
@@ -100,7 +100,8 @@
     period: u64,
     #[serde(rename = "posted")]
     own_counted: f64,
-    owed: f64,
+    #[serde(rename = "owed")]
+    unreported: f64,
     #[serde(rename = "posting")]
     in_transit: f64,
     #[serde(rename = "seen")]
@@ -116,7 +117,7 @@
         CountRecord {
             period: count.period,
             own_counted: count.own_counted,
-            owed: count.owed,
+            unreported: count.unreported,
             in_transit: count.in_transit,
             last_total: count.last_total,
             carried_over: count.carried_over,
@@ -130,7 +131,7 @@
         SharedCount {
             period: record.period,
             own_counted: record.own_counted,
-            owed: record.owed,
+            unreported: record.unreported,
             in_transit: record.in_transit,
             last_total: record.last_total,
             carried_over: record.carried_over,
--- a/tests/quota_window.rs
+++ b/tests/quota_window.rs
@@ -282,7 +282,7 @@
     assert_eq!(sent_attempts(&out).len(), 1, "the local bucket admits it");
     let next =
         (0..50).find_map(|_| nonzero_counter_calls(&harness.request(0, 0, 1, 1.0).1).first().map(|a| a.1));
-    // Requests that were admitted without a call in between are owed; the two units are not.
+    // Requests that were admitted without a call in between are unreported; the two units are not.
     let admitted_without_call = harness.next_request - 3;
     assert_eq!(next.expect("some request calls the counter"), 1.0 + admitted_without_call as f64);
 }
