--- a/src/decision/admission/shared_count.rs
+++ b/src/decision/admission/shared_count.rs
@@ -11,7 +11,7 @@
     /// Spending of this gateway that no call has reported to the counter yet.
     pub(crate) unreported: f64,
     /// Earlier spending of this gateway that calls in flight report.
-    pub(crate) in_transit: f64,
+    pub(crate) in_flight: f64,
     /// The last total that the counter reported.
     pub(crate) last_total: f64,
     /// What the previous period left of its allowance, as far as known.
@@ -27,30 +27,30 @@
 impl SharedCount {
     /// Returns the total as far as known here, including spending that the counter does not include yet.
     pub(crate) fn known_total(&self) -> f64 {
-        self.last_total + self.unreported + self.in_transit
+        self.last_total + self.unreported + self.in_flight
     }
 
     /// Returns this gateway's spending, whether the counter includes it or not.
     pub(crate) fn own_total(&self) -> f64 {
-        self.own_counted + self.in_transit + self.unreported
+        self.own_counted + self.in_flight + self.unreported
     }
 
     /// Returns this gateway's spending that a total reported just now does not include.
-    pub(crate) fn not_yet_counted(&self) -> f64 {
-        self.unreported + self.in_transit
+    pub(crate) fn uncounted(&self) -> f64 {
+        self.unreported + self.in_flight
     }
 
     /// Moves all unreported spending to the call that begins, and returns the amount.
     pub(crate) fn take_unreported(&mut self) -> f64 {
         let unreported = self.unreported;
         self.unreported -= unreported;
-        self.in_transit += unreported;
+        self.in_flight += unreported;
         unreported
     }
 
-    /// Returns by how much a reported total is below this gateway's own increments, if that proves that the
-    /// counter lost them.
-    pub(crate) fn lost_by(&self, total: f64) -> Option<f64> {
+    /// Returns this gateway's increments that the counter lost, if a reported total proves the loss by being
+    /// below the increments that the counter is known to include.
+    pub(crate) fn lost_increments(&self, total: f64) -> Option<f64> {
         Some(self.own_counted - total).filter(|lost| *lost > LOSS_TOLERANCE)
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// Records a call whose amount was added but whose reply had no total.
-    pub(crate) fn added_without_total(&mut self, amount: f64) {
+    pub(crate) fn record_increment_without_total(&mut self, amount: f64) {
         self.own_counted += amount;
         self.last_total += amount;
     }
--- a/src/decision/gateway/counter.rs
+++ b/src/decision/gateway/counter.rs
@@ -131,18 +131,19 @@
         };
         let mut total_with_own = total;
         if count.period == call.period {
-            count.in_transit -= call.unreported_amount;
+            count.in_flight -= call.unreported_amount;
             count.own_counted += call.amount;
             // A total below this gateway's own additions proves that the counter lost its state. The lost
             // spending is reported again with a later call, and is added to the total here until then.
-            let lost_units = count.lost_by(total).filter(|_| call.purpose == CounterPurpose::QuotaWindow);
+            let lost_units =
+                count.lost_increments(total).filter(|_| call.purpose == CounterPurpose::QuotaWindow);
             if let Some(lost_units) = lost_units {
                 count.mark_unreported(lost_units, total);
                 // Other gateways may admit the lost units once more, so they are charged to the hard limit.
                 customer.ceiling_bucket.level -= lost_units;
             }
             count.last_total = total;
-            total_with_own = total + count.not_yet_counted();
+            total_with_own = total + count.uncounted();
         }
         let share_fits_largest_request = customer.spread * settings.max_request_units <= burst;
         if share_fits_largest_request {
@@ -159,12 +160,12 @@
             CounterPurpose::Concurrency => &mut customer.epoch,
         };
         if count.period == call.period {
-            count.in_transit -= call.unreported_amount;
+            count.in_flight -= call.unreported_amount;
             if outcome.never_ran() {
                 count.unreported += call.unreported_amount;
             }
             if outcome == Outcome::ServerError {
-                count.added_without_total(call.amount);
+                count.record_increment_without_total(call.amount);
             }
         }
         self.counter.call_failed(call.customer, customer, self.context.now, call.is_probe);
--- a/src/decision/gateway/handover.rs
+++ b/src/decision/gateway/handover.rs
@@ -77,9 +77,9 @@
 fn split_off_customer_state(customer: &mut Customer) -> Customer {
     let successor_customer = Customer {
         window: SharedCount {
-            last_total: customer.window.last_total + customer.window.in_transit,
+            last_total: customer.window.last_total + customer.window.in_flight,
             own_counted: 0.0,
-            in_transit: 0.0,
+            in_flight: 0.0,
             ..customer.window.clone()
         },
         epoch: SharedCount::default(),
--- a/src/decision/handover_state.rs
+++ b/src/decision/handover_state.rs
@@ -103,7 +103,7 @@
     #[serde(rename = "owed")]
     unreported: f64,
     #[serde(rename = "posting")]
-    in_transit: f64,
+    in_flight: f64,
     #[serde(rename = "seen")]
     last_total: f64,
     #[serde(rename = "left")]
@@ -118,7 +118,7 @@
             period: count.period,
             own_counted: count.own_counted,
             unreported: count.unreported,
-            in_transit: count.in_transit,
+            in_flight: count.in_flight,
             last_total: count.last_total,
             carried_over: count.carried_over,
             carry_over_known: count.carry_over_known,
@@ -132,7 +132,7 @@
             period: record.period,
             own_counted: record.own_counted,
             unreported: record.unreported,
-            in_transit: record.in_transit,
+            in_flight: record.in_flight,
             last_total: record.last_total,
             carried_over: record.carried_over,
             carry_over_known: record.carry_over_known,
