--- a/src/decision/admission/counter_calls.rs
+++ b/src/decision/admission/counter_calls.rs
@@ -70,14 +70,14 @@
 impl CounterCalls {
     /// Returns whether the counter service is not used for this customer for now, so that the local token
     /// bucket alone decides.
-    pub(crate) fn is_silent(&self, counter_enabled: bool, customer: Option<&Customer>) -> bool {
+    pub(crate) fn is_unavailable(&self, counter_enabled: bool, customer: Option<&Customer>) -> bool {
         let customer_open = customer.is_some_and(|customer| customer.breaker.is_open());
         !counter_enabled || self.breaker.is_open() || customer_open
     }
 
-    /// Draws whether a request is among the fraction that calls. While the breaker is open, only the probe
+    /// Returns whether a request is in the random sample that calls. While the breaker is open, only the probe
     /// calls and no random number is drawn.
-    pub(crate) fn draws_call(&self, rng: &mut fastrand::Rng, is_retry: bool) -> bool {
+    pub(crate) fn sample_call(&self, rng: &mut fastrand::Rng, is_retry: bool) -> bool {
         self.breaker.is_open() || rng.f64() < self.call_fraction.probability(is_retry)
     }
 
@@ -97,12 +97,12 @@
     }
 
     /// Records a call until its reply arrives.
-    pub(crate) fn sent(&mut self, key: CounterKey, call: CounterCall) {
+    pub(crate) fn record_call(&mut self, key: CounterKey, call: CounterCall) {
         self.in_flight.entry(key).or_default().push_back(call);
     }
 
     /// Removes and returns the call that a reply answers: the oldest of its counter.
-    pub(crate) fn replied(&mut self, key: CounterKey) -> Option<CounterCall> {
+    pub(crate) fn take_answered_call(&mut self, key: CounterKey) -> Option<CounterCall> {
         let calls = self.in_flight.get_mut(&key)?;
         let call = calls.pop_front();
         if calls.is_empty() {
--- a/src/decision/gateway/counter.rs
+++ b/src/decision/gateway/counter.rs
@@ -24,7 +24,7 @@
             // A call to the counter could only confirm that the quota is exhausted.
             return self.reject(id, RejectionReason::QuotaKnownExhausted);
         }
-        if self.counter.draws_call(&mut self.rng, is_retry) && self.try_start_call(customer_id) {
+        if self.counter.sample_call(&mut self.rng, is_retry) && self.try_start_call(customer_id) {
             self.call_counter(CounterPurpose::QuotaWindow, customer_id, Some(id), units);
         } else {
             self.decide_quota(id, None);
@@ -39,7 +39,7 @@
         if request.plan(&self.context.settings).concurrency_quota <= 0.0 {
             self.admit(id);
             // While calls fail, concurrency checks call the counter as rarely as retries do.
-        } else if self.counter.draws_call(&mut self.rng, true) && self.try_start_call(customer_id) {
+        } else if self.counter.sample_call(&mut self.rng, true) && self.try_start_call(customer_id) {
             self.call_counter(CounterPurpose::Concurrency, customer_id, Some(id), 1.0);
         } else {
             self.decide_concurrency(id, None);
@@ -82,7 +82,7 @@
         let is_probe = request.is_some() && (self.counter.breaker.probing || customer.breaker.probing);
         let customer = customer_id;
         let call = CounterCall { purpose, customer, period, request, amount, unreported_amount, is_probe };
-        self.counter.sent(key, call);
+        self.counter.record_call(key, call);
         if let Some(request) = request.and_then(|id| self.requests.get_mut(&id)) {
             request.pending_counter_calls += 1;
         }
@@ -90,7 +90,7 @@
     }
 
     pub(super) fn on_counter_replied(&mut self, key: CounterKey, outcome: Outcome, total: f64) {
-        let Some(call) = self.counter.replied(key) else { return };
+        let Some(call) = self.counter.take_answered_call(key) else { return };
         if let Some(request) = call.request.and_then(|id| self.requests.get_mut(&id)) {
             request.pending_counter_calls -= 1;
         }
@@ -260,7 +260,7 @@
 
     fn counter_is_unavailable(&self, customer_id: CustomerId) -> bool {
         let customer = self.customers.get(&customer_id);
-        self.counter.is_silent(self.context.settings.counter_enabled, customer)
+        self.counter.is_unavailable(self.context.settings.counter_enabled, customer)
     }
 
     /// Decides whether one more attempt is within the concurrency quota: by the counter's total, or by this gateway's
