--- a/src/decision/admission/ceiling.rs
+++ b/src/decision/admission/ceiling.rs
@@ -13,7 +13,7 @@
     /// Each gateway may forward only its share of the difference between hard limit and quota. Plain windows
     /// stay within the quota, so all gateways together stay within the hard limit, whatever a single gateway
     /// believes.
-    pub(crate) fn take_above_quota(&mut self, context: &Context, plan: &Plan, units: f64) -> bool {
+    pub(crate) fn try_take_above_quota(&mut self, context: &Context, plan: &Plan, units: f64) -> bool {
         if plan.ceiling_rate <= 0.0 {
             return true;
         }
--- a/src/decision/admission/customer.rs
+++ b/src/decision/admission/customer.rs
@@ -133,12 +133,18 @@
         if self.window.carry_over_known {
             self.accrued_units(id, plan, now) - total
         } else {
-            self.quota_left_elsewhere(id, plan, now, total)
+            self.quota_left_at_other_gateways(id, plan, now, total)
         }
     }
 
     /// Returns the units that the quota still admits at gateways that may not know the last window's total.
-    pub(crate) fn quota_left_elsewhere(&self, id: CustomerId, plan: &Plan, now: Micros, total: f64) -> f64 {
+    pub(crate) fn quota_left_at_other_gateways(
+        &self,
+        id: CustomerId,
+        plan: &Plan,
+        now: Micros,
+        total: f64,
+    ) -> f64 {
         self.accrued_units(id, plan, now).max(QuotaWindow::of(plan).units) - total
     }
 
--- a/src/decision/admission/local_bucket.rs
+++ b/src/decision/admission/local_bucket.rs
@@ -18,7 +18,8 @@
 
 /// This gateway's share of a customer's quota, as a fraction of it.
 struct QuotaShare {
-    /// Lower bound of the share that [`Customer::take_local`] computes, whatever the other gateways do.
+    /// Lower bound of the share that [`Customer::try_take_from_local_bucket`] computes, whatever the other
+    /// gateways do.
     lower_bound: f64,
     /// Current share by the gateways through which the customer's requests come.
     current: f64,
@@ -64,10 +65,10 @@
     /// Takes units from the local bucket, and returns whether enough units were left.
     ///
     /// The bucket fills with this gateway's share of the customer's rate. It starts with the same share of
-    /// what the quota was last known to have left. Under a hard limit, [`Customer::take_above_quota`] is
+    /// what the quota was last known to have left. Under a hard limit, [`Customer::try_take_above_quota`] is
     /// called first, and its bucket does start empty. Guards against rejecting customers of few units: a
     /// share that starts empty admits nothing for them for seconds.
-    pub(crate) fn take_local(
+    pub(crate) fn try_take_from_local_bucket(
         &mut self,
         context: &Context,
         lease: &LeaseView,
--- a/src/decision/gateway/counter.rs
+++ b/src/decision/gateway/counter.rs
@@ -200,7 +200,7 @@
         }
         let plan = &self.context.settings.plans[customer.plan.0];
         let total = customer.window.last_total - units;
-        let usable = customer.quota_left_elsewhere(customer_id, plan, now, total);
+        let usable = customer.quota_left_at_other_gateways(customer_id, plan, now, total);
         if !self.counter.breaker.is_open() && usable >= MIN_USABLE_UNITS {
             customer.window.last_total = total;
             self.call_counter(CounterPurpose::QuotaWindow, customer_id, None, -units);
@@ -240,7 +240,7 @@
         let is_in_plain_window = total <= QuotaWindow::of(plan).units;
         let units = if is_in_plain_window { 0.0 } else { request.arrival.units };
         let Some(customer) = self.customers.get_mut(&customer_id) else { return true };
-        customer.take_above_quota(&self.context, plan, units)
+        customer.try_take_above_quota(&self.context, plan, units)
     }
 
     fn is_within_local_quota(&mut self, id: RequestId) -> bool {
@@ -250,8 +250,15 @@
         let (plan, units) = (request.plan(settings), request.arrival.units);
         let customer_plan = &settings.plans[customer.plan.0];
         let id = request.arrival.customer;
-        let is_within = customer.take_above_quota(&self.context, plan, units)
-            && customer.take_local(&self.context, &self.lease, id, customer_plan, plan, units);
+        let is_within = customer.try_take_above_quota(&self.context, plan, units)
+            && customer.try_take_from_local_bucket(
+                &self.context,
+                &self.lease,
+                id,
+                customer_plan,
+                plan,
+                units,
+            );
         if is_within && request.counted_in_window.is_none() {
             customer.window.unreported += units;
         }
