--- a/benches/request_cost.rs
+++ b/benches/request_cost.rs
@@ -34,9 +34,9 @@
         weight_factor: 1.0,
         overage_weight_fraction: 0.0,
         overage_cost_fraction: 1.0,
-        ceiling_rate: 0.0,
-        ceiling_burst: 0.0,
-        ceiling_overdraft: 0.0,
+        hard_limit_rate: 0.0,
+        hard_limit_burst: 0.0,
+        hard_limit_overdraft: 0.0,
     };
     Settings {
         gateways: GATEWAYS,
--- a/src/decision/admission/ceiling.rs
+++ b/src/decision/admission/ceiling.rs
@@ -14,14 +14,14 @@
     /// stay within the quota, so all gateways together stay within the hard limit, whatever a single gateway
     /// believes.
     pub(crate) fn try_take_above_quota(&mut self, context: &Context, plan: &Plan, units: f64) -> bool {
-        if plan.ceiling_rate <= 0.0 {
+        if plan.hard_limit_rate <= 0.0 {
             return true;
         }
         if context.role == ProcessRole::Predecessor && units > 0.0 {
             return false; // This gateway's share belongs to the successor.
         }
-        self.ceiling_bucket.rate = (plan.ceiling_rate - plan.rate).max(0.0) / self.spread;
-        self.ceiling_bucket.capacity = (plan.ceiling_burst - plan.burst).max(0.0) / self.spread;
-        self.ceiling_bucket.try_take(context.now, units)
+        self.hard_limit_bucket.rate = (plan.hard_limit_rate - plan.rate).max(0.0) / self.spread;
+        self.hard_limit_bucket.capacity = (plan.hard_limit_burst - plan.burst).max(0.0) / self.spread;
+        self.hard_limit_bucket.try_take(context.now, units)
     }
 }
--- a/src/decision/admission/customer.rs
+++ b/src/decision/admission/customer.rs
@@ -52,7 +52,7 @@
     /// Decides while the counter service is unavailable.
     pub(crate) local_bucket: Option<TokenBucket>,
     /// Units that may be forwarded under a hard limit beyond the quota or without the counter.
-    pub(crate) ceiling_bucket: TokenBucket,
+    pub(crate) hard_limit_bucket: TokenBucket,
     pub(crate) breaker: CircuitBreaker,
     /// Admitted requests of this gateway that have not ended, if the plan has a concurrency quota.
     pub(crate) in_flight: f64,
@@ -66,7 +66,7 @@
             // The bucket is empty at the start of this process, as an earlier process may have spent it. It
             // has filled since then, even if the customer arrives only now: with many gateways, a customer is
             // new to most of them.
-            self.ceiling_bucket.filled_at = admitting_since.max(now - CUSTOMER_IDLE_TIMEOUT);
+            self.hard_limit_bucket.filled_at = admitting_since.max(now - CUSTOMER_IDLE_TIMEOUT);
         }
         self.plan = arrival.plan;
         self.spread = f64::from(arrival.spread.max(1));
--- a/src/decision/admission/quota_window.rs
+++ b/src/decision/admission/quota_window.rs
@@ -24,7 +24,7 @@
     /// Returns a window of one burst, as long as the rate takes to refill it. Under a hard limit both are
     /// halved.
     pub(crate) fn of(plan: &Plan) -> QuotaWindow {
-        let fraction = if plan.ceiling_rate > 0.0 { WINDOW_FRACTION_UNDER_HARD_LIMIT } else { 1.0 };
+        let fraction = if plan.hard_limit_rate > 0.0 { WINDOW_FRACTION_UNDER_HARD_LIMIT } else { 1.0 };
         let length = Micros(((plan.burst / plan.rate) * fraction * 1e6).max(1.0) as u64);
         QuotaWindow { length, units: plan.burst * fraction }
     }
--- a/src/decision/gateway/counter.rs
+++ b/src/decision/gateway/counter.rs
@@ -140,7 +140,7 @@
             if let Some(lost_units) = lost_units {
                 count.mark_unreported(lost_units, total);
                 // Other gateways may admit the lost units once more, so they are charged to the hard limit.
-                customer.ceiling_bucket.level -= lost_units;
+                customer.hard_limit_bucket.level -= lost_units;
             }
             count.last_total = total;
             total_with_own = total + count.uncounted();
--- a/src/decision/gateway/handover.rs
+++ b/src/decision/gateway/handover.rs
@@ -20,8 +20,8 @@
         let now = self.context.now;
         self.admitting_since = Some(now);
         for customer in self.customers.values_mut() {
-            customer.ceiling_bucket.level = 0.0;
-            customer.ceiling_bucket.filled_at = now;
+            customer.hard_limit_bucket.level = 0.0;
+            customer.hard_limit_bucket.filled_at = now;
             customer.local_bucket = None;
         }
     }
--- a/src/decision/handover_state.rs
+++ b/src/decision/handover_state.rs
@@ -163,7 +163,7 @@
     #[serde(rename = "bucket")]
     local_bucket: Option<BucketRecord>,
     #[serde(rename = "beyond")]
-    ceiling_bucket: BucketRecord,
+    hard_limit_bucket: BucketRecord,
     breaker: BreakerRecord,
     #[serde(rename = "used")]
     last_used: Micros,
@@ -185,7 +185,7 @@
             epoch: customer.epoch.into(),
             observed: (customer.observed.own, customer.observed.total),
             local_bucket: customer.local_bucket.map(BucketRecord::from),
-            ceiling_bucket: customer.ceiling_bucket.into(),
+            hard_limit_bucket: customer.hard_limit_bucket.into(),
             breaker: customer.breaker.into(),
             last_used: customer.last_used,
         }
@@ -208,7 +208,7 @@
             epoch: record.epoch.into(),
             observed: ObservedTraffic { own: record.observed.0, total: record.observed.1 },
             local_bucket: record.local_bucket.map(TokenBucket::from),
-            ceiling_bucket: record.ceiling_bucket.into(),
+            hard_limit_bucket: record.hard_limit_bucket.into(),
             breaker: record.breaker.into(),
             last_used: record.last_used,
             ..Customer::default()
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -4,7 +4,7 @@
 //!
 //! - [`Event`], [`Action`], [`Settings`]: the public interface.
 //! - `gateway`: dispatches each event to the rules that apply to it.
-//! - `admission`: quotas, the ceiling, the concurrency quota, load shedding.
+//! - `admission`: quotas, the hard limit, the concurrency quota, load shedding.
 //! - `circuit_breaker`: limits calls to the counter service while they fail.
 //! - `load_balancing`: subsetting, selection, concurrency limits, slow start, outlier ejection.
 //! - `retry`: the retry budget, which requests may be sent again, and attempt time-outs.
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -62,11 +62,11 @@
     /// Fraction of the weight lost by forwarding beyond the quota. Validated only.
     pub overage_cost_fraction: f64,
     /// Rate of the hard limit, in units per second; 0: no hard limit.
-    pub ceiling_rate: f64,
+    pub hard_limit_rate: f64,
     /// Burst size of the hard limit, in units.
-    pub ceiling_burst: f64,
+    pub hard_limit_burst: f64,
     /// Units by which the hard limit may be overdrawn. Validated only.
-    pub ceiling_overdraft: f64,
+    pub hard_limit_overdraft: f64,
 }
 
 /// Settings of a gateway. They do not change while it runs.
@@ -164,14 +164,14 @@
 
 impl Plan {
     fn has_valid_numbers(&self) -> bool {
-        let ceiling = [self.ceiling_rate, self.ceiling_burst, self.ceiling_overdraft];
+        let hard_limit = [self.hard_limit_rate, self.hard_limit_burst, self.hard_limit_overdraft];
         let quota = [self.rate, self.burst, self.concurrency_quota];
         let weights = [self.weight_factor, self.overage_weight_fraction, self.overage_cost_fraction];
-        [quota, ceiling, weights].into_iter().flatten().all(is_finite_and_not_negative)
+        [quota, hard_limit, weights].into_iter().flatten().all(is_finite_and_not_negative)
     }
 
     fn has_rate_without_burst(&self) -> bool {
-        self.rate > 0.0 && self.burst <= 0.0 || self.ceiling_rate > 0.0 && self.ceiling_burst <= 0.0
+        self.rate > 0.0 && self.burst <= 0.0 || self.hard_limit_rate > 0.0 && self.hard_limit_burst <= 0.0
     }
 }
 
--- a/src/proxy/control_plane/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -62,9 +62,9 @@
     out.add(&key("price"), plan.weight_factor);
     out.add(&key("extra_worth"), plan.overage_weight_fraction);
     out.add(&key("excess_cost"), plan.overage_cost_fraction);
-    out.add(&key("ceiling_rate"), plan.ceiling_rate);
-    out.add(&key("cap_depth"), plan.ceiling_burst);
-    out.add(&key("tolerance"), plan.ceiling_overdraft);
+    out.add(&key("ceiling_rate"), plan.hard_limit_rate);
+    out.add(&key("cap_depth"), plan.hard_limit_burst);
+    out.add(&key("tolerance"), plan.hard_limit_overdraft);
 }
 
 fn name_by_number(names: &std::collections::HashMap<String, usize>, number: usize) -> &str {
--- a/src/proxy/runtime/tests.rs
+++ b/src/proxy/runtime/tests.rs
@@ -91,8 +91,8 @@
 
 #[test]
 fn predecessor_does_not_reuse_old_tokens_after_the_successor_exits() {
-    let ceiling = r#""price":1.0,"ceiling_rate":20.0,"cap_depth":40.0"#;
-    let mut predecessor = runtime_with_config(&CONFIG.replace(r#""price":1.0"#, ceiling));
+    let hard_limit = r#""price":1.0,"ceiling_rate":20.0,"cap_depth":40.0"#;
+    let mut predecessor = runtime_with_config(&CONFIG.replace(r#""price":1.0"#, hard_limit));
     predecessor.run_tick();
     let later = |seconds: u64| predecessor.clock.now() + Micros(seconds * 1_000_000);
     let (successor_exit, after_refill) = (later(60), later(70));
--- a/src/site_settings/keys.rs
+++ b/src/site_settings/keys.rs
@@ -73,9 +73,9 @@
         weight_factor: f64_or("price", 1.0)?,
         overage_weight_fraction: f64_or("extra_worth", 0.0)?,
         overage_cost_fraction: f64_or("excess_cost", 0.0)?,
-        ceiling_rate: f64_or("ceiling_rate", 0.0)?,
-        ceiling_burst: f64_or("cap_depth", 0.0)?,
-        ceiling_overdraft: f64_or("tolerance", 0.0)?,
+        hard_limit_rate: f64_or("ceiling_rate", 0.0)?,
+        hard_limit_burst: f64_or("cap_depth", 0.0)?,
+        hard_limit_overdraft: f64_or("tolerance", 0.0)?,
     };
     Ok((name, plan))
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -32,9 +32,9 @@
         weight_factor: 1.0,
         overage_weight_fraction: 0.0,
         overage_cost_fraction: 1.0,
-        ceiling_rate: 0.0,
-        ceiling_burst: 0.0,
-        ceiling_overdraft: 0.0,
+        hard_limit_rate: 0.0,
+        hard_limit_burst: 0.0,
+        hard_limit_overdraft: 0.0,
     }
 }
 
@@ -42,8 +42,8 @@
 /// Plans: 0 ten units a second with a burst of twenty; 1 the same with a hard limit twice as high; 2 at most two
 /// attempts in flight; 3 no quota.
 pub fn settings() -> Settings {
-    let ceiling =
-        Plan { ceiling_rate: 20.0, ceiling_burst: 40.0, ceiling_overdraft: 4.0, ..plan(10.0, 20.0) };
+    let hard_limit =
+        Plan { hard_limit_rate: 20.0, hard_limit_burst: 40.0, hard_limit_overdraft: 4.0, ..plan(10.0, 20.0) };
     Settings {
         gateways: 2,
         classes: vec![
@@ -54,7 +54,7 @@
         ],
         plans: vec![
             plan(10.0, 20.0),
-            ceiling,
+            hard_limit,
             Plan { concurrency_quota: 2.0, ..plan(0.0, 0.0) },
             plan(0.0, 0.0),
         ],
--- a/tests/decision_fixtures/module.rs
+++ b/tests/decision_fixtures/module.rs
@@ -106,9 +106,9 @@
         weight_factor: plan.price,
         overage_weight_fraction: plan.extra_worth,
         overage_cost_fraction: plan.excess_cost,
-        ceiling_rate: plan.ceiling_rate,
-        ceiling_burst: plan.cap_depth,
-        ceiling_overdraft: plan.tolerance,
+        hard_limit_rate: plan.ceiling_rate,
+        hard_limit_burst: plan.cap_depth,
+        hard_limit_overdraft: plan.tolerance,
     });
     // The processes of one gateway share its number.
     let settings = Settings {
--- a/tests/request_guards.rs
+++ b/tests/request_guards.rs
@@ -223,7 +223,7 @@
     let mut totals = std::collections::BTreeMap::new();
     let mut settings = settings();
     settings.plans[1].overage_weight_fraction = 0.5;
-    (settings.plans[1].ceiling_rate, settings.plans[1].ceiling_burst) = (18.0, 36.0);
+    (settings.plans[1].hard_limit_rate, settings.plans[1].hard_limit_burst) = (18.0, 36.0);
     settings.plans[1].overage_cost_fraction = 0.0;
     let mut harnesses = [GatewayHarness::new(settings.clone(), 8), GatewayHarness::new(settings, 8)];
     let (mut level, mut lowest, mut call) = (36.0f64, 36.0f64, 0);
