--- a/benches/request_cost.rs
+++ b/benches/request_cost.rs
@@ -94,7 +94,7 @@
         let id = RequestId(self.last_request);
         let deadline = self.now + Micros(3 * SECOND);
         let customer = CustomerId(self.last_request % 100);
-        let arrival = Arrival { id, customer, deadline, units: 1.0, spread: 2, ..Arrival::default() };
+        let arrival = Arrival { id, customer, deadline, units: 1.0, gateway_count: 2, ..Arrival::default() };
         self.gateway.handle(self.now, Event::RequestArrived(arrival), &mut self.actions);
         let endpoint_sent_to = self.actions.drain(..).find_map(|action| match action {
             Action::SendAttempt { endpoint, .. } => Some(endpoint),
--- a/src/decision/admission/ceiling.rs
+++ b/src/decision/admission/ceiling.rs
@@ -20,8 +20,8 @@
         if context.role == ProcessRole::Predecessor && units > 0.0 {
             return false; // This gateway's share belongs to the successor.
         }
-        self.hard_limit_bucket.rate = (plan.hard_limit_rate - plan.rate).max(0.0) / self.spread;
-        self.hard_limit_bucket.capacity = (plan.hard_limit_burst - plan.burst).max(0.0) / self.spread;
+        self.hard_limit_bucket.rate = (plan.hard_limit_rate - plan.rate).max(0.0) / self.gateway_count;
+        self.hard_limit_bucket.capacity = (plan.hard_limit_burst - plan.burst).max(0.0) / self.gateway_count;
         self.hard_limit_bucket.try_take(context.now, units)
     }
 }
--- a/src/decision/admission/concurrency_quota.rs
+++ b/src/decision/admission/concurrency_quota.rs
@@ -12,7 +12,7 @@
     pub(crate) fn is_within_concurrency(&self, plan: &Plan, total: Option<f64>) -> bool {
         match total {
             Some(total) => total <= plan.concurrency_quota,
-            None => self.in_flight < (plan.concurrency_quota / self.spread).floor().max(1.0),
+            None => self.in_flight < (plan.concurrency_quota / self.gateway_count).floor().max(1.0),
         }
     }
 
--- a/src/decision/admission/customer.rs
+++ b/src/decision/admission/customer.rs
@@ -39,7 +39,7 @@
     pub(crate) last_rejection: Option<RecentRejection>,
     pub(crate) plan: PlanId,
     /// Number of gateways through which the customer's requests come.
-    pub(crate) spread: f64,
+    pub(crate) gateway_count: f64,
     /// Number of the first of these gateways.
     pub(crate) first_gateway: u32,
     /// Version of the quota lease by which the local bucket was last filled.
@@ -69,7 +69,7 @@
             self.hard_limit_bucket.filled_at = admitting_since.max(now - CUSTOMER_IDLE_TIMEOUT);
         }
         self.plan = arrival.plan;
-        self.spread = f64::from(arrival.spread.max(1));
+        self.gateway_count = f64::from(arrival.gateway_count.max(1));
         self.first_gateway = arrival.first_gateway;
         self.last_used = now;
     }
@@ -118,7 +118,7 @@
         let unspent = previous.carried_over + window_units - previous.known_total();
         self.window = SharedCount {
             period: number,
-            carried_over: if is_consecutive { unspent.clamp(0.0, burst) } else { burst / self.spread },
+            carried_over: if is_consecutive { unspent.clamp(0.0, burst) } else { burst / self.gateway_count },
             carry_over_known: is_consecutive && previous.last_total > 0.0,
             ..SharedCount::default()
         };
--- a/src/decision/admission/local_bucket.rs
+++ b/src/decision/admission/local_bucket.rs
@@ -42,21 +42,22 @@
     /// absent gateways are distributed evenly among the others. A gateway without a valid lease can't show
     /// that it counts as present, and keeps only the part that is never leased.
     fn share_of(&self, customer: &Customer, gateways: u32, now: Micros) -> QuotaShare {
-        let even = 1.0 / customer.spread;
+        let even = 1.0 / customer.gateway_count;
         let Some(lease) = &self.lease else { return QuotaShare { lower_bound: even, current: even } };
-        let never_leased = (1.0 - lease.fraction) / customer.spread;
+        let never_leased = (1.0 - lease.fraction) / customer.gateway_count;
         let lower_bound = never_leased / 2.0;
         if now >= lease.valid_until {
             return QuotaShare { lower_bound, current: never_leased };
         }
         let first_gateway = customer.first_gateway % gateways;
-        let comes_through =
-            |gateway: &&u32| (**gateway + gateways - first_gateway) % gateways < customer.spread as u32;
+        let comes_through = |gateway: &&u32| {
+            (**gateway + gateways - first_gateway) % gateways < customer.gateway_count as u32
+        };
         let absent = lease.absent_gateways.iter().filter(|gateway| **gateway < gateways);
         let absent = absent.filter(comes_through).count() as f64;
         QuotaShare {
             lower_bound,
-            current: never_leased + lease.fraction / (customer.spread - absent).max(1.0),
+            current: never_leased + lease.fraction / (customer.gateway_count - absent).max(1.0),
         }
     }
 }
@@ -108,7 +109,7 @@
         if self.observed.total > 0.0 {
             (self.observed.own / self.observed.total).clamp(0.0, 1.0)
         } else {
-            1.0 / self.spread
+            1.0 / self.gateway_count
         }
     }
 }
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -88,7 +88,7 @@
     /// Customer that sent the request.
     pub customer: CustomerId,
     /// Number of gateways that receive this customer's requests.
-    pub spread: u32,
+    pub gateway_count: u32,
     /// Number of the first of these gateways. The others have the numbers that follow, wrapping around to 0.
     pub first_gateway: u32,
     /// Time at which the client gives up.
--- a/src/decision/gateway/counter.rs
+++ b/src/decision/gateway/counter.rs
@@ -145,7 +145,7 @@
             count.last_total = total;
             total_with_own = total + count.uncounted();
         }
-        let share_fits_largest_request = customer.spread * settings.max_request_units <= burst;
+        let share_fits_largest_request = customer.gateway_count * settings.max_request_units <= burst;
         if share_fits_largest_request {
             customer.local_bucket = None;
         }
--- a/src/decision/handover_state.rs
+++ b/src/decision/handover_state.rs
@@ -152,7 +152,8 @@
     #[serde(rename = "refused")]
     pub(crate) last_rejection: Option<RejectionRecord>,
     pub(crate) plan: PlanId,
-    spread: f64,
+    #[serde(rename = "spread")]
+    gateway_count: f64,
     #[serde(rename = "first", default)]
     pub(crate) first_gateway: u32,
     window: CountRecord,
@@ -179,7 +180,7 @@
         CustomerRecord {
             last_rejection: customer.last_rejection.map(rejection),
             plan: customer.plan,
-            spread: customer.spread,
+            gateway_count: customer.gateway_count,
             first_gateway: customer.first_gateway,
             window: customer.window.into(),
             epoch: customer.epoch.into(),
@@ -202,7 +203,7 @@
         Customer {
             last_rejection: record.last_rejection.map(rejection),
             plan: record.plan,
-            spread: record.spread,
+            gateway_count: record.gateway_count,
             first_gateway: record.first_gateway,
             window: record.window.into(),
             epoch: record.epoch.into(),
--- a/src/proxy/downstream/request_head.rs
+++ b/src/proxy/downstream/request_head.rs
@@ -93,7 +93,7 @@
             class: class.id,
             plan,
             customer,
-            spread: quota.spread,
+            gateway_count: quota.spread,
             first_gateway: quota.first,
             units: quota.units,
             is_retry: text(headers, "x-again") == Some("1"),
--- a/src/proxy/runtime/tests.rs
+++ b/src/proxy/runtime/tests.rs
@@ -38,7 +38,7 @@
 fn receive_request(runtime: &mut Runtime, id: RequestId) -> oneshot::Receiver<FinalResponse> {
     let (reply, answer) = oneshot::channel();
     let deadline = runtime.clock.now() + Micros(4_000_000);
-    let arrival = Arrival { id, deadline, units: 1.0, spread: 1, ..Arrival::default() };
+    let arrival = Arrival { id, deadline, units: 1.0, gateway_count: 1, ..Arrival::default() };
     let body = RequestPayload::Buffered(Bytes::new());
     let forward = ForwardedRequest::new(Method::GET, Uri::from_static("/api"), HeaderMap::new(), body);
     runtime.handle_event(RuntimeEvent::RequestReceived(Box::new(NewRequest { arrival, forward, reply })));
@@ -59,7 +59,7 @@
         customer: CustomerId(customer),
         deadline: now + Micros(4_000_000),
         units: 1.0,
-        spread: 1,
+        gateway_count: 1,
         ..Arrival::default()
     };
     runtime.gateway.handle(now, Event::RequestArrived(arrival), &mut actions);
--- a/src/simulator/decode.rs
+++ b/src/simulator/decode.rs
@@ -7,8 +7,8 @@
 use crate::site_settings::{set_load_figure, Fields, Result, Site};
 
 /// Bounds on the number of gateways that receive a customer's requests.
-const MIN_SPREAD: f64 = 1.0;
-const MAX_SPREAD: f64 = 1e6;
+const MIN_GATEWAY_COUNT: f64 = 1.0;
+const MAX_GATEWAY_COUNT: f64 = 1e6;
 
 /// Decodes the event of a line; `None` for unknown messages and for messages that lead to no event.
 pub(super) fn event(fields: &Fields, site: &mut Site, now: Micros) -> Result<Option<Event>> {
@@ -56,7 +56,7 @@
         class: ClassId(class),
         plan: PlanId(plan),
         customer: CustomerId(customer),
-        spread: fields.f64_or("doors", 1.0)?.clamp(MIN_SPREAD, MAX_SPREAD) as u32,
+        gateway_count: fields.f64_or("doors", 1.0)?.clamp(MIN_GATEWAY_COUNT, MAX_GATEWAY_COUNT) as u32,
         first_gateway: 0,
         deadline: fields.optional("drop_dead", "a clock time")?.map_or(default_deadline, Micros),
         units,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -142,7 +142,7 @@
             class,
             plan,
             customer,
-            spread: 2,
+            gateway_count: 2,
             first_gateway: 0,
             deadline,
             units,
--- a/tests/decision_fixtures/model/clients.rs
+++ b/tests/decision_fixtures/model/clients.rs
@@ -23,13 +23,13 @@
         let customer = (self.rng.f64().powi(3) * self.scenario.customers as f64) as u64;
         let class = self.rng.usize(0..CLASS_COUNT);
         let units = [1.0, 1.0, 2.0, 0.5, 4.0][self.rng.usize(0..5)];
-        let spread = self.scenario.gateways.min(2 + (customer % 3) as u32);
+        let gateway_count = self.scenario.gateways.min(2 + (customer % 3) as u32);
         let mut arrival = ArrivalLine {
             request: 0,
             class,
             plan: customer as usize % PLAN_COUNT,
             customer: 0x91f0_3b7c_0000_0000 + customer,
-            spread,
+            gateway_count,
             first_gateway: (customer % u64::from(self.scenario.gateways)) as u32,
             deadline: 0,
             units,
--- a/tests/decision_fixtures/model/messages.rs
+++ b/tests/decision_fixtures/model/messages.rs
@@ -59,7 +59,7 @@
     pub class: usize,
     pub plan: usize,
     pub customer: u64,
-    pub spread: u32,
+    pub gateway_count: u32,
     pub first_gateway: u32,
     pub deadline: u64,
     pub units: f64,
--- a/tests/decision_fixtures/module.rs
+++ b/tests/decision_fixtures/module.rs
@@ -158,7 +158,7 @@
                 class: ClassId(arrival.class),
                 plan: PlanId(arrival.plan),
                 customer: CustomerId(arrival.customer),
-                spread: arrival.spread,
+                gateway_count: arrival.gateway_count,
                 first_gateway: arrival.first_gateway,
                 deadline: Micros(arrival.deadline),
                 units: arrival.units,
--- a/tests/decision_fixtures/simulator.rs
+++ b/tests/decision_fixtures/simulator.rs
@@ -110,7 +110,7 @@
         GatewayInput::Endpoints { scope, endpoints } => return write_list(out, *scope, endpoints),
         GatewayInput::Arrival(arrival) => {
             let _ = write!(out, "KNOCK ref={} kind={}", arrival.request, CLASSES[arrival.class].name);
-            let _ = write!(out, " user_key={:016x} doors={}", arrival.customer, arrival.spread);
+            let _ = write!(out, " user_key={:016x} doors={}", arrival.customer, arrival.gateway_count);
             let _ = write!(out, " plan={} price_units={}", PLANS[arrival.plan].name, arrival.units);
             // Some requests use the defaults of the deadline and of the retry flag.
             if arrival.request % 7 != 0 {
--- a/tests/many_gateways.rs
+++ b/tests/many_gateways.rs
@@ -29,7 +29,7 @@
         class,
         plan,
         customer,
-        spread: 200,
+        gateway_count: 200,
         first_gateway: 0,
         deadline,
         units: 2.0,
@@ -258,8 +258,15 @@
             harness.next_request += 1;
             let deadline = Micros(harness.now + 3 * S);
             let (plan, customer) = (PlanId(1), CustomerId(9));
-            let arrival =
-                Arrival { id, plan, customer, spread: 200, deadline, units: 1.0, ..Arrival::default() };
+            let arrival = Arrival {
+                id,
+                plan,
+                customer,
+                gateway_count: 200,
+                deadline,
+                units: 1.0,
+                ..Arrival::default()
+            };
             let mut out = harness.handle(Event::RequestArrived(arrival));
             for (key, _) in counter_calls(&out) {
                 out.extend(harness.handle(Event::CounterReplied {
@@ -291,7 +298,7 @@
             let deadline = Micros(harness.now + 3 * S);
             let (plan, customer) = (PlanId(1), CustomerId(9));
             let arrival =
-                Arrival { id, plan, customer, spread: 7, deadline, units: 1.0, ..Arrival::default() };
+                Arrival { id, plan, customer, gateway_count: 7, deadline, units: 1.0, ..Arrival::default() };
             let mut out = harness.handle(Event::RequestArrived(arrival));
             for (key, _) in counter_calls(&out) {
                 out.extend(harness.handle(Event::CounterReplied {
--- a/tests/prior_attempts.rs
+++ b/tests/prior_attempts.rs
@@ -22,7 +22,7 @@
         id,
         class: ClassId(class),
         deadline: Micros(harness.now + 3 * S),
-        spread: 2,
+        gateway_count: 2,
         units: 1.0,
         prior_attempts: prior_attempts.iter().map(prior_attempt).collect(),
         already_counted: true,
--- a/tests/quota_lease.rs
+++ b/tests/quota_lease.rs
@@ -71,7 +71,7 @@
     gateway: &mut Gateway,
     from: Micros,
     seconds: u64,
-    spread: u32,
+    gateway_count: u32,
     next_request: &mut u64,
 ) -> f64 {
     let (mut sent, mut out) = (0.0, Vec::new());
@@ -79,8 +79,13 @@
         let now = from + Micros(step * 20_000);
         *next_request += 1;
         let id = RequestId(*next_request);
-        let arrival =
-            Arrival { id, spread, units: 1.0, deadline: now + Micros(4_000_000), ..Arrival::default() };
+        let arrival = Arrival {
+            id,
+            gateway_count,
+            units: 1.0,
+            deadline: now + Micros(4_000_000),
+            ..Arrival::default()
+        };
         let mut events = vec![Event::RequestArrived(arrival)];
         while let Some(event) = events.pop() {
             gateway.handle(now, event, &mut out);
@@ -115,7 +120,7 @@
 fn forwarded_fraction(
     lease_of: impl Fn(u32) -> Option<QuotaLease>,
     gateway_numbers: &[u32],
-    spread: u32,
+    gateway_count: u32,
 ) -> f64 {
     let mut units = 0.0;
     for &gateway_number in gateway_numbers {
@@ -126,9 +131,9 @@
                 .for_each(|lease| gateway.handle(at, Event::QuotaLeaseChanged(lease), &mut Vec::new()));
         };
         apply_lease(&mut gateway, SECOND);
-        run_overload(&mut gateway, Micros(2_000_000), 60, spread, &mut next_request);
+        run_overload(&mut gateway, Micros(2_000_000), 60, gateway_count, &mut next_request);
         apply_lease(&mut gateway, Micros(62_000_000));
-        units += run_overload(&mut gateway, Micros(62_000_000), 40, spread, &mut next_request);
+        units += run_overload(&mut gateway, Micros(62_000_000), 40, gateway_count, &mut next_request);
     }
     units / (RATE * 40.0)
 }
