--- a/src/decision/admission/counter_calls.rs
+++ b/src/decision/admission/counter_calls.rs
@@ -32,7 +32,7 @@
     /// Returns how long the counter is kept: two of its periods, up to the maximum lifetime.
     pub(crate) fn lifetime(self, plan: &Plan) -> Micros {
         let length = match self {
-            CounterPurpose::QuotaWindow => QuotaWindow::of(plan).length,
+            CounterPurpose::QuotaWindow => QuotaWindow::for_plan(plan).length,
             CounterPurpose::Concurrency => CONCURRENCY_EPOCH,
         };
         (length + length).min(MAX_LIFETIME)
--- a/src/decision/admission/customer.rs
+++ b/src/decision/admission/customer.rs
@@ -93,12 +93,12 @@
     /// Moves the counters to the current quota window and epoch.
     pub(crate) fn begin_periods(&mut self, id: CustomerId, plan: &Plan, now: Micros) {
         let no_quota = QuotaWindow { length: CONCURRENCY_EPOCH, units: 0.0 };
-        let window = if plan.rate > 0.0 { QuotaWindow::of(plan) } else { no_quota };
-        let number = Period::at(now, id, window.length).number;
+        let window = if plan.rate > 0.0 { QuotaWindow::for_plan(plan) } else { no_quota };
+        let number = Period::containing(now, id, window.length).number;
         if self.window.period != number {
             self.begin_window(number, window.units, plan.burst);
         }
-        let epoch = Period::at(now, id, CONCURRENCY_EPOCH).number;
+        let epoch = Period::containing(now, id, CONCURRENCY_EPOCH).number;
         if self.epoch.period != epoch {
             self.epoch = SharedCount { period: epoch, unreported: self.in_flight, ..SharedCount::default() };
         }
@@ -145,13 +145,13 @@
         now: Micros,
         total: f64,
     ) -> f64 {
-        self.accrued_units(id, plan, now).max(QuotaWindow::of(plan).units) - total
+        self.accrued_units(id, plan, now).max(QuotaWindow::for_plan(plan).units) - total
     }
 
     /// Returns what the previous window left plus what has accrued since.
     fn accrued_units(&self, id: CustomerId, plan: &Plan, now: Micros) -> f64 {
-        let window = QuotaWindow::of(plan);
-        let remaining = Period::at(now, id, window.length).remaining;
+        let window = QuotaWindow::for_plan(plan);
+        let remaining = Period::containing(now, id, window.length).remaining;
         self.window.carried_over + window.units * (1.0 - remaining.secs() / window.length.secs())
     }
 }
--- a/src/decision/admission/quota_window.rs
+++ b/src/decision/admission/quota_window.rs
@@ -21,9 +21,9 @@
 }
 
 impl QuotaWindow {
-    /// Returns a window of one burst, as long as the rate takes to refill it. Under a hard limit both are
-    /// halved.
-    pub(crate) fn of(plan: &Plan) -> QuotaWindow {
+    /// Returns the window of a plan: one burst, as long as the rate takes to refill it. Under a hard limit both
+    /// are halved.
+    pub(crate) fn for_plan(plan: &Plan) -> QuotaWindow {
         let fraction = if plan.hard_limit_rate > 0.0 { WINDOW_FRACTION_UNDER_HARD_LIMIT } else { 1.0 };
         let length = Micros(((plan.burst / plan.rate) * fraction * 1e6).max(1.0) as u64);
         QuotaWindow { length, units: plan.burst * fraction }
@@ -39,9 +39,9 @@
 }
 
 impl Period {
-    /// Returns the current period of a customer. Its boundaries are shifted by the customer's hash, so that
-    /// not all periods end at once.
-    pub(crate) fn at(now: Micros, customer: CustomerId, length: Micros) -> Period {
+    /// Returns the period of a customer that contains a time. The boundaries are shifted by the customer's hash,
+    /// so that not all periods end at once.
+    pub(crate) fn containing(now: Micros, customer: CustomerId, length: Micros) -> Period {
         let shifted = now.0 + spread_bits(customer.0) % length.0;
         Period { number: shifted / length.0, remaining: Micros(length.0 - shifted % length.0) }
     }
--- a/src/decision/gateway/counter.rs
+++ b/src/decision/gateway/counter.rs
@@ -237,7 +237,7 @@
         let plan = request.plan(&self.context.settings);
         // Within the plain window a request is not charged to the hard limit, but it is rejected while that
         // bucket is still negative because a counter lost its state.
-        let is_in_plain_window = total <= QuotaWindow::of(plan).units;
+        let is_in_plain_window = total <= QuotaWindow::for_plan(plan).units;
         let units = if is_in_plain_window { 0.0 } else { request.arrival.units };
         let Some(customer) = self.customers.get_mut(&customer_id) else { return true };
         customer.try_take_above_quota(&self.context, plan, units)
--- a/src/decision/gateway/finish.rs
+++ b/src/decision/gateway/finish.rs
@@ -33,8 +33,8 @@
         if !settings.retry_after || plan.rate <= 0.0 {
             return None;
         }
-        let length = QuotaWindow::of(plan).length;
-        let period = Period::at(self.context.now, request.arrival.customer, length);
+        let length = QuotaWindow::for_plan(plan).length;
+        let period = Period::containing(self.context.now, request.arrival.customer, length);
         Some(period.remaining.min(settings.max_retry_after))
     }
 
