--- a/src/decision/admission/call_fraction.rs
+++ b/src/decision/admission/call_fraction.rs
@@ -4,7 +4,7 @@
 const FACTOR_AFTER_FAILURE: f64 = 0.8;
 const FACTOR_AFTER_SUCCESS: f64 = 1.02;
 /// Lower bound of the fraction.
-pub(crate) const LEAST_CALL_FRACTION: f64 = 0.05;
+pub(crate) const MIN_CALL_FRACTION: f64 = 0.05;
 /// Lower bound of the fraction after a successful probe of the circuit breaker.
 const FRACTION_AFTER_PROBE: f64 = 0.5;
 /// Power to which the fraction is raised for retries.
@@ -30,7 +30,7 @@
 
     /// Decreases the fraction after a failed call.
     pub(crate) fn call_failed(&mut self) {
-        self.0 = (self.0 * FACTOR_AFTER_FAILURE).max(LEAST_CALL_FRACTION);
+        self.0 = (self.0 * FACTOR_AFTER_FAILURE).max(MIN_CALL_FRACTION);
     }
 
     /// Increases the fraction after a successful call.
--- a/src/decision/admission/load_shedding.rs
+++ b/src/decision/admission/load_shedding.rs
@@ -6,7 +6,7 @@
 /// Increment of the pass fraction after any other response.
 const INCREMENT_WITHOUT_OVERLOAD: f64 = 0.01;
 /// Lower bound of the pass fraction.
-pub(crate) const LEAST_PASS_FRACTION: f64 = 0.05;
+pub(crate) const MIN_PASS_FRACTION: f64 = 0.05;
 /// Weight of the newest sample in the average weight of requests.
 const WEIGHT_SMOOTHING: f64 = 0.1 / 3.0;
 /// The pass fraction is raised to (average weight / weight) to this power.
@@ -48,6 +48,6 @@
         } else {
             self.pass_fraction + INCREMENT_WITHOUT_OVERLOAD
         };
-        self.pass_fraction = next.clamp(LEAST_PASS_FRACTION, 1.0);
+        self.pass_fraction = next.clamp(MIN_PASS_FRACTION, 1.0);
     }
 }
--- a/src/decision/admission/mod.rs
+++ b/src/decision/admission/mod.rs
@@ -16,9 +16,9 @@
 pub(crate) mod quota_window;
 mod shared_count;
 
-pub(crate) use call_fraction::{CallFraction, LEAST_CALL_FRACTION};
+pub(crate) use call_fraction::{CallFraction, MIN_CALL_FRACTION};
 pub(crate) use counter_calls::{CounterCall, CounterCalls, CounterPurpose};
 pub(crate) use customer::{Customer, ObservedTraffic, RecentRejection, CUSTOMER_IDLE_TIMEOUT};
-pub(crate) use load_shedding::{LoadShedding, LEAST_PASS_FRACTION};
+pub(crate) use load_shedding::{LoadShedding, MIN_PASS_FRACTION};
 pub(crate) use local_bucket::LeaseView;
 pub(crate) use shared_count::SharedCount;
--- a/src/decision/gateway/handover.rs
+++ b/src/decision/gateway/handover.rs
@@ -2,7 +2,7 @@
 
 use super::Gateway;
 use crate::decision::admission::{
-    CallFraction, Customer, LoadShedding, SharedCount, LEAST_CALL_FRACTION, LEAST_PASS_FRACTION,
+    CallFraction, Customer, LoadShedding, SharedCount, MIN_CALL_FRACTION, MIN_PASS_FRACTION,
 };
 use crate::decision::circuit_breaker::CircuitBreaker;
 use crate::decision::context::ProcessRole;
@@ -59,12 +59,12 @@
         let customers = state.customers.into_iter().map(|(id, record)| (id, Customer::from(record)));
         self.customers.extend(customers.filter(|(_, customer)| customer.plan.0 < plans));
         self.counter.breaker = state.breaker.into();
-        self.counter.call_fraction = CallFraction(state.call_fraction.clamp(LEAST_CALL_FRACTION, 1.0));
+        self.counter.call_fraction = CallFraction(state.call_fraction.clamp(MIN_CALL_FRACTION, 1.0));
         self.balancer.forward_rate.units = state.forward_rate.into();
         self.balancer.averages =
             EndpointAverages { latency_us: state.latency_us, failure_fraction: state.failure_fraction };
         self.shedding = LoadShedding {
-            pass_fraction: state.pass_fraction.clamp(LEAST_PASS_FRACTION, 1.0),
+            pass_fraction: state.pass_fraction.clamp(MIN_PASS_FRACTION, 1.0),
             average_weight: state.average_weight,
         };
         self.context.role = ProcessRole::Successor;
