--- a/src/decision/gateway/arrival.rs
+++ b/src/decision/gateway/arrival.rs
@@ -68,7 +68,8 @@
         let Some(request) = self.requests.get(&id) else { return false };
         let weight = request.priority_weight(&self.context.settings);
         self.shedding.request_arrived(weight);
-        self.balancer.is_sparse(&self.context) && self.rng.f64() > self.shedding.pass_probability(weight)
+        self.balancer.limits_start_below_one(&self.context)
+            && self.rng.f64() > self.shedding.pass_probability(weight)
     }
 
     /// Admits a request that is within its quotas: sends it, or queues it until an endpoint has capacity.
--- a/src/decision/load_balancing/balancer.rs
+++ b/src/decision/load_balancing/balancer.rs
@@ -194,7 +194,7 @@
 
     /// Returns whether so many gateways share the endpoints that concurrency limits start below one attempt
     /// and bound little.
-    pub(crate) fn is_sparse(&self, context: &Context) -> bool {
+    pub(crate) fn limits_start_below_one(&self, context: &Context) -> bool {
         concurrency_limit::initial_limit_below_one(self.limit_scale(context))
     }
 }
--- a/src/decision/load_balancing/selection.rs
+++ b/src/decision/load_balancing/selection.rs
@@ -13,7 +13,7 @@
 /// that happen to arrive at the same moment.
 const MIN_TOTAL_LIMIT: f64 = 1.0;
 /// The same bound for a gateway whose limits start below one attempt.
-const MIN_TOTAL_LIMIT_SPARSE: f64 = 2.0;
+const MIN_TOTAL_LIMIT_STARTING_BELOW_ONE: f64 = 2.0;
 /// Bounds on an endpoint's latency relative to the average, as a factor of its score.
 const MIN_LATENCY_FACTOR: f64 = 0.7;
 const MAX_LATENCY_FACTOR: f64 = 2.0;
@@ -36,7 +36,7 @@
     is_allowed: &'a dyn Fn(&EndpointState) -> bool,
     /// Factor that scales every concurrency limit to this process's share.
     limit_scale: f64,
-    is_sparse: bool,
+    limits_start_below_one: bool,
     /// Whether some endpoint in service is neither ejected nor on trial with an attempt in flight.
     any_eligible: bool,
     /// Random number that makes the scores of each selection differ.
@@ -64,13 +64,14 @@
         let salt = rng.u64(..);
         let size = self.subset_size(context.now);
         let limit_scale = self.limit_scale(context);
-        let is_sparse = concurrency_limit::initial_limit_below_one(limit_scale);
+        let limits_start_below_one = concurrency_limit::initial_limit_below_one(limit_scale);
         let limit = self.subset_limit(context, size, limit_scale);
-        if limit > 0.0 && self.in_flight >= limit.max(min_total_limit(is_sparse)) {
+        if limit > 0.0 && self.in_flight >= limit.max(min_total_limit(limits_start_below_one)) {
             return None;
         }
         let any_eligible = limit > 0.0 || self.any_eligible(context);
-        let inputs = SelectionInputs { request, is_allowed, limit_scale, is_sparse, any_eligible, salt };
+        let inputs =
+            SelectionInputs { request, is_allowed, limit_scale, limits_start_below_one, any_eligible, salt };
         let candidate = |id: EndpointId| self.scored_candidate(context, &inputs, id);
         let in_subset = self.own_subset_first(context).take(size).filter_map(candidate).reduce(lower_score);
         let choice = in_subset.or_else(|| self.own_subset_first(context).skip(size).find_map(candidate));
@@ -138,7 +139,7 @@
         let mut score = wait / endpoint.weight * (1.0 + FAILURE_FACTOR * endpoint.failure_fraction)
             + REPEATED_ATTEMPT_PENALTY * attempts_here;
         score *= 1.0 + (RANDOM_SPREAD + others_share) * fraction_of(inputs.salt ^ id.0) + zone_penalty;
-        if endpoint.is_in_slow_start() && inputs.is_sparse {
+        if endpoint.is_in_slow_start() && inputs.limits_start_below_one {
             score *= 0.0; // The random draw has already chosen this endpoint.
         }
         if endpoint.on_trial && attempts.is_empty() {
@@ -158,9 +159,9 @@
     }
 }
 
-fn min_total_limit(is_sparse: bool) -> f64 {
-    if is_sparse {
-        MIN_TOTAL_LIMIT_SPARSE
+fn min_total_limit(limits_start_below_one: bool) -> f64 {
+    if limits_start_below_one {
+        MIN_TOTAL_LIMIT_STARTING_BELOW_ONE
     } else {
         MIN_TOTAL_LIMIT
     }
--- a/src/decision/load_balancing/slow_start.rs
+++ b/src/decision/load_balancing/slow_start.rs
@@ -45,7 +45,7 @@
             self.slow_start.refreshed_at = context.now;
             self.end_slow_starts(context);
         }
-        if self.is_sparse(context) {
+        if self.limits_start_below_one(context) {
             if !self.slow_start.by_random_draw {
                 self.slow_start.by_random_draw = true;
                 self.empty_allowances();
