--- a/src/decision/gateway/attempts.rs
+++ b/src/decision/gateway/attempts.rs
@@ -117,7 +117,7 @@
             // judging it releases a slot.
             self.balancer.take_slot(end.endpoint);
         }
-        self.balancer.load_reported(end.endpoint, end.load, self.context.now);
+        self.balancer.record_load_report(end.endpoint, end.load, self.context.now);
         if held_slot || !streaming {
             let AttemptEnded { outcome, elapsed, .. } = *end;
             self.record_verdict(end.endpoint, AttemptVerdict { outcome, elapsed, latency_objective });
--- a/src/decision/gateway/endpoints.rs
+++ b/src/decision/gateway/endpoints.rs
@@ -17,13 +17,13 @@
             let delay = MIN_RESUBSCRIBE_DELAY_US + self.rng.u64(0..RESUBSCRIBE_JITTER_US);
             return self.set_timer(Timer::Resubscribe, Micros(delay));
         }
-        self.balancer.list_changed(&self.context, &mut self.rng, scope, updates);
+        self.balancer.apply_endpoint_list(&self.context, &mut self.rng, scope, updates);
         self.serve_queue();
     }
 
     /// Handles a change of maintenance. Repeated calls have no further effect.
     pub(super) fn on_maintenance(&mut self, endpoint: EndpointId, in_maintenance: bool) {
-        if self.balancer.maintenance_changed(endpoint, in_maintenance, self.context.now) {
+        if self.balancer.set_maintenance(endpoint, in_maintenance, self.context.now) {
             self.serve_queue();
         }
     }
--- a/src/decision/load_balancing/balancer.rs
+++ b/src/decision/load_balancing/balancer.rs
@@ -38,7 +38,7 @@
 impl LoadBalancer {
     /// Applies a complete or incremental endpoint list. Restarted endpoints begin their slow start with a
     /// random negative allowance, so that gateways do not all send to them at once.
-    pub(crate) fn list_changed(
+    pub(crate) fn apply_endpoint_list(
         &mut self,
         context: &Context,
         rng: &mut fastrand::Rng,
@@ -84,7 +84,7 @@
     /// Applies an operator's change of an endpoint's maintenance, and returns whether it changed anything.
     /// Maintenance takes precedence over the list: in maintenance, the endpoint counts as draining. An
     /// endpoint that returns from maintenance may have restarted meanwhile, so it begins a slow start.
-    pub(crate) fn maintenance_changed(&mut self, id: EndpointId, in_maintenance: bool, now: Micros) -> bool {
+    pub(crate) fn set_maintenance(&mut self, id: EndpointId, in_maintenance: bool, now: Micros) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return false };
         if endpoint.in_maintenance == in_maintenance {
             return false;
--- a/src/decision/load_balancing/outcome.rs
+++ b/src/decision/load_balancing/outcome.rs
@@ -15,7 +15,7 @@
 impl LoadBalancer {
     /// Records the load report of an endpoint, which is the only information about requests from other
     /// gateways.
-    pub(crate) fn load_reported(&mut self, id: EndpointId, report: LoadReport, now: Micros) {
+    pub(crate) fn record_load_report(&mut self, id: EndpointId, report: LoadReport, now: Micros) {
         let Some(in_flight) = report.in_flight else { return };
         self.average_load.record(in_flight);
         if let Some(endpoint) = self.endpoints.get_mut(&id) {
