--- a/src/decision/gateway/attempts.rs
+++ b/src/decision/gateway/attempts.rs
@@ -37,20 +37,20 @@
             self.balancer.averages.failure_fraction,
         );
         // An endpoint starts its work on a request with the last byte of the body.
-        let holds_slot = !request.arrival.streaming_body;
+        let holds_permit = !request.arrival.streaming_body;
         let units = request.arrival.units;
         request.attempts.push(Attempt {
             endpoint,
             sent_at: now,
             in_flight: true,
-            holds_slot,
+            holds_permit,
             may_have_run: false,
         });
         request.queued_since = None;
         request.counted_in_window = None;
         self.balancer.attempt_sent(endpoint, units, now);
-        if holds_slot {
-            self.balancer.take_slot(endpoint);
+        if holds_permit {
+            self.balancer.acquire_permit(endpoint);
         }
         self.actions.push(Action::SendAttempt { request: id, endpoint, give_up_at });
     }
@@ -64,9 +64,9 @@
         request.arrived_at = now;
         // A request with a streamed body has at most one attempt.
         let attempt = request.attempts.first_mut();
-        if let Some(attempt) = attempt.filter(|attempt| attempt.in_flight && !attempt.holds_slot) {
-            attempt.holds_slot = true;
-            self.balancer.take_slot(attempt.endpoint);
+        if let Some(attempt) = attempt.filter(|attempt| attempt.in_flight && !attempt.holds_permit) {
+            attempt.holds_permit = true;
+            self.balancer.acquire_permit(attempt.endpoint);
         }
         self.set_deadline_timer(id, deadline);
     }
@@ -86,10 +86,10 @@
         request.streaming = true;
         let latency_objective = request.class(&self.context.settings).latency_objective;
         let attempt = request.attempts.get_mut(attempt);
-        let Some(attempt) = attempt.filter(|attempt| attempt.in_flight && attempt.holds_slot) else {
+        let Some(attempt) = attempt.filter(|attempt| attempt.in_flight && attempt.holds_permit) else {
             return;
         };
-        attempt.holds_slot = false;
+        attempt.holds_permit = false;
         let endpoint = attempt.endpoint;
         let outcome = Outcome::Success;
         self.record_verdict(endpoint, AttemptVerdict { outcome, elapsed, latency_objective });
@@ -103,7 +103,7 @@
         let Some(attempt) = attempt.filter(matches_event) else { return };
         attempt.in_flight = false;
         attempt.may_have_run = !end.outcome.never_ran();
-        let held_slot = std::mem::take(&mut attempt.holds_slot);
+        let held_permit = std::mem::take(&mut attempt.holds_permit);
         let was_finished = request.finished;
         let streaming = request.streaming;
         request.finished |= end.request_finished || end.outcome == Outcome::Success;
@@ -112,13 +112,13 @@
         if !was_finished {
             self.settle_units(end);
         }
-        if !held_slot && !streaming {
+        if !held_permit && !streaming {
             // The attempt ended before the streamed request body did. It is judged like any other attempt, and
-            // judging it releases a slot.
-            self.balancer.take_slot(end.endpoint);
+            // judging it releases a permit.
+            self.balancer.acquire_permit(end.endpoint);
         }
         self.balancer.record_load_report(end.endpoint, end.load, self.context.now);
-        if held_slot || !streaming {
+        if held_permit || !streaming {
             let AttemptEnded { outcome, elapsed, .. } = *end;
             self.record_verdict(end.endpoint, AttemptVerdict { outcome, elapsed, latency_objective });
         }
--- a/src/decision/load_balancing/balancer.rs
+++ b/src/decision/load_balancing/balancer.rs
@@ -160,7 +160,7 @@
     }
 
     /// Counts an attempt against its endpoint's concurrency limit.
-    pub(crate) fn take_slot(&mut self, id: EndpointId) {
+    pub(crate) fn acquire_permit(&mut self, id: EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(&id) {
             endpoint.in_flight += 1.0;
         }
@@ -168,7 +168,7 @@
     }
 
     /// Stops counting an attempt against its endpoint's concurrency limit.
-    pub(super) fn release_slot(&mut self, id: EndpointId) {
+    pub(super) fn release_permit(&mut self, id: EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(&id) {
             endpoint.in_flight = (endpoint.in_flight - 1.0).max(0.0);
         }
--- a/src/decision/load_balancing/outcome.rs
+++ b/src/decision/load_balancing/outcome.rs
@@ -38,7 +38,7 @@
         if !self.endpoints.contains_key(&id) {
             return false;
         }
-        self.release_slot(id);
+        self.release_permit(id);
         self.adjust_limit(id, &attempt, scale);
         let sample = if attempt.failed_or_missed_objective() { 1.0 } else { 0.0 };
         update_average(&mut self.averages.failure_fraction, sample, ALL_ENDPOINTS_SAMPLE_WEIGHT);
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -15,7 +15,7 @@
     pub(crate) in_flight: bool,
     /// Whether the attempt counts against the endpoint's concurrency limit, which it does from the last byte of
     /// the request body to the first byte of the response.
-    pub(crate) holds_slot: bool,
+    pub(crate) holds_permit: bool,
     pub(crate) may_have_run: bool,
 }
 
