--- a/src/decision/admission/counter_calls.rs
+++ b/src/decision/admission/counter_calls.rs
@@ -4,7 +4,7 @@
 use super::customer::Customer;
 use super::quota_window::{QuotaWindow, CONCURRENCY_EPOCH};
 use crate::decision::circuit_breaker::CircuitBreaker;
-use crate::decision::hash::spread_bits;
+use crate::decision::hash::mix_bits;
 use crate::decision::ids::{CounterKey, CustomerId, RequestId};
 use crate::decision::settings::Plan;
 use crate::decision::time::Micros;
@@ -26,7 +26,7 @@
     /// Returns the key of a customer's counter in one period, which is the same at every gateway.
     pub(crate) fn key(self, customer: CustomerId, period: u64) -> CounterKey {
         let purpose = u64::from(self == CounterPurpose::Concurrency);
-        CounterKey(spread_bits(spread_bits(customer.0) ^ spread_bits(period << 1 | purpose)) >> 1)
+        CounterKey(mix_bits(mix_bits(customer.0) ^ mix_bits(period << 1 | purpose)) >> 1)
     }
 
     /// Returns how long the counter is kept: two of its periods, up to the maximum lifetime.
--- a/src/decision/admission/quota_window.rs
+++ b/src/decision/admission/quota_window.rs
@@ -1,6 +1,6 @@
 //! Periods in which a customer's units and attempts in flight are counted.
 
-use crate::decision::hash::spread_bits;
+use crate::decision::hash::mix_bits;
 use crate::decision::ids::CustomerId;
 use crate::decision::settings::Plan;
 use crate::decision::time::Micros;
@@ -42,7 +42,7 @@
     /// Returns the period of a customer that contains a time. The boundaries are shifted by the customer's hash,
     /// so that not all periods end at once.
     pub(crate) fn containing(now: Micros, customer: CustomerId, length: Micros) -> Period {
-        let shifted = now.0 + spread_bits(customer.0) % length.0;
+        let shifted = now.0 + mix_bits(customer.0) % length.0;
         Period { number: shifted / length.0, remaining: Micros(length.0 - shifted % length.0) }
     }
 }
--- a/src/decision/load_balancing/selection.rs
+++ b/src/decision/load_balancing/selection.rs
@@ -4,7 +4,7 @@
 use super::concurrency_limit;
 use super::endpoint_state::EndpointState;
 use crate::decision::context::Context;
-use crate::decision::hash::fraction_of;
+use crate::decision::hash::hash_to_fraction;
 use crate::decision::ids::EndpointId;
 use crate::decision::request::Request;
 use crate::decision::routing;
@@ -114,7 +114,7 @@
         endpoint.in_flight < limit
             && (!inputs.any_eligible || endpoint.is_eligible(context.now))
             && (inputs.is_allowed)(endpoint)
-            && !routing::is_spared(&inputs.request.route, endpoint, inputs.salt)
+            && !routing::is_skipped_in_slow_start(&inputs.request.route, endpoint, inputs.salt)
     }
 
     /// Returns the expected wait at an endpoint, in requests ahead of this one, with preferences as factors.
@@ -138,14 +138,14 @@
         let wait = (endpoint.in_flight + 1.0 + others_share * expected_load) * self.latency_factor(endpoint);
         let mut score = wait / endpoint.weight * (1.0 + FAILURE_FACTOR * endpoint.failure_fraction)
             + REPEATED_ATTEMPT_PENALTY * attempts_here;
-        score *= 1.0 + (RANDOM_SPREAD + others_share) * fraction_of(inputs.salt ^ id.0) + zone_penalty;
+        score *= 1.0 + (RANDOM_SPREAD + others_share) * hash_to_fraction(inputs.salt ^ id.0) + zone_penalty;
         if endpoint.is_in_slow_start() && inputs.limits_start_below_one {
             score *= 0.0; // The random draw has already chosen this endpoint.
         }
         if endpoint.on_trial && attempts.is_empty() {
             score *= TRIAL_FACTOR;
         }
-        score / routing::weight_of(&inputs.request.route, endpoint)
+        score / routing::endpoint_weight(&inputs.request.route, endpoint)
     }
 
     /// Returns an endpoint's latency relative to the average.
--- a/src/decision/routing.rs
+++ b/src/decision/routing.rs
@@ -2,7 +2,7 @@
 //! endpoints that the retry and slow-start guards allow; they never allow an endpoint themselves.
 
 use super::event::Arrival;
-use super::hash::{fraction_of, spread_bits};
+use super::hash::{hash_to_fraction, mix_bits};
 use super::ids::CustomerId;
 use super::load_balancing::EndpointState;
 use super::routing_rules::{RouteRule, RoutingRules};
@@ -14,7 +14,7 @@
 /// Whether a customer gets the canary rules. The result is the same at every gateway; the salt changes with each
 /// rollout, so that no customer is always among the first.
 pub fn has_canary_rules(rules: &RoutingRules, customer: CustomerId) -> bool {
-    spread_bits(customer.0 ^ spread_bits(rules.salt)) % CANARY_BUCKETS < u64::from(rules.canary_share)
+    mix_bits(customer.0 ^ mix_bits(rules.salt)) % CANARY_BUCKETS < u64::from(rules.canary_share)
 }
 
 /// Selects the rule that a request keeps from arrival to end: the first that matches its class and plan.
@@ -29,14 +29,14 @@
 }
 
 /// Weight that a rule gives an endpoint, by its zone and release label.
-pub(crate) fn weight_of(rule: &RouteRule, endpoint: &EndpointState) -> f64 {
+pub(crate) fn endpoint_weight(rule: &RouteRule, endpoint: &EndpointState) -> f64 {
     let zone = rule.zone_weights.iter().find(|(zone, _)| *zone == endpoint.zone);
     let label = rule.label_weights.iter().find(|(label, _)| *label == endpoint.label);
     zone.map_or(1.0, |(_, weight)| *weight) * label.map_or(1.0, |(_, weight)| *weight)
 }
 
 /// Whether a rule skips an endpoint in slow start for this selection, at random.
-pub(crate) fn is_spared(rule: &RouteRule, endpoint: &EndpointState, salt: u64) -> bool {
+pub(crate) fn is_skipped_in_slow_start(rule: &RouteRule, endpoint: &EndpointState, salt: u64) -> bool {
     rule.slow_start_fraction
-        .is_some_and(|fraction| endpoint.is_in_slow_start() && fraction_of(salt) >= fraction)
+        .is_some_and(|fraction| endpoint.is_in_slow_start() && hash_to_fraction(salt) >= fraction)
 }
