--- a/src/proxy/control_plane/config/document.rs
+++ b/src/proxy/control_plane/config/document.rs
@@ -84,7 +84,7 @@
     let mut names = BTreeMap::new();
     flatten("", settings, &mut names);
     let pairs = names.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
-    let fields = Fields { place: "settings".into(), message: "settings", pairs };
+    let fields = Fields { location: "settings".into(), message: "settings", pairs };
     let site = Site::read(&fields)?;
     site.settings.check()?;
     let idle_timeout = fields.micros_or("bounds.conn_idle", DEFAULT_BACKEND_IDLE_TIMEOUT_US)?;
--- a/src/proxy/upstream/load_report.rs
+++ b/src/proxy/upstream/load_report.rs
@@ -1,7 +1,7 @@
 //! The load report that a backend sends with its responses, a wire form: `X-Load-Report: TEXT name=number, name=number`.
 
 use crate::decision::LoadReport;
-use crate::site_settings::set_load_figure;
+use crate::site_settings::set_load_metric;
 use hyper::header::{HeaderMap, HeaderName};
 
 const LOAD_REPORT: HeaderName = HeaderName::from_static("x-load-report");
@@ -27,7 +27,7 @@
     for pair in text.split(',') {
         match pair.trim().split_once('=').map(|(name, value)| (name, value.parse::<f64>())) {
             Some((name, Ok(value))) if value.is_finite() && value >= 0.0 => {
-                set_load_figure(&mut parsed.report, name, value);
+                set_load_metric(&mut parsed.report, name, value);
             }
             _ => parsed.malformed = true,
         }
--- a/src/simulator/decode.rs
+++ b/src/simulator/decode.rs
@@ -4,7 +4,7 @@
     Arrival, AttemptEnded, CellId, ClassId, CounterKey, CustomerId, EndpointStatus, EndpointUpdate, Event,
     LabelId, LoadReport, Micros, Outcome, PlanId, RequestId, TimerId, WatchScope,
 };
-use crate::site_settings::{set_load_figure, Fields, Result, Site};
+use crate::site_settings::{set_load_metric, Fields, Result, Site};
 
 /// Bounds on the number of gateways that receive a customer's requests.
 const MIN_GATEWAY_COUNT: f64 = 1.0;
@@ -96,9 +96,9 @@
     let mut report = LoadReport::default();
     let pairs = fields.optional_text("report").into_iter().flat_map(|pairs| pairs.split(','));
     for pair in pairs.filter(|pair| !pair.is_empty()) {
-        let figure = pair.split_once(':').and_then(|(name, value)| Some((name, value.parse().ok()?)));
-        let (name, value) = figure.ok_or_else(|| fields.error("report", "name:number pairs"))?;
-        set_load_figure(&mut report, name, value);
+        let metric = pair.split_once(':').and_then(|(name, value)| Some((name, value.parse().ok()?)));
+        let (name, value) = metric.ok_or_else(|| fields.error("report", "name:number pairs"))?;
+        set_load_metric(&mut report, name, value);
     }
     Ok(report)
 }
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -70,8 +70,11 @@
     /// A batch is incomplete.
     pub fn finish(&self) -> Result<()> {
         if self.in_batch {
-            let place = format!("line {}", self.line_number);
-            return Err(FieldError::OutOfSequence { place, expected: "FLUSH before the end of the input" });
+            let location = format!("line {}", self.line_number);
+            return Err(FieldError::OutOfSequence {
+                location,
+                expected: "FLUSH before the end of the input",
+            });
         }
         Ok(())
     }
--- a/src/simulator/instance.rs
+++ b/src/simulator/instance.rs
@@ -18,7 +18,7 @@
         let seed = fields.required_u64("rng_seed")?;
         let site = Site::read(fields)?;
         let gateway = Gateway::new(seed, site.settings.clone())
-            .map_err(|error| FieldError::Settings { place: fields.place.clone(), error })?;
+            .map_err(|error| FieldError::Settings { location: fields.location.clone(), error })?;
         Ok(Instance { gateway, site, actions: Vec::new() })
     }
 
--- a/src/site_settings/fields.rs
+++ b/src/site_settings/fields.rs
@@ -8,18 +8,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldError {
     /// A part of a line is not a `name=value` pair.
-    #[error("{place}: expected name=value, found '{found}'")]
+    #[error("{location}: expected name=value, found '{found}'")]
     NotAPair {
         /// Line or document that holds the error.
-        place: String,
+        location: String,
         /// Text of that part.
         found: String,
     },
     /// A value is missing or invalid.
-    #[error("{place}: {name}: expected {expected}, found {found}")]
+    #[error("{location}: {name}: expected {expected}, found {found}")]
     Value {
         /// Line or document that holds the error.
-        place: String,
+        location: String,
         /// Name of the value.
         name: String,
         /// Description of what was expected.
@@ -28,18 +28,18 @@
         found: String,
     },
     /// A line is out of sequence.
-    #[error("{place}: expected {expected}")]
+    #[error("{location}: expected {expected}")]
     OutOfSequence {
         /// Line or document that holds the error.
-        place: String,
+        location: String,
         /// Description of what was expected.
         expected: &'static str,
     },
     /// The settings are invalid as a whole.
-    #[error("{place}: settings: {error}")]
+    #[error("{location}: settings: {error}")]
     Settings {
         /// Line or document that holds the settings.
-        place: String,
+        location: String,
         /// Reason why the settings are invalid.
         error: SettingsError,
     },
@@ -50,7 +50,7 @@
 /// Named values, and the line or document that they come from.
 pub(crate) struct Fields<'a> {
     /// Source of the values for error messages, such as `line 3: START`.
-    pub(crate) place: String,
+    pub(crate) location: String,
     /// Name of the message: the first word of a line.
     pub(crate) message: &'a str,
     pub(crate) pairs: HashMap<&'a str, &'a str>,
@@ -61,27 +61,27 @@
     pub(crate) fn parse(line_number: u64, line: &'a str) -> Result<Fields<'a>> {
         let mut parts = line.split(' ');
         let message = parts.next().unwrap_or("");
-        let place = format!("line {line_number}: {message}");
+        let location = format!("line {line_number}: {message}");
         let mut pairs = HashMap::new();
         for part in parts {
             let Some((name, value)) = part.split_once('=') else {
-                return Err(FieldError::NotAPair { place, found: part.to_string() });
+                return Err(FieldError::NotAPair { location, found: part.to_string() });
             };
             pairs.insert(name, value);
         }
-        Ok(Fields { place, message, pairs })
+        Ok(Fields { location, message, pairs })
     }
 
     /// Creates the error for a value that is missing or is not as expected.
     pub(crate) fn error(&self, name: &str, expected: &str) -> FieldError {
         let found = self.pairs.get(name).map_or("nothing".to_string(), |value| format!("'{value}'"));
         let (name, expected) = (name.to_string(), expected.to_string());
-        FieldError::Value { place: self.place.clone(), name, expected, found }
+        FieldError::Value { location: self.location.clone(), name, expected, found }
     }
 
     /// Creates the error for a line that is out of sequence.
     pub(crate) fn out_of_sequence(&self, expected: &'static str) -> FieldError {
-        FieldError::OutOfSequence { place: self.place.clone(), expected }
+        FieldError::OutOfSequence { location: self.location.clone(), expected }
     }
 
     /// Parses a value, if it is present.
--- a/src/site_settings/mod.rs
+++ b/src/site_settings/mod.rs
@@ -4,11 +4,11 @@
 mod fields;
 mod json;
 mod keys;
-mod load_figures;
+mod load_metrics;
 mod site;
 
 pub use fields::FieldError;
 pub(crate) use fields::{Fields, Result};
 pub(crate) use json::flatten;
-pub(crate) use load_figures::set_load_figure;
+pub(crate) use load_metrics::set_load_metric;
 pub(crate) use site::Site;
