--- a/src/decision/admission/customer.rs
+++ b/src/decision/admission/customer.rs
@@ -39,7 +39,7 @@
     pub(crate) last_rejection: Option<RecentRejection>,
     pub(crate) plan: PlanId,
     /// Number of gateways through which the customer's requests come.
-    pub(crate) spread: f64,
+    pub(crate) gateway_count: f64,
     /// Number of the first of these gateways.
     pub(crate) first_gateway: u32,
     /// Version of the quota lease by which the local bucket was last filled.
@@ -52,7 +52,7 @@
     /// Decides while the counter service is unavailable.
     pub(crate) local_bucket: Option<TokenBucket>,
     /// Units that may be forwarded under a hard limit beyond the quota or without the counter.
-    pub(crate) ceiling_bucket: TokenBucket,
+    pub(crate) hard_limit_bucket: TokenBucket,
     pub(crate) breaker: CircuitBreaker,
     /// Admitted requests of this gateway that have not ended, if the plan has a concurrency quota.
     pub(crate) in_flight: f64,
@@ -66,10 +66,10 @@
             // The bucket is empty at the start of this process, as an earlier process may have spent it. It
             // has filled since then, even if the customer arrives only now: with many gateways, a customer is
             // new to most of them.
-            self.ceiling_bucket.filled_at = admitting_since.max(now - CUSTOMER_IDLE_TIMEOUT);
+            self.hard_limit_bucket.filled_at = admitting_since.max(now - CUSTOMER_IDLE_TIMEOUT);
         }
         self.plan = arrival.plan;
-        self.spread = f64::from(arrival.spread.max(1));
+        self.gateway_count = f64::from(arrival.gateway_count.max(1));
         self.first_gateway = arrival.first_gateway;
         self.last_used = now;
     }
@@ -93,14 +93,14 @@
     /// Moves the counters to the current quota window and epoch.
     pub(crate) fn begin_periods(&mut self, id: CustomerId, plan: &Plan, now: Micros) {
         let no_quota = QuotaWindow { length: CONCURRENCY_EPOCH, units: 0.0 };
-        let window = if plan.rate > 0.0 { QuotaWindow::of(plan) } else { no_quota };
-        let number = Period::at(now, id, window.length).number;
+        let window = if plan.rate > 0.0 { QuotaWindow::for_plan(plan) } else { no_quota };
+        let number = Period::containing(now, id, window.length).number;
         if self.window.period != number {
             self.begin_window(number, window.units, plan.burst);
         }
-        let epoch = Period::at(now, id, CONCURRENCY_EPOCH).number;
+        let epoch = Period::containing(now, id, CONCURRENCY_EPOCH).number;
         if self.epoch.period != epoch {
-            self.epoch = SharedCount { period: epoch, owed: self.in_flight, ..SharedCount::default() };
+            self.epoch = SharedCount { period: epoch, unreported: self.in_flight, ..SharedCount::default() };
         }
     }
 
@@ -118,7 +118,7 @@
         let unspent = previous.carried_over + window_units - previous.known_total();
         self.window = SharedCount {
             period: number,
-            carried_over: if is_consecutive { unspent.clamp(0.0, burst) } else { burst / self.spread },
+            carried_over: if is_consecutive { unspent.clamp(0.0, burst) } else { burst / self.gateway_count },
             carry_over_known: is_consecutive && previous.last_total > 0.0,
             ..SharedCount::default()
         };
@@ -133,19 +133,25 @@
         if self.window.carry_over_known {
             self.accrued_units(id, plan, now) - total
         } else {
-            self.quota_left_elsewhere(id, plan, now, total)
+            self.quota_left_at_other_gateways(id, plan, now, total)
         }
     }
 
     /// Returns the units that the quota still admits at gateways that may not know the last window's total.
-    pub(crate) fn quota_left_elsewhere(&self, id: CustomerId, plan: &Plan, now: Micros, total: f64) -> f64 {
-        self.accrued_units(id, plan, now).max(QuotaWindow::of(plan).units) - total
+    pub(crate) fn quota_left_at_other_gateways(
+        &self,
+        id: CustomerId,
+        plan: &Plan,
+        now: Micros,
+        total: f64,
+    ) -> f64 {
+        self.accrued_units(id, plan, now).max(QuotaWindow::for_plan(plan).units) - total
     }
 
     /// Returns what the previous window left plus what has accrued since.
     fn accrued_units(&self, id: CustomerId, plan: &Plan, now: Micros) -> f64 {
-        let window = QuotaWindow::of(plan);
-        let remaining = Period::at(now, id, window.length).remaining;
+        let window = QuotaWindow::for_plan(plan);
+        let remaining = Period::containing(now, id, window.length).remaining;
         self.window.carried_over + window.units * (1.0 - remaining.secs() / window.length.secs())
     }
 }
--- a/src/decision/admission/local_bucket.rs
+++ b/src/decision/admission/local_bucket.rs
@@ -18,7 +18,8 @@
 
 /// This gateway's share of a customer's quota, as a fraction of it.
 struct QuotaShare {
-    /// Lower bound of the share that [`Customer::take_local`] computes, whatever the other gateways do.
+    /// Lower bound of the share that [`Customer::try_take_from_local_bucket`] computes, whatever the other
+    /// gateways do.
     lower_bound: f64,
     /// Current share by the gateways through which the customer's requests come.
     current: f64,
@@ -41,21 +42,22 @@
     /// absent gateways are distributed evenly among the others. A gateway without a valid lease can't show
     /// that it counts as present, and keeps only the part that is never leased.
     fn share_of(&self, customer: &Customer, gateways: u32, now: Micros) -> QuotaShare {
-        let even = 1.0 / customer.spread;
+        let even = 1.0 / customer.gateway_count;
         let Some(lease) = &self.lease else { return QuotaShare { lower_bound: even, current: even } };
-        let never_leased = (1.0 - lease.fraction) / customer.spread;
+        let never_leased = (1.0 - lease.fraction) / customer.gateway_count;
         let lower_bound = never_leased / 2.0;
         if now >= lease.valid_until {
             return QuotaShare { lower_bound, current: never_leased };
         }
         let first_gateway = customer.first_gateway % gateways;
-        let comes_through =
-            |gateway: &&u32| (**gateway + gateways - first_gateway) % gateways < customer.spread as u32;
+        let comes_through = |gateway: &&u32| {
+            (**gateway + gateways - first_gateway) % gateways < customer.gateway_count as u32
+        };
         let absent = lease.absent_gateways.iter().filter(|gateway| **gateway < gateways);
         let absent = absent.filter(comes_through).count() as f64;
         QuotaShare {
             lower_bound,
-            current: never_leased + lease.fraction / (customer.spread - absent).max(1.0),
+            current: never_leased + lease.fraction / (customer.gateway_count - absent).max(1.0),
         }
     }
 }
@@ -64,10 +66,10 @@
     /// Takes units from the local bucket, and returns whether enough units were left.
     ///
     /// The bucket fills with this gateway's share of the customer's rate. It starts with the same share of
-    /// what the quota was last known to have left. Under a hard limit, [`Customer::take_above_quota`] is
+    /// what the quota was last known to have left. Under a hard limit, [`Customer::try_take_above_quota`] is
     /// called first, and its bucket does start empty. Guards against rejecting customers of few units: a
     /// share that starts empty admits nothing for them for seconds.
-    pub(crate) fn take_local(
+    pub(crate) fn try_take_from_local_bucket(
         &mut self,
         context: &Context,
         lease: &LeaseView,
@@ -107,7 +109,7 @@
         if self.observed.total > 0.0 {
             (self.observed.own / self.observed.total).clamp(0.0, 1.0)
         } else {
-            1.0 / self.spread
+            1.0 / self.gateway_count
         }
     }
 }
--- a/src/decision/handover_state.rs
+++ b/src/decision/handover_state.rs
@@ -100,9 +100,10 @@
     period: u64,
     #[serde(rename = "posted")]
     own_counted: f64,
-    owed: f64,
+    #[serde(rename = "owed")]
+    unreported: f64,
     #[serde(rename = "posting")]
-    in_transit: f64,
+    in_flight: f64,
     #[serde(rename = "seen")]
     last_total: f64,
     #[serde(rename = "left")]
@@ -116,8 +117,8 @@
         CountRecord {
             period: count.period,
             own_counted: count.own_counted,
-            owed: count.owed,
-            in_transit: count.in_transit,
+            unreported: count.unreported,
+            in_flight: count.in_flight,
             last_total: count.last_total,
             carried_over: count.carried_over,
             carry_over_known: count.carry_over_known,
@@ -130,8 +131,8 @@
         SharedCount {
             period: record.period,
             own_counted: record.own_counted,
-            owed: record.owed,
-            in_transit: record.in_transit,
+            unreported: record.unreported,
+            in_flight: record.in_flight,
             last_total: record.last_total,
             carried_over: record.carried_over,
             carry_over_known: record.carry_over_known,
@@ -151,7 +152,8 @@
     #[serde(rename = "refused")]
     pub(crate) last_rejection: Option<RejectionRecord>,
     pub(crate) plan: PlanId,
-    spread: f64,
+    #[serde(rename = "spread")]
+    gateway_count: f64,
     #[serde(rename = "first", default)]
     pub(crate) first_gateway: u32,
     window: CountRecord,
@@ -162,7 +164,7 @@
     #[serde(rename = "bucket")]
     local_bucket: Option<BucketRecord>,
     #[serde(rename = "beyond")]
-    ceiling_bucket: BucketRecord,
+    hard_limit_bucket: BucketRecord,
     breaker: BreakerRecord,
     #[serde(rename = "used")]
     last_used: Micros,
@@ -178,13 +180,13 @@
         CustomerRecord {
             last_rejection: customer.last_rejection.map(rejection),
             plan: customer.plan,
-            spread: customer.spread,
+            gateway_count: customer.gateway_count,
             first_gateway: customer.first_gateway,
             window: customer.window.into(),
             epoch: customer.epoch.into(),
             observed: (customer.observed.own, customer.observed.total),
             local_bucket: customer.local_bucket.map(BucketRecord::from),
-            ceiling_bucket: customer.ceiling_bucket.into(),
+            hard_limit_bucket: customer.hard_limit_bucket.into(),
             breaker: customer.breaker.into(),
             last_used: customer.last_used,
         }
@@ -201,13 +203,13 @@
         Customer {
             last_rejection: record.last_rejection.map(rejection),
             plan: record.plan,
-            spread: record.spread,
+            gateway_count: record.gateway_count,
             first_gateway: record.first_gateway,
             window: record.window.into(),
             epoch: record.epoch.into(),
             observed: ObservedTraffic { own: record.observed.0, total: record.observed.1 },
             local_bucket: record.local_bucket.map(TokenBucket::from),
-            ceiling_bucket: record.ceiling_bucket.into(),
+            hard_limit_bucket: record.hard_limit_bucket.into(),
             breaker: record.breaker.into(),
             last_used: record.last_used,
             ..Customer::default()
--- a/src/decision/load_balancing/outcome.rs
+++ b/src/decision/load_balancing/outcome.rs
@@ -15,7 +15,7 @@
 impl LoadBalancer {
     /// Records the load report of an endpoint, which is the only information about requests from other
     /// gateways.
-    pub(crate) fn load_reported(&mut self, id: EndpointId, report: LoadReport, now: Micros) {
+    pub(crate) fn record_load_report(&mut self, id: EndpointId, report: LoadReport, now: Micros) {
         let Some(in_flight) = report.in_flight else { return };
         self.average_load.record(in_flight);
         if let Some(endpoint) = self.endpoints.get_mut(&id) {
@@ -38,7 +38,7 @@
         if !self.endpoints.contains_key(&id) {
             return false;
         }
-        self.release_slot(id);
+        self.release_permit(id);
         self.adjust_limit(id, &attempt, scale);
         let sample = if attempt.failed_or_missed_objective() { 1.0 } else { 0.0 };
         update_average(&mut self.averages.failure_fraction, sample, ALL_ENDPOINTS_SAMPLE_WEIGHT);
--- a/src/decision/load_balancing/selection.rs
+++ b/src/decision/load_balancing/selection.rs
@@ -4,7 +4,7 @@
 use super::concurrency_limit;
 use super::endpoint_state::EndpointState;
 use crate::decision::context::Context;
-use crate::decision::hash::fraction_of;
+use crate::decision::hash::hash_to_fraction;
 use crate::decision::ids::EndpointId;
 use crate::decision::request::Request;
 use crate::decision::routing;
@@ -13,7 +13,7 @@
 /// that happen to arrive at the same moment.
 const MIN_TOTAL_LIMIT: f64 = 1.0;
 /// The same bound for a gateway whose limits start below one attempt.
-const MIN_TOTAL_LIMIT_SPARSE: f64 = 2.0;
+const MIN_TOTAL_LIMIT_STARTING_BELOW_ONE: f64 = 2.0;
 /// Bounds on an endpoint's latency relative to the average, as a factor of its score.
 const MIN_LATENCY_FACTOR: f64 = 0.7;
 const MAX_LATENCY_FACTOR: f64 = 2.0;
@@ -36,7 +36,7 @@
     is_allowed: &'a dyn Fn(&EndpointState) -> bool,
     /// Factor that scales every concurrency limit to this process's share.
     limit_scale: f64,
-    is_sparse: bool,
+    limits_start_below_one: bool,
     /// Whether some endpoint in service is neither ejected nor on trial with an attempt in flight.
     any_eligible: bool,
     /// Random number that makes the scores of each selection differ.
@@ -64,13 +64,14 @@
         let salt = rng.u64(..);
         let size = self.subset_size(context.now);
         let limit_scale = self.limit_scale(context);
-        let is_sparse = concurrency_limit::initial_limit_below_one(limit_scale);
+        let limits_start_below_one = concurrency_limit::initial_limit_below_one(limit_scale);
         let limit = self.subset_limit(context, size, limit_scale);
-        if limit > 0.0 && self.in_flight >= limit.max(min_total_limit(is_sparse)) {
+        if limit > 0.0 && self.in_flight >= limit.max(min_total_limit(limits_start_below_one)) {
             return None;
         }
         let any_eligible = limit > 0.0 || self.any_eligible(context);
-        let inputs = SelectionInputs { request, is_allowed, limit_scale, is_sparse, any_eligible, salt };
+        let inputs =
+            SelectionInputs { request, is_allowed, limit_scale, limits_start_below_one, any_eligible, salt };
         let candidate = |id: EndpointId| self.scored_candidate(context, &inputs, id);
         let in_subset = self.own_subset_first(context).take(size).filter_map(candidate).reduce(lower_score);
         let choice = in_subset.or_else(|| self.own_subset_first(context).skip(size).find_map(candidate));
@@ -113,7 +114,7 @@
         endpoint.in_flight < limit
             && (!inputs.any_eligible || endpoint.is_eligible(context.now))
             && (inputs.is_allowed)(endpoint)
-            && !routing::is_spared(&inputs.request.route, endpoint, inputs.salt)
+            && !routing::is_skipped_in_slow_start(&inputs.request.route, endpoint, inputs.salt)
     }
 
     /// Returns the expected wait at an endpoint, in requests ahead of this one, with preferences as factors.
@@ -137,14 +138,14 @@
         let wait = (endpoint.in_flight + 1.0 + others_share * expected_load) * self.latency_factor(endpoint);
         let mut score = wait / endpoint.weight * (1.0 + FAILURE_FACTOR * endpoint.failure_fraction)
             + REPEATED_ATTEMPT_PENALTY * attempts_here;
-        score *= 1.0 + (RANDOM_SPREAD + others_share) * fraction_of(inputs.salt ^ id.0) + zone_penalty;
-        if endpoint.is_in_slow_start() && inputs.is_sparse {
+        score *= 1.0 + (RANDOM_SPREAD + others_share) * hash_to_fraction(inputs.salt ^ id.0) + zone_penalty;
+        if endpoint.is_in_slow_start() && inputs.limits_start_below_one {
             score *= 0.0; // The random draw has already chosen this endpoint.
         }
         if endpoint.on_trial && attempts.is_empty() {
             score *= TRIAL_FACTOR;
         }
-        score / routing::weight_of(&inputs.request.route, endpoint)
+        score / routing::endpoint_weight(&inputs.request.route, endpoint)
     }
 
     /// Returns an endpoint's latency relative to the average.
@@ -158,9 +159,9 @@
     }
 }
 
-fn min_total_limit(is_sparse: bool) -> f64 {
-    if is_sparse {
-        MIN_TOTAL_LIMIT_SPARSE
+fn min_total_limit(limits_start_below_one: bool) -> f64 {
+    if limits_start_below_one {
+        MIN_TOTAL_LIMIT_STARTING_BELOW_ONE
     } else {
         MIN_TOTAL_LIMIT
     }
