--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -309,7 +309,7 @@
 async fn close_idle_connections(pool: Rc<ConnectionPool>) {
     loop {
         sleep(IDLE_CHECK_INTERVAL).await;
-        pool.retire();
+        pool.close_expired();
     }
 }
 
--- a/src/proxy/runtime/admin_commands.rs
+++ b/src/proxy/runtime/admin_commands.rs
@@ -48,7 +48,7 @@
         }
         if let Some(backend) = self.backends.get(&endpoint) {
             // Open connections will be stale once the backend has restarted.
-            self.pool.forget(backend.address);
+            self.pool.close_idle(backend.address);
         }
         self.pending_events.push(Event::MaintenanceChanged { endpoint, in_maintenance });
         self.run_tick();
@@ -84,7 +84,7 @@
     /// Reserves the given quarters of the connections and the memory for the other process, if there is one.
     fn reserve_for_other_process(&mut self, other: Option<mpsc::Sender<HandoverMessage>>, quarters: usize) {
         self.other_process = other;
-        self.pool.leave(quarters);
+        self.pool.reserve_for_other_process(quarters);
         self.memory.leave(quarters);
         if let Some(counter) = &self.counter {
             counter.reserve_for_other_process(quarters);
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -81,7 +81,7 @@
         let is_same =
             previous.address == next.address && previous.started_at_unix_ms == next.started_at_unix_ms;
         if !is_same || !next.open.get() {
-            self.pool.forget(previous.address);
+            self.pool.close_idle(previous.address);
             previous.open.set(false);
         }
     }
@@ -94,7 +94,7 @@
             let is_listed = listed.contains(endpoint);
             if !is_listed {
                 backend.open.set(false);
-                self.pool.forget(backend.address);
+                self.pool.close_idle(backend.address);
             }
             is_listed
         });
--- a/src/proxy/upstream/pool.rs
+++ b/src/proxy/upstream/pool.rs
@@ -93,7 +93,7 @@
 
     /// Closes idle connections that have reached the idle limit or were closed by the backend. Raises a lowered idle
     /// limit by a twentieth.
-    pub fn retire(&self) {
+    pub fn close_expired(&self) {
         self.idle_limit.set((self.idle_limit.get() * 21 / 20).min(self.max_idle));
         self.idle.borrow_mut().retain(|_, stack| {
             stack.retain_mut(|c| c.idle_since.elapsed() < self.idle_limit.get() && c.is_usable());
@@ -103,12 +103,12 @@
 
     /// Closes the idle connections to an address that no backend uses any more, or whose backend restarted or is
     /// draining.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
     /// Reserves this many quarters of the connections for the other process of this gateway.
-    pub fn leave(&self, quarters: usize) {
+    pub fn reserve_for_other_process(&self, quarters: usize) {
         self.permits.reserve_for_other_process(self.permits.total() * quarters / 4);
         self.evict_beyond_permits();
     }
--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -122,7 +122,7 @@
     on_runtime(async {
         assert_eq!(attempt(&pool, &backend, LONG).await.outcome, Outcome::Success);
         tokio::time::sleep(Duration::from_millis(25)).await;
-        pool.retire();
+        pool.close_expired();
     });
     stub.wait_for("the idle connection to close", |log| log.closed == 1);
 }
