--- a/src/proxy/downstream/connection.rs
+++ b/src/proxy/downstream/connection.rs
@@ -39,7 +39,7 @@
         async move { Ok::<_, Infallible>(respond(request, &context, open_request).await) }
     });
     let serving = http1::Builder::new()
-        .max_buf_size(context.memory.buffer())
+        .max_buf_size(context.memory.buffer_bytes())
         .header_read_timeout(None)
         .serve_connection(TokioIo::new(socket), service);
     let reason = tokio::select! {
--- a/src/proxy/downstream/request.rs
+++ b/src/proxy/downstream/request.rs
@@ -73,7 +73,7 @@
         return Err(BodyError::TooLong.into());
     }
     let reserved = length.unwrap_or(MAX_BUFFERED_BODY_BYTES);
-    let memory = if reserved <= MAX_BUFFERED_BODY_BYTES { memory.hold(reserved) } else { None };
+    let memory = if reserved <= MAX_BUFFERED_BODY_BYTES { memory.reserve(reserved) } else { None };
     if memory.is_none() && length.is_some() {
         return Ok(BodyWithMemory::streamed(Bytes::new(), reader, None));
     }
--- a/src/proxy/memory_budget.rs
+++ b/src/proxy/memory_budget.rs
@@ -38,17 +38,17 @@
     }
 
     /// Returns the largest size of a connection's buffer, in bytes.
-    pub fn buffer(&self) -> usize {
+    pub fn buffer_bytes(&self) -> usize {
         self.buffer_bytes
     }
 
     /// Reserves memory for a buffered message of this many bytes. Returns `None` if there is not enough left.
-    pub fn hold(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
+    pub fn reserve(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
         self.messages.try_acquire_many(bytes.div_ceil(PERMIT_BYTES))
     }
 
     /// Reserves this many quarters of the message memory for the other process of this gateway.
-    pub fn leave(&self, quarters: usize) {
+    pub fn reserve_for_other_process(&self, quarters: usize) {
         self.messages.reserve_for_other_process(self.messages.total() * quarters / 4);
     }
 }
--- a/src/proxy/runtime/admin_commands.rs
+++ b/src/proxy/runtime/admin_commands.rs
@@ -85,7 +85,7 @@
     fn reserve_for_other_process(&mut self, other: Option<mpsc::Sender<HandoverMessage>>, quarters: usize) {
         self.other_process = other;
         self.pool.reserve_for_other_process(quarters);
-        self.memory.leave(quarters);
+        self.memory.reserve_for_other_process(quarters);
         if let Some(counter) = &self.counter {
             counter.reserve_for_other_process(quarters);
         }
--- a/src/proxy/upstream/attempt.rs
+++ b/src/proxy/upstream/attempt.rs
@@ -132,7 +132,7 @@
         if let Some(connection) = idle_connection {
             return Ok(AttemptConnection { connection, reused: true });
         }
-        let opening = Connection::open(self.backend.address, self.pool.memory.buffer());
+        let opening = Connection::open(self.backend.address, self.pool.memory.buffer_bytes());
         match timeout(self.pool.connect_timeout, opening).await {
             Ok(Ok(connection)) => Ok(AttemptConnection { connection, reused: false }),
             Ok(Err(error)) if is_local_shortage(&error) => {
--- a/src/proxy/upstream/response.rs
+++ b/src/proxy/upstream/response.rs
@@ -101,7 +101,7 @@
     let ResponseReading { pool, address, mut connection, permit } = reading;
     let length = body.size_hint().exact().map(|n| usize::try_from(n).unwrap_or(usize::MAX));
     let reserved = length.unwrap_or(MAX_BUFFERED_BODY_BYTES);
-    let memory = if reserved <= MAX_BUFFERED_BODY_BYTES { pool.memory.hold(reserved) } else { None };
+    let memory = if reserved <= MAX_BUFFERED_BODY_BYTES { pool.memory.reserve(reserved) } else { None };
     let limits = CollectLimits { has_memory: memory.is_some(), length_known: length.is_some() };
     let mut collected = CollectedChunks::default();
     match collect_body(&mut connection, &mut body, limits, &mut collected).await {
--- a/tests/memory_budget.rs
+++ b/tests/memory_budget.rs
@@ -7,10 +7,10 @@
 fn buffered_messages_stay_within_their_share_of_the_memory() {
     let sockets = SocketLimits { clients: 64, backends: 32, counter: 4 };
     let memory = MemoryBudget::new(16.0, sockets);
-    let reservations: Vec<_> = std::iter::from_fn(|| memory.hold(64 * 1024)).collect();
+    let reservations: Vec<_> = std::iter::from_fn(|| memory.reserve(64 * 1024)).collect();
     assert!((30..=47).contains(&reservations.len()), "{}", reservations.len());
     drop(reservations);
-    assert!(memory.hold(64 * 1024).is_some());
-    let buffers = 3 * memory.buffer() * (sockets.clients + sockets.backends);
+    assert!(memory.reserve(64 * 1024).is_some());
+    let buffers = 3 * memory.buffer_bytes() * (sockets.clients + sockets.backends);
     assert!(buffers <= 8_000_000, "{buffers}");
 }
