--- a/src/proxy/control_plane/counter.rs
+++ b/src/proxy/control_plane/counter.rs
@@ -115,7 +115,7 @@
                         return reply;
                     }
                     Err(problem) => {
-                        if self.protocol_error_log.allows(Instant::now()) {
+                        if self.protocol_error_log.try_log(Instant::now()) {
                             warn!(status = %response.status(), %problem, "call to the counter failed");
                         }
                         // The connection is closed, because the rest of a malformed response could be taken for the
--- a/src/proxy/control_plane/discovery/call.rs
+++ b/src/proxy/control_plane/discovery/call.rs
@@ -163,7 +163,7 @@
         };
         let broken = CallFailure::Broken { received: 0 };
         let Some(request) = self.request() else { return Err(broken) };
-        let response = connection.begin(request, || {}).await.map_err(|_: CallError| broken)?;
+        let response = connection.send(request, || {}).await.map_err(|_: CallError| broken)?;
         match response.status() {
             StatusCode::OK => Ok((connection, response.into_body())),
             status => Err(CallFailure::Status(status)),
--- a/src/proxy/control_plane/discovery/mod.rs
+++ b/src/proxy/control_plane/discovery/mod.rs
@@ -232,7 +232,7 @@
         self.metrics.discovery.call_failed(kind);
         self.consecutive_failures += 1;
         let is_new = self.last_failure.replace(kind) != Some(kind);
-        if self.log_limit.allows(Instant::now()) || is_new {
+        if self.log_limit.try_log(Instant::now()) || is_new {
             warn!(
                 problem = %failure,
                 failures = self.consecutive_failures,
--- a/src/proxy/downstream/accept.rs
+++ b/src/proxy/downstream/accept.rs
@@ -49,7 +49,7 @@
     pub async fn failed(&mut self, error: &io::Error) {
         self.consecutive_errors = self.consecutive_errors.saturating_add(1);
         self.failures += 1;
-        if self.log_limit.allows(Instant::now()) {
+        if self.log_limit.try_log(Instant::now()) {
             warn!(%error, failures = self.failures, "accepting a connection failed; will retry");
         }
         let is_connection_error =
--- a/src/proxy/downstream/server.rs
+++ b/src/proxy/downstream/server.rs
@@ -72,17 +72,17 @@
     }
 }
 
-/// Serves clients until SIGTERM, finishes the accepted connections, and returns. `reserved_for_other_process` is the
+/// Serves clients until SIGTERM, finishes the accepted connections, and returns. `other_process_connections` is the
 /// number of connections that the other process of this gateway may hold.
 pub async fn serve(
     listener: TcpListener,
     context: Rc<ProxyContext>,
-    reserved_for_other_process: watch::Receiver<usize>,
+    other_process_connections: watch::Receiver<usize>,
 ) {
     let idle_connections = Rc::new(IdleConnections::new(context.lifecycle.clone()));
     let shutdown = Shutdown::new(context.clone());
     let mut server = ClientServer { context, idle_connections, shutdown, sweep: interval(SWEEP_INTERVAL) };
-    server.accept_connections(listener, reserved_for_other_process).await;
+    server.accept_connections(listener, other_process_connections).await;
     server.finish_connections().await;
 }
 
@@ -99,7 +99,7 @@
     async fn accept_connections(
         &mut self,
         listener: TcpListener,
-        mut reserved_for_other_process: watch::Receiver<usize>,
+        mut other_process_connections: watch::Receiver<usize>,
     ) {
         let permits = self.context.permits.clone();
         let mut lifecycle = self.context.lifecycle.subscribe();
@@ -129,8 +129,8 @@
                 }
                 () = sleep(EVICTION_INTERVAL), if waits_for_permit => self.idle_connections.evict_one(),
                 _ = self.sweep.tick() => self.idle_connections.sweep(),
-                Ok(()) = reserved_for_other_process.changed() => {
-                    permits.reserve_for_other_process(*reserved_for_other_process.borrow_and_update());
+                Ok(()) = other_process_connections.changed() => {
+                    permits.reserve_for_other_process(*other_process_connections.borrow_and_update());
                 }
                 Ok(()) = lifecycle.changed() => {
                     self.idle_connections.sweep();
--- a/src/proxy/log_rate_limit.rs
+++ b/src/proxy/log_rate_limit.rs
@@ -15,7 +15,7 @@
 
 impl LogRateLimiter {
     /// Returns whether a line may be logged now. If so, the line counts as logged.
-    pub fn allows(&self, now: Instant) -> bool {
+    pub fn try_log(&self, now: Instant) -> bool {
         let is_allowed = self.last_logged_at.get().is_none_or(|last| now >= last + MIN_INTERVAL);
         if is_allowed {
             self.last_logged_at.set(Some(now));
--- a/src/proxy/runtime/endpoints.rs
+++ b/src/proxy/runtime/endpoints.rs
@@ -39,7 +39,7 @@
         if complete {
             self.remove_unlisted(&updates);
         }
-        self.report_open_backends();
+        self.report_accepting_backends();
         let scope = if complete { WatchScope::Complete } else { WatchScope::Incremental };
         self.pending_events.push(Event::EndpointsChanged { scope, endpoints: updates });
     }
@@ -51,7 +51,7 @@
         let backend = Backend {
             address: entry.address,
             started_at_unix_ms: entry.started_at_unix_ms,
-            open: Cell::new(entry.status == EndpointStatus::InService),
+            accepts_requests: Cell::new(entry.status == EndpointStatus::InService),
         };
         self.close_previous_backend(endpoint, &backend);
         let update = EndpointUpdate {
@@ -80,9 +80,9 @@
         let Some(previous) = self.backends.get(&endpoint) else { return };
         let is_same =
             previous.address == next.address && previous.started_at_unix_ms == next.started_at_unix_ms;
-        if !is_same || !next.open.get() {
+        if !is_same || !next.accepts_requests.get() {
             self.pool.close_idle(previous.address);
-            previous.open.set(false);
+            previous.accepts_requests.set(false);
         }
     }
 
@@ -93,7 +93,7 @@
         self.backends.retain(|endpoint, backend| {
             let is_listed = listed.contains(endpoint);
             if !is_listed {
-                backend.open.set(false);
+                backend.accepts_requests.set(false);
                 self.pool.close_idle(backend.address);
             }
             is_listed
@@ -101,10 +101,10 @@
     }
 
     /// Where a write queue watches the uplink, reports the backends that may be dialled to detect that it is back.
-    fn report_open_backends(&self) {
+    fn report_accepting_backends(&self) {
         if self.outcomes.records_reachability() {
-            let open = self.backends.values().filter(|backend| backend.open.get());
-            self.outcomes.set_backends(open.map(|backend| backend.address).collect());
+            let accepting = self.backends.values().filter(|backend| backend.accepts_requests.get());
+            self.outcomes.set_backends(accepting.map(|backend| backend.address).collect());
         }
     }
 
--- a/src/proxy/runtime/requests.rs
+++ b/src/proxy/runtime/requests.rs
@@ -39,7 +39,7 @@
 
     /// Takes the sender of the final response. From then on no attempt of the request is written to a backend.
     pub fn take_reply(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
-        self.forwarded.wanted.set(false);
+        self.forwarded.is_sendable.set(false);
         self.reply.take()
     }
 
--- a/src/proxy/upstream/attempt.rs
+++ b/src/proxy/upstream/attempt.rs
@@ -98,7 +98,7 @@
                 self.request_sent_at.set(Some(Instant::now()));
                 self.pool.metrics.attempts_sent.increment();
             };
-            match connection.begin(call, on_request_sent).await {
+            match connection.send(call, on_request_sent).await {
                 Ok(response) => {
                     let reading = ResponseReading {
                         pool: self.pool,
@@ -145,11 +145,11 @@
     /// Returns why the request must not be sent any more, if something has changed while the connection was set up.
     fn reason_not_to_send(&self) -> Option<NotSentReason> {
         // Guards against sending to a backend that has started to drain.
-        if !self.backend.open.get() {
+        if !self.backend.accepts_requests.get() {
             return Some(NotSentReason::EndpointDraining);
         }
         // Guards against sending for a client that has disconnected, even where attempts must not be cancelled.
-        if !self.request.wanted.get() {
+        if !self.request.is_sendable.get() {
             return Some(NotSentReason::RequestEnded);
         }
         // Guards against sending after this gateway was paused and another has taken over the request's ledger record.
--- a/src/proxy/upstream/backend.rs
+++ b/src/proxy/upstream/backend.rs
@@ -12,5 +12,5 @@
     /// connections opened before it are no longer valid.
     pub started_at_unix_ms: u64,
     /// Cleared when the endpoint list removes the backend, replaces it or marks it as draining.
-    pub open: Cell<bool>,
+    pub accepts_requests: Cell<bool>,
 }
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -172,7 +172,7 @@
     /// # Errors
     ///
     /// Returns an error that says how much of the call was written when the connection ended.
-    pub async fn begin(
+    pub async fn send(
         &mut self,
         request: Request<OutboundBody>,
         on_sent: impl FnOnce(),
@@ -212,7 +212,7 @@
     /// Returns the errors of [`Connection::begin`], and `Broken` if the response is longer than
     /// `MAX_BUFFERED_BODY_BYTES`.
     pub async fn call(&mut self, request: Request<OutboundBody>) -> Result<Response<Bytes>, CallError> {
-        let (head, body) = self.begin(request, || {}).await?.into_parts();
+        let (head, body) = self.send(request, || {}).await?.into_parts();
         let body = self.drive(Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect()).await;
         let body = body.and_then(Result::ok).ok_or(CallError::Broken)?.to_bytes();
         Ok(Response::from_parts(head, body))
--- a/src/proxy/upstream/forwarded_request.rs
+++ b/src/proxy/upstream/forwarded_request.rs
@@ -25,7 +25,7 @@
     /// Body of the request.
     pub body: RequestPayload,
     /// Cleared once the request is answered or its client has disconnected: from then on no attempt sends it.
-    pub wanted: Cell<bool>,
+    pub is_sendable: Cell<bool>,
     /// Notified of each attempt, if it must be known whether one may have run.
     pub tracker: Option<Rc<AttemptTracker>>,
     /// Claim on the request's ledger record, if there is one.
@@ -35,7 +35,15 @@
 impl ForwardedRequest {
     /// Returns a request as the client sent it, without claim and tracker.
     pub fn new(method: Method, uri: Uri, headers: HeaderMap, body: RequestPayload) -> ForwardedRequest {
-        ForwardedRequest { method, uri, headers, body, wanted: Cell::new(true), tracker: None, claim: None }
+        ForwardedRequest {
+            method,
+            uri,
+            headers,
+            body,
+            is_sendable: Cell::new(true),
+            tracker: None,
+            claim: None,
+        }
     }
     /// Returns the client's id of the request, for logs.
     pub fn call_id(&self) -> Option<&str> {
--- a/src/proxy/upstream/response.rs
+++ b/src/proxy/upstream/response.rs
@@ -77,7 +77,7 @@
 ) -> AttemptResult {
     let outcome = response_outcome(&response);
     let parsed = load_report::parse(response.headers());
-    if parsed.malformed && reading.pool.malformed_report_log.allows(Instant::now()) {
+    if parsed.malformed && reading.pool.malformed_report_log.try_log(Instant::now()) {
         warn!(address = %reading.address, "invalid load report from a backend; ignoring its malformed parts");
     }
     match outcome {
--- a/tests/backend.rs
+++ b/tests/backend.rs
@@ -19,7 +19,7 @@
 const LONG: Duration = Duration::from_secs(5);
 
 fn backend(stub: &Stub) -> Backend {
-    Backend { address: stub.address, started_at_unix_ms: 0, open: Cell::new(true) }
+    Backend { address: stub.address, started_at_unix_ms: 0, accepts_requests: Cell::new(true) }
 }
 
 fn pool(connections: usize, idle: Duration) -> Rc<ConnectionPool> {
@@ -42,7 +42,7 @@
 fn attempt_is_not_sent_if_the_backend_drains_while_connecting() {
     let stub = Stub::start(|_| http("200 OK", "ok"));
     let (pool, backend) = (pool(8, LONG), backend(&stub));
-    backend.open.set(false);
+    backend.accepts_requests.set(false);
     let result = on_runtime(attempt(&pool, &backend, LONG));
     assert_eq!(result.outcome, Outcome::NotSent);
     stub.wait_for("the connection to close", |log| log.opened == 1 && log.closed == 1);
@@ -110,7 +110,8 @@
 fn unreachable_backend_gives_connect_failed() {
     let refusing = Refusing::start();
     let unused_address = refusing.address();
-    let backend = Backend { address: unused_address, started_at_unix_ms: 0, open: Cell::new(true) };
+    let backend =
+        Backend { address: unused_address, started_at_unix_ms: 0, accepts_requests: Cell::new(true) };
     let pool = pool(8, LONG);
     assert_eq!(on_runtime(attempt(&pool, &backend, LONG)).outcome, Outcome::ConnectFailed);
 }
