--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -237,8 +237,8 @@
     /// Notifies the runtime of the quota shares that this gateway may use, if quota shares are leased at all.
     fn notify_quota_lease(&self, shares: QuotaShares) {
         let QuotaShares { until, free_seats } = shares;
-        if self.config.lendable_part > 0.0 {
-            let fraction = self.config.lendable_part;
+        if self.config.leasable_fraction > 0.0 {
+            let fraction = self.config.leasable_fraction;
             let lease = QuotaLease { fraction, valid_until: until, absent_gateways: free_seats };
             (self.notify_runtime)(ClusterUpdate::QuotaLease(lease));
         }
--- a/src/proxy/control_plane/config/cluster.rs
+++ b/src/proxy/control_plane/config/cluster.rs
@@ -14,7 +14,7 @@
     /// Listening address for datagrams of other gateways.
     pub listen: SocketAddr,
     /// Fraction of each quota share that may be leased; 0 if shares are fixed.
-    pub lendable_part: f64,
+    pub leasable_fraction: f64,
     /// Time-out of each wait of a request for the ledger.
     pub ledger_timeout: Duration,
     /// Classes whose requests are finished by another gateway if their gateway fails and no client retries them.
--- a/src/proxy/control_plane/config/cluster_file.rs
+++ b/src/proxy/control_plane/config/cluster_file.rs
@@ -36,7 +36,7 @@
     #[serde(default)]
     seats: Vec<String>,
     #[serde(rename = "lend", default)]
-    lendable_part: f64,
+    leasable_fraction: f64,
     #[serde(default)]
     peers: BTreeMap<String, SocketAddr>,
     ledger: Option<LedgerDocument>,
@@ -200,8 +200,8 @@
     }
     let settings = node_settings(&document, branch, name);
     settings.check().map_err(ConfigError::ClusterSettings)?;
-    let lendable = document.lendable_part;
-    if !(0.0..=1.0).contains(&lendable) || lendable > 0.0 && settings.seats.is_empty() {
+    let leasable_fraction = document.leasable_fraction;
+    if !(0.0..=1.0).contains(&leasable_fraction) || leasable_fraction > 0.0 && settings.seats.is_empty() {
         let problem = "lend: expected 0 to 1, and seats where it is above 0";
         return Err(ConfigError::ClusterSettings(SettingsError(problem.into())));
     }
@@ -212,7 +212,7 @@
     };
     Ok(ClusterConfig {
         listen: document.listen,
-        lendable_part: lendable,
+        leasable_fraction,
         ledger_timeout: Duration::from_millis(ledger_wait_ms),
         finish_classes,
         storage_dir,
--- a/src/proxy/control_plane/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -168,7 +168,7 @@
     out.add("capabilities", settings.metadata.capabilities);
     out.add("period_ms", settings.probe_period.as_micros() as f64 / 1000.0);
     out.add("seats", &settings.seats);
-    out.add("lend", config.lendable_part);
+    out.add("lend", config.leasable_fraction);
     out.add("peers", &settings.peers);
     let ledger = settings.ledger.as_ref();
     out.add("ledger.holders", ledger.map(|ledger| ledger.replicas));
--- a/src/proxy/runtime.rs
+++ b/src/proxy/runtime.rs
@@ -149,16 +149,16 @@
             rollout: None,
             outcomes,
         };
-        runtime.start_quota_lease(cluster.map_or(0.0, |cluster| cluster.lendable_part));
+        runtime.start_quota_lease(cluster.map_or(0.0, |cluster| cluster.leasable_fraction));
         runtime.start_from_last_known_list(known_endpoints);
         Ok((runtime, admin_sender))
     }
 
     /// Until the cluster reports otherwise, the leasable part of this gateway's quota share may be leased to others,
     /// so the decision module starts without it.
-    fn start_quota_lease(&mut self, lendable_part: f64) {
-        if lendable_part > 0.0 {
-            let lease = QuotaLease { fraction: lendable_part, ..QuotaLease::default() };
+    fn start_quota_lease(&mut self, leasable_fraction: f64) {
+        if leasable_fraction > 0.0 {
+            let lease = QuotaLease { fraction: leasable_fraction, ..QuotaLease::default() };
             self.pending_events.push(Event::QuotaLeaseChanged(lease));
         }
     }
