--- a/src/cluster/event.rs
+++ b/src/cluster/event.rs
@@ -80,7 +80,7 @@
     /// Perform an action of the write queue.
     WriteQueue(WriteQueueEffect),
     /// Use these routing rules from now on.
-    RoutingChanged(Box<RoutingInForce>),
+    RoutingChanged(Box<ActiveRouting>),
     /// Log the progress of a rollout.
     RolloutNotice(RolloutNotice),
     /// The rollout requested at this gateway has started, or could not be started.
@@ -127,11 +127,11 @@
 
 /// Routing rules in force.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RoutingInForce {
+pub struct ActiveRouting {
     /// Key of the latest rollout; none if there was none yet.
     pub key: Option<RolloutKey>,
     /// Whether outcomes of requests are counted.
-    pub counts_outcomes: bool,
+    pub is_counting_outcomes: bool,
     /// Rules for the customers outside the canary share.
     pub baseline: RuleSet,
     /// Rules for the customers in the canary share.
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -34,7 +34,7 @@
 
 pub use crate::decision::{Micros, SettingsError};
 pub use datagram::{DatagramError, MAX_DATAGRAM_BYTES};
-pub use event::{ClusterNotice, Effect, Event, RoutingInForce, TrafficCounters, WriteQueueEffect};
+pub use event::{ActiveRouting, ClusterNotice, Effect, Event, TrafficCounters, WriteQueueEffect};
 pub use ledger::LEDGER_TICK_INTERVAL;
 pub use membership::identity::{
     is_valid_name, Identity, MemberMetadata, CAPABILITY_LEDGER, CAPABILITY_ROLLOUT, MAX_NAME_BYTES,
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -2,7 +2,7 @@
 //! at the ledger.
 
 use super::datagram::{DatagramError, Payload};
-use super::event::{Effect, RoutingInForce};
+use super::event::{ActiveRouting, Effect};
 use super::ledger::{ClaimId, ClaimOutcome};
 use super::ledger_node::{LeaseProgress, OwnSeat};
 use super::membership::identity::CAPABILITY_ROLLOUT;
@@ -64,19 +64,19 @@
     }
 
     /// Returns the routing rules in force.
-    pub fn routing_in_force(&self) -> Option<RoutingInForce> {
+    pub fn routing_in_force(&self) -> Option<ActiveRouting> {
         let controller = self.rollout.as_ref()?;
         Some(match controller.command() {
-            Some(command) => RoutingInForce {
+            Some(command) => ActiveRouting {
                 key: Some(command.key),
-                counts_outcomes: command.is_running() && command.stage > 0,
+                is_counting_outcomes: command.is_running() && command.stage > 0,
                 baseline: command.baseline.clone(),
                 canary: command.canary.clone(),
                 canary_share: command.share(),
             },
-            None => RoutingInForce {
+            None => ActiveRouting {
                 key: None,
-                counts_outcomes: false,
+                is_counting_outcomes: false,
                 baseline: controller.base_rules().clone(),
                 canary: RuleSet::default(),
                 canary_share: 0,
--- a/src/proxy/cluster_transport/disk/fixture_tests.rs
+++ b/src/proxy/cluster_transport/disk/fixture_tests.rs
@@ -228,7 +228,7 @@
         (rollout.key, rollout.baseline, rollout.canary),
         (Some(command.key), command.baseline, command.canary)
     );
-    assert_eq!((rollout.counts_outcomes, rollout.canary_share), (false, 0));
+    assert_eq!((rollout.is_counting_outcomes, rollout.canary_share), (false, 0));
 }
 
 #[test]
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -27,7 +27,7 @@
 use crate::cluster::ledger::{AbandonedRequest, ClaimId, ClaimOutcome};
 use crate::cluster::rollout::RolloutKey;
 use crate::cluster::write_queue::Dot;
-use crate::cluster::{ClusterNode, Effect, Event, QuotaShares, RoutingInForce, StorageWrite};
+use crate::cluster::{ActiveRouting, ClusterNode, Effect, Event, QuotaShares, StorageWrite};
 use crate::decision::QuotaLease;
 use crate::proxy::control_plane::config::ClusterConfig;
 use crate::proxy::lifecycle::drain::Lifecycle;
@@ -55,7 +55,7 @@
     /// The quota shares that this gateway may use have changed.
     QuotaLease(QuotaLease),
     /// The routing rules in force have changed.
-    Routing(Box<RoutingInForce>),
+    Routing(Box<ActiveRouting>),
 }
 
 /// Passes an update to the runtime, without blocking.
--- a/src/proxy/runtime/messages.rs
+++ b/src/proxy/runtime/messages.rs
@@ -1,6 +1,6 @@
 //! Events and commands that the runtime receives.
 
-use crate::cluster::RoutingInForce;
+use crate::cluster::ActiveRouting;
 use crate::decision::{Arrival, CounterKey, EndpointCounts, EndpointId, Micros, QuotaLease, RequestId};
 use crate::proxy::control_plane::counter::{CallNumber, CounterReply};
 use crate::proxy::control_plane::discovery::endpoint_list::EndpointList;
@@ -106,7 +106,7 @@
     /// The gateways have agreed on other quota leases.
     QuotaLeaseChanged(QuotaLease),
     /// Other routing rules are now in force.
-    RoutingChanged(Box<RoutingInForce>),
+    RoutingChanged(Box<ActiveRouting>),
     /// A call to the counter ended.
     CounterReplied {
         /// Key of the counter that was called.
--- a/src/proxy/runtime/routing.rs
+++ b/src/proxy/runtime/routing.rs
@@ -3,7 +3,7 @@
 
 use super::Runtime;
 use crate::cluster::rollout::{Arm, RolloutKey, RuleConfig};
-use crate::cluster::RoutingInForce;
+use crate::cluster::ActiveRouting;
 use crate::decision::{
     has_canary_rules, Arrival, ClassId, CustomerId, Event, PlanId, RouteRule, RoutingRules,
 };
@@ -29,8 +29,8 @@
 
 impl Runtime {
     /// Puts other routing rules in force.
-    pub(super) fn apply_routing(&mut self, in_force: RoutingInForce) {
-        let RoutingInForce { key, counts_outcomes, baseline, canary, canary_share } = in_force;
+    pub(super) fn apply_routing(&mut self, in_force: ActiveRouting) {
+        let ActiveRouting { key, is_counting_outcomes, baseline, canary, canary_share } = in_force;
         let rules = RoutingRules {
             baseline: route_rules(&mut self.site, baseline.0),
             canary: route_rules(&mut self.site, canary.0),
@@ -38,7 +38,7 @@
             salt: key.map_or(0, |key| key.id),
         };
         self.rollout = match key {
-            Some(key) if counts_outcomes => Some(ActiveRollout { key, rules: rules.clone() }),
+            Some(key) if is_counting_outcomes => Some(ActiveRollout { key, rules: rules.clone() }),
             _ => None,
         };
         self.pending_events.push(Event::RoutingChanged(rules));
