--- a/src/cluster/rollout/command.rs
+++ b/src/cluster/rollout/command.rs
@@ -26,7 +26,7 @@
 /// Why a rollout was halted.
 #[derive(Debug, Clone, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub enum HaltReason {
-    /// The canary's requests fail more often than the baseline's.
+    /// The canary's requests fail or are late more often than the baseline's.
     CanaryWorse {
         /// Scope of the comparison: `all`, a zone's name, or `class` and its number.
         scope: String,
--- a/src/proxy/cluster_transport/notices.rs
+++ b/src/proxy/cluster_transport/notices.rs
@@ -26,7 +26,7 @@
                     scope,
                     log_evidence,
                     log_threshold,
-                    "rollout halted: the canary fails more often; the baseline rules are in force"
+                    "rollout halted: the canary's requests fail or are late more often; the baseline rules are in force"
                 )
             }
             HaltReason::Undecided => {
