--- a/lab/tests/disk/simulation.rs
+++ b/lab/tests/disk/simulation.rs
@@ -223,13 +223,13 @@
 
     pub fn run(&mut self, node: usize, effect: WriteQueueEffect) {
         match effect {
-            WriteQueueEffect::Decided { dot, accepted: yes } => {
+            WriteQueueEffect::AcceptanceDecided { dot, accepted: yes } => {
                 if let Some(observed) = self.writes.get_mut(&dot) {
                     (observed.accepted, observed.rejected) = (yes.then_some(self.now), !yes);
                     self.customers_waiting.remove(&observed.customer);
                 }
             }
-            WriteQueueEffect::Forward { write, attempt: tries, may_have_run: before } => {
+            WriteQueueEffect::Forward { write, attempt: tries, may_have_been_executed: before } => {
                 let after = self.rng.random_range(5 * MS..60 * MS);
                 let (outcome, ran) = match (before, self.isolated) {
                     // It may have run, and is not sent again.
--- a/lab/tests/write_queue/simulation.rs
+++ b/lab/tests/write_queue/simulation.rs
@@ -124,7 +124,7 @@
                         }
                     }
                 }
-                QueueEffect::Decided { dot, accepted: yes } => {
+                QueueEffect::AcceptanceDecided { dot, accepted: yes } => {
                     let now = self.now;
                     if let Some(observed) = self.writes.get_mut(&dot) {
                         (observed.accepted, observed.rejected) = (yes.then_some(now), !yes);
@@ -144,7 +144,7 @@
     }
 
     /// A write goes to the backends, if they are reachable and have the capacity.
-    pub fn forward(&mut self, node: usize, dot: Dot, attempt: u16, may_have_run: bool) {
+    pub fn forward(&mut self, node: usize, dot: Dot, attempt: u16, may_have_been_executed: bool) {
         let window = self.now / (100 * MS);
         let before_it = if self.carried.0 == window { self.carried.1 } else { 0 };
         self.carried = (window, before_it + 1);
@@ -158,7 +158,7 @@
         let after = self.rng.random_range(5 * MS..60 * MS);
         let ran = self.now + after / 2;
         if let (ForwardOutcome::Answered(_), Some(observed)) = (outcome, self.writes.get_mut(&dot)) {
-            if may_have_run {
+            if may_have_been_executed {
                 self.maybe_repeated.insert(dot);
             }
             observed.ran.push(ran);
--- a/src/cluster/event.rs
+++ b/src/cluster/event.rs
@@ -94,7 +94,7 @@
 #[derive(Debug)]
 pub enum WriteQueueEffect {
     /// Acceptance of a write was decided.
-    Decided {
+    AcceptanceDecided {
         /// Dot of the write.
         dot: Dot,
         /// Whether the write is accepted.
@@ -107,7 +107,7 @@
         /// Number of the attempt.
         attempt: u16,
         /// Whether an earlier attempt, by this or a previous owner, may have been executed.
-        may_have_run: bool,
+        may_have_been_executed: bool,
     },
     /// A write ended without being completed.
     NotCompleted {
--- a/src/cluster/write_queue/replica.rs
+++ b/src/cluster/write_queue/replica.rs
@@ -38,7 +38,7 @@
         message: QueueMessage,
     },
     /// A write submitted at this gateway was accepted or rejected.
-    Decided {
+    AcceptanceDecided {
         /// Dot of the write.
         dot: Dot,
         /// Whether the write was accepted.
@@ -128,7 +128,7 @@
     /// Forward the write.
     Forward {
         /// Whether an earlier owner may have forwarded the write already.
-        may_have_run: bool,
+        may_have_been_executed: bool,
     },
 }
 
--- a/src/cluster/write_queue/replica/accept.rs
+++ b/src/cluster/write_queue/replica/accept.rs
@@ -20,7 +20,7 @@
 const DEPENDENCY_BYTES: usize = 120;
 
 impl QueueReplica {
-    /// Submits a write. The result follows as `QueueEffect::Decided`. Returns the dot of the write, or `None`
+    /// Submits a write. The result follows as `QueueEffect::AcceptanceDecided`. Returns the dot of the write, or `None`
     /// if it cannot be accepted.
     pub fn accept(&mut self, now: Micros, request: WriteRequest, out: &mut Vec<QueueEffect>) -> Option<Dot> {
         // A retry with the same idempotency key refers to the existing write, once a quorum holds that.
@@ -97,7 +97,7 @@
             let dot = pending.write.dot;
             self.pending_accepts.remove(&token);
             self.counts.accepted += 1;
-            out.push(QueueEffect::Decided { dot, accepted: true });
+            out.push(QueueEffect::AcceptanceDecided { dot, accepted: true });
         }
     }
 
@@ -146,7 +146,7 @@
     fn reject(&mut self, token: u64, out: &mut Vec<QueueEffect>) -> Option<Dot> {
         let dot = self.pending_accepts.remove(&token)?.write.dot;
         self.counts.rejected += 1;
-        out.push(QueueEffect::Decided { dot, accepted: false });
+        out.push(QueueEffect::AcceptanceDecided { dot, accepted: false });
         Some(dot)
     }
 
--- a/src/cluster/write_queue/replica/notify.rs
+++ b/src/cluster/write_queue/replica/notify.rs
@@ -73,13 +73,14 @@
         }
         let (state, follow_up) = (announcement.state, announcement.follow_up);
         self.announcements.remove(&dot);
-        let (WriteState::Sent(attempt), AfterAnnouncement::Forward { may_have_run }) = (state, follow_up)
+        let (WriteState::Sent(attempt), AfterAnnouncement::Forward { may_have_been_executed }) =
+            (state, follow_up)
         else {
             return;
         };
         let Some(entry) = self.log.get(dot) else { return };
         self.counts.forwarded += 1;
-        let first_sent_at = entry.first_sent_at.filter(|_| may_have_run);
+        let first_sent_at = entry.first_sent_at.filter(|_| may_have_been_executed);
         out.push(QueueEffect::Forward { write: entry.write.clone(), attempt, first_sent_at });
     }
 
@@ -158,9 +159,9 @@
         for step in steps {
             match step {
                 ReplayStep::Forward { dot, attempt } => {
-                    let may_have_run =
+                    let may_have_been_executed =
                         self.log.get(dot).is_some_and(|entry| matches!(entry.state, WriteState::Sent(_)));
-                    let follow_up = AfterAnnouncement::Forward { may_have_run };
+                    let follow_up = AfterAnnouncement::Forward { may_have_been_executed };
                     self.announce_with_follow_up(now, dot, WriteState::Sent(attempt), follow_up, out);
                 }
                 ReplayStep::End { dot, outcome } => {
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -24,7 +24,7 @@
         self.write_queue.as_ref().map(|queue| queue.replica().status(dot))
     }
 
-    /// Submits a write. The result follows as `WriteQueueEffect::Decided`. Returns the dot of the write, or
+    /// Submits a write. The result follows as `WriteQueueEffect::AcceptanceDecided`. Returns the dot of the write, or
     /// `None` if it cannot be accepted.
     pub fn accept_write(&mut self, now: Micros, request: WriteRequest, out: &mut Vec<Effect>) -> Option<Dot> {
         // Slow storage must not receive more writes than it can absorb.
@@ -172,10 +172,12 @@
                     }
                     return;
                 }
-                let may_have_run = first_sent_at.is_some();
-                WriteQueueEffect::Forward { write: Box::new(write), attempt, may_have_run }
+                let may_have_been_executed = first_sent_at.is_some();
+                WriteQueueEffect::Forward { write: Box::new(write), attempt, may_have_been_executed }
+            }
+            QueueEffect::AcceptanceDecided { dot, accepted } => {
+                WriteQueueEffect::AcceptanceDecided { dot, accepted }
             }
-            QueueEffect::Decided { dot, accepted } => WriteQueueEffect::Decided { dot, accepted },
             QueueEffect::NotCompleted { dot, outcome } => WriteQueueEffect::NotCompleted { dot, outcome },
             QueueEffect::IsolationChanged { isolated, since_response } => {
                 WriteQueueEffect::IsolationChanged { isolated, since_response }
--- a/src/proxy/cluster_transport/queued_write.rs
+++ b/src/proxy/cluster_transport/queued_write.rs
@@ -9,5 +9,5 @@
     /// Number of the attempt.
     pub attempt: u16,
     /// Whether an earlier owner may have sent the write, so that it may have run.
-    pub may_have_run: bool,
+    pub may_have_been_executed: bool,
 }
--- a/src/proxy/cluster_transport/write_queue_sender.rs
+++ b/src/proxy/cluster_transport/write_queue_sender.rs
@@ -55,7 +55,7 @@
     if let Some(key) = head.idempotency_key {
         let id = RecordId { customer, key };
         let outcome = cluster.claim(id, 0, None)?.outcome().await;
-        if may_have_run_before(&outcome, head.arrival.is_retry) {
+        if may_have_been_executed_before(&outcome, head.arrival.is_retry) {
             return None;
         }
     }
@@ -68,7 +68,7 @@
 
 /// Whether the request may be running at another gateway, or may have run there before the uplink failed. Such a
 /// request must not be queued, because it could run twice.
-fn may_have_run_before(outcome: &ClaimOutcome, is_retry: bool) -> bool {
+fn may_have_been_executed_before(outcome: &ClaimOutcome, is_retry: bool) -> bool {
     match outcome {
         ClaimOutcome::Acquired { existed: false, .. } => false,
         ClaimOutcome::Unavailable => is_retry,
@@ -132,7 +132,7 @@
         (Some(key), RequestPayload::Buffered(body)) => Some(RecordedRequest::new(&head, key, &forward, body)),
         _ => None,
     };
-    if !queued.may_have_run {
+    if !queued.may_have_been_executed {
         let tracker = AttemptTracker::new(false);
         let response = forward_first_time(context, cluster, record.as_ref(), &head, &forward, &tracker).await;
         if let Some(outcome) = certain_outcome(response, &tracker).await {
@@ -177,7 +177,7 @@
         // A rejection tells the client only that an immediate retry is safe. A queued write is retried later, so it
         // counts as not executed only if no attempt may have run.
         Ok(FinalResponse::Rejected { .. } | FinalResponse::Failed) => {
-            match tracker.may_have_run(CANCEL_TIMEOUT).await {
+            match tracker.may_have_been_executed(CANCEL_TIMEOUT).await {
                 true => None,
                 false => Some(ForwardOutcome::NotExecuted),
             }
--- a/src/proxy/cluster_transport/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -49,9 +49,9 @@
 
     pub(super) fn perform_write_queue(&self, effect: WriteQueueEffect) {
         match effect {
-            WriteQueueEffect::Decided { dot, accepted } => self.resolve_write(dot, accepted),
-            WriteQueueEffect::Forward { write, attempt, may_have_run } => {
-                self.queue_forward(QueuedWrite { write, attempt, may_have_run });
+            WriteQueueEffect::AcceptanceDecided { dot, accepted } => self.resolve_write(dot, accepted),
+            WriteQueueEffect::Forward { write, attempt, may_have_been_executed } => {
+                self.queue_forward(QueuedWrite { write, attempt, may_have_been_executed });
             }
             WriteQueueEffect::NotCompleted { dot, outcome } => {
                 warn!(%dot, outcome = ?outcome, "queued write not completed");
