--- a/lab/tests/disk/main.rs
+++ b/lab/tests/disk/main.rs
@@ -140,7 +140,7 @@
     }
     simulation.pass(7_000);
     assert_eq!(simulation.votes(), [(true, true), (false, false), (true, true)]);
-    assert!(simulation.nodes[1].notices.contains(&ClusterNotice::StorageLost), "and it says so");
+    assert!(simulation.nodes[1].notices.contains(&ClusterNotice::StorageFailed), "and it says so");
     assert!(!simulation.write(1, 99, 99), "it accepts nothing");
     assert!(simulation.write(0, 99, 99), "the others do");
     simulation.settle();
--- a/lab/tests/disk/simulation.rs
+++ b/lab/tests/disk/simulation.rs
@@ -213,7 +213,7 @@
                 Effect::WriteQueue(effect) => self.run(node, effect),
                 Effect::Notify(notice) => {
                     let of_disk =
-                        matches!(notice, ClusterNotice::StorageLoaded { .. } | ClusterNotice::StorageLost);
+                        matches!(notice, ClusterNotice::StorageLoaded { .. } | ClusterNotice::StorageFailed);
                     self.nodes[node].notices.extend(of_disk.then_some(notice));
                 }
                 _ => {}
--- a/lab/tests/members/cases.rs
+++ b/lab/tests/members/cases.rs
@@ -157,7 +157,7 @@
     cluster.start(2);
     // Those that were not told find it by what it advertises, once word of it comes round.
     cluster.run_for(seconds(20.0));
-    let knows = |i: usize| cluster.node(i).is_some_and(|node| node.present() == 6);
+    let knows = |i: usize| cluster.node(i).is_some_and(|node| node.present_count() == 6);
     assert!([0, 1, 2].into_iter().all(knows), "{}", describe(&cluster));
 }
 
@@ -167,8 +167,9 @@
     let mut cluster = started(8, 10);
     (1..8).for_each(|i| cluster.cut(0, i));
     cluster.run_for(seconds(20.0));
-    let others_agree =
-        |cluster: &VirtualCluster| (1..8).all(|i| cluster.node(i).is_some_and(|node| node.present() == 7));
+    let others_agree = |cluster: &VirtualCluster| {
+        (1..8).all(|i| cluster.node(i).is_some_and(|node| node.present_count() == 7))
+    };
     assert!(others_agree(&cluster), "{}", describe(&cluster));
     cluster.heal();
     assert_converges(&mut cluster, 10.0);
@@ -183,7 +184,7 @@
     cluster.start(double);
     cluster.run_for(seconds(20.0));
     let older = cluster.node(2).expect("it runs on");
-    let newer = cluster.node(double).expect("it runs").own().incarnation;
+    let newer = cluster.node(double).expect("it runs").own_identity().incarnation;
     assert!(
         older.yielded_to().is_some_and(|to| to >= newer - 64 && to <= newer + 64),
         "{:?}",
--- a/src/cluster/event.rs
+++ b/src/cluster/event.rs
@@ -179,7 +179,7 @@
         votes: (bool, bool),
     },
     /// The storage failed: the gateway has given up its votes and continues to serve requests.
-    StorageLost,
+    StorageFailed,
 }
 
 /// Counters of datagrams and bytes sent, received and dropped.
--- a/src/cluster/membership_node.rs
+++ b/src/cluster/membership_node.rs
@@ -23,7 +23,7 @@
     pub(super) fn tick_membership(&mut self, messages: &mut Vec<OutgoingMessage>, out: &mut Vec<Effect>) {
         self.swim.tick(self.now, messages);
         self.check_own_incarnation(messages, out);
-        if self.left {
+        if self.is_leaving {
             if self.leave_repeats > 0 {
                 self.leave_repeats -= 1;
                 self.swim.gossip(messages);
@@ -40,7 +40,7 @@
 
     /// Leaves the cluster on purpose.
     pub(super) fn leave(&mut self, messages: &mut Vec<OutgoingMessage>) {
-        self.left = true;
+        self.is_leaving = true;
         self.leave_repeats = LEAVE_REPEATS;
         self.swim.leave(messages);
     }
@@ -166,7 +166,7 @@
     /// ledger and the write queue, to hand over its own work and the records of others.
     fn accepts(&self, payload: &Payload) -> bool {
         let is_hand_over = matches!(payload, Payload::Ledger { .. } | Payload::WriteQueue { .. });
-        self.yielded_to.is_none() && (!self.left || is_hand_over)
+        self.yielded_to.is_none() && (!self.is_leaving || is_hand_over)
     }
 
     /// Processes a message of the membership protocol. `known` is the incarnation that the sender knows under this
@@ -179,7 +179,7 @@
         messages: &mut Vec<OutgoingMessage>,
         out: &mut Vec<Effect>,
     ) -> Result<(), DatagramError> {
-        let own = self.own().incarnation;
+        let own = self.own_identity().incarnation;
         if known.incarnation > own {
             self.yield_or_raise_incarnation(known, messages, out);
             return Ok(());
@@ -193,7 +193,10 @@
     /// Checks whether messages named a later incarnation under this member's own name.
     fn check_own_incarnation(&mut self, messages: &mut Vec<OutgoingMessage>, out: &mut Vec<Effect>) {
         let Some(later) = self.swim.take_later_own_incarnation() else { return };
-        if self.yielded_to.is_none() && !self.left && later.incarnation > self.own().incarnation {
+        if self.yielded_to.is_none()
+            && !self.is_leaving
+            && later.incarnation > self.own_identity().incarnation
+        {
             self.yield_or_raise_incarnation(later, messages, out);
         }
     }
@@ -215,7 +218,7 @@
             self.swim.raise_incarnation_above(other.incarnation, messages);
             return;
         }
-        let own = self.own().incarnation;
+        let own = self.own_identity().incarnation;
         self.yielded_to = Some(other.incarnation);
         self.ledger = None;
         self.rollout = None;
--- a/src/cluster/node.rs
+++ b/src/cluster/node.rs
@@ -37,7 +37,7 @@
     /// Incarnation of the newer process under this name, to which this process has yielded its seat.
     pub(super) yielded_to: Option<u64>,
     /// Whether this gateway leaves, or has left, on purpose.
-    pub(super) left: bool,
+    pub(super) is_leaving: bool,
     /// Number of ticks in which this gateway still has to repeat its departure.
     pub(super) leave_repeats: u32,
     /// State of each member in the last notice about it.
@@ -132,7 +132,7 @@
             ring_prober: RingProber::default(),
             duplicate_names: DuplicateNameDetector::default(),
             yielded_to: None,
-            left: false,
+            is_leaving: false,
             leave_repeats: 0,
             notified_states: BTreeMap::new(),
             quota_leases: parts.quota_leases,
@@ -157,7 +157,7 @@
                 self.tick_rollout(out);
                 self.tick_write_queue(out);
             }
-            Event::Leave if self.yielded_to.is_none() && !self.left => self.leave(&mut messages),
+            Event::Leave if self.yielded_to.is_none() && !self.is_leaving => self.leave(&mut messages),
             Event::Leave => {}
             Event::PeerAddressesChanged { addresses } => {
                 self.address_book.configure(addresses);
@@ -171,7 +171,7 @@
     }
 
     /// Current identity of this process.
-    pub fn own(&self) -> &Identity {
+    pub fn own_identity(&self) -> &Identity {
         self.swim.own_identity()
     }
 
@@ -181,7 +181,7 @@
     }
 
     /// Number of members that take part, including this one.
-    pub fn present(&self) -> usize {
+    pub fn present_count(&self) -> usize {
         1 + self.records().filter(|record| record.state.is_present()).count()
     }
 
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -197,7 +197,7 @@
 impl ClusterNode {
     /// Returns the report for operators.
     pub fn report(&self) -> ClusterReport {
-        let own_incarnation = self.own().incarnation;
+        let own_incarnation = self.own_identity().incarnation;
         let health = self.swim.health();
         let traffic = &self.traffic;
         let duplicate_names = self.duplicate_names.confirmed();
@@ -218,7 +218,7 @@
                 ViewReport::new(leases.status(self.now, own_incarnation, self.swim.records()), self.now)
             }),
             ledger: self.ledger.as_ref().map(|ledger| ledger.counts.clone()),
-            present: self.present(),
+            present: self.present_count(),
             received: TrafficVolume { datagrams: traffic.received, bytes: traffic.received_bytes },
             sent: TrafficVolume { datagrams: traffic.sent, bytes: traffic.sent_bytes },
             unaddressed: traffic.unaddressed,
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -149,7 +149,7 @@
         };
         self.next_rollout_tick = now + TICK_INTERVAL;
         let claim = controller.claim();
-        if self.left {
+        if self.is_leaving {
             // Releasing the claim lets another gateway become the leader at once.
             self.rollout = None;
             if let Some(claim) = claim {
--- a/src/cluster/storage_node.rs
+++ b/src/cluster/storage_node.rs
@@ -60,7 +60,7 @@
         if let Some(queue) = self.write_queue.as_mut() {
             queue.replica_mut().lose_storage(self.now, &mut effects);
         }
-        out.push(Effect::Notify(ClusterNotice::StorageLost));
+        out.push(Effect::Notify(ClusterNotice::StorageFailed));
         self.gate_queue_effects(effects, out);
     }
 
--- a/src/cluster/tests.rs
+++ b/src/cluster/tests.rs
@@ -85,7 +85,7 @@
     let rejected = target.traffic().dropped.get(&DatagramError::Rejected).copied().unwrap_or(0);
     assert!(rejected > 1_000, "only {rejected} datagrams reached the protocol and were rejected there");
     assert!(target.records().count() <= MAX_MEMBERS);
-    assert_eq!(members[0].present(), 2);
+    assert_eq!(members[0].present_count(), 2);
 }
 
 fn queue_settings() -> write_queue::WriteQueueSettings {
--- a/src/proxy/cluster_transport/notices.rs
+++ b/src/proxy/cluster_transport/notices.rs
@@ -60,7 +60,7 @@
                 "storage loaded; branch and ledger tell whether this gateway has its vote there at once"
             );
         }
-        ClusterNotice::StorageLost => {
+        ClusterNotice::StorageFailed => {
             warn!("storage failed: this gateway gives up its votes and continues to serve")
         }
     }
--- a/src/proxy/cluster_transport/participation.rs
+++ b/src/proxy/cluster_transport/participation.rs
@@ -98,7 +98,7 @@
             ..self.config.settings.clone()
         };
         let node = ClusterNode::new(settings, self.clock.now(), unix, fastrand::u64(..))?;
-        info!(name = %node.own().name, incarnation = node.own().incarnation, "joining the cluster");
+        info!(name = %node.own_identity().name, incarnation = node.own_identity().incarnation, "joining the cluster");
         if let Some(in_force) = node.routing_in_force().filter(|f| !f.baseline.0.is_empty()) {
             (self.notify_runtime)(ClusterUpdate::Routing(Box::new(in_force)));
         }
