--- a/lab/src/members/virtual_cluster.rs
+++ b/lab/src/members/virtual_cluster.rs
@@ -199,9 +199,9 @@
             probe_period: Duration::from_secs(1),
             seats: self.seats.clone(),
             ledger: None,
-            rules: None,
-            branch: None,
-            disk: None,
+            baseline_rules: None,
+            write_queue: None,
+            storage_machine: None,
         }
     }
 
--- a/lab/tests/disk/simulation.rs
+++ b/lab/tests/disk/simulation.rs
@@ -147,8 +147,8 @@
                 lease: Micros(600 * MS),
                 record_lifetime: Micros(5_000 * MS),
             }),
-            rules: None,
-            branch: Some(WriteQueueSettings {
+            baseline_rules: None,
+            write_queue: Some(WriteQueueSettings {
                 seats: (0..seats as u16).skip(node % self.branches).step_by(self.branches).collect(),
                 max_pending: 5000,
                 max_pending_per_customer: 500,
@@ -159,7 +159,7 @@
                 max_sends_per_second: 400,
                 blocking_classes: Vec::new(),
             }),
-            disk: self.with_disks.then_some(machine),
+            storage_machine: self.with_disks.then_some(machine),
         };
         let reads_after = self.rng.random_range(MS..300 * MS);
         let now = self.now;
--- a/src/cluster/node.rs
+++ b/src/cluster/node.rs
@@ -75,11 +75,11 @@
         let ledger = settings.ledger.map(|ledger_settings| {
             LedgerNode::new(ledger_settings, own_seat, seats, leases.seat_list(), rng.u64(..), now)
         });
-        let rollout = settings.rules.clone().map(|rules| {
+        let rollout = settings.baseline_rules.clone().map(|rules| {
             let zone = settings.metadata.zone.clone();
             RolloutController::new(own_seat, seats, zone, rules, rng.u64(..), now)
         });
-        let write_queue = settings.branch.clone().map(|queue_settings| {
+        let write_queue = settings.write_queue.clone().map(|queue_settings| {
             WriteQueue::new(QueueReplica::new(own_seat, queue_settings, rng.u64(..), now), now)
         });
         SeatDependentParts { quota_leases, ledger, rollout, write_queue }
@@ -116,7 +116,7 @@
         let swim = Swim::new(own, rng.u64(..), settings.probe_period, max_message_bytes);
         let join_schedule = JoinSchedule::new(now, &mut rng);
         let mut parts = SeatDependentParts::new(&settings, now, &mut rng);
-        let persistence = settings.disk.map(|machine| Persistence::new(machine, now));
+        let persistence = settings.storage_machine.map(|machine| Persistence::new(machine, now));
         if persistence.is_some() {
             parts.await_storage();
         }
--- a/src/cluster/settings.rs
+++ b/src/cluster/settings.rs
@@ -41,12 +41,12 @@
     /// Settings of the ledger; without them this gateway is no ledger node.
     pub ledger: Option<LedgerSettings>,
     /// Routing rules in force before any rollout; without them this gateway takes no part in rollouts.
-    pub rules: Option<RuleSet>,
+    pub baseline_rules: Option<RuleSet>,
     /// Settings of the write queue, if this gateway accepts writes while it is isolated from the backends.
-    pub branch: Option<WriteQueueSettings>,
+    pub write_queue: Option<WriteQueueSettings>,
     /// Machine of this gateway, if the gateway has storage there; without storage its state is lost when the process
     /// ends.
-    pub disk: Option<MachineId>,
+    pub storage_machine: Option<MachineId>,
 }
 
 impl Settings {
@@ -103,17 +103,17 @@
         if let Some(ledger) = &self.ledger {
             ledger.check(self.seats.len())?;
         }
-        if let Some(branch) = &self.branch {
+        if let Some(branch) = &self.write_queue {
             let own_seat = self.seats.iter().position(|seat| *seat == self.name).unwrap_or(0);
             branch.check(own_seat as u16, self.seats.len())?;
             if self.ledger.is_none() {
                 return fail("branch: expected a configured ledger, found none".into());
             }
         }
-        if self.disk.is_some() && self.ledger.is_none() {
+        if self.storage_machine.is_some() && self.ledger.is_none() {
             return fail("ledger.dir: expected a configured ledger, found none".into());
         }
-        if let Some(rules) = &self.rules {
+        if let Some(rules) = &self.baseline_rules {
             rules.check()?;
             if self.ledger.is_none() {
                 return fail("rollout: expected a configured ledger, found none".into());
--- a/src/cluster/tests.rs
+++ b/src/cluster/tests.rs
@@ -28,9 +28,9 @@
         probe_period: Duration::from_secs(1),
         seats: vec!["a".into(), "b".into()],
         ledger: None,
-        rules: None,
-        branch: None,
-        disk: None,
+        baseline_rules: None,
+        write_queue: None,
+        storage_machine: None,
     }
 }
 
@@ -114,8 +114,8 @@
         let settings = Settings {
             seats: ["a", "b", "c"].map(String::from).to_vec(),
             ledger: Some(ledger),
-            branch: Some(queue_settings.clone()),
-            disk: Some(MachineId { boot: 7, uptime: Micros(0) }),
+            write_queue: Some(queue_settings.clone()),
+            storage_machine: Some(MachineId { boot: 7, uptime: Micros(0) }),
             ..settings("a")
         };
         let wall_clock = Micros(1_790_000_000_000_000);
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -135,7 +135,7 @@
     fn claim_queue(&mut self, out: &mut Vec<Effect>) {
         let now = self.now;
         let wait = CLAIM_INTERVAL + Micros(self.rng.u64(0..CLAIM_INTERVAL.0));
-        let group = self.settings.branch.as_ref().map(|branch| branch.seats.clone()).unwrap_or_default();
+        let group = self.settings.write_queue.as_ref().map(|branch| branch.seats.clone()).unwrap_or_default();
         let claim = self.open_claim_in_group(now, queue_record(&group), &group, out);
         if let Some(queue) = self.write_queue.as_mut() {
             queue.set_claim(claim, now + wait);
--- a/src/proxy/cluster_transport/disk/fixture_tests/driver.rs
+++ b/src/proxy/cluster_transport/disk/fixture_tests/driver.rs
@@ -87,8 +87,8 @@
             lease: Micros(2_000_000),
             record_lifetime: Micros(10_000_000),
         }),
-        rules: Some(RuleSet(vec![RuleConfig { max_attempts: Some(3), ..RuleConfig::default() }])),
-        branch: Some(WriteQueueSettings {
+        baseline_rules: Some(RuleSet(vec![RuleConfig { max_attempts: Some(3), ..RuleConfig::default() }])),
+        write_queue: Some(WriteQueueSettings {
             seats: vec![0, 1, 2],
             max_pending: 100,
             max_pending_per_customer: 50,
@@ -99,7 +99,7 @@
             max_sends_per_second: 100,
             blocking_classes: vec![1],
         }),
-        disk: Some(machine),
+        storage_machine: Some(machine),
     }
 }
 
--- a/src/proxy/cluster_transport/participation.rs
+++ b/src/proxy/cluster_transport/participation.rs
@@ -94,7 +94,7 @@
         let unix = Micros(unix.as_micros().min(u128::from(u64::MAX)) as u64);
         let settings = Settings {
             peers: addresses,
-            disk: self.config.storage_dir.as_ref().map(|_| disk::machine_id()),
+            storage_machine: self.config.storage_dir.as_ref().map(|_| disk::machine_id()),
             ..self.config.settings.clone()
         };
         let node = ClusterNode::new(settings, self.clock.now(), unix, fastrand::u64(..))?;
--- a/src/proxy/cluster_transport/rollouts.rs
+++ b/src/proxy/cluster_transport/rollouts.rs
@@ -30,7 +30,7 @@
 impl ClusterTransport {
     /// Whether rollouts of routing rules are configured.
     pub fn keeps_rules(&self) -> bool {
-        self.config.settings.rules.is_some()
+        self.config.settings.baseline_rules.is_some()
     }
 
     /// Starts a rollout, and returns its key once the ledger has granted the rollout's record. There is no time-out
--- a/src/proxy/cluster_transport/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -10,7 +10,7 @@
 impl ClusterTransport {
     /// Whether this gateway belongs to a branch that accepts writes.
     pub fn is_of_branch(&self) -> bool {
-        self.config.settings.branch.is_some()
+        self.config.settings.write_queue.is_some()
     }
 
     /// Whether a write of this class, customer and object is to be queued now instead of forwarded directly.
--- a/src/proxy/control_plane/config/cluster.rs
+++ b/src/proxy/control_plane/config/cluster.rs
@@ -63,7 +63,7 @@
         if let Some(name) = queued.find(is_unknown) {
             return Err(unknown("branch", name));
         }
-        if let Some(settings) = &mut self.settings.branch {
+        if let Some(settings) = &mut self.settings.write_queue {
             let number =
                 |name: &String| site.classes.get(name).and_then(|number| u16::try_from(*number).ok());
             settings.send_timeout = max_write_time(site);
--- a/src/proxy/control_plane/config/cluster_file.rs
+++ b/src/proxy/control_plane/config/cluster_file.rs
@@ -225,7 +225,7 @@
 /// Converts to the settings of the cluster node.
 fn node_settings(
     document: &ClusterDocument,
-    branch: Option<write_queue::WriteQueueSettings>,
+    write_queue: Option<write_queue::WriteQueueSettings>,
     name: &str,
 ) -> cluster::Settings {
     let name = document.name.as_deref().unwrap_or(name);
@@ -244,9 +244,9 @@
         probe_period: Duration::from_millis(document.period_ms),
         seats: document.seats.clone(),
         ledger: document.ledger.as_ref().map(LedgerDocument::settings),
-        rules: document.rollout.as_ref().map(|rollout| RuleSet(rollout.rules.clone())),
-        branch,
-        disk: None,
+        baseline_rules: document.rollout.as_ref().map(|rollout| RuleSet(rollout.rules.clone())),
+        write_queue,
+        storage_machine: None,
     }
 }
 
--- a/src/proxy/control_plane/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -177,7 +177,7 @@
     out.add("ledger.wait_ms", config.ledger_timeout.as_micros() as f64 / 1000.0);
     out.add("ledger.dir", &config.storage_dir);
     out.add("ledger.finish", &config.finish_classes);
-    let branch = settings.branch.as_ref();
+    let branch = settings.write_queue.as_ref();
     out.add("branch.seats", branch.map(|branch| branch.seats.clone()));
     out.add("branch.classes", &config.write_queue_classes);
     out.add("branch.writes", branch.map(|branch| branch.max_pending));
@@ -187,8 +187,8 @@
     out.add("branch.out", branch.map(|branch| branch.max_in_flight));
     out.add("branch.per_s", branch.map(|branch| branch.max_sends_per_second));
     out.add("branch.on_failure, classes that stop", &config.write_queue_stop_classes);
-    out.add("rollout.rule", settings.rules.as_ref().map(|rules| rules.0.len()));
-    for (index, rule) in settings.rules.iter().flat_map(|rules| &rules.0).enumerate() {
+    out.add("rollout.rule", settings.baseline_rules.as_ref().map(|rules| rules.0.len()));
+    for (index, rule) in settings.baseline_rules.iter().flat_map(|rules| &rules.0).enumerate() {
         add_rule(&mut out, index, rule);
     }
     out.0
--- a/src/proxy/startup.rs
+++ b/src/proxy/startup.rs
@@ -176,7 +176,9 @@
             tick: settings.tick,
             cluster: config.cluster.clone(),
         };
-        if let Some(rules) = plan.cluster.as_ref().and_then(|cluster| cluster.settings.rules.as_ref()) {
+        if let Some(rules) =
+            plan.cluster.as_ref().and_then(|cluster| cluster.settings.baseline_rules.as_ref())
+        {
             plan.known_names().check(rules).map_err(ConfigError::RoutingRules)?;
         }
         Ok(plan)
@@ -215,7 +217,7 @@
 
     /// Whether this gateway forwards the queued writes of its branch.
     fn queues_writes(&self) -> bool {
-        self.cluster.as_ref().is_some_and(|cluster| cluster.settings.branch.is_some())
+        self.cluster.as_ref().is_some_and(|cluster| cluster.settings.write_queue.is_some())
     }
 
     /// Whether this gateway finishes abandoned requests of failed gateways.
