--- a/lab/tests/rollout/main.rs
+++ b/lab/tests/rollout/main.rs
@@ -196,7 +196,7 @@
     simulation.kill(2);
     simulation.start_node(2);
     (0..6).for_each(|_| simulation.tick());
-    assert_eq!(simulation.command(2).map(RolloutCommand::share), Some(0));
+    assert_eq!(simulation.command(2).map(RolloutCommand::canary_share), Some(0));
 }
 
 /// The leader dies three times, and operators ask for a second rollout all the while.
--- a/lab/tests/rollout/simulation.rs
+++ b/lab/tests/rollout/simulation.rs
@@ -200,7 +200,11 @@
                 let customer = self.rng.random_range(0..self.customers);
                 let dealt = customer.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ command.key.id;
                 let new = dealt.wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 40;
-                let arm = if new % 10_000 < u64::from(command.share()) { Arm::Canary } else { Arm::Baseline };
+                let arm = if new % 10_000 < u64::from(command.canary_share()) {
+                    Arm::Canary
+                } else {
+                    Arm::Baseline
+                };
                 let class = (customer % 3) as u16;
                 let bad = self.rng.random_bool((self.failure_rate)(arm, node % 2, class, self.now));
                 let ended = match (bad, self.rng.random_bool(0.5)) {
--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -45,9 +45,9 @@
     /// Whether the lease still runs after the lease margin, when others have learned of an action started now.
     pub(super) is_held_with_margin: bool,
     /// Claim that was the owner and whose lease has ended; it is to be released.
-    pub(super) lapsed: Option<ClaimId>,
+    pub(super) lapsed_claim: Option<ClaimId>,
     /// Whether the ledger no longer has the claim.
-    pub(super) is_gone: bool,
+    pub(super) is_claim_missing: bool,
 }
 
 impl ClusterNode {
@@ -227,14 +227,14 @@
     pub(super) fn lease_status(&self, claim: Option<ClaimId>) -> RecordLeaseStatus {
         let Some(claim) = claim else { return RecordLeaseStatus::default() };
         let Some(client) = self.ledger.as_ref().and_then(|ledger| ledger.claim(claim)) else {
-            return RecordLeaseStatus { is_gone: true, ..RecordLeaseStatus::default() };
+            return RecordLeaseStatus { is_claim_missing: true, ..RecordLeaseStatus::default() };
         };
         let has_lapsed = client.is_owner() && !client.may_act(self.now);
         RecordLeaseStatus {
             is_held: client.has_lease(self.now),
             is_held_with_margin: client.has_lease(self.now + self.settings.lease_margin()),
-            lapsed: has_lapsed.then_some(claim),
-            is_gone: false,
+            lapsed_claim: has_lapsed.then_some(claim),
+            is_claim_missing: false,
         }
     }
 
--- a/src/cluster/rollout/command.rs
+++ b/src/cluster/rollout/command.rs
@@ -140,7 +140,7 @@
     }
 
     /// Number of customers, of 10,000, that have the new rules now.
-    pub fn share(&self) -> u16 {
+    pub fn canary_share(&self) -> u16 {
         match self.end {
             None => self.settings.share(self.stage),
             Some(RolloutEnd::Completed) => ALL_CUSTOMERS,
--- a/src/cluster/rollout/controller/report.rs
+++ b/src/cluster/rollout/controller/report.rs
@@ -100,7 +100,7 @@
             number: key.number,
             confirmed: key.confirmed,
             stage: StagePosition { stage: *stage, stages: settings.stage_shares.len() },
-            percent: f64::from(command.share()) / 100.0,
+            percent: f64::from(command.canary_share()) / 100.0,
             paused: pause.is_paused,
             state: rollout_state(command),
             reason: halt_reason_text(command),
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -72,7 +72,7 @@
                 is_counting_outcomes: command.is_running() && command.stage > 0,
                 baseline: command.baseline.clone(),
                 canary: command.canary.clone(),
-                canary_share: command.share(),
+                canary_share: command.canary_share(),
             },
             None => ActiveRouting {
                 key: None,
@@ -159,9 +159,9 @@
         }
         let lease = self.lease_status(claim);
         // A record has a limited lifetime: after that its owner, or another gateway, claims it again.
-        if lease.lapsed.is_some() || lease.is_gone {
+        if lease.lapsed_claim.is_some() || lease.is_claim_missing {
             self.on_rollout_claim_failed(out);
-            if let Some(claim) = lease.lapsed {
+            if let Some(claim) = lease.lapsed_claim {
                 self.release_claim(now, claim, None, out);
             }
         }
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -108,9 +108,9 @@
         // Nothing is started so late that the lease could end before the other gateways have learned of it.
         let has_lease_with_margin = lease.is_held_with_margin;
         let is_unused = has_lease_with_margin && queue.is_idle();
-        let to_release = lease.lapsed.or(queue.claim().filter(|_| is_unused || self.is_leaving));
-        if to_release.is_some() || lease.is_gone {
-            self.give_up_queue_claim(to_release, lease.lapsed.is_some(), out);
+        let to_release = lease.lapsed_claim.or(queue.claim().filter(|_| is_unused || self.is_leaving));
+        if to_release.is_some() || lease.is_claim_missing {
+            self.give_up_queue_claim(to_release, lease.lapsed_claim.is_some(), out);
         }
         if !self.is_leaving && self.write_queue.as_ref().is_some_and(|queue| queue.should_claim(now)) {
             self.claim_queue(out);
