--- a/src/proxy/admin/call.rs
+++ b/src/proxy/admin/call.rs
@@ -39,7 +39,7 @@
     fn available_calls(&self) -> AvailableCalls {
         AvailableCalls {
             cluster: self.cluster.is_some(),
-            rollouts: self.cluster.as_ref().is_some_and(|cluster| cluster.keeps_rules()),
+            rollouts: self.cluster.as_ref().is_some_and(|cluster| cluster.allows_rollouts()),
         }
     }
 }
--- a/src/proxy/admin/rollout_calls.rs
+++ b/src/proxy/admin/rollout_calls.rs
@@ -81,8 +81,8 @@
             StartError::NotText | StartError::Invalid(_) | StartError::UnknownName(_) => {
                 StatusCode::BAD_REQUEST
             }
-            StartError::Cluster(RolloutStartError::NoRecord) => StatusCode::CONFLICT,
-            StartError::Cluster(RolloutStartError::NotTaken(result)) => return command_reply(*result),
+            StartError::Cluster(RolloutStartError::RecordNotGranted) => StatusCode::CONFLICT,
+            StartError::Cluster(RolloutStartError::NotAccepted(result)) => return command_reply(*result),
             StartError::LedgerTimeout => StatusCode::SERVICE_UNAVAILABLE,
         };
         AdminReply::text(status, format!("{error}\n"))
@@ -115,7 +115,7 @@
 }
 
 fn report(cluster: &ClusterTransport) -> AdminReply {
-    match cluster.rollout() {
+    match cluster.rollout_report() {
         Some(report) => AdminReply::json(report),
         None => AdminReply::text(StatusCode::NOT_FOUND, "no rollout yet\n"),
     }
--- a/src/proxy/admin/stats.rs
+++ b/src/proxy/admin/stats.rs
@@ -145,7 +145,7 @@
 }
 
 fn write_queue_lines(lines: &mut StatsText, write_queue: &WriteQueueStats) {
-    lines.flag("branch.cut", write_queue.cut_off);
+    lines.flag("branch.cut", write_queue.is_isolated);
     lines.flag("branch.votes", write_queue.votes);
     lines.line("branch.waiting", write_queue.waiting as u64);
     lines.line("branch.out", write_queue.forwarding as u64);
--- a/src/proxy/cluster_transport/abandoned_requests.rs
+++ b/src/proxy/cluster_transport/abandoned_requests.rs
@@ -30,7 +30,7 @@
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(1600);
 
 /// Finishes the abandoned requests that the cluster offers, until the channel is closed.
-pub async fn finish_all(
+pub async fn finish_abandoned_requests(
     context: Rc<ProxyContext>,
     cluster: Rc<ClusterTransport>,
     mut requests: mpsc::Receiver<AbandonedRequest>,
@@ -77,7 +77,7 @@
     };
     let record = RecordedRequest::new(&head, key, &forward, body);
     let matches_record = (record.id, record.digest) == (request.id, request.request_digest);
-    if !matches_record || !cluster.finishes(context.rules.class_name(head.arrival.class)) {
+    if !matches_record || !cluster.finishes_abandoned(context.rules.class_name(head.arrival.class)) {
         return AbandonedOutcome::NotResumable;
     }
     resume(context, cluster, &record, &head, &forward).await
--- a/src/proxy/cluster_transport/claims.rs
+++ b/src/proxy/cluster_transport/claims.rs
@@ -10,13 +10,13 @@
 
 impl ClusterTransport {
     /// Whether this gateway has a ledger.
-    pub fn keeps_ledger(&self) -> bool {
+    pub fn has_ledger(&self) -> bool {
         self.config.settings.ledger.is_some()
     }
 
     /// Whether abandoned requests of this class are finished: the gateway that owned the request has failed, and its
     /// client has not retried.
-    pub fn finishes(&self, class: &str) -> bool {
+    pub fn finishes_abandoned(&self, class: &str) -> bool {
         self.config.finish_classes.iter().any(|name| name == class)
     }
 
--- a/src/proxy/cluster_transport/participation.rs
+++ b/src/proxy/cluster_transport/participation.rs
@@ -81,7 +81,7 @@
             buffer: vec![0; MAX_DATAGRAM_BYTES + 1],
             budget: ReceiveBudget { remaining: DATAGRAM_BUDGET, refill_at: now },
             next_tick: now,
-            next_ledger_tick: self.keeps_ledger().then_some(now),
+            next_ledger_tick: self.has_ledger().then_some(now),
             dropped_log: DroppedDatagramLog { count: 0, checked_at: now },
             leaving: false,
         };
--- a/src/proxy/cluster_transport/rollouts.rs
+++ b/src/proxy/cluster_transport/rollouts.rs
@@ -21,15 +21,15 @@
 pub enum RolloutStartError {
     /// The node of this gateway did not accept the request.
     #[error("this gateway did not accept the rollout: {0:?}")]
-    NotTaken(CommandResult),
+    NotAccepted(CommandResult),
     /// This gateway did not acquire the rollout's record from the ledger.
     #[error("another rollout runs, or the ledger has no majority")]
-    NoRecord,
+    RecordNotGranted,
 }
 
 impl ClusterTransport {
     /// Whether rollouts of routing rules are configured.
-    pub fn keeps_rules(&self) -> bool {
+    pub fn allows_rollouts(&self) -> bool {
         self.config.settings.baseline_rules.is_some()
     }
 
@@ -45,8 +45,10 @@
         let result =
             self.with_node(self.participation.get(), |node, now, out| node.start_rollout(now, request, out));
         match result.unwrap_or(CommandResult::Disabled) {
-            CommandResult::Done => start_result.await.ok().flatten().ok_or(RolloutStartError::NoRecord),
-            result => Err(RolloutStartError::NotTaken(result)),
+            CommandResult::Done => {
+                start_result.await.ok().flatten().ok_or(RolloutStartError::RecordNotGranted)
+            }
+            result => Err(RolloutStartError::NotAccepted(result)),
         }
     }
 
@@ -62,7 +64,7 @@
 
     /// The report of the last rollout for operators, as JSON. `None` if there has been no rollout, or this process
     /// does not participate in the cluster.
-    pub fn rollout(&self) -> Option<String> {
+    pub fn rollout_report(&self) -> Option<String> {
         let report = self.node.borrow().as_ref()?.rollout_report(self.clock.now())?;
         serde_json::to_string_pretty(&report).ok()
     }
--- a/src/proxy/cluster_transport/stats.rs
+++ b/src/proxy/cluster_transport/stats.rs
@@ -43,7 +43,7 @@
 /// Figures of the write queue at this gateway.
 pub struct WriteQueueStats {
     /// Whether the branch is isolated from the backends.
-    pub cut_off: bool,
+    pub is_isolated: bool,
     /// Whether this gateway has a vote on writes.
     pub votes: bool,
     /// Number of writes that have not ended.
@@ -77,7 +77,7 @@
             report: node.report(),
             ledger: self.ledger_stats(node),
             write_queue: write_queue_stats(node),
-            rollout: self.keeps_rules().then(|| RolloutStats {
+            rollout: self.allows_rollouts().then(|| RolloutStats {
                 report: node.rollout_report(self.clock.now()),
                 outcomes_dropped: self.outcomes.dropped(),
             }),
@@ -104,7 +104,7 @@
 fn write_queue_stats(node: &ClusterNode) -> Option<WriteQueueStats> {
     let replica = node.write_queue()?.replica();
     Some(WriteQueueStats {
-        cut_off: replica.is_isolated(),
+        is_isolated: replica.is_isolated(),
         votes: replica.has_vote(),
         waiting: replica.log().pending_count(),
         forwarding: replica.in_flight(),
--- a/src/proxy/cluster_transport/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -9,7 +9,7 @@
 
 impl ClusterTransport {
     /// Whether this gateway belongs to a branch that accepts writes.
-    pub fn is_of_branch(&self) -> bool {
+    pub fn belongs_to_branch(&self) -> bool {
         self.config.settings.write_queue.is_some()
     }
 
--- a/src/proxy/downstream/connection.rs
+++ b/src/proxy/downstream/connection.rs
@@ -95,7 +95,7 @@
 
 /// Returns the status of a write that a branch accepted.
 fn write_status(context: &ProxyContext, method: &Method, path: &str) -> Response<ClientResponseBody> {
-    let cluster = context.cluster.as_ref().filter(|cluster| cluster.is_of_branch());
+    let cluster = context.cluster.as_ref().filter(|cluster| cluster.belongs_to_branch());
     let Some(cluster) = cluster else { return plain_text(StatusCode::NOT_FOUND, "no such path\n") };
     if *method != Method::GET {
         return plain_text(StatusCode::METHOD_NOT_ALLOWED, "not this path's method\n");
--- a/src/proxy/downstream/request.rs
+++ b/src/proxy/downstream/request.rs
@@ -175,7 +175,7 @@
         };
         let mut record = RecordedRequest::new(&self.head, key, &forward(None), body);
         let arrival = Arrival { deadline: self.deadline, ..self.head.arrival.clone() };
-        if cluster.finishes(self.context.rules.class_name(arrival.class)) {
+        if cluster.finishes_abandoned(self.context.rules.class_name(arrival.class)) {
             record.serialized = serialize(&self.method, &self.uri, &self.headers, body);
         }
         serve_recorded(self.context, cluster, &record, arrival, forward).await
--- a/src/proxy/startup.rs
+++ b/src/proxy/startup.rs
@@ -96,7 +96,7 @@
     let permits = Rc::new(Permits::new(plan.max_client_connections));
     let (other_process_sender, other_process_connections) = watch::channel(0);
     let handover = plan.handover(address, commands, &parts, permits.clone(), other_process_sender);
-    let ledger = transport.filter(|transport| transport.keeps_ledger());
+    let ledger = transport.filter(|transport| transport.has_ledger());
     let context = Rc::new(plan.proxy_context(&parts, sender, permits, ledger.clone()));
     if let Some(ledger) = ledger {
         if plan.queues_writes() {
@@ -105,7 +105,11 @@
             spawn_local(check_uplink(parts.outcomes.clone()));
         }
         if plan.finishes_requests() {
-            spawn_local(abandoned_requests::finish_all(context.clone(), ledger, requests_to_finish));
+            spawn_local(abandoned_requests::finish_abandoned_requests(
+                context.clone(),
+                ledger,
+                requests_to_finish,
+            ));
         }
     }
     let serving = async {
