--- a/lab/tests/rollout/main.rs
+++ b/lab/tests/rollout/main.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use quota_gateway::cluster::rollout::{
-    Arm, HaltReason, RequestOutcome, RolloutCommand, RolloutEnd, RolloutState, TICK_INTERVAL,
+    Arm, HaltReason, RequestOutcome, RolloutEnd, RolloutState, RolloutStatus, TICK_INTERVAL,
 };
 use quota_gateway::cluster::Micros;
 use simulation::{Simulation, MS};
@@ -123,7 +123,7 @@
         for _ in 0..100 {
             simulation.tick();
         }
-        halted += u64::from(simulation.state().contains(&RolloutState::Halted));
+        halted += u64::from(simulation.state().contains(&RolloutStatus::Halted));
     }
     assert!(halted <= plays() / 4, "{halted} halted");
     // Its gateways are gone: the stage stays where it is.
@@ -159,7 +159,7 @@
             });
         }
     }
-    assert!(!simulation.state().contains(&RolloutState::Halted), "{:?}", simulation.state());
+    assert!(!simulation.state().contains(&RolloutStatus::Halted), "{:?}", simulation.state());
 }
 
 /// Gateways that are cut off from the leader see the new rules fail. They halt by themselves, and the halt wins once the
@@ -190,13 +190,13 @@
     assert!((3..9).all(|n| simulation.command(n).is_some_and(|o| o.end.is_some() || o.stage == before)));
     simulation.partition.fill(0);
     (0..8).for_each(|_| simulation.tick());
-    assert!(simulation.state().iter().all(|s| *s == RolloutState::Halted), "{:?}", simulation.state());
+    assert!(simulation.state().iter().all(|s| *s == RolloutStatus::Halted), "{:?}", simulation.state());
     assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
     // One that was away, and forgot all, takes what is in force.
     simulation.kill(2);
     simulation.start_node(2);
     (0..6).for_each(|_| simulation.tick());
-    assert_eq!(simulation.command(2).map(RolloutCommand::canary_share), Some(0));
+    assert_eq!(simulation.command(2).map(RolloutState::canary_share), Some(0));
 }
 
 /// The leader dies three times, and operators ask for a second rollout all the while.
@@ -209,7 +209,7 @@
         simulation.tick();
         leaders.extend(simulation.leader);
         assert!(
-            simulation.state().contains(&RolloutState::Completed)
+            simulation.state().contains(&RolloutStatus::Completed)
                 || !simulation.request_rollout((simulation.now % 7) as usize)
         );
         if deaths < 3 && simulation.leader.is_some() && simulation.now % (9_000 * MS) < TICK_INTERVAL.0 {
@@ -222,7 +222,7 @@
     }
     assert!(leaders.len() > 1 && deaths == 3, "{leaders:?}, {deaths} deaths");
     assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
-    assert!(simulation.state().iter().all(|s| *s == RolloutState::Completed), "{:?}", simulation.state());
+    assert!(simulation.state().iter().all(|s| *s == RolloutStatus::Completed), "{:?}", simulation.state());
 }
 
 proptest! {
--- a/lab/tests/rollout/simulation.rs
+++ b/lab/tests/rollout/simulation.rs
@@ -2,8 +2,8 @@
 //! die, and requests whose failure rates each test sets.
 
 use quota_gateway::cluster::rollout::{
-    Arm, ControllerEffect, RequestOutcome, RolloutCommand, RolloutController, RolloutMessage, RolloutRequest,
-    RolloutState, TICK_INTERVAL,
+    Arm, ControllerEffect, RequestOutcome, RolloutController, RolloutMessage, RolloutRequest, RolloutState,
+    RolloutStatus, TICK_INTERVAL,
 };
 use quota_gateway::cluster::Micros;
 use rand::{RngExt, SeedableRng};
@@ -151,7 +151,7 @@
         begun && self.leader == Some(node)
     }
 
-    pub fn command(&self, node: usize) -> Option<&RolloutCommand> {
+    pub fn command(&self, node: usize) -> Option<&RolloutState> {
         self.nodes[node].as_ref().and_then(RolloutController::command)
     }
 
@@ -257,7 +257,7 @@
         }
     }
 
-    pub fn state(&self) -> Vec<RolloutState> {
+    pub fn state(&self) -> Vec<RolloutStatus> {
         let report = |n: usize| self.nodes[n].as_ref().and_then(|s| s.report(Micros(self.now)));
         (0..self.nodes.len()).filter_map(report).map(|r| r.state).collect()
     }
@@ -266,7 +266,7 @@
     pub fn run_until_ended(&mut self, seconds: u64) {
         for _ in 0..seconds * 2 {
             self.tick();
-            let over = self.state().iter().all(|s| *s != RolloutState::Running);
+            let over = self.state().iter().all(|s| *s != RolloutStatus::Running);
             if over && !self.state().is_empty() {
                 return;
             }
--- a/src/cluster/rollout/controller.rs
+++ b/src/cluster/rollout/controller.rs
@@ -6,12 +6,12 @@
 mod leading;
 pub(super) mod report;
 
-use super::command::{Pause, RolloutCommand, RolloutEnd, RolloutKey};
 use super::count_rows::{CollectedCounts, MAX_COUNTS_AGE};
 use super::message::RolloutMessage;
 use super::outcome_counts::OutcomeCounts;
 use super::plan::{RolloutRequest, RuleSet};
 use super::sequential_test::StageStart;
+use super::state::{Pause, RolloutEnd, RolloutKey, RolloutState};
 use crate::cluster::ledger::ClaimId;
 use crate::decision::Micros;
 
@@ -106,7 +106,7 @@
     process: u64,
     sequence: u64,
     rng: fastrand::Rng,
-    command: Option<RolloutCommand>,
+    command: Option<RolloutState>,
     ended_at: Option<Micros>,
     outcomes: OutcomeCounts,
     collected: CollectedCounts,
@@ -160,7 +160,7 @@
     }
 
     /// The rollout's state at this gateway; none before the first rollout.
-    pub fn command(&self) -> Option<&RolloutCommand> {
+    pub fn command(&self) -> Option<&RolloutState> {
         self.command.as_ref()
     }
 
@@ -176,10 +176,10 @@
 
     /// Whether a rollout runs, as far as this gateway knows.
     fn is_running(&self) -> bool {
-        self.command.as_ref().is_some_and(RolloutCommand::is_running)
+        self.command.as_ref().is_some_and(RolloutState::is_running)
     }
 
-    fn running_command(&self) -> Option<&RolloutCommand> {
+    fn running_command(&self) -> Option<&RolloutState> {
         self.command.as_ref().filter(|command| command.is_running())
     }
 
@@ -228,7 +228,7 @@
     pub fn apply(
         &mut self,
         now: Micros,
-        command: &RolloutCommand,
+        command: &RolloutState,
         present: &[u16],
         out: &mut Vec<ControllerEffect>,
     ) {
@@ -265,11 +265,11 @@
     fn notify_change(
         &mut self,
         now: Micros,
-        command: &RolloutCommand,
+        command: &RolloutState,
         known_end: Option<RolloutEnd>,
         out: &mut Vec<ControllerEffect>,
     ) {
-        let RolloutCommand { key, stage, pause, end, .. } = command;
+        let RolloutState { key, stage, pause, end, .. } = command;
         let Some(end) = end else {
             let notice = RolloutNotice::StageChanged { key: *key, stage: *stage, paused: pause.is_paused };
             out.push(ControllerEffect::Notify(notice));
--- a/src/cluster/rollout/controller/counting.rs
+++ b/src/cluster/rollout/controller/counting.rs
@@ -1,10 +1,10 @@
 //! Counting of this gateway's outcomes, and selection of the gateways that collect all counts.
 
 use super::{ControllerEffect, RolloutController};
-use crate::cluster::rollout::command::{RolloutCommand, RolloutKey};
 use crate::cluster::rollout::count_rows::{ClassRow, CountRow, MAX_CLASSES_PER_ROW};
 use crate::cluster::rollout::message::RolloutMessage;
 use crate::cluster::rollout::outcome_counts::{Arm, RequestOutcome};
+use crate::cluster::rollout::state::{RolloutKey, RolloutState};
 use crate::decision::Micros;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -43,7 +43,7 @@
     pub(super) fn send_counts(
         &mut self,
         now: Micros,
-        command: &RolloutCommand,
+        command: &RolloutState,
         collectors: &[u16],
         out: &mut Vec<ControllerEffect>,
     ) {
--- a/src/cluster/rollout/controller/leading.rs
+++ b/src/cluster/rollout/controller/leading.rs
@@ -2,9 +2,9 @@
 //! leader.
 
 use super::{ControllerEffect, LedStage, RolloutController};
-use crate::cluster::rollout::command::{HaltReason, Pause, RolloutCommand, RolloutEnd, RolloutKey};
 use crate::cluster::rollout::plan::RolloutRequest;
 use crate::cluster::rollout::sequential_test::{halt_reason, is_stage_in_force, may_pass_stage, StageStart};
+use crate::cluster::rollout::state::{HaltReason, Pause, RolloutEnd, RolloutKey, RolloutState};
 use crate::decision::Micros;
 
 /// Time without an announcement from the leader after which it is replaced.
@@ -41,9 +41,9 @@
         }
         let before = self.command.as_ref();
         let number = before.map_or(0, |command| command.key.number).saturating_add(1);
-        let baseline = before.map_or(&self.base_rules, RolloutCommand::next_baseline).clone();
+        let baseline = before.map_or(&self.base_rules, RolloutState::next_baseline).clone();
         let key = RolloutKey { number, confirmed: false, id: self.rng.u64(..) };
-        let command = RolloutCommand {
+        let command = RolloutState {
             key,
             stage: 0,
             pause: Pause::default(),
@@ -82,7 +82,7 @@
     pub(super) fn halt_or_advance(
         &mut self,
         now: Micros,
-        command: &RolloutCommand,
+        command: &RolloutState,
         present: &[u16],
         out: &mut Vec<ControllerEffect>,
     ) {
@@ -101,13 +101,13 @@
         }
     }
 
-    fn halt_command(&self, command: &RolloutCommand, reason: HaltReason) -> RolloutCommand {
+    fn halt_command(&self, command: &RolloutState, reason: HaltReason) -> RolloutState {
         let end = RolloutEnd::Halted { seat: self.own_seat, reason };
-        RolloutCommand { end: Some(end), ..command.clone() }
+        RolloutState { end: Some(end), ..command.clone() }
     }
 
     /// Returns the leader's next state of the rollout, if it changes.
-    fn next_command(&mut self, now: Micros, command: &RolloutCommand) -> Option<RolloutCommand> {
+    fn next_command(&mut self, now: Micros, command: &RolloutState) -> Option<RolloutState> {
         let seats = self.seats;
         let new_stage = LedStage { stage: command.stage, since: now, start: None };
         let led = match &mut self.led_stage {
@@ -126,17 +126,17 @@
         }
         if command.stage == 0 && in_force {
             let key = RolloutKey { confirmed: true, ..command.key };
-            return Some(RolloutCommand { key, stage: 1, ..command.clone() });
+            return Some(RolloutState { key, stage: 1, ..command.clone() });
         }
         let settings = &command.settings;
         let bake_time_elapsed =
             |start: &&StageStart| in_force && now - start.started_at >= seconds(settings.bake_s);
         if let Some(start) = led.start.as_ref().filter(bake_time_elapsed) {
             if settings.is_last(command.stage) {
-                return Some(RolloutCommand { end: Some(RolloutEnd::Completed), ..command.clone() });
+                return Some(RolloutState { end: Some(RolloutEnd::Completed), ..command.clone() });
             }
             if may_pass_stage(now, &self.collected, start, settings) {
-                return Some(RolloutCommand { stage: command.stage + 1, ..command.clone() });
+                return Some(RolloutState { stage: command.stage + 1, ..command.clone() });
             }
         }
         let is_overdue = now - led.since >= seconds(settings.max_stage_s);
--- a/src/cluster/rollout/controller/report.rs
+++ b/src/cluster/rollout/controller/report.rs
@@ -2,16 +2,16 @@
 //! `into`).
 
 use super::RolloutController;
-use crate::cluster::rollout::command::{HaltReason, RolloutCommand, RolloutEnd};
 use crate::cluster::rollout::count_rows::ProcessCounts;
 use crate::cluster::rollout::outcome_counts::OutcomeTotals;
+use crate::cluster::rollout::state::{HaltReason, RolloutEnd, RolloutState};
 use crate::decision::Micros;
 use serde::Serialize;
 
 /// Whether a rollout runs, or how it ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum RolloutState {
+pub enum RolloutStatus {
     /// The rollout has not ended.
     Running,
     /// All customers have the new rules.
@@ -69,7 +69,7 @@
     /// Whether the rollout is paused.
     pub paused: bool,
     /// Whether the rollout runs, or how it ended.
-    pub state: RolloutState,
+    pub state: RolloutStatus,
     /// Why the rollout was halted, and by which seat.
     #[serde(rename = "why")]
     pub reason: Option<String>,
@@ -92,7 +92,7 @@
     /// Returns the report for operators; none before the first rollout.
     pub fn report(&self, now: Micros) -> Option<RolloutReport> {
         let command = self.command.as_ref()?;
-        let RolloutCommand { key, stage, pause, settings, .. } = command;
+        let RolloutState { key, stage, pause, settings, .. } = command;
         let fresh = self.collected.fresh(now);
         let is_following =
             |process: &&&ProcessCounts| process.stage == *stage && process.has_ended != command.is_running();
@@ -102,7 +102,7 @@
             stage: StagePosition { stage: *stage, stages: settings.stage_shares.len() },
             percent: f64::from(command.canary_share()) / 100.0,
             paused: pause.is_paused,
-            state: rollout_state(command),
+            state: rollout_status(command),
             reason: halt_reason_text(command),
             leads: self.is_leading,
             collects: self.is_collector,
@@ -132,17 +132,17 @@
     }
 }
 
-fn rollout_state(command: &RolloutCommand) -> RolloutState {
+fn rollout_status(command: &RolloutState) -> RolloutStatus {
     match command.end {
-        None => RolloutState::Running,
-        Some(RolloutEnd::Completed) => RolloutState::Completed,
-        Some(RolloutEnd::Aborted) => RolloutState::Aborted,
-        Some(RolloutEnd::Halted { .. }) => RolloutState::Halted,
+        None => RolloutStatus::Running,
+        Some(RolloutEnd::Completed) => RolloutStatus::Completed,
+        Some(RolloutEnd::Aborted) => RolloutStatus::Aborted,
+        Some(RolloutEnd::Halted { .. }) => RolloutStatus::Halted,
     }
 }
 
 /// Returns a text of the operators' JSON, whose wording is fixed.
-fn halt_reason_text(command: &RolloutCommand) -> Option<String> {
+fn halt_reason_text(command: &RolloutState) -> Option<String> {
     let Some(RolloutEnd::Halted { seat, reason }) = &command.end else { return None };
     Some(match reason {
         HaltReason::CanaryWorse { scope, log_evidence, log_threshold } => format!(
--- a/src/cluster/rollout/count_rows.rs
+++ b/src/cluster/rollout/count_rows.rs
@@ -1,8 +1,8 @@
 //! Counts received from all gateways. Only the newest of each process is kept, so that lost, duplicated, reordered and
 //! late messages do no harm.
 
-use super::command::RolloutKey;
 use super::outcome_counts::{ClassCounts, MAX_CLASSES};
+use super::state::RolloutKey;
 use crate::decision::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/src/cluster/rollout/message.rs
+++ b/src/cluster/rollout/message.rs
@@ -1,7 +1,7 @@
 //! Messages about a rollout, encoded with postcard: the order of variants and fields is part of the wire form.
 
-use super::command::RolloutCommand;
 use super::count_rows::CountRow;
+use super::state::RolloutState;
 use serde::{Deserialize, Serialize};
 
 /// A message between the rollout controllers of two gateways.
@@ -10,7 +10,7 @@
     /// The rollout's state as the sender knows it.
     Command {
         /// The rollout's state.
-        command: Box<RolloutCommand>,
+        command: Box<RolloutState>,
         /// Whether the sender leads the rollout.
         is_leader: bool,
     },
--- a/src/cluster/rollout/sequential_test.rs
+++ b/src/cluster/rollout/sequential_test.rs
@@ -3,10 +3,10 @@
 //! The halt is a sequential test of one-sided alternatives by betting (see `outcome_counts`), which may be evaluated at
 //! any time. A stage passes on a non-inferiority test of what was counted since the stage came into force.
 
-use super::command::HaltReason;
 use super::count_rows::{CollectedCounts, ProcessCounts, ProcessKey, Sequenced};
 use super::outcome_counts::{ClassCounts, OutcomeTotals, PerArm, BET_COUNT};
 use super::plan::RolloutSettings;
+use super::state::HaltReason;
 use crate::decision::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/cluster/rollout/command.rs
+++ b/src/cluster/rollout/state.rs
@@ -66,7 +66,7 @@
 
 /// The state of a rollout that gateways replicate.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RolloutCommand {
+pub struct RolloutState {
     /// Identity of the rollout.
     pub key: RolloutKey,
     /// The stage in force. At 0 gateways know the rollout, but no customer has the new rules.
@@ -83,7 +83,7 @@
     pub canary: RuleSet,
 }
 
-impl RolloutCommand {
+impl RolloutState {
     /// Whether a state received from another gateway is within all bounds.
     pub fn is_valid(&self) -> bool {
         let end_is_valid = match &self.end {
@@ -111,7 +111,7 @@
     }
 
     /// Merges the state that another gateway knows. Returns whether anything changed.
-    pub fn merge(&mut self, other: &RolloutCommand) -> bool {
+    pub fn merge(&mut self, other: &RolloutState) -> bool {
         if !self.is_same_rollout(other.key) {
             let is_newer = other.key > self.key;
             if is_newer {
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -8,8 +8,8 @@
 use super::membership::identity::CAPABILITY_ROLLOUT;
 use super::node::ClusterNode;
 use super::rollout::{
-    Arm, CommandResult, ControllerEffect, RequestOutcome, RolloutCommand, RolloutController, RolloutKey,
-    RolloutMessage, RolloutReport, RolloutRequest, RuleSet, ROLLOUT_RECORD, TICK_INTERVAL,
+    Arm, CommandResult, ControllerEffect, RequestOutcome, RolloutController, RolloutKey, RolloutMessage,
+    RolloutReport, RolloutRequest, RolloutState, RuleSet, ROLLOUT_RECORD, TICK_INTERVAL,
 };
 use crate::decision::Micros;
 
@@ -171,8 +171,8 @@
     }
 
     /// Applies the rollout's stored state, unless a newer one has been received.
-    pub(super) fn restore_rollout(&mut self, command: Option<RolloutCommand>, out: &mut Vec<Effect>) {
-        let Some(command) = command.filter(RolloutCommand::is_valid) else { return };
+    pub(super) fn restore_rollout(&mut self, command: Option<RolloutState>, out: &mut Vec<Effect>) {
+        let Some(command) = command.filter(RolloutState::is_valid) else { return };
         let now = self.now;
         self.with_controller(now, out, |controller, present, effects| {
             controller.apply(now, &command, present, effects);
--- a/src/cluster/storage/persistence.rs
+++ b/src/cluster/storage/persistence.rs
@@ -5,7 +5,7 @@
     decode, encode, StorageHeader, StorageWrite, StoredKey, StoredWrite, FORMAT_VERSION,
 };
 use crate::cluster::ledger::{LedgerEffect, RecordId, Replica, ReplicaEntry};
-use crate::cluster::rollout::RolloutCommand;
+use crate::cluster::rollout::RolloutState;
 use crate::cluster::write_queue::{LogEntry, QueueEffect, QueueReplica};
 use crate::decision::Micros;
 
@@ -18,12 +18,12 @@
     Ledger(LedgerEffect),
 }
 
-/// Durability gate of a gateway, with the votes and the rollout command that are already stored.
+/// Durability gate of a gateway, with the votes and the rollout state that are already stored.
 pub struct Persistence {
     gate: DurabilityGate<GatedEffect>,
     queue_vote_stored: bool,
     ledger_vote_stored: bool,
-    command: Option<RolloutCommand>,
+    command: Option<RolloutState>,
 }
 
 /// Status of a gateway's storage.
@@ -46,8 +46,8 @@
     pub records: Vec<(RecordId, ReplicaEntry)>,
     /// Whether the entries are all that this gateway's replica ever promised and accepted.
     pub records_complete: bool,
-    /// Rollout command that was in force.
-    pub command: Option<RolloutCommand>,
+    /// Rollout state that was in force.
+    pub command: Option<RolloutState>,
     /// Whether any stored value could not be decoded.
     has_unreadable: bool,
 }
@@ -153,13 +153,13 @@
         writes
     }
 
-    /// Returns the rollout command to store, or `None` if it has not changed.
-    pub fn command_change(&mut self, command: &RolloutCommand) -> Option<StorageWrite> {
+    /// Returns the rollout state to store, or `None` if it has not changed.
+    pub fn command_change(&mut self, command: &RolloutState) -> Option<StorageWrite> {
         if self.command.as_ref() == Some(command) {
             return None;
         }
         self.command = Some(command.clone());
-        Some(StoredKey::RolloutCommand.put(encode(command)))
+        Some(StoredKey::RolloutState.put(encode(command)))
     }
 
     /// Called with the contents of the storage once it is open. Returns the state of earlier processes of this
@@ -214,7 +214,7 @@
                 restored.records_complete = true;
                 true
             }
-            Some(StoredKey::RolloutCommand) if self.is_same_gateway => {
+            Some(StoredKey::RolloutState) if self.is_same_gateway => {
                 restored.command = decode(value);
                 restored.command.is_some()
             }
--- a/src/cluster/storage/stored_format.rs
+++ b/src/cluster/storage/stored_format.rs
@@ -9,7 +9,7 @@
 pub const FORMAT_VERSION: u32 = 1;
 
 const HEADER: &[u8] = b"head";
-const ROLLOUT_COMMAND: &[u8] = b"order";
+const ROLLOUT_STATE: &[u8] = b"order";
 const QUEUE_VOTE: &[u8] = b"voted/branch";
 const LEDGER_VOTE: &[u8] = b"voted/ledger";
 /// First bytes of the keys of writes and records; the encoded identifier follows.
@@ -30,8 +30,8 @@
 pub enum StoredKey<'a> {
     /// Identifies the gateway that wrote the storage. The value is a `StorageHeader`.
     Header,
-    /// Rollout command in force. The value is a `RolloutCommand`.
-    RolloutCommand,
+    /// Rollout state in force. The value is a `RolloutState`.
+    RolloutState,
     /// Marks that an earlier process had a vote in the branch, so that all writes it acknowledged are stored.
     /// The value is empty.
     QueueVote,
@@ -48,7 +48,7 @@
     pub fn parse(key: &'a [u8]) -> Option<StoredKey<'a>> {
         match key {
             HEADER => Some(StoredKey::Header),
-            ROLLOUT_COMMAND => Some(StoredKey::RolloutCommand),
+            ROLLOUT_STATE => Some(StoredKey::RolloutState),
             QUEUE_VOTE => Some(StoredKey::QueueVote),
             LEDGER_VOTE => Some(StoredKey::LedgerVote),
             [WRITE, identifier @ ..] => Some(StoredKey::Write(identifier)),
@@ -61,7 +61,7 @@
     pub fn to_bytes(self) -> Vec<u8> {
         match self {
             StoredKey::Header => HEADER.to_vec(),
-            StoredKey::RolloutCommand => ROLLOUT_COMMAND.to_vec(),
+            StoredKey::RolloutState => ROLLOUT_STATE.to_vec(),
             StoredKey::QueueVote => QUEUE_VOTE.to_vec(),
             StoredKey::LedgerVote => LEDGER_VOTE.to_vec(),
             StoredKey::Write(identifier) => [&[WRITE], identifier].concat(),
--- a/src/proxy/admin/rollout_calls.rs
+++ b/src/proxy/admin/rollout_calls.rs
@@ -5,7 +5,7 @@
 use crate::cluster::rollout::RolloutRequest;
 use crate::cluster::CommandResult;
 use crate::decision::SettingsError;
-use crate::proxy::cluster_transport::rollouts::{RolloutCommand, RolloutStartError};
+use crate::proxy::cluster_transport::rollouts::{OperatorCommand, RolloutStartError};
 use crate::proxy::cluster_transport::ClusterTransport;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -29,7 +29,7 @@
     /// `POST /rollout`: start the rollout defined in the body.
     Start,
     /// `POST /rollout/pause`, `/resume` and `/abort`: change the running rollout.
-    Command(RolloutCommand),
+    Command(OperatorCommand),
 }
 
 impl RolloutCall {
@@ -43,9 +43,9 @@
             "" if is_read_method(method) => Ok(RolloutCall::Report),
             "" if method == Method::POST => Ok(RolloutCall::Start),
             "" => Err(AdminCallError::MethodNotAllowed { allow: "GET, HEAD, POST" }),
-            "pause" => require_post(method, RolloutCall::Command(RolloutCommand::Pause)),
-            "resume" => require_post(method, RolloutCall::Command(RolloutCommand::Resume)),
-            "abort" => require_post(method, RolloutCall::Command(RolloutCommand::Abort)),
+            "pause" => require_post(method, RolloutCall::Command(OperatorCommand::Pause)),
+            "resume" => require_post(method, RolloutCall::Command(OperatorCommand::Resume)),
+            "abort" => require_post(method, RolloutCall::Command(OperatorCommand::Abort)),
             _ => Err(AdminCallError::UnknownPath),
         }
     }
--- a/src/proxy/admin/stats.rs
+++ b/src/proxy/admin/stats.rs
@@ -5,7 +5,7 @@
 //! never change.
 
 use super::metrics::{ClassMetrics, CounterSet, DiscoveryMetrics, Metrics};
-use crate::cluster::rollout::RolloutState;
+use crate::cluster::rollout::RolloutStatus;
 use crate::cluster::{Agreement, ClusterReport, MemberState, StorageStatus, ViewReport};
 use crate::decision::EndpointCounts;
 use crate::proxy::cluster_transport::stats::{ClusterStats, LedgerStats, RolloutStats, WriteQueueStats};
@@ -160,8 +160,8 @@
     let report = rollout.report.as_ref();
     lines.line("rollout.number", report.map_or(0, |r| r.number));
     lines.line("rollout.stage", report.map_or(0, |r| r.stage.stage.into()));
-    lines.flag("rollout.running", report.is_some_and(|r| r.state == RolloutState::Running));
-    lines.flag("rollout.halted", report.is_some_and(|r| r.state == RolloutState::Halted));
+    lines.flag("rollout.running", report.is_some_and(|r| r.state == RolloutStatus::Running));
+    lines.flag("rollout.halted", report.is_some_and(|r| r.state == RolloutStatus::Halted));
     lines.flag("rollout.leads", report.is_some_and(|r| r.leads));
     lines.line("rollout.refused", report.map_or(0, |r| r.rejected));
     lines.line("rollout.uncounted", rollout.outcomes_dropped);
--- a/src/proxy/cluster_transport/disk/fixture_tests.rs
+++ b/src/proxy/cluster_transport/disk/fixture_tests.rs
@@ -8,7 +8,7 @@
 mod scenario;
 
 use crate::cluster::ledger::{AbandonedRequest, LedgerMessage, Record, RecordSnapshot};
-use crate::cluster::rollout::{ClassCounts, ClassRow, CountRow, RolloutCommand, RolloutMessage};
+use crate::cluster::rollout::{ClassCounts, ClassRow, CountRow, RolloutMessage, RolloutState};
 use crate::cluster::write_queue::{Dot, LogEntry, WriteOutcome, WriteState, WriteStatus};
 use crate::cluster::{ClusterNotice, MachineId, LEDGER_TICK_INTERVAL};
 use crate::decision::Micros;
@@ -265,11 +265,7 @@
     assert_eq!(found.len(), commands().len());
     for ((name, command), (found_name, bytes)) in commands().into_iter().zip(found) {
         assert_eq!(name, found_name);
-        assert_eq!(
-            postcard::from_bytes::<RolloutCommand>(&bytes).expect("a valid command"),
-            command,
-            "{name}"
-        );
+        assert_eq!(postcard::from_bytes::<RolloutState>(&bytes).expect("a valid command"), command, "{name}");
         assert_eq!(postcard::to_allocvec(&command).expect("a valid command"), bytes, "{name}");
     }
 }
--- a/src/proxy/cluster_transport/disk/fixture_tests/scenario.rs
+++ b/src/proxy/cluster_transport/disk/fixture_tests/scenario.rs
@@ -7,8 +7,8 @@
 };
 use crate::cluster::ledger::{Ballot, LedgerMessage, Record, RecordId, SentAttempt};
 use crate::cluster::rollout::{
-    ClassCounts, HaltReason, OutcomeTotals, Pause, PerArm, RolloutCommand, RolloutEnd, RolloutKey,
-    RolloutMessage, RolloutSettings, RuleConfig, RuleSet,
+    ClassCounts, HaltReason, OutcomeTotals, Pause, PerArm, RolloutEnd, RolloutKey, RolloutMessage,
+    RolloutSettings, RolloutState, RuleConfig, RuleSet,
 };
 use crate::cluster::write_queue::{Dot, QueueMessage, ReplicatedWrite, Write, WriteOutcome, WriteState};
 use crate::cluster::{MachineId, LEDGER_TICK_INTERVAL};
@@ -113,7 +113,7 @@
     stage: u8,
     (changes, is_paused): (u32, bool),
     end: Option<RolloutEnd>,
-) -> RolloutCommand {
+) -> RolloutState {
     let baseline = RuleSet(vec![RuleConfig { max_attempts: Some(3), ..RuleConfig::default() }]);
     let canary = RuleSet(vec![
         RuleConfig {
@@ -129,7 +129,7 @@
         RuleConfig::default(),
     ]);
     let key = RolloutKey { number, confirmed: stage > 0, id: 0x5eed_0000 + number };
-    RolloutCommand {
+    RolloutState {
         key,
         stage,
         pause: Pause { changes, is_paused },
@@ -141,7 +141,7 @@
 }
 
 /// All forms of a rollout command, by name.
-pub fn commands() -> Vec<(&'static str, RolloutCommand)> {
+pub fn commands() -> Vec<(&'static str, RolloutState)> {
     let canary_worse =
         HaltReason::CanaryWorse { scope: "class 2".into(), log_evidence: 5.75, log_threshold: 5.298 };
     vec![
--- a/src/proxy/cluster_transport/rollouts.rs
+++ b/src/proxy/cluster_transport/rollouts.rs
@@ -7,7 +7,7 @@
 
 /// An operator's command for the running rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RolloutCommand {
+pub enum OperatorCommand {
     /// Stay in the current stage.
     Pause,
     /// Continue after a pause.
@@ -53,11 +53,11 @@
     }
 
     /// Carries out an operator's command.
-    pub fn command_rollout(&self, command: RolloutCommand) -> CommandResult {
+    pub fn command_rollout(&self, command: OperatorCommand) -> CommandResult {
         let result = self.with_node(self.participation.get(), |node, now, out| match command {
-            RolloutCommand::Abort => node.abort_rollout(now, out),
-            RolloutCommand::Pause => node.pause_rollout(now, true, out),
-            RolloutCommand::Resume => node.pause_rollout(now, false, out),
+            OperatorCommand::Abort => node.abort_rollout(now, out),
+            OperatorCommand::Pause => node.pause_rollout(now, true, out),
+            OperatorCommand::Resume => node.pause_rollout(now, false, out),
         });
         result.unwrap_or(CommandResult::Disabled)
     }
