--- a/lab/tests/rollout/main.rs
+++ b/lab/tests/rollout/main.rs
@@ -50,7 +50,7 @@
         assert!(simulation.request_rollout(seed as usize % nodes));
         simulation.run_until_ended(2500);
         assert!(simulation.violations.is_empty(), "seed {seed}: {:?}", simulation.violations);
-        let end = (0..nodes).find_map(|n| simulation.command(n)?.end.clone());
+        let end = (0..nodes).find_map(|n| simulation.state(n)?.end.clone());
         match end {
             Some(RolloutEnd::Halted { reason: HaltReason::CanaryWorse { .. }, .. }) => {
                 results.worse.push(simulation.now / 1_000_000)
@@ -123,21 +123,21 @@
         for _ in 0..100 {
             simulation.tick();
         }
-        halted += u64::from(simulation.state().contains(&RolloutStatus::Halted));
+        halted += u64::from(simulation.statuses().contains(&RolloutStatus::Halted));
     }
     assert!(halted <= plays() / 4, "{halted} halted");
     // Its gateways are gone: the stage stays where it is.
     let mut simulation = Simulation::new(1, 8, Box::new(sound));
     assert!(simulation.request_rollout(0));
-    while simulation.command(0).is_none_or(|o| o.stage == 0) {
+    while simulation.state(0).is_none_or(|o| o.stage == 0) {
         simulation.tick();
     }
     [1, 3, 5, 7].into_iter().for_each(|node| simulation.kill(node));
-    let before = simulation.command(0).expect("a command").stage;
+    let before = simulation.state(0).expect("a rollout").stage;
     for _ in 0..120 {
         simulation.tick();
     }
-    assert_eq!(simulation.command(0).expect("a command").stage, before);
+    assert_eq!(simulation.state(0).expect("a rollout").stage, before);
 }
 
 /// One gateway with a fault of its own counts failures that nobody else sees.
@@ -148,18 +148,18 @@
     for _ in 0..120 {
         simulation.tick();
         // One process counts half of all new requests as failed, whatever they were.
-        if let Some(command) = simulation.command(5).cloned().filter(|o| o.stage > 0 && o.end.is_none()) {
+        if let Some(state) = simulation.state(5).cloned().filter(|o| o.stage > 0 && o.end.is_none()) {
             let now = Micros(simulation.now);
             let faulty = simulation.nodes[5].as_mut().expect("it is alive");
             (0..20).for_each(|_| {
-                faulty.record_outcome(now, command.key, 0, Arm::Canary, RequestOutcome::Failed, 0.0)
+                faulty.record_outcome(now, state.key, 0, Arm::Canary, RequestOutcome::Failed, 0.0)
             });
             (0..20).for_each(|_| {
-                faulty.record_outcome(now, command.key, 0, Arm::Baseline, RequestOutcome::OnTime, 0.5)
+                faulty.record_outcome(now, state.key, 0, Arm::Baseline, RequestOutcome::OnTime, 0.5)
             });
         }
     }
-    assert!(!simulation.state().contains(&RolloutStatus::Halted), "{:?}", simulation.state());
+    assert!(!simulation.statuses().contains(&RolloutStatus::Halted), "{:?}", simulation.statuses());
 }
 
 /// Gateways that are cut off from the leader see the new rules fail. They halt by themselves, and the halt wins once the
@@ -174,29 +174,29 @@
     }
     // The smaller partition has no majority, no leader, and sees the new rules fail.
     (0..3).for_each(|node| simulation.partition[node] = 1);
-    let before = simulation.command(4).expect("a command").stage;
+    let before = simulation.state(4).expect("a rollout").stage;
     let goes_on =
-        |simulation: &Simulation| (0..3).any(|n| simulation.command(n).is_some_and(|o| o.end.is_none()));
+        |simulation: &Simulation| (0..3).any(|n| simulation.state(n).is_some_and(|o| o.end.is_none()));
     for _ in 0..600 {
         if goes_on(&simulation) {
             simulation.tick();
         }
     }
     assert!(
-        (0..3).all(|n| simulation.command(n).is_some_and(|o| o.end.is_some())),
+        (0..3).all(|n| simulation.state(n).is_some_and(|o| o.end.is_some())),
         "{:?}",
-        simulation.state()
+        simulation.statuses()
     );
-    assert!((3..9).all(|n| simulation.command(n).is_some_and(|o| o.end.is_some() || o.stage == before)));
+    assert!((3..9).all(|n| simulation.state(n).is_some_and(|o| o.end.is_some() || o.stage == before)));
     simulation.partition.fill(0);
     (0..8).for_each(|_| simulation.tick());
-    assert!(simulation.state().iter().all(|s| *s == RolloutStatus::Halted), "{:?}", simulation.state());
+    assert!(simulation.statuses().iter().all(|s| *s == RolloutStatus::Halted), "{:?}", simulation.statuses());
     assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
     // One that was away, and forgot all, takes what is in force.
     simulation.kill(2);
     simulation.start_node(2);
     (0..6).for_each(|_| simulation.tick());
-    assert_eq!(simulation.command(2).map(RolloutState::canary_share), Some(0));
+    assert_eq!(simulation.state(2).map(RolloutState::canary_share), Some(0));
 }
 
 /// The leader dies three times, and operators ask for a second rollout all the while.
@@ -209,7 +209,7 @@
         simulation.tick();
         leaders.extend(simulation.leader);
         assert!(
-            simulation.state().contains(&RolloutStatus::Completed)
+            simulation.statuses().contains(&RolloutStatus::Completed)
                 || !simulation.request_rollout((simulation.now % 7) as usize)
         );
         if deaths < 3 && simulation.leader.is_some() && simulation.now % (9_000 * MS) < TICK_INTERVAL.0 {
@@ -222,7 +222,11 @@
     }
     assert!(leaders.len() > 1 && deaths == 3, "{leaders:?}, {deaths} deaths");
     assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
-    assert!(simulation.state().iter().all(|s| *s == RolloutStatus::Completed), "{:?}", simulation.state());
+    assert!(
+        simulation.statuses().iter().all(|s| *s == RolloutStatus::Completed),
+        "{:?}",
+        simulation.statuses()
+    );
 }
 
 proptest! {
@@ -253,14 +257,14 @@
         simulation.partition.fill(0);
         simulation.loss = 0.0;
         (0..7).for_each(|n| if simulation.nodes[n].is_none() { simulation.start_node(n) });
-        let ended = |simulation: &Simulation| (0..7).any(|n| simulation.command(n).is_some_and(|o| o.end.is_some()));
+        let ended = |simulation: &Simulation| (0..7).any(|n| simulation.state(n).is_some_and(|o| o.end.is_some()));
         (0..12).for_each(|_| simulation.tick());
         if ended(&simulation) {
             (0..6).for_each(|_| simulation.tick());
         }
         prop_assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
         let commands: BTreeSet<String> =
-            (0..7).map(|n| format!("{:?}", simulation.command(n).map(|o| (o.key, o.stage, o.end.clone())))).collect();
+            (0..7).map(|n| format!("{:?}", simulation.state(n).map(|o| (o.key, o.stage, o.end.clone())))).collect();
         // While it runs a stage may be under way; an end is the same for all.
         prop_assert!(commands.len() <= if ended(&simulation) { 1 } else { 2 }, "{commands:?}");
     }
--- a/lab/tests/rollout/simulation.rs
+++ b/lab/tests/rollout/simulation.rs
@@ -151,8 +151,8 @@
         begun && self.leader == Some(node)
     }
 
-    pub fn command(&self, node: usize) -> Option<&RolloutState> {
-        self.nodes[node].as_ref().and_then(RolloutController::command)
+    pub fn state(&self, node: usize) -> Option<&RolloutState> {
+        self.nodes[node].as_ref().and_then(RolloutController::state)
     }
 
     /// Half a second goes by: what is under way comes, requests end, all controllers are called.
@@ -193,18 +193,15 @@
 
     pub fn requests(&mut self, until: u64) {
         for node in 0..self.nodes.len() {
-            let Some(command) = self.command(node).cloned() else { continue };
+            let Some(state) = self.state(node).cloned() else { continue };
             let Some(mut controller) = self.nodes[node].take() else { continue };
             let sent = (self.per_s * (until - self.now) as f64 / 1e6).round() as usize;
             for i in 0..sent {
                 let customer = self.rng.random_range(0..self.customers);
-                let dealt = customer.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ command.key.id;
+                let dealt = customer.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ state.key.id;
                 let new = dealt.wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 40;
-                let arm = if new % 10_000 < u64::from(command.canary_share()) {
-                    Arm::Canary
-                } else {
-                    Arm::Baseline
-                };
+                let arm =
+                    if new % 10_000 < u64::from(state.canary_share()) { Arm::Canary } else { Arm::Baseline };
                 let class = (customer % 3) as u16;
                 let bad = self.rng.random_bool((self.failure_rate)(arm, node % 2, class, self.now));
                 let ended = match (bad, self.rng.random_bool(0.5)) {
@@ -213,7 +210,7 @@
                     (true, false) => RequestOutcome::Failed,
                 };
                 let at = self.now + (until - self.now) * i as u64 / sent as u64;
-                controller.record_outcome(Micros(at), command.key, class, arm, ended, 0.5);
+                controller.record_outcome(Micros(at), state.key, class, arm, ended, 0.5);
             }
             self.nodes[node] = Some(controller);
         }
@@ -225,7 +222,7 @@
         // Beyond a cut an older rollout may go on; where all hear each other two are never in force for long.
         let running = |partition: usize| -> BTreeSet<u64> {
             let here =
-                live.iter().filter(|n| self.partition[**n] == partition).filter_map(|n| self.command(*n));
+                live.iter().filter(|n| self.partition[**n] == partition).filter_map(|n| self.state(*n));
             here.filter(|o| o.end.is_none() && o.stage > 0).map(|o| o.key.id).collect()
         };
         match running(0).len() > 1 || running(1).len() > 1 {
@@ -239,25 +236,25 @@
             self.ended_at.clear();
             return;
         }
-        for command in live
+        for state in live
             .iter()
-            .filter_map(|n| self.command(*n))
+            .filter_map(|n| self.state(*n))
             .filter(|o| o.end.is_some())
             .cloned()
             .collect::<Vec<_>>()
         {
-            self.ended_at.entry(command.key.id).or_insert(self.now);
+            self.ended_at.entry(state.key.id).or_insert(self.now);
         }
         for node in live {
-            let Some(command) = self.command(node).filter(|o| o.end.is_none()) else { continue };
-            let Some(at) = self.ended_at.get(&command.key.id) else { continue };
+            let Some(state) = self.state(node).filter(|o| o.end.is_none()) else { continue };
+            let Some(at) = self.ended_at.get(&state.key.id) else { continue };
             if self.now - (*at).max(self.born[node]) > 3_000 * MS {
                 self.violations.push(format!("{}: g{node} goes on 3 s after the end", self.now));
             }
         }
     }
 
-    pub fn state(&self) -> Vec<RolloutStatus> {
+    pub fn statuses(&self) -> Vec<RolloutStatus> {
         let report = |n: usize| self.nodes[n].as_ref().and_then(|s| s.report(Micros(self.now)));
         (0..self.nodes.len()).filter_map(report).map(|r| r.state).collect()
     }
@@ -266,8 +263,8 @@
     pub fn run_until_ended(&mut self, seconds: u64) {
         for _ in 0..seconds * 2 {
             self.tick();
-            let over = self.state().iter().all(|s| *s != RolloutStatus::Running);
-            if over && !self.state().is_empty() {
+            let over = self.statuses().iter().all(|s| *s != RolloutStatus::Running);
+            if over && !self.statuses().is_empty() {
                 return;
             }
         }
--- a/src/cluster/rollout/controller.rs
+++ b/src/cluster/rollout/controller.rs
@@ -106,7 +106,7 @@
     process: u64,
     sequence: u64,
     rng: fastrand::Rng,
-    command: Option<RolloutState>,
+    state: Option<RolloutState>,
     ended_at: Option<Micros>,
     outcomes: OutcomeCounts,
     collected: CollectedCounts,
@@ -143,7 +143,7 @@
             process,
             sequence: 0,
             rng: fastrand::Rng::with_seed(process),
-            command: None,
+            state: None,
             ended_at: None,
             outcomes: OutcomeCounts::default(),
             collected: CollectedCounts::default(),
@@ -160,8 +160,8 @@
     }
 
     /// The rollout's state at this gateway; none before the first rollout.
-    pub fn command(&self) -> Option<&RolloutState> {
-        self.command.as_ref()
+    pub fn state(&self) -> Option<&RolloutState> {
+        self.state.as_ref()
     }
 
     /// The rules that were in force before any rollout.
@@ -176,11 +176,11 @@
 
     /// Whether a rollout runs, as far as this gateway knows.
     fn is_running(&self) -> bool {
-        self.command.as_ref().is_some_and(RolloutState::is_running)
+        self.state.as_ref().is_some_and(RolloutState::is_running)
     }
 
-    fn running_command(&self) -> Option<&RolloutState> {
-        self.command.as_ref().filter(|command| command.is_running())
+    fn running_state(&self) -> Option<&RolloutState> {
+        self.state.as_ref().filter(|state| state.is_running())
     }
 
     /// Accepts an operator's request for a rollout, and claims the record if no rollout runs or is being started here.
@@ -208,18 +208,18 @@
         present: &[u16],
         out: &mut Vec<ControllerEffect>,
     ) -> bool {
-        let running = self.running_command().filter(|command| command.pause.is_paused != is_paused);
-        let Some(mut command) = running.cloned() else { return false };
-        command.pause = Pause { changes: command.pause.changes.saturating_add(1), is_paused };
-        self.apply(now, &command, present, out);
+        let running = self.running_state().filter(|state| state.pause.is_paused != is_paused);
+        let Some(mut state) = running.cloned() else { return false };
+        state.pause = Pause { changes: state.pause.changes.saturating_add(1), is_paused };
+        self.apply(now, &state, present, out);
         true
     }
 
     /// Aborts the rollout. Returns whether one was running.
     pub fn abort(&mut self, now: Micros, present: &[u16], out: &mut Vec<ControllerEffect>) -> bool {
-        let Some(mut command) = self.running_command().cloned() else { return false };
-        command.end = Some(RolloutEnd::Aborted);
-        self.apply(now, &command, present, out);
+        let Some(mut state) = self.running_state().cloned() else { return false };
+        state.end = Some(RolloutEnd::Aborted);
+        self.apply(now, &state, present, out);
         true
     }
 
@@ -228,19 +228,19 @@
     pub fn apply(
         &mut self,
         now: Micros,
-        command: &RolloutState,
+        state: &RolloutState,
         present: &[u16],
         out: &mut Vec<ControllerEffect>,
     ) {
-        let before = self.command.clone();
-        let is_new = match &mut self.command {
-            Some(current) => current.merge(command),
+        let before = self.state.clone();
+        let is_new = match &mut self.state {
+            Some(current) => current.merge(state),
             None => {
-                self.command = Some(command.clone());
+                self.state = Some(state.clone());
                 true
             }
         };
-        let Some(current) = self.command.clone().filter(|_| is_new) else { return };
+        let Some(current) = self.state.clone().filter(|_| is_new) else { return };
         let same_rollout = before.filter(|before| before.is_same_rollout(current.key));
         if same_rollout.is_none() {
             self.reset_counts();
@@ -265,11 +265,11 @@
     fn notify_change(
         &mut self,
         now: Micros,
-        command: &RolloutState,
+        state: &RolloutState,
         known_end: Option<RolloutEnd>,
         out: &mut Vec<ControllerEffect>,
     ) {
-        let RolloutState { key, stage, pause, end, .. } = command;
+        let RolloutState { key, stage, pause, end, .. } = state;
         let Some(end) = end else {
             let notice = RolloutNotice::StageChanged { key: *key, stage: *stage, paused: pause.is_paused };
             out.push(ControllerEffect::Notify(notice));
@@ -296,14 +296,14 @@
         }
         self.detect_stall(now);
         match message {
-            RolloutMessage::Command { command, is_leader } => {
-                if !command.is_valid() {
+            RolloutMessage::Command { command: state, is_leader } => {
+                if !state.is_valid() {
                     self.collected.rejected += 1;
                     return;
                 }
-                let was_known = self.is_current_rollout(command.key);
-                self.apply(now, &command, present, out);
-                if is_leader && (was_known || self.is_current_rollout(command.key)) {
+                let was_known = self.is_current_rollout(state.key);
+                self.apply(now, &state, present, out);
+                if is_leader && (was_known || self.is_current_rollout(state.key)) {
                     self.leader = Some(LeaderHeartbeat { seat: from, received_at: now });
                 }
             }
@@ -316,7 +316,7 @@
     }
 
     fn is_current_rollout(&self, key: RolloutKey) -> bool {
-        self.command.as_ref().is_some_and(|command| command.is_same_rollout(key))
+        self.state.as_ref().is_some_and(|state| state.is_same_rollout(key))
     }
 
     /// Detects that this process was stalled. Messages may then have waited in a buffer, so for some time none counts
@@ -332,15 +332,15 @@
     pub fn tick(&mut self, now: Micros, has_lease: bool, present: &[u16], out: &mut Vec<ControllerEffect>) {
         self.detect_stall(now);
         self.last_tick = now;
-        let Some(command) = self.command.clone() else { return };
-        let collectors = self.update_collectors(command.key.id, present);
-        self.send_counts(now, &command, &collectors, out);
+        let Some(state) = self.state.clone() else { return };
+        let collectors = self.update_collectors(state.key.id, present);
+        self.send_counts(now, &state, &collectors, out);
         if has_lease && !self.is_leading {
-            out.push(ControllerEffect::Notify(RolloutNotice::Leading { key: command.key }));
+            out.push(ControllerEffect::Notify(RolloutNotice::Leading { key: state.key }));
         }
         self.is_leading = has_lease;
-        if command.is_running() {
-            self.halt_or_advance(now, &command, present, out);
+        if state.is_running() {
+            self.halt_or_advance(now, &state, present, out);
             self.claim_if_leaderless(now, &collectors, out);
         } else {
             out.extend(self.claim.take().map(ControllerEffect::Release));
@@ -350,14 +350,14 @@
 
     /// Sends the rollout's state to a few random gateways, or from the leader to all, so that they know who leads.
     fn gossip(&mut self, present: &[u16], out: &mut Vec<ControllerEffect>) {
-        let Some(command) = &self.command else { return };
+        let Some(state) = &self.state else { return };
         let others = present.iter().copied().filter(|seat| *seat != self.own_seat);
         let receivers = match self.is_leading {
             true => others.collect(),
             false => self.rng.choose_multiple(others.collect::<Vec<u16>>(), GOSSIP_FANOUT),
         };
-        let command = Box::new(command.clone());
-        let message = RolloutMessage::Command { command, is_leader: self.is_leading };
+        let state = Box::new(state.clone());
+        let message = RolloutMessage::Command { command: state, is_leader: self.is_leading };
         for to in receivers {
             out.push(ControllerEffect::Send { to, message: message.clone() });
         }
--- a/src/cluster/rollout/controller/counting.rs
+++ b/src/cluster/rollout/controller/counting.rs
@@ -27,7 +27,7 @@
         outcome: RequestOutcome,
         fraction_of_objective: f64,
     ) {
-        if self.running_command().is_some_and(|command| command.is_same_rollout(key)) {
+        if self.running_state().is_some_and(|state| state.is_same_rollout(key)) {
             self.outcomes.record(now, class, arm, outcome, fraction_of_objective);
         }
     }
@@ -43,7 +43,7 @@
     pub(super) fn send_counts(
         &mut self,
         now: Micros,
-        command: &RolloutState,
+        state: &RolloutState,
         collectors: &[u16],
         out: &mut Vec<ControllerEffect>,
     ) {
@@ -60,12 +60,12 @@
         for chunk in classes.chunks(MAX_CLASSES_PER_ROW).chain(empty_row) {
             self.sequence += 1;
             let row = CountRow {
-                key: command.key,
+                key: state.key,
                 process: self.process,
                 sequence: self.sequence,
                 zone: self.zone.clone(),
-                stage: command.stage,
-                has_ended: !command.is_running(),
+                stage: state.stage,
+                has_ended: !state.is_running(),
                 classes: chunk.to_vec(),
             };
             for to in &receivers {
--- a/src/cluster/rollout/controller/leading.rs
+++ b/src/cluster/rollout/controller/leading.rs
@@ -39,11 +39,11 @@
         if self.is_running() {
             return None;
         }
-        let before = self.command.as_ref();
-        let number = before.map_or(0, |command| command.key.number).saturating_add(1);
+        let before = self.state.as_ref();
+        let number = before.map_or(0, |state| state.key.number).saturating_add(1);
         let baseline = before.map_or(&self.base_rules, RolloutState::next_baseline).clone();
         let key = RolloutKey { number, confirmed: false, id: self.rng.u64(..) };
-        let command = RolloutState {
+        let state = RolloutState {
             key,
             stage: 0,
             pause: Pause::default(),
@@ -52,7 +52,7 @@
             baseline,
             canary: rules,
         };
-        self.apply(now, &command, present, out);
+        self.apply(now, &state, present, out);
         Some(key)
     }
 
@@ -82,13 +82,13 @@
     pub(super) fn halt_or_advance(
         &mut self,
         now: Micros,
-        command: &RolloutState,
+        state: &RolloutState,
         present: &[u16],
         out: &mut Vec<ControllerEffect>,
     ) {
-        if (self.is_collector || self.is_leading) && command.stage > 0 {
-            if let Some(reason) = halt_reason(&self.collected, &command.settings) {
-                let halted = self.halt_command(command, reason);
+        if (self.is_collector || self.is_leading) && state.stage > 0 {
+            if let Some(reason) = halt_reason(&self.collected, &state.settings) {
+                let halted = self.halted_state(state, reason);
                 return self.apply(now, &halted, present, out);
             }
         }
@@ -96,51 +96,51 @@
             self.led_stage = None;
             return;
         }
-        if let Some(next) = self.next_command(now, command) {
+        if let Some(next) = self.next_state(now, state) {
             self.apply(now, &next, present, out);
         }
     }
 
-    fn halt_command(&self, command: &RolloutState, reason: HaltReason) -> RolloutState {
+    fn halted_state(&self, state: &RolloutState, reason: HaltReason) -> RolloutState {
         let end = RolloutEnd::Halted { seat: self.own_seat, reason };
-        RolloutState { end: Some(end), ..command.clone() }
+        RolloutState { end: Some(end), ..state.clone() }
     }
 
     /// Returns the leader's next state of the rollout, if it changes.
-    fn next_command(&mut self, now: Micros, command: &RolloutState) -> Option<RolloutState> {
+    fn next_state(&mut self, now: Micros, state: &RolloutState) -> Option<RolloutState> {
         let seats = self.seats;
-        let new_stage = LedStage { stage: command.stage, since: now, start: None };
+        let new_stage = LedStage { stage: state.stage, since: now, start: None };
         let led = match &mut self.led_stage {
-            Some(led) if led.stage == command.stage => led,
+            Some(led) if led.stage == state.stage => led,
             other => other.insert(new_stage),
         };
         // Time spent paused neither passes a stage nor makes it overdue.
-        if command.pause.is_paused {
+        if state.pause.is_paused {
             led.since = now;
             led.start = None;
             return None;
         }
-        let in_force = is_stage_in_force(now, &self.collected, command.stage, seats);
+        let in_force = is_stage_in_force(now, &self.collected, state.stage, seats);
         if in_force && led.start.is_none() {
             led.start = Some(StageStart::new(now, &self.collected));
         }
-        if command.stage == 0 && in_force {
-            let key = RolloutKey { confirmed: true, ..command.key };
-            return Some(RolloutState { key, stage: 1, ..command.clone() });
+        if state.stage == 0 && in_force {
+            let key = RolloutKey { confirmed: true, ..state.key };
+            return Some(RolloutState { key, stage: 1, ..state.clone() });
         }
-        let settings = &command.settings;
+        let settings = &state.settings;
         let bake_time_elapsed =
             |start: &&StageStart| in_force && now - start.started_at >= seconds(settings.bake_s);
         if let Some(start) = led.start.as_ref().filter(bake_time_elapsed) {
-            if settings.is_last(command.stage) {
-                return Some(RolloutState { end: Some(RolloutEnd::Completed), ..command.clone() });
+            if settings.is_last(state.stage) {
+                return Some(RolloutState { end: Some(RolloutEnd::Completed), ..state.clone() });
             }
             if may_pass_stage(now, &self.collected, start, settings) {
-                return Some(RolloutState { stage: command.stage + 1, ..command.clone() });
+                return Some(RolloutState { stage: state.stage + 1, ..state.clone() });
             }
         }
         let is_overdue = now - led.since >= seconds(settings.max_stage_s);
-        is_overdue.then(|| self.halt_command(command, HaltReason::Undecided))
+        is_overdue.then(|| self.halted_state(state, HaltReason::Undecided))
     }
 }
 
--- a/src/cluster/rollout/controller/report.rs
+++ b/src/cluster/rollout/controller/report.rs
@@ -91,19 +91,19 @@
 impl RolloutController {
     /// Returns the report for operators; none before the first rollout.
     pub fn report(&self, now: Micros) -> Option<RolloutReport> {
-        let command = self.command.as_ref()?;
-        let RolloutState { key, stage, pause, settings, .. } = command;
+        let state = self.state.as_ref()?;
+        let RolloutState { key, stage, pause, settings, .. } = state;
         let fresh = self.collected.fresh(now);
         let is_following =
-            |process: &&&ProcessCounts| process.stage == *stage && process.has_ended != command.is_running();
+            |process: &&&ProcessCounts| process.stage == *stage && process.has_ended != state.is_running();
         Some(RolloutReport {
             number: key.number,
             confirmed: key.confirmed,
             stage: StagePosition { stage: *stage, stages: settings.stage_shares.len() },
-            percent: f64::from(command.canary_share()) / 100.0,
+            percent: f64::from(state.canary_share()) / 100.0,
             paused: pause.is_paused,
-            state: rollout_status(command),
-            reason: halt_reason_text(command),
+            state: rollout_status(state),
+            reason: halt_reason_text(state),
             leads: self.is_leading,
             collects: self.is_collector,
             seats: ReportingSeats {
@@ -132,8 +132,8 @@
     }
 }
 
-fn rollout_status(command: &RolloutState) -> RolloutStatus {
-    match command.end {
+fn rollout_status(state: &RolloutState) -> RolloutStatus {
+    match state.end {
         None => RolloutStatus::Running,
         Some(RolloutEnd::Completed) => RolloutStatus::Completed,
         Some(RolloutEnd::Aborted) => RolloutStatus::Aborted,
@@ -142,14 +142,14 @@
 }
 
 /// Returns a text of the operators' JSON, whose wording is fixed.
-fn halt_reason_text(command: &RolloutState) -> Option<String> {
-    let Some(RolloutEnd::Halted { seat, reason }) = &command.end else { return None };
+fn halt_reason_text(state: &RolloutState) -> Option<String> {
+    let Some(RolloutEnd::Halted { seat, reason }) = &state.end else { return None };
     Some(match reason {
         HaltReason::CanaryWorse { scope, log_evidence, log_threshold } => format!(
             "seat {seat}: the new arm is worse in {scope}: bet {log_evidence:.2}, bound {log_threshold:.2} (logarithms)"
         ),
         HaltReason::Undecided => {
-            format!("seat {seat}: not passed within {} s", command.settings.max_stage_s)
+            format!("seat {seat}: not passed within {} s", state.settings.max_stage_s)
         }
     })
 }
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -66,13 +66,13 @@
     /// Returns the routing rules in force.
     pub fn routing_in_force(&self) -> Option<ActiveRouting> {
         let controller = self.rollout.as_ref()?;
-        Some(match controller.command() {
-            Some(command) => ActiveRouting {
-                key: Some(command.key),
-                is_counting_outcomes: command.is_running() && command.stage > 0,
-                baseline: command.baseline.clone(),
-                canary: command.canary.clone(),
-                canary_share: command.canary_share(),
+        Some(match controller.state() {
+            Some(state) => ActiveRouting {
+                key: Some(state.key),
+                is_counting_outcomes: state.is_running() && state.stage > 0,
+                baseline: state.baseline.clone(),
+                canary: state.canary.clone(),
+                canary_share: state.canary_share(),
             },
             None => ActiveRouting {
                 key: None,
@@ -171,11 +171,11 @@
     }
 
     /// Applies the rollout's stored state, unless a newer one has been received.
-    pub(super) fn restore_rollout(&mut self, command: Option<RolloutState>, out: &mut Vec<Effect>) {
-        let Some(command) = command.filter(RolloutState::is_valid) else { return };
+    pub(super) fn restore_rollout(&mut self, state: Option<RolloutState>, out: &mut Vec<Effect>) {
+        let Some(state) = state.filter(RolloutState::is_valid) else { return };
         let now = self.now;
         self.with_controller(now, out, |controller, present, effects| {
-            controller.apply(now, &command, present, effects);
+            controller.apply(now, &state, present, effects);
         });
     }
 
--- a/src/cluster/storage/persistence.rs
+++ b/src/cluster/storage/persistence.rs
@@ -23,7 +23,7 @@
     gate: DurabilityGate<GatedEffect>,
     queue_vote_stored: bool,
     ledger_vote_stored: bool,
-    command: Option<RolloutState>,
+    rollout_state: Option<RolloutState>,
 }
 
 /// Status of a gateway's storage.
@@ -47,7 +47,7 @@
     /// Whether the entries are all that this gateway's replica ever promised and accepted.
     pub records_complete: bool,
     /// Rollout state that was in force.
-    pub command: Option<RolloutState>,
+    pub rollout_state: Option<RolloutState>,
     /// Whether any stored value could not be decoded.
     has_unreadable: bool,
 }
@@ -69,7 +69,7 @@
             gate: DurabilityGate::new(machine, started_at),
             queue_vote_stored: false,
             ledger_vote_stored: false,
-            command: None,
+            rollout_state: None,
         }
     }
 
@@ -154,12 +154,12 @@
     }
 
     /// Returns the rollout state to store, or `None` if it has not changed.
-    pub fn command_change(&mut self, command: &RolloutState) -> Option<StorageWrite> {
-        if self.command.as_ref() == Some(command) {
+    pub fn rollout_state_change(&mut self, rollout_state: &RolloutState) -> Option<StorageWrite> {
+        if self.rollout_state.as_ref() == Some(rollout_state) {
             return None;
         }
-        self.command = Some(command.clone());
-        Some(StoredKey::RolloutState.put(encode(command)))
+        self.rollout_state = Some(rollout_state.clone());
+        Some(StoredKey::RolloutState.put(encode(rollout_state)))
     }
 
     /// Called with the contents of the storage once it is open. Returns the state of earlier processes of this
@@ -191,7 +191,7 @@
         restored.records_complete &= !restored.has_unreadable;
         self.queue_vote_stored = restored.writes_complete;
         self.ledger_vote_stored = restored.records_complete;
-        self.command.clone_from(&restored.command);
+        self.rollout_state.clone_from(&restored.rollout_state);
         (restored, writes)
     }
 }
@@ -215,8 +215,8 @@
                 true
             }
             Some(StoredKey::RolloutState) if self.is_same_gateway => {
-                restored.command = decode(value);
-                restored.command.is_some()
+                restored.rollout_state = decode(value);
+                restored.rollout_state.is_some()
             }
             Some(StoredKey::Write(_)) if self.is_same_gateway => {
                 let write = self.write(value);
--- a/src/cluster/storage_node.rs
+++ b/src/cluster/storage_node.rs
@@ -77,8 +77,8 @@
         if let Some(ledger) = self.ledger.as_mut() {
             writes.extend(persistence.ledger_changes(self.now, ledger.replica_mut()));
         }
-        if let Some(command) = self.rollout.as_ref().and_then(|controller| controller.command()) {
-            writes.extend(persistence.command_change(command));
+        if let Some(state) = self.rollout.as_ref().and_then(|controller| controller.state()) {
+            writes.extend(persistence.rollout_state_change(state));
         }
         if !writes.is_empty() {
             let batch = persistence.next_batch();
@@ -109,6 +109,6 @@
             ledger.replica_mut().restore(now, restored.records, restored.records_complete);
         }
         out.push(Effect::Notify(notice));
-        self.restore_rollout(restored.command, out);
+        self.restore_rollout(restored.rollout_state, out);
     }
 }
