--- a/lab/tests/disk/simulation.rs
+++ b/lab/tests/disk/simulation.rs
@@ -147,8 +147,8 @@
                 lease: Micros(600 * MS),
                 record_lifetime: Micros(5_000 * MS),
             }),
-            rules: None,
-            branch: Some(WriteQueueSettings {
+            baseline_rules: None,
+            write_queue: Some(WriteQueueSettings {
                 seats: (0..seats as u16).skip(node % self.branches).step_by(self.branches).collect(),
                 max_pending: 5000,
                 max_pending_per_customer: 500,
@@ -159,7 +159,7 @@
                 max_sends_per_second: 400,
                 blocking_classes: Vec::new(),
             }),
-            disk: self.with_disks.then_some(machine),
+            storage_machine: self.with_disks.then_some(machine),
         };
         let reads_after = self.rng.random_range(MS..300 * MS);
         let now = self.now;
@@ -213,7 +213,7 @@
                 Effect::WriteQueue(effect) => self.run(node, effect),
                 Effect::Notify(notice) => {
                     let of_disk =
-                        matches!(notice, ClusterNotice::StorageLoaded { .. } | ClusterNotice::StorageLost);
+                        matches!(notice, ClusterNotice::StorageLoaded { .. } | ClusterNotice::StorageFailed);
                     self.nodes[node].notices.extend(of_disk.then_some(notice));
                 }
                 _ => {}
@@ -223,13 +223,13 @@
 
     pub fn run(&mut self, node: usize, effect: WriteQueueEffect) {
         match effect {
-            WriteQueueEffect::Decided { dot, accepted: yes } => {
+            WriteQueueEffect::AcceptanceDecided { dot, accepted: yes } => {
                 if let Some(observed) = self.writes.get_mut(&dot) {
                     (observed.accepted, observed.rejected) = (yes.then_some(self.now), !yes);
                     self.customers_waiting.remove(&observed.customer);
                 }
             }
-            WriteQueueEffect::Forward { write, attempt: tries, may_have_run: before } => {
+            WriteQueueEffect::Forward { write, attempt: tries, may_have_been_executed: before } => {
                 let after = self.rng.random_range(5 * MS..60 * MS);
                 let (outcome, ran) = match (before, self.isolated) {
                     // It may have run, and is not sent again.
--- a/src/cluster/event.rs
+++ b/src/cluster/event.rs
@@ -80,7 +80,7 @@
     /// Perform an action of the write queue.
     WriteQueue(WriteQueueEffect),
     /// Use these routing rules from now on.
-    RoutingChanged(Box<RoutingInForce>),
+    RoutingChanged(Box<ActiveRouting>),
     /// Log the progress of a rollout.
     RolloutNotice(RolloutNotice),
     /// The rollout requested at this gateway has started, or could not be started.
@@ -94,7 +94,7 @@
 #[derive(Debug)]
 pub enum WriteQueueEffect {
     /// Acceptance of a write was decided.
-    Decided {
+    AcceptanceDecided {
         /// Dot of the write.
         dot: Dot,
         /// Whether the write is accepted.
@@ -107,7 +107,7 @@
         /// Number of the attempt.
         attempt: u16,
         /// Whether an earlier attempt, by this or a previous owner, may have been executed.
-        may_have_run: bool,
+        may_have_been_executed: bool,
     },
     /// A write ended without being completed.
     NotCompleted {
@@ -127,11 +127,11 @@
 
 /// Routing rules in force.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RoutingInForce {
+pub struct ActiveRouting {
     /// Key of the latest rollout; none if there was none yet.
     pub key: Option<RolloutKey>,
     /// Whether outcomes of requests are counted.
-    pub counts_outcomes: bool,
+    pub is_counting_outcomes: bool,
     /// Rules for the customers outside the canary share.
     pub baseline: RuleSet,
     /// Rules for the customers in the canary share.
@@ -179,7 +179,7 @@
         votes: (bool, bool),
     },
     /// The storage failed: the gateway has given up its votes and continues to serve requests.
-    StorageLost,
+    StorageFailed,
 }
 
 /// Counters of datagrams and bytes sent, received and dropped.
--- a/src/cluster/node.rs
+++ b/src/cluster/node.rs
@@ -37,7 +37,7 @@
     /// Incarnation of the newer process under this name, to which this process has yielded its seat.
     pub(super) yielded_to: Option<u64>,
     /// Whether this gateway leaves, or has left, on purpose.
-    pub(super) left: bool,
+    pub(super) is_leaving: bool,
     /// Number of ticks in which this gateway still has to repeat its departure.
     pub(super) leave_repeats: u32,
     /// State of each member in the last notice about it.
@@ -75,11 +75,11 @@
         let ledger = settings.ledger.map(|ledger_settings| {
             LedgerNode::new(ledger_settings, own_seat, seats, leases.seat_list(), rng.u64(..), now)
         });
-        let rollout = settings.rules.clone().map(|rules| {
+        let rollout = settings.baseline_rules.clone().map(|rules| {
             let zone = settings.metadata.zone.clone();
             RolloutController::new(own_seat, seats, zone, rules, rng.u64(..), now)
         });
-        let write_queue = settings.branch.clone().map(|queue_settings| {
+        let write_queue = settings.write_queue.clone().map(|queue_settings| {
             WriteQueue::new(QueueReplica::new(own_seat, queue_settings, rng.u64(..), now), now)
         });
         SeatDependentParts { quota_leases, ledger, rollout, write_queue }
@@ -116,7 +116,7 @@
         let swim = Swim::new(own, rng.u64(..), settings.probe_period, max_message_bytes);
         let join_schedule = JoinSchedule::new(now, &mut rng);
         let mut parts = SeatDependentParts::new(&settings, now, &mut rng);
-        let persistence = settings.disk.map(|machine| Persistence::new(machine, now));
+        let persistence = settings.storage_machine.map(|machine| Persistence::new(machine, now));
         if persistence.is_some() {
             parts.await_storage();
         }
@@ -132,7 +132,7 @@
             ring_prober: RingProber::default(),
             duplicate_names: DuplicateNameDetector::default(),
             yielded_to: None,
-            left: false,
+            is_leaving: false,
             leave_repeats: 0,
             notified_states: BTreeMap::new(),
             quota_leases: parts.quota_leases,
@@ -157,7 +157,7 @@
                 self.tick_rollout(out);
                 self.tick_write_queue(out);
             }
-            Event::Leave if self.yielded_to.is_none() && !self.left => self.leave(&mut messages),
+            Event::Leave if self.yielded_to.is_none() && !self.is_leaving => self.leave(&mut messages),
             Event::Leave => {}
             Event::PeerAddressesChanged { addresses } => {
                 self.address_book.configure(addresses);
@@ -171,7 +171,7 @@
     }
 
     /// Current identity of this process.
-    pub fn own(&self) -> &Identity {
+    pub fn own_identity(&self) -> &Identity {
         self.swim.own_identity()
     }
 
@@ -181,7 +181,7 @@
     }
 
     /// Number of members that take part, including this one.
-    pub fn present(&self) -> usize {
+    pub fn present_count(&self) -> usize {
         1 + self.records().filter(|record| record.state.is_present()).count()
     }
 
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -2,14 +2,14 @@
 //! at the ledger.
 
 use super::datagram::{DatagramError, Payload};
-use super::event::{Effect, RoutingInForce};
+use super::event::{ActiveRouting, Effect};
 use super::ledger::{ClaimId, ClaimOutcome};
 use super::ledger_node::{LeaseProgress, OwnSeat};
 use super::membership::identity::CAPABILITY_ROLLOUT;
 use super::node::ClusterNode;
 use super::rollout::{
-    Arm, CommandResult, ControllerEffect, RequestOutcome, RolloutCommand, RolloutController, RolloutKey,
-    RolloutMessage, RolloutReport, RolloutRequest, RuleSet, ROLLOUT_RECORD, TICK_INTERVAL,
+    Arm, CommandResult, ControllerEffect, RequestOutcome, RolloutController, RolloutKey, RolloutMessage,
+    RolloutReport, RolloutRequest, RolloutState, RuleSet, ROLLOUT_RECORD, TICK_INTERVAL,
 };
 use crate::decision::Micros;
 
@@ -64,19 +64,19 @@
     }
 
     /// Returns the routing rules in force.
-    pub fn routing_in_force(&self) -> Option<RoutingInForce> {
+    pub fn routing_in_force(&self) -> Option<ActiveRouting> {
         let controller = self.rollout.as_ref()?;
-        Some(match controller.command() {
-            Some(command) => RoutingInForce {
-                key: Some(command.key),
-                counts_outcomes: command.is_running() && command.stage > 0,
-                baseline: command.baseline.clone(),
-                canary: command.canary.clone(),
-                canary_share: command.share(),
+        Some(match controller.state() {
+            Some(state) => ActiveRouting {
+                key: Some(state.key),
+                is_counting_outcomes: state.is_running() && state.stage > 0,
+                baseline: state.baseline.clone(),
+                canary: state.canary.clone(),
+                canary_share: state.canary_share(),
             },
-            None => RoutingInForce {
+            None => ActiveRouting {
                 key: None,
-                counts_outcomes: false,
+                is_counting_outcomes: false,
                 baseline: controller.base_rules().clone(),
                 canary: RuleSet::default(),
                 canary_share: 0,
@@ -149,7 +149,7 @@
         };
         self.next_rollout_tick = now + TICK_INTERVAL;
         let claim = controller.claim();
-        if self.left {
+        if self.is_leaving {
             // Releasing the claim lets another gateway become the leader at once.
             self.rollout = None;
             if let Some(claim) = claim {
@@ -159,9 +159,9 @@
         }
         let lease = self.lease_status(claim);
         // A record has a limited lifetime: after that its owner, or another gateway, claims it again.
-        if lease.lapsed.is_some() || lease.is_gone {
+        if lease.lapsed_claim.is_some() || lease.is_claim_missing {
             self.on_rollout_claim_failed(out);
-            if let Some(claim) = lease.lapsed {
+            if let Some(claim) = lease.lapsed_claim {
                 self.release_claim(now, claim, None, out);
             }
         }
@@ -171,11 +171,11 @@
     }
 
     /// Applies the rollout's stored state, unless a newer one has been received.
-    pub(super) fn restore_rollout(&mut self, command: Option<RolloutCommand>, out: &mut Vec<Effect>) {
-        let Some(command) = command.filter(RolloutCommand::is_valid) else { return };
+    pub(super) fn restore_rollout(&mut self, state: Option<RolloutState>, out: &mut Vec<Effect>) {
+        let Some(state) = state.filter(RolloutState::is_valid) else { return };
         let now = self.now;
         self.with_controller(now, out, |controller, present, effects| {
-            controller.apply(now, &command, present, effects);
+            controller.apply(now, &state, present, effects);
         });
     }
 
--- a/src/cluster/storage/persistence.rs
+++ b/src/cluster/storage/persistence.rs
@@ -5,7 +5,7 @@
     decode, encode, StorageHeader, StorageWrite, StoredKey, StoredWrite, FORMAT_VERSION,
 };
 use crate::cluster::ledger::{LedgerEffect, RecordId, Replica, ReplicaEntry};
-use crate::cluster::rollout::RolloutCommand;
+use crate::cluster::rollout::RolloutState;
 use crate::cluster::write_queue::{LogEntry, QueueEffect, QueueReplica};
 use crate::decision::Micros;
 
@@ -18,12 +18,12 @@
     Ledger(LedgerEffect),
 }
 
-/// Durability gate of a gateway, with the votes and the rollout command that are already stored.
+/// Durability gate of a gateway, with the votes and the rollout state that are already stored.
 pub struct Persistence {
     gate: DurabilityGate<GatedEffect>,
     queue_vote_stored: bool,
     ledger_vote_stored: bool,
-    command: Option<RolloutCommand>,
+    rollout_state: Option<RolloutState>,
 }
 
 /// Status of a gateway's storage.
@@ -46,8 +46,8 @@
     pub records: Vec<(RecordId, ReplicaEntry)>,
     /// Whether the entries are all that this gateway's replica ever promised and accepted.
     pub records_complete: bool,
-    /// Rollout command that was in force.
-    pub command: Option<RolloutCommand>,
+    /// Rollout state that was in force.
+    pub rollout_state: Option<RolloutState>,
     /// Whether any stored value could not be decoded.
     has_unreadable: bool,
 }
@@ -69,7 +69,7 @@
             gate: DurabilityGate::new(machine, started_at),
             queue_vote_stored: false,
             ledger_vote_stored: false,
-            command: None,
+            rollout_state: None,
         }
     }
 
@@ -153,13 +153,13 @@
         writes
     }
 
-    /// Returns the rollout command to store, or `None` if it has not changed.
-    pub fn command_change(&mut self, command: &RolloutCommand) -> Option<StorageWrite> {
-        if self.command.as_ref() == Some(command) {
+    /// Returns the rollout state to store, or `None` if it has not changed.
+    pub fn rollout_state_change(&mut self, rollout_state: &RolloutState) -> Option<StorageWrite> {
+        if self.rollout_state.as_ref() == Some(rollout_state) {
             return None;
         }
-        self.command = Some(command.clone());
-        Some(StoredKey::RolloutCommand.put(encode(command)))
+        self.rollout_state = Some(rollout_state.clone());
+        Some(StoredKey::RolloutState.put(encode(rollout_state)))
     }
 
     /// Called with the contents of the storage once it is open. Returns the state of earlier processes of this
@@ -191,7 +191,7 @@
         restored.records_complete &= !restored.has_unreadable;
         self.queue_vote_stored = restored.writes_complete;
         self.ledger_vote_stored = restored.records_complete;
-        self.command.clone_from(&restored.command);
+        self.rollout_state.clone_from(&restored.rollout_state);
         (restored, writes)
     }
 }
@@ -214,9 +214,9 @@
                 restored.records_complete = true;
                 true
             }
-            Some(StoredKey::RolloutCommand) if self.is_same_gateway => {
-                restored.command = decode(value);
-                restored.command.is_some()
+            Some(StoredKey::RolloutState) if self.is_same_gateway => {
+                restored.rollout_state = decode(value);
+                restored.rollout_state.is_some()
             }
             Some(StoredKey::Write(_)) if self.is_same_gateway => {
                 let write = self.write(value);
--- a/src/cluster/tests.rs
+++ b/src/cluster/tests.rs
@@ -28,9 +28,9 @@
         probe_period: Duration::from_secs(1),
         seats: vec!["a".into(), "b".into()],
         ledger: None,
-        rules: None,
-        branch: None,
-        disk: None,
+        baseline_rules: None,
+        write_queue: None,
+        storage_machine: None,
     }
 }
 
@@ -85,7 +85,7 @@
     let rejected = target.traffic().dropped.get(&DatagramError::Rejected).copied().unwrap_or(0);
     assert!(rejected > 1_000, "only {rejected} datagrams reached the protocol and were rejected there");
     assert!(target.records().count() <= MAX_MEMBERS);
-    assert_eq!(members[0].present(), 2);
+    assert_eq!(members[0].present_count(), 2);
 }
 
 fn queue_settings() -> write_queue::WriteQueueSettings {
@@ -114,8 +114,8 @@
         let settings = Settings {
             seats: ["a", "b", "c"].map(String::from).to_vec(),
             ledger: Some(ledger),
-            branch: Some(queue_settings.clone()),
-            disk: Some(MachineId { boot: 7, uptime: Micros(0) }),
+            write_queue: Some(queue_settings.clone()),
+            storage_machine: Some(MachineId { boot: 7, uptime: Micros(0) }),
             ..settings("a")
         };
         let wall_clock = Micros(1_790_000_000_000_000);
--- a/src/cluster/write_queue_node.rs
+++ b/src/cluster/write_queue_node.rs
@@ -24,7 +24,7 @@
         self.write_queue.as_ref().map(|queue| queue.replica().status(dot))
     }
 
-    /// Submits a write. The result follows as `WriteQueueEffect::Decided`. Returns the dot of the write, or
+    /// Submits a write. The result follows as `WriteQueueEffect::AcceptanceDecided`. Returns the dot of the write, or
     /// `None` if it cannot be accepted.
     pub fn accept_write(&mut self, now: Micros, request: WriteRequest, out: &mut Vec<Effect>) -> Option<Dot> {
         // Slow storage must not receive more writes than it can absorb.
@@ -108,11 +108,11 @@
         // Nothing is started so late that the lease could end before the other gateways have learned of it.
         let has_lease_with_margin = lease.is_held_with_margin;
         let is_unused = has_lease_with_margin && queue.is_idle();
-        let to_release = lease.lapsed.or(queue.claim().filter(|_| is_unused || self.left));
-        if to_release.is_some() || lease.is_gone {
-            self.give_up_queue_claim(to_release, lease.lapsed.is_some(), out);
+        let to_release = lease.lapsed_claim.or(queue.claim().filter(|_| is_unused || self.is_leaving));
+        if to_release.is_some() || lease.is_claim_missing {
+            self.give_up_queue_claim(to_release, lease.lapsed_claim.is_some(), out);
         }
-        if !self.left && self.write_queue.as_ref().is_some_and(|queue| queue.should_claim(now)) {
+        if !self.is_leaving && self.write_queue.as_ref().is_some_and(|queue| queue.should_claim(now)) {
             self.claim_queue(out);
         }
         self.with_queue(out, |queue, effects| queue.tick(now, has_lease_with_margin, lease.is_held, effects));
@@ -135,7 +135,7 @@
     fn claim_queue(&mut self, out: &mut Vec<Effect>) {
         let now = self.now;
         let wait = CLAIM_INTERVAL + Micros(self.rng.u64(0..CLAIM_INTERVAL.0));
-        let group = self.settings.branch.as_ref().map(|branch| branch.seats.clone()).unwrap_or_default();
+        let group = self.settings.write_queue.as_ref().map(|branch| branch.seats.clone()).unwrap_or_default();
         let claim = self.open_claim_in_group(now, queue_record(&group), &group, out);
         if let Some(queue) = self.write_queue.as_mut() {
             queue.set_claim(claim, now + wait);
@@ -172,10 +172,12 @@
                     }
                     return;
                 }
-                let may_have_run = first_sent_at.is_some();
-                WriteQueueEffect::Forward { write: Box::new(write), attempt, may_have_run }
+                let may_have_been_executed = first_sent_at.is_some();
+                WriteQueueEffect::Forward { write: Box::new(write), attempt, may_have_been_executed }
+            }
+            QueueEffect::AcceptanceDecided { dot, accepted } => {
+                WriteQueueEffect::AcceptanceDecided { dot, accepted }
             }
-            QueueEffect::Decided { dot, accepted } => WriteQueueEffect::Decided { dot, accepted },
             QueueEffect::NotCompleted { dot, outcome } => WriteQueueEffect::NotCompleted { dot, outcome },
             QueueEffect::IsolationChanged { isolated, since_response } => {
                 WriteQueueEffect::IsolationChanged { isolated, since_response }
--- a/src/proxy/admin/rollout_calls.rs
+++ b/src/proxy/admin/rollout_calls.rs
@@ -5,7 +5,7 @@
 use crate::cluster::rollout::RolloutRequest;
 use crate::cluster::CommandResult;
 use crate::decision::SettingsError;
-use crate::proxy::cluster_transport::rollouts::{RolloutCommand, RolloutStartError};
+use crate::proxy::cluster_transport::rollouts::{OperatorCommand, RolloutStartError};
 use crate::proxy::cluster_transport::ClusterTransport;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -29,7 +29,7 @@
     /// `POST /rollout`: start the rollout defined in the body.
     Start,
     /// `POST /rollout/pause`, `/resume` and `/abort`: change the running rollout.
-    Command(RolloutCommand),
+    Command(OperatorCommand),
 }
 
 impl RolloutCall {
@@ -43,9 +43,9 @@
             "" if is_read_method(method) => Ok(RolloutCall::Report),
             "" if method == Method::POST => Ok(RolloutCall::Start),
             "" => Err(AdminCallError::MethodNotAllowed { allow: "GET, HEAD, POST" }),
-            "pause" => require_post(method, RolloutCall::Command(RolloutCommand::Pause)),
-            "resume" => require_post(method, RolloutCall::Command(RolloutCommand::Resume)),
-            "abort" => require_post(method, RolloutCall::Command(RolloutCommand::Abort)),
+            "pause" => require_post(method, RolloutCall::Command(OperatorCommand::Pause)),
+            "resume" => require_post(method, RolloutCall::Command(OperatorCommand::Resume)),
+            "abort" => require_post(method, RolloutCall::Command(OperatorCommand::Abort)),
             _ => Err(AdminCallError::UnknownPath),
         }
     }
@@ -81,8 +81,8 @@
             StartError::NotText | StartError::Invalid(_) | StartError::UnknownName(_) => {
                 StatusCode::BAD_REQUEST
             }
-            StartError::Cluster(RolloutStartError::NoRecord) => StatusCode::CONFLICT,
-            StartError::Cluster(RolloutStartError::NotTaken(result)) => return command_reply(*result),
+            StartError::Cluster(RolloutStartError::RecordNotGranted) => StatusCode::CONFLICT,
+            StartError::Cluster(RolloutStartError::NotAccepted(result)) => return command_reply(*result),
             StartError::LedgerTimeout => StatusCode::SERVICE_UNAVAILABLE,
         };
         AdminReply::text(status, format!("{error}\n"))
@@ -115,7 +115,7 @@
 }
 
 fn report(cluster: &ClusterTransport) -> AdminReply {
-    match cluster.rollout() {
+    match cluster.rollout_report() {
         Some(report) => AdminReply::json(report),
         None => AdminReply::text(StatusCode::NOT_FOUND, "no rollout yet\n"),
     }
--- a/src/proxy/cluster_transport/mod.rs
+++ b/src/proxy/cluster_transport/mod.rs
@@ -27,7 +27,7 @@
 use crate::cluster::ledger::{AbandonedRequest, ClaimId, ClaimOutcome};
 use crate::cluster::rollout::RolloutKey;
 use crate::cluster::write_queue::Dot;
-use crate::cluster::{ClusterNode, Effect, Event, QuotaShares, RoutingInForce, StorageWrite};
+use crate::cluster::{ActiveRouting, ClusterNode, Effect, Event, QuotaShares, StorageWrite};
 use crate::decision::QuotaLease;
 use crate::proxy::control_plane::config::ClusterConfig;
 use crate::proxy::lifecycle::drain::Lifecycle;
@@ -55,7 +55,7 @@
     /// The quota shares that this gateway may use have changed.
     QuotaLease(QuotaLease),
     /// The routing rules in force have changed.
-    Routing(Box<RoutingInForce>),
+    Routing(Box<ActiveRouting>),
 }
 
 /// Passes an update to the runtime, without blocking.
@@ -237,8 +237,8 @@
     /// Notifies the runtime of the quota shares that this gateway may use, if quota shares are leased at all.
     fn notify_quota_lease(&self, shares: QuotaShares) {
         let QuotaShares { until, free_seats } = shares;
-        if self.config.lendable_part > 0.0 {
-            let fraction = self.config.lendable_part;
+        if self.config.leasable_fraction > 0.0 {
+            let fraction = self.config.leasable_fraction;
             let lease = QuotaLease { fraction, valid_until: until, absent_gateways: free_seats };
             (self.notify_runtime)(ClusterUpdate::QuotaLease(lease));
         }
--- a/src/proxy/cluster_transport/participation.rs
+++ b/src/proxy/cluster_transport/participation.rs
@@ -81,7 +81,7 @@
             buffer: vec![0; MAX_DATAGRAM_BYTES + 1],
             budget: ReceiveBudget { remaining: DATAGRAM_BUDGET, refill_at: now },
             next_tick: now,
-            next_ledger_tick: self.keeps_ledger().then_some(now),
+            next_ledger_tick: self.has_ledger().then_some(now),
             dropped_log: DroppedDatagramLog { count: 0, checked_at: now },
             leaving: false,
         };
@@ -94,11 +94,11 @@
         let unix = Micros(unix.as_micros().min(u128::from(u64::MAX)) as u64);
         let settings = Settings {
             peers: addresses,
-            disk: self.config.storage_dir.as_ref().map(|_| disk::machine_id()),
+            storage_machine: self.config.storage_dir.as_ref().map(|_| disk::machine_id()),
             ..self.config.settings.clone()
         };
         let node = ClusterNode::new(settings, self.clock.now(), unix, fastrand::u64(..))?;
-        info!(name = %node.own().name, incarnation = node.own().incarnation, "joining the cluster");
+        info!(name = %node.own_identity().name, incarnation = node.own_identity().incarnation, "joining the cluster");
         if let Some(in_force) = node.routing_in_force().filter(|f| !f.baseline.0.is_empty()) {
             (self.notify_runtime)(ClusterUpdate::Routing(Box::new(in_force)));
         }
--- a/src/proxy/cluster_transport/rollouts.rs
+++ b/src/proxy/cluster_transport/rollouts.rs
@@ -7,7 +7,7 @@
 
 /// An operator's command for the running rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RolloutCommand {
+pub enum OperatorCommand {
     /// Stay in the current stage.
     Pause,
     /// Continue after a pause.
@@ -21,16 +21,16 @@
 pub enum RolloutStartError {
     /// The node of this gateway did not accept the request.
     #[error("this gateway did not accept the rollout: {0:?}")]
-    NotTaken(CommandResult),
+    NotAccepted(CommandResult),
     /// This gateway did not acquire the rollout's record from the ledger.
     #[error("another rollout runs, or the ledger has no majority")]
-    NoRecord,
+    RecordNotGranted,
 }
 
 impl ClusterTransport {
     /// Whether rollouts of routing rules are configured.
-    pub fn keeps_rules(&self) -> bool {
-        self.config.settings.rules.is_some()
+    pub fn allows_rollouts(&self) -> bool {
+        self.config.settings.baseline_rules.is_some()
     }
 
     /// Starts a rollout, and returns its key once the ledger has granted the rollout's record. There is no time-out
@@ -45,24 +45,26 @@
         let result =
             self.with_node(self.participation.get(), |node, now, out| node.start_rollout(now, request, out));
         match result.unwrap_or(CommandResult::Disabled) {
-            CommandResult::Done => start_result.await.ok().flatten().ok_or(RolloutStartError::NoRecord),
-            result => Err(RolloutStartError::NotTaken(result)),
+            CommandResult::Done => {
+                start_result.await.ok().flatten().ok_or(RolloutStartError::RecordNotGranted)
+            }
+            result => Err(RolloutStartError::NotAccepted(result)),
         }
     }
 
     /// Carries out an operator's command.
-    pub fn command_rollout(&self, command: RolloutCommand) -> CommandResult {
+    pub fn command_rollout(&self, command: OperatorCommand) -> CommandResult {
         let result = self.with_node(self.participation.get(), |node, now, out| match command {
-            RolloutCommand::Abort => node.abort_rollout(now, out),
-            RolloutCommand::Pause => node.pause_rollout(now, true, out),
-            RolloutCommand::Resume => node.pause_rollout(now, false, out),
+            OperatorCommand::Abort => node.abort_rollout(now, out),
+            OperatorCommand::Pause => node.pause_rollout(now, true, out),
+            OperatorCommand::Resume => node.pause_rollout(now, false, out),
         });
         result.unwrap_or(CommandResult::Disabled)
     }
 
     /// The report of the last rollout for operators, as JSON. `None` if there has been no rollout, or this process
     /// does not participate in the cluster.
-    pub fn rollout(&self) -> Option<String> {
+    pub fn rollout_report(&self) -> Option<String> {
         let report = self.node.borrow().as_ref()?.rollout_report(self.clock.now())?;
         serde_json::to_string_pretty(&report).ok()
     }
--- a/src/proxy/cluster_transport/writes.rs
+++ b/src/proxy/cluster_transport/writes.rs
@@ -9,8 +9,8 @@
 
 impl ClusterTransport {
     /// Whether this gateway belongs to a branch that accepts writes.
-    pub fn is_of_branch(&self) -> bool {
-        self.config.settings.branch.is_some()
+    pub fn belongs_to_branch(&self) -> bool {
+        self.config.settings.write_queue.is_some()
     }
 
     /// Whether a write of this class, customer and object is to be queued now instead of forwarded directly.
@@ -49,9 +49,9 @@
 
     pub(super) fn perform_write_queue(&self, effect: WriteQueueEffect) {
         match effect {
-            WriteQueueEffect::Decided { dot, accepted } => self.resolve_write(dot, accepted),
-            WriteQueueEffect::Forward { write, attempt, may_have_run } => {
-                self.queue_forward(QueuedWrite { write, attempt, may_have_run });
+            WriteQueueEffect::AcceptanceDecided { dot, accepted } => self.resolve_write(dot, accepted),
+            WriteQueueEffect::Forward { write, attempt, may_have_been_executed } => {
+                self.queue_forward(QueuedWrite { write, attempt, may_have_been_executed });
             }
             WriteQueueEffect::NotCompleted { dot, outcome } => {
                 warn!(%dot, outcome = ?outcome, "queued write not completed");
--- a/src/proxy/downstream/connection.rs
+++ b/src/proxy/downstream/connection.rs
@@ -39,7 +39,7 @@
         async move { Ok::<_, Infallible>(respond(request, &context, open_request).await) }
     });
     let serving = http1::Builder::new()
-        .max_buf_size(context.memory.buffer())
+        .max_buf_size(context.memory.buffer_bytes())
         .header_read_timeout(None)
         .serve_connection(TokioIo::new(socket), service);
     let reason = tokio::select! {
@@ -95,7 +95,7 @@
 
 /// Returns the status of a write that a branch accepted.
 fn write_status(context: &ProxyContext, method: &Method, path: &str) -> Response<ClientResponseBody> {
-    let cluster = context.cluster.as_ref().filter(|cluster| cluster.is_of_branch());
+    let cluster = context.cluster.as_ref().filter(|cluster| cluster.belongs_to_branch());
     let Some(cluster) = cluster else { return plain_text(StatusCode::NOT_FOUND, "no such path\n") };
     if *method != Method::GET {
         return plain_text(StatusCode::METHOD_NOT_ALLOWED, "not this path's method\n");
--- a/src/proxy/downstream/request.rs
+++ b/src/proxy/downstream/request.rs
@@ -73,7 +73,7 @@
         return Err(BodyError::TooLong.into());
     }
     let reserved = length.unwrap_or(MAX_BUFFERED_BODY_BYTES);
-    let memory = if reserved <= MAX_BUFFERED_BODY_BYTES { memory.hold(reserved) } else { None };
+    let memory = if reserved <= MAX_BUFFERED_BODY_BYTES { memory.reserve(reserved) } else { None };
     if memory.is_none() && length.is_some() {
         return Ok(BodyWithMemory::streamed(Bytes::new(), reader, None));
     }
@@ -175,7 +175,7 @@
         };
         let mut record = RecordedRequest::new(&self.head, key, &forward(None), body);
         let arrival = Arrival { deadline: self.deadline, ..self.head.arrival.clone() };
-        if cluster.finishes(self.context.rules.class_name(arrival.class)) {
+        if cluster.finishes_abandoned(self.context.rules.class_name(arrival.class)) {
             record.serialized = serialize(&self.method, &self.uri, &self.headers, body);
         }
         serve_recorded(self.context, cluster, &record, arrival, forward).await
