--- a/lab/tests/ledger_plans/main.rs
+++ b/lab/tests/ledger_plans/main.rs
@@ -1,5 +1,5 @@
-//! The ledger under virtual time: random plans of deaths, pauses, partitions, loss, duplicates, late datagrams and clocks
-//! that run at rates of their own, and after each event what must hold always.
+//! Runs the ledger under virtual time through random plans of crashes, pauses, partitions, lost, duplicated and delayed
+//! datagrams and clock drift, and checks the safety invariants after each event.
 
 mod plan;
 mod simulation;
@@ -10,7 +10,7 @@
 use quota_gateway::cluster::ledger::ClaimOutcome;
 use simulation::{Counts, Simulation, MS, RECORDS, SEATS, SETTINGS};
 
-fn play(seed: u64, steps: &Steps) -> Simulation {
+fn run_plan(seed: u64, steps: &Steps) -> Simulation {
     let mut simulation = Simulation::new(seed);
     for (after, step) in steps {
         simulation.run_until(simulation.now + u64::from(*after) * MS);
@@ -28,13 +28,13 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: cases(), ..ProptestConfig::default() })]
-    /// A gateway that owns a record and stands still, is cut off or dies must neither act beside the next owner nor lose a
-    /// response that was confirmed.
+    /// A gateway that owns a record and is paused, partitioned or killed must neither act at the same time as the next
+    /// owner nor lose a confirmed response.
     #[test]
-    fn record_has_one_owner_rising_fence_and_keeps_response_under_faults((seed, steps) in plan()) {
-        let mut simulation = play(seed, &steps);
+    fn record_has_one_owner_and_a_rising_fence_and_keeps_its_response_under_faults((seed, steps) in plan()) {
+        let mut simulation = run_plan(seed, &steps);
         prop_assert_eq!(simulation.violation, None);
-        // Once nothing fails any more, and all have a vote again, each record is to be had, also a dead owner's.
+        // Once all faults have ended and all replicas vote again, each record can be claimed, also that of a killed owner.
         simulation.inject(&Fault::Heal);
         simulation.inject(&Fault::Network(0, 0, 2));
         for seat in 0..SEATS {
@@ -42,22 +42,22 @@
             simulation.pause(seat, false);
         }
         simulation.run_until(simulation.now + SETTINGS.vote_delay().0 * 11 / 10);
-        // One dead replica is in nobody's way, whatever it said before.
+        // One killed replica blocks no claim, whatever it had promised before.
         for record in 0..RECORDS {
-            simulation.request(&ClientRequest { after: 0, seat: 1, record, delay_ms: 0, work_ms: 900, answers: false });
+            simulation.request(&ClientRequest { after: 0, seat: 1, record, delay_ms: 0, work_ms: 900, sends_response: false });
         }
         simulation.run_until(simulation.now + 300 * MS);
         simulation.inject(&Fault::Kill(1));
         simulation.run_until(simulation.now + 400 * MS);
-        simulation.last.clear();
+        simulation.last_outcomes.clear();
         for record in 0..RECORDS {
-            let request = ClientRequest { after: 0, seat: 0, record, delay_ms: 0, work_ms: 1, answers: true };
+            let request = ClientRequest { after: 0, seat: 0, record, delay_ms: 0, work_ms: 1, sends_response: true };
             simulation.request(&request);
         }
         simulation.run_until(simulation.now + 500 * MS);
         for record in 0..RECORDS {
-            let had = matches!(simulation.last.get(&record), Some(ClaimOutcome::Confirmed(_)));
-            prop_assert!(had, "record {}: {:?}", record, simulation.last.get(&record));
+            let is_confirmed = matches!(simulation.last_outcomes.get(&record), Some(ClaimOutcome::Confirmed(_)));
+            prop_assert!(is_confirmed, "record {}: {:?}", record, simulation.last_outcomes.get(&record));
         }
     }
 }
@@ -66,26 +66,27 @@
     std::env::var("PROPTEST_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(64)
 }
 
-/// The plans would show nothing if nobody ever took over, or read a response.
+/// The random plans prove nothing unless some of them lead to takeovers, read responses and abandoned requests.
 #[test]
-fn plans_reach_takeovers_and_read_responses() {
+fn random_plans_reach_takeovers_and_read_responses() {
     let mut runner = proptest::test_runner::TestRunner::deterministic();
-    let mut sum = Counts::default();
+    let mut totals = Counts::default();
     for _ in 0..40 {
         let (seed, steps) = plan().new_tree(&mut runner).expect("a plan").current();
-        sum.add(&play(seed, &steps).counts);
+        totals.add(&run_plan(seed, &steps).counts);
     }
-    let Counts { owners, takeovers, responses_read, abandoned } = sum;
-    let enough = owners > 100 && takeovers > 30 && responses_read > 10 && abandoned > 10;
+    let Counts { owners, takeovers, responses_read, abandoned } = totals;
+    let is_covered = owners > 100 && takeovers > 30 && responses_read > 10 && abandoned > 10;
     assert!(
-        enough,
+        is_covered,
         "{owners} owners, {takeovers} takeovers, {responses_read} responses read, {abandoned} abandoned"
     );
 }
 
-/// Two gateways that finish one request send its write twice.
+/// An owner that is slow but alive keeps its request: if the request were offered to another gateway as abandoned, both
+/// would send its write.
 #[test]
-fn request_is_not_abandoned_while_its_owner_works() {
+fn request_of_a_live_owner_is_not_reported_as_abandoned() {
     for seed in 0..20 {
         let requests = (0..60).map(|i| {
             let request = ClientRequest {
@@ -94,11 +95,11 @@
                 record: i as u64,
                 delay_ms: (i % 7) as u16 * 10,
                 work_ms: (i % 5) as u16 * 500,
-                answers: i % 3 > 0,
+                sends_response: i % 3 > 0,
             };
             (70, Ok(request))
         });
-        let simulation = play(seed, &requests.collect());
+        let simulation = run_plan(seed, &requests.collect());
         assert!(simulation.counts.owners > 40, "seed {seed}: {} owners", simulation.counts.owners);
         assert_eq!(
             (simulation.counts.abandoned, simulation.violation),
--- a/lab/tests/ledger_plans/simulation.rs
+++ b/lab/tests/ledger_plans/simulation.rs
@@ -1,5 +1,5 @@
-//! The ledger's nodes under virtual time: a network that delays, loses and doubles messages, clocks that run at rates of
-//! their own, and after each event what must hold always.
+//! Simulation of the ledger's nodes under virtual time, with a network that delays, loses and duplicates messages and
+//! with clocks that drift. The safety invariants are checked after each event.
 
 use crate::plan::{ClientRequest, Fault};
 use quota_gateway::cluster::ledger::{
@@ -16,8 +16,8 @@
 pub const MS: u64 = 1_000;
 pub const SETTINGS: LedgerSettings =
     LedgerSettings { replicas: 3, lease: Micros(300 * MS), record_lifetime: Micros(4_000 * MS) };
-/// When all have a vote and the plan begins, and how long it lasts.
-pub const BEGIN: u64 = 9_000 * MS;
+/// Start of the plan in microseconds: by then all replicas have a vote.
+pub const PLAN_START: u64 = 9_000 * MS;
 pub const RECORDS: u64 = 3;
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -31,44 +31,46 @@
 
 pub struct Node {
     pub ledger: Option<LedgerNode>,
-    /// Which of its processes.
+    /// Number of processes started on this node.
     pub process: u64,
     pub paused: bool,
-    /// Parts in ten thousand that its clock runs faster, and its offset.
+    /// Clock drift, in parts per ten thousand.
     pub rate: i64,
+    /// Offset of the node's clock from the virtual time, in microseconds.
     pub offset: u64,
-    pub waiting: Vec<(usize, LedgerMessage)>,
+    /// Datagrams that arrived while the process was paused.
+    pub pending_datagrams: Vec<(usize, LedgerMessage)>,
 }
 
 pub struct OpenRequest {
     pub record: u64,
-    pub opened: u64,
+    pub opened_at: u64,
     pub delay_ms: u16,
     pub work_ms: u16,
-    pub answers: bool,
-    /// The number of the write that says that it is about to send.
-    pub sent: Option<u32>,
+    pub sends_response: bool,
+    /// Number of the write to the record that announces the attempt, once it was made.
+    pub send_write: Option<u32>,
 }
 
-/// What is known of a record from outside.
+/// Observed history of a record.
 #[derive(Default)]
 pub struct RecordHistory {
-    pub began: u64,
+    pub began_at: u64,
     pub fence: u32,
-    /// When an answer was confirmed.
-    pub answered: Option<u64>,
+    /// Time at which a response was confirmed.
+    pub response_confirmed_at: Option<u64>,
 }
 
-/// What the plans came to.
+/// Number of events of each kind that the plans reached.
 #[derive(Default)]
 pub struct Counts {
-    /// Owners that were confirmed.
+    /// Confirmed owners.
     pub owners: u32,
-    /// Of them such that came after another.
+    /// Confirmed owners that took the record over from another.
     pub takeovers: u32,
-    /// Responses that were read from the record.
+    /// Responses read from the record.
     pub responses_read: u32,
-    /// Requests of dead owners that were offered to be finished.
+    /// Abandoned requests offered to another gateway.
     pub abandoned: u32,
 }
 
@@ -78,17 +80,17 @@
     pub queue: BinaryHeap<Reverse<(u64, u64, Scheduled)>>,
     pub serial: u64,
     pub rng: ChaCha8Rng,
-    pub cut: Vec<(usize, usize)>,
+    pub blocked_paths: Vec<(usize, usize)>,
     pub network: (u8, u8, u16),
     pub open_requests: BTreeMap<(usize, u64, ClaimId), OpenRequest>,
     pub history: BTreeMap<u64, RecordHistory>,
     pub counts: Counts,
     pub violation: Option<&'static str>,
-    /// Outcomes of claims by record, the last of each.
-    pub last: BTreeMap<u64, ClaimOutcome>,
+    /// Last claim outcome by record.
+    pub last_outcomes: BTreeMap<u64, ClaimOutcome>,
 }
 
-pub fn id(record: u64) -> RecordId {
+pub fn record_id(record: u64) -> RecordId {
     RecordId { customer: record, key: record * 31 }
 }
 
@@ -110,7 +112,7 @@
             paused: false,
             rate: rng.random_range(-200..=200),
             offset: rng.random_range(0..1_000_000_000),
-            waiting: Vec::new(),
+            pending_datagrams: Vec::new(),
         };
         let nodes = (0..SEATS).map(node).collect();
         let mut simulation = Simulation {
@@ -119,31 +121,31 @@
             queue: BinaryHeap::new(),
             serial: 0,
             rng,
-            cut: Vec::new(),
+            blocked_paths: Vec::new(),
             network: (0, 0, 2),
             open_requests: BTreeMap::new(),
             history: BTreeMap::new(),
             counts: Counts::default(),
             violation: None,
-            last: BTreeMap::new(),
+            last_outcomes: BTreeMap::new(),
         };
         (0..SEATS).for_each(|seat| simulation.start(seat));
-        simulation.run_until(BEGIN);
+        simulation.run_until(PLAN_START);
         simulation
     }
-    pub fn local(&self, seat: usize) -> Micros {
+    pub fn local_time(&self, seat: usize) -> Micros {
         let node = &self.nodes[seat];
         Micros(node.offset + (self.now as i64 + self.now as i64 * node.rate / 10_000) as u64)
     }
-    pub fn push(&mut self, at: u64, what: Scheduled) {
+    pub fn push(&mut self, at: u64, event: Scheduled) {
         self.serial += 1;
-        self.queue.push(Reverse((at, self.serial, what)));
+        self.queue.push(Reverse((at, self.serial, event)));
     }
     pub fn start(&mut self, seat: usize) {
         if self.nodes[seat].ledger.is_some() {
             return;
         }
-        let (now, process) = (self.local(seat), self.rng.random());
+        let (now, process) = (self.local_time(seat), self.rng.random());
         self.nodes[seat].process += 1;
         self.nodes[seat].paused = false;
         self.nodes[seat].ledger = Some(LedgerNode::new(SETTINGS, seat as u16, SEATS, 1, process, now));
@@ -153,55 +155,57 @@
         match *fault {
             Fault::Kill(seat) => {
                 self.nodes[seat].ledger = None;
-                self.nodes[seat].waiting.clear();
+                self.nodes[seat].pending_datagrams.clear();
                 self.open_requests.retain(|(node, ..), _| *node != seat);
             }
             Fault::Start(seat) => self.start(seat),
-            Fault::Pause(seat, on) => self.pause(seat, on),
-            Fault::Cut(a, b) if a != b => self.cut.push((a, b)),
+            Fault::Pause(seat, paused) => self.pause(seat, paused),
+            Fault::Cut(a, b) if a != b => self.blocked_paths.push((a, b)),
             Fault::Cut(..) => {}
-            Fault::Isolate(seat, to, from) => {
+            Fault::Isolate(seat, outbound, inbound) => {
                 let others = (0..SEATS).filter(|other| *other != seat);
-                let ways = others.flat_map(|other| [(to, (seat, other)), (from, (other, seat))]);
-                self.cut.extend(ways.filter(|(cut, _)| *cut).map(|(_, way)| way));
+                let paths = others.flat_map(|other| [(outbound, (seat, other)), (inbound, (other, seat))]);
+                self.blocked_paths.extend(paths.filter(|(is_blocked, _)| *is_blocked).map(|(_, path)| path));
             }
-            Fault::Heal => self.cut.clear(),
-            Fault::Network(loss, doubled, delay) => self.network = (loss, doubled, delay),
+            Fault::Heal => self.blocked_paths.clear(),
+            Fault::Network(loss, duplication, delay) => self.network = (loss, duplication, delay),
         }
     }
-    pub fn pause(&mut self, seat: usize, on: bool) {
-        self.nodes[seat].paused = on;
-        if !on {
-            // What came in meanwhile is read at once, in the order in which it came.
-            for (from, message) in std::mem::take(&mut self.nodes[seat].waiting) {
-                self.hear(seat, from, message);
+    pub fn pause(&mut self, seat: usize, paused: bool) {
+        self.nodes[seat].paused = paused;
+        if !paused {
+            // Datagrams that arrived during the pause are delivered at once, in order of arrival.
+            for (from, message) in std::mem::take(&mut self.nodes[seat].pending_datagrams) {
+                self.deliver(seat, from, message);
             }
         }
     }
-    pub fn act<T>(
+    pub fn run_ledger<T>(
         &mut self,
         seat: usize,
-        act: impl FnOnce(&mut LedgerNode, Micros, &mut Vec<LedgerEffect>) -> T,
+        action: impl FnOnce(&mut LedgerNode, Micros, &mut Vec<LedgerEffect>) -> T,
     ) -> Option<T> {
-        let (now, mut out) = (self.local(seat), Vec::new());
-        let done = act(self.nodes[seat].ledger.as_mut()?, now, &mut out);
-        for one in out {
-            match one {
+        let (now, mut effects) = (self.local_time(seat), Vec::new());
+        let result = action(self.nodes[seat].ledger.as_mut()?, now, &mut effects);
+        for effect in effects {
+            match effect {
                 LedgerEffect::Send(AddressedMessage { to, message }) => {
-                    self.post(seat, usize::from(to), message)
+                    self.send(seat, usize::from(to), message)
                 }
-                LedgerEffect::ClaimResolved { claim, outcome } => self.found(seat, claim, outcome),
-                LedgerEffect::RequestAbandoned(request) => self.finish(seat, request),
+                LedgerEffect::ClaimResolved { claim, outcome } => {
+                    self.on_claim_resolved(seat, claim, outcome)
+                }
+                LedgerEffect::RequestAbandoned(request) => self.on_request_abandoned(seat, request),
             }
         }
-        Some(done)
+        Some(result)
     }
-    pub fn post(&mut self, from: usize, to: usize, message: LedgerMessage) {
-        let (loss, doubled, delay) = self.network;
-        if self.cut.contains(&(from, to)) {
+    pub fn send(&mut self, from: usize, to: usize, message: LedgerMessage) {
+        let (loss, duplication, delay) = self.network;
+        if self.blocked_paths.contains(&(from, to)) {
             return;
         }
-        let copies = if self.rng.random_range(0..100) < doubled { 2 } else { 1 };
+        let copies = if self.rng.random_range(0..100) < duplication { 2 } else { 1 };
         for _ in 0..copies {
             if self.rng.random_range(0..100) >= loss {
                 let at = self.now + 200 + self.rng.random_range(0..=u64::from(delay) * MS);
@@ -209,8 +213,8 @@
             }
         }
     }
-    pub fn hear(&mut self, seat: usize, from: usize, message: LedgerMessage) {
-        self.act(seat, |ledger, now, out| ledger.on_message(now, from as u16, message, out));
+    pub fn deliver(&mut self, seat: usize, from: usize, message: LedgerMessage) {
+        self.run_ledger(seat, |ledger, now, effects| ledger.on_message(now, from as u16, message, effects));
     }
 
     pub fn request(&mut self, request: &ClientRequest) {
@@ -218,82 +222,95 @@
         if self.nodes[seat].paused || self.nodes[seat].ledger.is_none() {
             return;
         }
-        let mut out = Vec::new();
-        let now = self.local(seat);
+        let mut effects = Vec::new();
+        let now = self.local_time(seat);
         let Some(ledger) = self.nodes[seat].ledger.as_mut() else { return };
-        let Some(claim) = ledger.open(now, id(request.record), 5, |_| true, &mut out) else { return };
+        let Some(claim) = ledger.open(now, record_id(request.record), 5, |_| true, &mut effects) else {
+            return;
+        };
         ledger.attach_request(claim, request.record.to_le_bytes().to_vec());
-        let work = OpenRequest {
+        let open_request = OpenRequest {
             record: request.record,
-            opened: self.now,
+            opened_at: self.now,
             delay_ms: request.delay_ms,
             work_ms: request.work_ms,
-            answers: request.answers,
-            sent: None,
+            sends_response: request.sends_response,
+            send_write: None,
         };
         let process = self.nodes[seat].process;
-        self.open_requests.insert((seat, process, claim), work);
+        self.open_requests.insert((seat, process, claim), open_request);
         self.push(self.now + 20 * MS, Scheduled::ContactAll(seat, process, claim));
-        for one in out {
-            match one {
+        for effect in effects {
+            match effect {
                 LedgerEffect::Send(AddressedMessage { to, message }) => {
-                    self.post(seat, usize::from(to), message)
+                    self.send(seat, usize::from(to), message)
                 }
-                LedgerEffect::ClaimResolved { claim, outcome } => self.found(seat, claim, outcome),
-                LedgerEffect::RequestAbandoned(request) => self.finish(seat, request),
+                LedgerEffect::ClaimResolved { claim, outcome } => {
+                    self.on_claim_resolved(seat, claim, outcome)
+                }
+                LedgerEffect::RequestAbandoned(request) => self.on_request_abandoned(seat, request),
             }
         }
     }
 
-    /// What a dead owner left is finished by whom it is offered to, as if its client had come again there.
-    pub fn finish(&mut self, seat: usize, abandoned: AbandonedRequest) {
+    /// The gateway that is offered an abandoned request handles it as if the client had sent the request again there.
+    pub fn on_request_abandoned(&mut self, seat: usize, abandoned: AbandonedRequest) {
         self.counts.abandoned += 1;
         if abandoned.request != abandoned.id.customer.to_le_bytes() || abandoned.request_digest != 5 {
-            self.violation = Some("a request that nobody left");
+            self.violation = Some("an abandoned request differs from the one that was attached");
         }
         let record = abandoned.id.customer;
-        self.request(&ClientRequest { after: 0, seat, record, delay_ms: 0, work_ms: 30, answers: true });
+        self.request(&ClientRequest {
+            after: 0,
+            seat,
+            record,
+            delay_ms: 0,
+            work_ms: 30,
+            sends_response: true,
+        });
     }
 
-    pub fn found(&mut self, seat: usize, claim: ClaimId, outcome: ClaimOutcome) {
+    pub fn on_claim_resolved(&mut self, seat: usize, claim: ClaimId, outcome: ClaimOutcome) {
         let key = (seat, self.nodes[seat].process, claim);
-        let Some(work) = self.open_requests.get(&key) else { return };
-        let (record, opened, held, took) = (work.record, work.opened, work.delay_ms, work.work_ms);
-        self.last.insert(record, outcome.clone());
+        let Some(open_request) = self.open_requests.get(&key) else { return };
+        let (record, opened_at, delay_ms, work_ms) =
+            (open_request.record, open_request.opened_at, open_request.delay_ms, open_request.work_ms);
+        self.last_outcomes.insert(record, outcome.clone());
         let history = self.history.entry(record).or_default();
-        let lives = self.now < history.began + SETTINGS.record_lifetime.0 * 8 / 10;
+        let is_within_lifetime = self.now < history.began_at + SETTINGS.record_lifetime.0 * 8 / 10;
         match outcome {
             ClaimOutcome::Acquired { .. } => {
-                if lives && history.answered.is_some_and(|at| at < opened) {
-                    self.violation = Some("an answer that was confirmed was not read");
+                if is_within_lifetime && history.response_confirmed_at.is_some_and(|at| at < opened_at) {
+                    self.violation = Some("a confirmed response was not read");
                 }
-                self.push(self.now + u64::from(held) * MS, Scheduled::Write(seat, key.1, claim));
+                self.push(self.now + u64::from(delay_ms) * MS, Scheduled::Write(seat, key.1, claim));
             }
-            ClaimOutcome::Confirmed(number) => {
+            ClaimOutcome::Confirmed(write_number) => {
                 let node = &self.nodes[seat];
-                let Some(written) = node.ledger.as_ref().and_then(|d| d.claim(claim)).map(|c| c.record())
+                let Some(ledger_record) =
+                    node.ledger.as_ref().and_then(|ledger| ledger.claim(claim)).map(|claim| claim.record())
                 else {
                     return;
                 };
-                if number == 1 {
-                    if written.fence == 0 {
-                        self.violation = Some("an owner without a fence");
-                    } else if written.fence == 1 {
-                        *history = RecordHistory { began: opened, ..RecordHistory::default() };
-                    } else if lives && written.fence <= history.fence {
+                if write_number == 1 {
+                    if ledger_record.fence == 0 {
+                        self.violation = Some("an owner has no fence");
+                    } else if ledger_record.fence == 1 {
+                        *history = RecordHistory { began_at: opened_at, ..RecordHistory::default() };
+                    } else if is_within_lifetime && ledger_record.fence <= history.fence {
                         self.violation = Some("a fence did not rise");
                     }
                     self.counts.owners += 1;
-                    self.counts.takeovers += u32::from(written.fence > 1);
-                    history.fence = history.fence.max(written.fence);
+                    self.counts.takeovers += u32::from(ledger_record.fence > 1);
+                    history.fence = history.fence.max(ledger_record.fence);
                 }
-                if written.response.is_some() {
-                    history.answered = Some(self.now);
+                if ledger_record.response.is_some() {
+                    history.response_confirmed_at = Some(self.now);
                 }
-                if work.sent == Some(number) {
-                    let answers = work.answers;
-                    let at = self.now + u64::from(took) * MS;
-                    self.push(at, Scheduled::Release(seat, key.1, claim, answers));
+                if open_request.send_write == Some(write_number) {
+                    let sends_response = open_request.sends_response;
+                    let at = self.now + u64::from(work_ms) * MS;
+                    self.push(at, Scheduled::Release(seat, key.1, claim, sends_response));
                 }
             }
             ClaimOutcome::Completed(_) => {
@@ -311,82 +328,87 @@
 
     pub fn run_until(&mut self, until: u64) {
         while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= until) {
-            let Some(Reverse((at, _, what))) = self.queue.pop() else { break };
+            let Some(Reverse((at, _, event))) = self.queue.pop() else { break };
             self.now = self.now.max(at);
-            self.step(what);
+            self.step(event);
             self.check();
         }
         self.now = until;
     }
 
-    pub fn step(&mut self, what: Scheduled) {
-        match what {
+    pub fn step(&mut self, event: Scheduled) {
+        match event {
             Scheduled::Datagram(from, to, message) => match self.nodes[to].paused {
-                true if self.nodes[to].ledger.is_some() => self.nodes[to].waiting.push((from, message)),
+                true if self.nodes[to].ledger.is_some() => {
+                    self.nodes[to].pending_datagrams.push((from, message))
+                }
                 true => {}
-                false => self.hear(to, from, message),
+                false => self.deliver(to, from, message),
             },
             Scheduled::Tick(seat) => {
                 if self.nodes[seat].ledger.is_some() {
                     if !self.nodes[seat].paused {
-                        self.act(seat, |ledger, now, out| ledger.tick(now, out));
+                        self.run_ledger(seat, |ledger, now, effects| ledger.tick(now, effects));
                     }
                     self.push(self.now + 20 * MS, Scheduled::Tick(seat));
                 }
             }
             Scheduled::ContactAll(seat, process, claim) => {
-                if !self.later(seat, process, Scheduled::ContactAll(seat, process, claim)) {
-                    self.act(seat, |ledger, now, out| ledger.contact_all(now, claim, out));
+                if !self.defer_or_drop(seat, process, Scheduled::ContactAll(seat, process, claim)) {
+                    self.run_ledger(seat, |ledger, now, effects| ledger.contact_all(now, claim, effects));
                 }
             }
             Scheduled::Write(seat, process, claim) => {
-                if self.later(seat, process, Scheduled::Write(seat, process, claim)) {
+                if self.defer_or_drop(seat, process, Scheduled::Write(seat, process, claim)) {
                     return;
                 }
-                let number = self
-                    .act(seat, |ledger, now, out| ledger.write(now, claim, RecordChange::AddAttempt(1), out));
-                if let Some(work) = self.open_requests.get_mut(&(seat, process, claim)) {
-                    work.sent = number.flatten();
+                let write_number = self.run_ledger(seat, |ledger, now, effects| {
+                    ledger.write(now, claim, RecordChange::AddAttempt(1), effects)
+                });
+                if let Some(open_request) = self.open_requests.get_mut(&(seat, process, claim)) {
+                    open_request.send_write = write_number.flatten();
                 }
             }
-            Scheduled::Release(seat, process, claim, answers) => {
-                if self.later(seat, process, Scheduled::Release(seat, process, claim, answers)) {
+            Scheduled::Release(seat, process, claim, sends_response) => {
+                if self.defer_or_drop(seat, process, Scheduled::Release(seat, process, claim, sends_response))
+                {
                     return;
                 }
-                let answer = answers.then(|| b"done".to_vec());
-                self.act(seat, |ledger, now, out| ledger.release(now, claim, answer, out));
+                let answer = sends_response.then(|| b"done".to_vec());
+                self.run_ledger(seat, |ledger, now, effects| ledger.release(now, claim, answer, effects));
             }
         }
     }
 
-    /// What a paused process would do it does when it wakes; a dead one never.
-    pub fn later(&mut self, seat: usize, process: u64, what: Scheduled) -> bool {
+    /// Defers an event of a paused process until the process resumes and drops that of an ended process. Returns whether
+    /// the event must not run now.
+    pub fn defer_or_drop(&mut self, seat: usize, process: u64, event: Scheduled) -> bool {
         let node = &self.nodes[seat];
         if node.ledger.is_none() || node.process != process {
             return true;
         }
         if node.paused {
-            self.push(self.now + 10 * MS, what);
+            self.push(self.now + 10 * MS, event);
         }
         self.nodes[seat].paused
     }
 
     pub fn check(&mut self) {
         let mut owners: BTreeMap<u64, u32> = BTreeMap::new();
-        for ((seat, process, claim), work) in &self.open_requests {
+        for ((seat, process, claim), open_request) in &self.open_requests {
             let node = &self.nodes[*seat];
-            let awake = !node.paused && node.process == *process;
-            let held = node
+            let is_running = !node.paused && node.process == *process;
+            let has_lease = node
                 .ledger
                 .as_ref()
-                .and_then(|d| d.claim(*claim))
-                .is_some_and(|c| c.has_lease(self.local(*seat)));
-            if awake && held {
-                *owners.entry(work.record).or_default() += 1;
+                .and_then(|ledger| ledger.claim(*claim))
+                .is_some_and(|claim| claim.has_lease(self.local_time(*seat)));
+            if is_running && has_lease {
+                *owners.entry(open_request.record).or_default() += 1;
             }
         }
         if owners.values().any(|count| *count > 1) {
-            self.violation = Some("two owners may act at one time");
+            self.violation = Some("two owners may act at the same time");
         }
     }
 }
