--- a/lab/tests/write_queue/main.rs
+++ b/lab/tests/write_queue/main.rs
@@ -1,4 +1,4 @@
-//! The write queue of a branch office under faults: what is promised of accepted writes and of their order.
+//! Tests of the write queue of a branch under faults: accepted writes are neither lost nor reordered.
 
 mod simulation;
 
@@ -11,110 +11,121 @@
 use rand::RngExt;
 use simulation::{Simulation, MS, TICK};
 
-/// A branch office is cut off from the backends for some seconds, and its customers go on writing. Once the uplink is back
-/// each accepted write runs once, after all that it depends on, and new writes wait behind those that are pending.
+/// A branch loses its uplink for some seconds while its customers keep writing. Once the uplink is back, each accepted
+/// write must run once, after all writes that it depends on, and new writes must queue behind pending ones.
 #[test]
 fn isolated_branch_forwards_each_write_once_in_causal_order_after_recovery() {
     let mut simulation = Simulation::new(1, 5);
     assert!(!simulation.write(0, 1, 1), "the uplink is up");
     simulation.isolated = true;
-    simulation.pass(1_500);
-    assert!(simulation.nodes.iter().flatten().all(QueueReplica::is_isolated), "all say so after a while");
-    let mut taken = 0;
+    simulation.advance_ms(1_500);
+    assert!(
+        simulation.nodes.iter().flatten().all(QueueReplica::is_isolated),
+        "each replica reports the isolation after the uplink time-out"
+    );
+    let mut queued = 0;
     for i in 0..400u64 {
-        taken += u64::from(simulation.write((i % 5) as usize, i % 23, i % 17));
-        simulation.pass(20);
+        queued += u64::from(simulation.write((i % 5) as usize, i % 23, i % 17));
+        simulation.advance_ms(20);
     }
-    simulation.pass(500);
-    let waits = simulation.nodes[0].as_ref().expect("it is alive").log().pending_count();
-    assert!(taken > 300 && waits > 300, "{taken} taken, {waits} wait");
-    assert!(simulation.writes.values().all(|s| s.accepted.is_some() && s.ran.is_empty()));
+    simulation.advance_ms(500);
+    let pending = simulation.nodes[0].as_ref().expect("the replica is running").log().pending_count();
+    assert!(queued > 300 && pending > 300, "{queued} queued, {pending} pending");
+    assert!(simulation.writes.values().all(|write| write.accepted.is_some() && write.executions.is_empty()));
     simulation.isolated = false;
-    let healed = simulation.now;
-    // Whoever comes now lines up behind what waits.
-    simulation.pass(1_500);
-    assert!(simulation.write(3, 2, 2), "a customer whose writes wait lines up");
-    while !simulation.settled() && simulation.now < healed + 60_000 * MS {
+    let uplink_restored_at = simulation.now;
+    // New writes queue behind the pending ones.
+    simulation.advance_ms(1_500);
+    assert!(simulation.write(3, 2, 2), "a new write of a customer with pending writes is queued");
+    while !simulation.is_drained() && simulation.now < uplink_restored_at + 60_000 * MS {
         simulation.tick_all();
     }
-    simulation.pass(500);
-    println!("{taken} writes of 23 customers done {} ms after the heal", (simulation.now - healed) / MS);
-    let order = simulation.check().expect("what was promised");
-    assert!(order > 1000, "{order} pairs in an order");
-    assert!(!simulation.write(3, 2, 2), "nothing waits: it goes straight on");
+    simulation.advance_ms(500);
+    println!(
+        "{queued} writes of 23 customers completed {} ms after the uplink returned",
+        (simulation.now - uplink_restored_at) / MS
+    );
+    let ordered_pairs = simulation.check().expect("guarantees of the write queue");
+    assert!(ordered_pairs > 1000, "{ordered_pairs} ordered pairs");
+    assert!(!simulation.write(3, 2, 2), "with no pending writes a write bypasses the queue");
 }
 
-/// After a long outage the backends are busy with live traffic. A branch that forwards at its full rate is rejected, again
-/// and again, and takes capacity from others.
+/// After a long outage the backends are busy with live traffic. A branch that forwards its backlog at the full rate is
+/// rejected repeatedly and takes capacity from others, so it must adapt its rate.
 #[test]
-fn forwarding_adapts_to_the_capacity_that_is_left() {
+fn forwarding_rate_adapts_to_the_available_capacity() {
     let mut simulation = Simulation::new(5, 3);
     simulation.isolated = true;
-    simulation.pass(1_500);
+    simulation.advance_ms(1_500);
     for i in 0..600u64 {
         simulation.write((i % 3) as usize, i % 211, i % 199);
-        simulation.pass(20);
+        simulation.advance_ms(20);
     }
-    simulation.pass(500);
-    let waits = simulation.nodes[0].as_ref().expect("it is alive").log().pending_count() as u64;
-    // A sixth of what the branch may send: live traffic takes the rest.
+    simulation.advance_ms(500);
+    let pending = simulation.nodes[0].as_ref().expect("the replica is running").log().pending_count() as u64;
+    // About a sixth of the branch's maximum rate: live traffic takes the rest.
     (simulation.isolated, simulation.capacity_per_100_ms) = (false, Some(7));
-    let healed = simulation.now;
-    while !simulation.settled() && simulation.now < healed + 60_000 * MS {
+    let uplink_restored_at = simulation.now;
+    while !simulation.is_drained() && simulation.now < uplink_restored_at + 60_000 * MS {
         simulation.tick_all();
     }
-    simulation.pass(500);
-    let (ms, refused) = ((simulation.now - healed) / MS, simulation.rejected);
-    println!("{waits} writes where 70 a second are carried and 400 may be sent: {ms} ms, {refused} refused");
-    simulation.check().expect("what was promised");
-    assert!(waits > 450 && ms < 30_000, "{waits} writes took {ms} ms");
-    assert!(refused < waits / 2, "{refused} of {waits} refused");
+    simulation.advance_ms(500);
+    let (ms, rejected) = ((simulation.now - uplink_restored_at) / MS, simulation.rejected);
+    println!(
+        "{pending} writes at a capacity of 70 per second and a limit of 400: {ms} ms, {rejected} rejected"
+    );
+    simulation.check().expect("guarantees of the write queue");
+    assert!(pending > 450 && ms < 30_000, "{pending} writes took {ms} ms");
+    assert!(rejected < pending / 2, "{rejected} of {pending} rejected");
 }
 
-/// An uplink that fails every other second: a branch that took it for up each time would accept, forward and reject writes
-/// in turns.
+/// An uplink fails every other second. A branch that counted it as up each time would alternate between queueing,
+/// forwarding and rejecting writes.
 #[test]
-fn flapping_uplink_does_not_count_as_up() {
+fn flapping_uplink_rarely_changes_the_isolation_state() {
     let mut simulation = Simulation::new(2, 3);
-    let (mut changes, mut was) = (0, false);
+    let (mut changes, mut was_isolated) = (0, false);
     for _ in 0..20 {
         simulation.isolated = true;
-        simulation.pass(1_200);
+        simulation.advance_ms(1_200);
         let isolated = simulation.nodes[0].as_ref().is_some_and(QueueReplica::is_isolated);
-        changes += usize::from(isolated != was);
-        was = isolated;
+        changes += usize::from(isolated != was_isolated);
+        was_isolated = isolated;
         simulation.isolated = false;
-        simulation.pass(1_200);
+        simulation.advance_ms(1_200);
         let isolated = simulation.nodes[0].as_ref().is_some_and(QueueReplica::is_isolated);
-        changes += usize::from(isolated != was);
-        was = isolated;
+        changes += usize::from(isolated != was_isolated);
+        was_isolated = isolated;
     }
-    assert!(changes <= 7, "{changes} changes in twenty flaps");
-    simulation.pass(20_000);
-    assert!(!simulation.nodes[0].as_ref().is_some_and(QueueReplica::is_isolated), "it holds at last");
+    assert!(changes <= 7, "{changes} changes of the isolation state in twenty flaps");
+    simulation.advance_ms(20_000);
+    assert!(
+        !simulation.nodes[0].as_ref().is_some_and(QueueReplica::is_isolated),
+        "a stable uplink ends the isolation"
+    );
 }
 
-/// The end of the second of two writes of one customer, where a backend rejects the first for good.
-fn state_of_dependent(class: u16) -> Option<WriteState> {
+/// Final state of the second of two writes of one customer when a backend rejects the first permanently.
+fn final_state_of_dependent(class: u16) -> Option<WriteState> {
     let mut simulation = Simulation::new(4, 1);
     simulation.isolated = true;
-    simulation.pass(1_500);
+    simulation.advance_ms(1_500);
     let (now, mut effects) = (Micros(simulation.now), Vec::new());
-    let replica = simulation.nodes[0].as_mut().expect("it is alive");
+    let replica = simulation.nodes[0].as_mut().expect("the replica is running");
     let request = |class| WriteRequest { customer: 1, object: 1, class, key: 0, payload: vec![7; 40] };
-    let mut write = |class| replica.accept(now, request(class), &mut effects).expect("room");
+    let mut write = |class| replica.accept(now, request(class), &mut effects).expect("the queue has space");
     let (first, second) = (write(class), write(0));
     simulation.isolated = false;
-    let mut out = Vec::new();
+    let mut new_effects = Vec::new();
     for step in 1..200 {
         let now = now + Micros(step * TICK);
-        let replica = simulation.nodes[0].as_mut().expect("it is alive");
+        let replica = simulation.nodes[0].as_mut().expect("the replica is running");
         replica.record_attempt(now, true);
-        replica.tick(now, true, true, &mut out);
-        for effect in std::mem::take(&mut out) {
-            if let QueueEffect::Forward { write, attempt: tries, .. } = effect {
+        replica.tick(now, true, true, &mut new_effects);
+        for effect in std::mem::take(&mut new_effects) {
+            if let QueueEffect::Forward { write, attempt, .. } = effect {
                 let outcome = ForwardOutcome::Answered(if write.dot == first { 404 } else { 200 });
-                replica.on_forwarded(now, write.dot, tries, outcome, &mut out);
+                replica.on_forwarded(now, write.dot, attempt, outcome, &mut new_effects);
             }
         }
     }
@@ -122,95 +133,100 @@
     simulation.status(second).filter(|_| second != first)
 }
 
-/// The operators choose by class whether a write may run after one that it depends on failed.
+/// Operators choose by class whether the dependents of a failed write are forwarded or blocked.
 #[test]
 fn class_of_a_failed_write_decides_whether_dependents_are_forwarded() {
-    assert_eq!(state_of_dependent(0), Some(WriteState::Ended(WriteOutcome::Completed(200))));
+    assert_eq!(final_state_of_dependent(0), Some(WriteState::Ended(WriteOutcome::Completed(200))));
     assert!(
-        matches!(state_of_dependent(1), Some(WriteState::Ended(WriteOutcome::Blocked(_)))),
+        matches!(final_state_of_dependent(1), Some(WriteState::Ended(WriteOutcome::Blocked(_)))),
         "{:?}",
-        state_of_dependent(1)
+        final_state_of_dependent(1)
     );
 }
 
-/// All gateways of a branch restart at once and have no storage: clients must not be told that their writes are pending or
-/// done.
+/// All gateways of a branch without storage restart at once and lose the write log: their writes must not be reported
+/// as pending or completed.
 #[test]
-fn branch_that_forgot_all_reports_its_writes_as_lost() {
+fn branch_that_restarts_without_state_reports_its_writes_as_lost() {
     let mut simulation = Simulation::new(3, 3);
     simulation.isolated = true;
-    simulation.pass(1_500);
+    simulation.advance_ms(1_500);
     assert!(simulation.write(0, 1, 1));
-    simulation.pass(200);
-    let dot = *simulation.writes.keys().next().expect("one");
+    simulation.advance_ms(200);
+    let dot = *simulation.writes.keys().next().expect("one write");
     assert_eq!(simulation.status(dot), Some(WriteState::Pending(0)));
     (0..3).for_each(|node| simulation.kill(node));
     (0..3).for_each(|node| simulation.start(node));
-    simulation.pass(8_000);
-    assert_eq!(simulation.status(dot), None, "lost, not made up");
+    simulation.advance_ms(8_000);
+    assert_eq!(simulation.status(dot), None, "the write is reported as lost");
     assert!(simulation.nodes.iter().flatten().all(QueueReplica::has_vote));
 }
 
-/// A gateway restarts without its memory. If it voted at once, two of three that had forgotten a write could decide against
-/// the one that holds it.
+/// A gateway restarts without its state. If it voted at once, two of three replicas that had lost a write could outvote
+/// the one that still has it.
 #[test]
-fn restarted_replica_votes_only_once_it_holds_what_the_others_hold() {
+fn restarted_replica_votes_only_after_it_has_caught_up() {
     for seed in 0..20 {
         let mut simulation = Simulation::new(seed, 3);
         simulation.isolated = true;
-        simulation.pass(1_500);
+        simulation.advance_ms(1_500);
         for i in 0..120 {
             simulation.write((i % 3) as usize, i, i);
-            simulation.pass(20);
+            simulation.advance_ms(20);
         }
-        simulation.pass(500);
-        let held = simulation.nodes[0].as_ref().expect("it is alive").log().pending_count();
-        assert!(held > 100, "seed {seed}: {held} wait");
+        simulation.advance_ms(500);
+        let pending = simulation.nodes[0].as_ref().expect("the replica is running").log().pending_count();
+        assert!(pending > 100, "seed {seed}: {pending} pending");
         simulation.kill(1);
         simulation.start(1);
         let replica = |simulation: &Simulation| {
             simulation.nodes[1]
                 .as_ref()
-                .map(|c| (c.has_vote(), c.log().pending_count()))
-                .expect("it is alive")
+                .map(|replica| (replica.has_vote(), replica.log().pending_count()))
+                .expect("the replica is running")
         };
-        assert_eq!(replica(&simulation), (false, 0), "seed {seed}: it remembers nothing, and has no vote");
+        assert_eq!(
+            replica(&simulation),
+            (false, 0),
+            "seed {seed}: the restarted replica is empty and has no vote"
+        );
         for _ in 0..400 {
             if !replica(&simulation).0 {
                 simulation.tick_all();
             }
         }
-        assert!(replica(&simulation).0, "seed {seed}: it votes in the end");
-        let holds = |dot: &Dot| simulation.nodes[1].as_ref().is_some_and(|c| c.log().get(*dot).is_some());
+        assert!(replica(&simulation).0, "seed {seed}: the restarted replica regains its vote");
+        let holds =
+            |dot: &Dot| simulation.nodes[1].as_ref().is_some_and(|replica| replica.log().get(*dot).is_some());
         let missing = simulation
             .writes
             .iter()
             .filter(|(dot, observed)| observed.accepted.is_some() && !holds(dot))
             .count();
-        assert_eq!(missing, 0, "seed {seed}: it votes and lacks what was accepted");
+        assert_eq!(missing, 0, "seed {seed}: the replica votes but lacks accepted writes");
     }
 }
 
-fn after_faults(seed: u64, nodes: usize, faults: &[(usize, u8, u64)]) -> Result<usize, String> {
+fn check_after_faults(seed: u64, nodes: usize, faults: &[(usize, u8, u64)]) -> Result<usize, String> {
     let mut simulation = Simulation::new(seed, nodes);
     simulation.isolated = true;
-    simulation.pass(1_500);
-    let mut last_kill = 0;
+    simulation.advance_ms(1_500);
+    let mut last_kill_at = 0;
     for (node, fault, ticks) in faults {
         let node = node % nodes;
-        let healthy = simulation.nodes.iter().flatten().filter(|c| c.has_vote()).count();
+        let healthy = simulation.nodes.iter().flatten().filter(|replica| replica.has_vote()).count();
         match fault {
-            // More than half hold everything, always: one more dies only once the one before has caught up.
+            // A majority always has all writes: a replica is killed only once the one before has caught up.
             0 if healthy > nodes / 2 + 1
                 && simulation.nodes[node].is_some()
-                && simulation.now - last_kill > 4_000 * MS =>
+                && simulation.now - last_kill_at > 4_000 * MS =>
             {
                 simulation.kill(node);
-                last_kill = simulation.now;
+                last_kill_at = simulation.now;
             }
-            1 => (0..nodes).for_each(|n| {
-                if simulation.nodes[n].is_none() {
-                    simulation.start(n)
+            1 => (0..nodes).for_each(|index| {
+                if simulation.nodes[index].is_none() {
+                    simulation.start(index)
                 }
             }),
             2 => simulation.isolated = !simulation.isolated,
@@ -219,41 +235,41 @@
             _ => {}
         }
         for _ in 0..*ticks {
-            let (at, customer, object) = (
+            let (gateway, customer, object) = (
                 simulation.rng.random_range(0..nodes),
                 simulation.rng.random_range(0..8),
                 simulation.rng.random_range(0..6),
             );
-            simulation.write(at, customer, object);
+            simulation.write(gateway, customer, object);
             simulation.tick_all();
         }
     }
     (simulation.isolated, simulation.loss) = (false, 0.0);
-    (0..nodes).for_each(|n| {
-        if simulation.nodes[n].is_none() {
-            simulation.start(n)
+    (0..nodes).for_each(|index| {
+        if simulation.nodes[index].is_none() {
+            simulation.start(index)
         }
     });
     let until = simulation.now + 90_000 * MS;
-    while !(simulation.settled() && simulation.customers_waiting.is_empty()) && simulation.now < until {
+    while !(simulation.is_drained() && simulation.customers_waiting.is_empty()) && simulation.now < until {
         simulation.tick_all();
     }
-    simulation.pass(3_000);
+    simulation.advance_ms(3_000);
     simulation.check()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 12, rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever dies, is lost, doubled or cut off, and while a quorum holds it: no accepted write is lost, none runs
-    /// against the order, none runs twice but for one that its sender died over, and none that was rejected runs.
+    /// Under crashes, loss, duplication and isolation, while a quorum keeps the log: no accepted write is lost or runs
+    /// out of order, no rejected write runs, and none runs twice unless its sender crashed with it in flight.
     #[test]
     fn no_accepted_write_is_lost_or_runs_out_of_order_under_faults(
         seed in 0u64..1_000_000,
         nodes in prop::sample::select(vec![3usize, 5]),
         faults in prop::collection::vec((0usize..5, 0u8..6, 5u64..80), 1..12),
     ) {
-        let checked = after_faults(seed, nodes, &faults);
-        prop_assert!(checked.is_ok(), "{checked:?}");
+        let result = check_after_faults(seed, nodes, &faults);
+        prop_assert!(result.is_ok(), "{result:?}");
     }
 }
--- a/lab/tests/write_queue/simulation.rs
+++ b/lab/tests/write_queue/simulation.rs
@@ -1,5 +1,6 @@
-//! A branch under virtual time: the real replicas, a network that loses, doubles and delays, an uplink that is cut, gateways
-//! that die and forget. Clients write, each its next once the last was accepted, and the backends see what runs when.
+//! Simulation of a branch under virtual time: the production replicas, a network that loses, duplicates and delays
+//! messages, an uplink that can fail, and gateways that restart without their state. Each customer sends its next write
+//! once the last one was accepted or rejected; the time of each execution at the backends is recorded.
 
 use quota_gateway::cluster::write_queue::{
     Dot, ForwardOutcome, QueueEffect, QueueMessage, QueueReplica, WriteOutcome, WriteQueueSettings,
@@ -13,20 +14,20 @@
 pub const MS: u64 = 1000;
 pub const TICK: u64 = 20 * MS;
 
-/// One write as its client and the backends saw it.
+/// One write as observed by its client and the backends.
 #[derive(Debug, Default, Clone)]
 pub struct ObservedWrite {
     pub customer: u64,
     pub object: u64,
-    pub asked: u64,
+    pub requested_at: u64,
     pub accepted: Option<u64>,
     pub rejected: bool,
-    pub ran: Vec<u64>,
+    pub executions: Vec<u64>,
 }
 
 pub enum InFlight {
     Message(usize, usize, QueueMessage),
-    /// A forwarded write ends: at whom, which process, which attempt, how.
+    /// End of a forwarded write: node, process, write, attempt, outcome.
     Forward(usize, u64, Dot, u16, ForwardOutcome),
 }
 
@@ -35,19 +36,22 @@
     pub now: u64,
     pub nodes: Vec<Option<QueueReplica>>,
     pub processes: Vec<u64>,
-    pub net: BTreeMap<(u64, u64), InFlight>,
+    pub network: BTreeMap<(u64, u64), InFlight>,
     pub sent: u64,
     pub loss: f64,
     pub isolated: bool,
     pub leader: Option<usize>,
-    /// By customer, whether a write of its is under way.
+    /// Customers with a write that is neither accepted nor rejected yet.
     pub customers_waiting: BTreeSet<u64>,
     pub writes: BTreeMap<Dot, ObservedWrite>,
-    /// Writes that a leader died over while they were in flight.
-    pub maybe_repeated: BTreeSet<Dot>,
-    /// So many sends are carried in 100 ms, where there is a bound; then in which window how many were; how many were rejected.
+    /// Writes forwarded again although an earlier attempt may have run, for example because its
+    /// leader ended while it was in flight.
+    pub may_be_repeated: BTreeSet<Dot>,
+    /// Number of sends that the backends carry per 100 ms, if limited.
     pub capacity_per_100_ms: Option<u64>,
-    pub carried: (u64, u64),
+    /// Current window of 100 ms and the number of sends in it.
+    pub sends_in_window: (u64, u64),
+    /// Number of sends rejected for lack of capacity.
     pub rejected: u64,
 }
 
@@ -72,23 +76,23 @@
             now: 1_000 * MS,
             nodes: (0..nodes).map(|_| None).collect(),
             processes: vec![0; nodes],
-            net: BTreeMap::new(),
+            network: BTreeMap::new(),
             sent: 0,
             loss: 0.02,
             isolated: false,
             leader: None,
             customers_waiting: BTreeSet::new(),
             writes: BTreeMap::new(),
-            maybe_repeated: BTreeSet::new(),
+            may_be_repeated: BTreeSet::new(),
             capacity_per_100_ms: None,
-            carried: (0, 0),
+            sends_in_window: (0, 0),
             rejected: 0,
         };
         (0..nodes).for_each(|node| simulation.start(node));
-        simulation.pass(8_000);
+        simulation.advance_ms(8_000);
         assert!(
             simulation.nodes.iter().flatten().all(QueueReplica::has_vote),
-            "a branch that begins has its votes"
+            "all replicas of a new branch have a vote"
         );
         simulation
     }
@@ -107,9 +111,9 @@
         }
     }
 
-    pub fn later(&mut self, after: u64, post: InFlight) {
+    pub fn schedule(&mut self, after: u64, item: InFlight) {
         self.sent += 1;
-        self.net.insert((self.now + after, self.sent), post);
+        self.network.insert((self.now + after, self.sent), item);
     }
 
     pub fn perform(&mut self, node: usize, effects: Vec<QueueEffect>) {
@@ -120,18 +124,18 @@
                     for _ in 0..copies {
                         if !self.rng.random_bool(self.loss) {
                             let after = self.rng.random_range(200..8 * MS);
-                            self.later(after, InFlight::Message(usize::from(to), node, message.clone()));
+                            self.schedule(after, InFlight::Message(usize::from(to), node, message.clone()));
                         }
                     }
                 }
-                QueueEffect::Decided { dot, accepted: yes } => {
+                QueueEffect::Decided { dot, accepted: is_accepted } => {
                     let now = self.now;
                     if let Some(observed) = self.writes.get_mut(&dot) {
-                        (observed.accepted, observed.rejected) = (yes.then_some(now), !yes);
+                        (observed.accepted, observed.rejected) = (is_accepted.then_some(now), !is_accepted);
                         self.customers_waiting.remove(&observed.customer);
                     }
                 }
-                // The lease is looked at just before.
+                // The lease is checked right before a write is forwarded.
                 QueueEffect::Forward { write, .. } if self.leader != Some(node) => {
                     self.nodes[node].iter_mut().for_each(|replica| replica.on_forward_dropped(write.dot));
                 }
@@ -143,71 +147,74 @@
         }
     }
 
-    /// A write goes to the backends, if they are reachable and have the capacity.
+    /// Forwards a write to the backends, which run it if they are reachable and have capacity.
     pub fn forward(&mut self, node: usize, dot: Dot, attempt: u16, may_have_run: bool) {
         let window = self.now / (100 * MS);
-        let before_it = if self.carried.0 == window { self.carried.1 } else { 0 };
-        self.carried = (window, before_it + 1);
-        let full = self.capacity_per_100_ms.is_some_and(|most| before_it >= most);
-        self.rejected += u64::from(full);
-        let outcome = match self.isolated || full {
+        let sent_before = if self.sends_in_window.0 == window { self.sends_in_window.1 } else { 0 };
+        self.sends_in_window = (window, sent_before + 1);
+        let is_full = self.capacity_per_100_ms.is_some_and(|limit| sent_before >= limit);
+        self.rejected += u64::from(is_full);
+        let outcome = match self.isolated || is_full {
             true => ForwardOutcome::NotExecuted,
-            // Backends drop the repeat of what ran.
+            // Backends discard a repeated write that already ran.
             false => ForwardOutcome::Answered(200),
         };
         let after = self.rng.random_range(5 * MS..60 * MS);
-        let ran = self.now + after / 2;
+        let runs_at = self.now + after / 2;
         if let (ForwardOutcome::Answered(_), Some(observed)) = (outcome, self.writes.get_mut(&dot)) {
             if may_have_run {
-                self.maybe_repeated.insert(dot);
+                self.may_be_repeated.insert(dot);
             }
-            observed.ran.push(ran);
+            observed.executions.push(runs_at);
         }
-        self.later(after, InFlight::Forward(node, self.processes[node], dot, attempt, outcome));
+        self.schedule(after, InFlight::Forward(node, self.processes[node], dot, attempt, outcome));
     }
 
     pub fn tick_all(&mut self) {
         let until = self.now + TICK;
-        while let Some(entry) = self.net.first_entry().filter(|e| e.key().0 <= until) {
+        while let Some(entry) = self.network.first_entry().filter(|e| e.key().0 <= until) {
             self.now = entry.key().0;
             let (now, mut effects) = (Micros(self.now), Vec::new());
-            let (to, told) = match entry.remove() {
+            let (to, effects) = match entry.remove() {
                 InFlight::Message(to, from, message) => {
                     let replica = self.nodes[to].as_mut();
-                    replica
-                        .into_iter()
-                        .for_each(|c| c.on_message(now, from as u16, message.clone(), &mut effects));
+                    replica.into_iter().for_each(|replica| {
+                        replica.on_message(now, from as u16, message.clone(), &mut effects)
+                    });
                     (to, effects)
                 }
-                InFlight::Forward(node, process, dot, tries, outcome) => {
+                InFlight::Forward(node, process, dot, attempt, outcome) => {
                     let replica = self.nodes[node].as_mut().filter(|_| self.processes[node] == process);
-                    replica.into_iter().for_each(|c| c.on_forwarded(now, dot, tries, outcome, &mut effects));
+                    replica
+                        .into_iter()
+                        .for_each(|replica| replica.on_forwarded(now, dot, attempt, outcome, &mut effects));
                     (node, effects)
                 }
             };
-            self.perform(to, told);
+            self.perform(to, effects);
         }
         self.now = until;
-        let live: Vec<usize> = (0..self.nodes.len()).filter(|n| self.nodes[*n].is_some()).collect();
-        if self.leader.is_none() && live.len() * 2 > self.nodes.len() && self.rng.random_bool(0.05) {
-            self.leader = Some(live[self.rng.random_range(0..live.len())]);
+        let running: Vec<usize> = (0..self.nodes.len()).filter(|n| self.nodes[*n].is_some()).collect();
+        if self.leader.is_none() && running.len() * 2 > self.nodes.len() && self.rng.random_bool(0.05) {
+            self.leader = Some(running[self.rng.random_range(0..running.len())]);
         }
-        for node in live {
-            let leads = self.leader == Some(node);
-            let (now, answered, mut effects) = (Micros(self.now), !self.isolated, Vec::new());
+        for node in running {
+            let is_leader = self.leader == Some(node);
+            let (now, is_uplink_up, mut effects) = (Micros(self.now), !self.isolated, Vec::new());
             if let Some(replica) = self.nodes[node].as_mut() {
-                replica.record_attempt(now, answered);
-                replica.tick(now, leads, leads, &mut effects);
+                replica.record_attempt(now, is_uplink_up);
+                replica.tick(now, is_leader, is_leader, &mut effects);
             }
             self.perform(node, effects);
         }
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance_ms(&mut self, ms: u64) {
         (0..ms * MS / TICK).for_each(|_| self.tick_all());
     }
 
-    /// A client writes through a gateway, if its last write is accepted or rejected. Whether the branch took it on.
+    /// Sends a client's write through a gateway, unless an earlier write of the customer is undecided. Returns whether the
+    /// branch queued it.
     pub fn write(&mut self, node: usize, customer: u64, object: u64) -> bool {
         if self.customers_waiting.contains(&customer) {
             return false;
@@ -222,8 +229,10 @@
             return false;
         };
         self.customers_waiting.insert(customer);
-        self.writes
-            .insert(dot, ObservedWrite { customer, object, asked: self.now, ..ObservedWrite::default() });
+        self.writes.insert(
+            dot,
+            ObservedWrite { customer, object, requested_at: self.now, ..ObservedWrite::default() },
+        );
         self.perform(node, effects);
         true
     }
@@ -235,46 +244,58 @@
         })
     }
 
-    /// What was promised, from what clients and backends saw.
+    /// Checks the guarantees of the write queue against the observed writes. Returns the number of ordered pairs.
     pub fn check(&self) -> Result<usize, String> {
-        let mut order = 0;
+        let mut ordered_pairs = 0;
         for (dot, observed) in &self.writes {
-            if observed.rejected && !observed.ran.is_empty() {
+            if observed.rejected && !observed.executions.is_empty() {
                 return Err(format!("{dot} was rejected and ran"));
             }
-            if observed.ran.len() > 1 && !self.maybe_repeated.contains(dot) {
-                return Err(format!("{dot} ran {} times", observed.ran.len()));
+            if observed.executions.len() > 1 && !self.may_be_repeated.contains(dot) {
+                return Err(format!("{dot} ran {} times", observed.executions.len()));
             }
             let Some(accepted) = observed.accepted else { continue };
             match self.status(*dot) {
-                Some(WriteState::Ended(WriteOutcome::Completed(_))) if !observed.ran.is_empty() => {}
+                Some(WriteState::Ended(WriteOutcome::Completed(_))) if !observed.executions.is_empty() => {}
                 Some(WriteState::Ended(WriteOutcome::Superseded(by))) => {
-                    let rival = self.writes.get(&by).ok_or("superseded by nobody")?;
-                    // Both were under way at one time.
-                    if rival.object != observed.object || rival.asked > accepted {
-                        return Err(format!("{dot} was superseded by {by}, which came after it"));
+                    let rival = self.writes.get(&by).ok_or("superseded by an unknown write")?;
+                    // The two writes were concurrent.
+                    if rival.object != observed.object || rival.requested_at > accepted {
+                        return Err(format!(
+                            "{dot} was superseded by {by}, which is not concurrent or writes another object"
+                        ));
                     }
                 }
-                state => return Err(format!("{dot} was accepted and is {state:?}, ran {:?}", observed.ran)),
+                state => {
+                    return Err(format!(
+                        "{dot} was accepted but is {state:?}, ran at {:?}",
+                        observed.executions
+                    ))
+                }
             }
-            for (other, later) in &self.writes {
-                let related = later.customer == observed.customer || later.object == observed.object;
-                if !related || later.asked <= accepted {
+            for (later_dot, later_write) in &self.writes {
+                let related =
+                    later_write.customer == observed.customer || later_write.object == observed.object;
+                if !related || later_write.requested_at <= accepted {
                     continue;
                 }
-                if let (Some(first), Some(then)) = (observed.ran.first(), later.ran.first()) {
-                    order += 1;
+                if let (Some(first), Some(then)) =
+                    (observed.executions.first(), later_write.executions.first())
+                {
+                    ordered_pairs += 1;
                     if first > then {
-                        return Err(format!("{other} ran before {dot}, which it came after"));
+                        return Err(format!(
+                            "{later_dot} ran before {dot}, although the former depends on the latter"
+                        ));
                     }
                 }
             }
         }
-        Ok(order)
+        Ok(ordered_pairs)
     }
 
-    /// Whether nothing waits.
-    pub fn settled(&self) -> bool {
+    /// Whether no write is pending.
+    pub fn is_drained(&self) -> bool {
         self.nodes.iter().flatten().all(|replica| replica.log().pending_count() == 0)
     }
 }
