--- a/lab/tests/disk/simulation.rs
+++ b/lab/tests/disk/simulation.rs
@@ -1,5 +1,6 @@
-//! What these tests drive: whole cluster nodes, a network that loses, doubles and delays, disks that sync late
-//! and fail, processes and machines that end at any moment, all of them at once too.
+//! Simulation of complete cluster nodes under virtual time: a network that loses, duplicates and delays
+//! datagrams, disks that sync late, stall or fail, and processes and machines that crash at any moment, also
+//! all at once.
 
 use quota_gateway::cluster::ledger::LedgerSettings;
 use quota_gateway::cluster::write_queue::{Dot, ForwardOutcome, WriteQueueSettings, WriteRequest};
@@ -15,27 +16,27 @@
 
 pub const MS: u64 = 1000;
 const TICK: u64 = 20 * MS;
-/// The wall clock when a simulation begins.
+/// Wall clock at the start of a simulation, in microseconds since the Unix epoch.
 const UNIX: u64 = 1_800_000_000_000_000;
 
 pub type Disk = BTreeMap<Vec<u8>, Vec<u8>>;
 
 pub struct Node {
-    pub fleet: Option<ClusterNode>,
+    pub cluster_node: Option<ClusterNode>,
     pub process: u64,
     pub boot: u64,
-    /// When its machine was started.
-    pub up_since: u64,
+    /// Time at which the machine booted.
+    pub booted_at: u64,
     pub disk: Disk,
-    /// Batches under way to the disk, each with the moment at which it is held.
-    pub under_way: VecDeque<(u64, u64, Vec<StorageWrite>)>,
-    pub broken: bool,
-    /// It holds nothing for now.
-    pub stalled: bool,
-    /// When what the disk holds is read.
-    pub reads_at: Option<u64>,
-    pub wake_at: u64,
-    /// Its notices of its disk.
+    /// Batches that are not durable yet: number, time of the sync, writes.
+    pub pending_batches: VecDeque<(u64, u64, Vec<StorageWrite>)>,
+    pub disk_failed: bool,
+    /// Whether the disk completes no sync for now.
+    pub disk_stalled: bool,
+    /// Time at which the content of the disk is loaded, if that is still to come.
+    pub load_at: Option<u64>,
+    pub next_tick_at: u64,
+    /// Notices of the node about its storage.
     pub notices: Vec<ClusterNotice>,
 }
 
@@ -43,15 +44,15 @@
 pub struct ObservedWrite {
     pub customer: u64,
     pub object: u64,
-    pub asked: u64,
+    pub requested_at: u64,
     pub accepted: Option<u64>,
     pub rejected: bool,
-    pub ran: Vec<u64>,
+    pub executions: Vec<u64>,
 }
 
 pub enum InFlight {
     Datagram(usize, usize, Vec<u8>),
-    /// A forwarded write ends: at whom, in which process, which write, which attempt, how.
+    /// End of a forwarded write: node, process, write, attempt, outcome.
     Forward(usize, u64, Dot, u16, ForwardOutcome),
 }
 
@@ -60,24 +61,25 @@
     pub now: u64,
     pub nodes: Vec<Node>,
     pub with_disks: bool,
-    pub net: BTreeMap<(u64, u64), InFlight>,
+    pub network: BTreeMap<(u64, u64), InFlight>,
     pub sent: u64,
     pub loss: f64,
     pub isolated: bool,
     pub customers_waiting: BTreeSet<u64>,
     pub writes: BTreeMap<Dot, ObservedWrite>,
-    /// Gateways belong to so many branches in turn; whether those of two hear each other.
+    /// Number of branches; node `n` belongs to branch `n % branches`.
     pub branches: usize,
-    pub partitioned: bool,
-    /// Forwarded by a process that died before it announced how that ended, or again after such a one.
-    pub maybe_repeated: BTreeSet<Dot>,
+    /// Whether datagrams between branches are lost.
+    pub branches_partitioned: bool,
+    /// Writes whose forwarding process ended before the outcome was known, and writes offered again after that.
+    pub may_be_repeated: BTreeSet<Dot>,
 }
 
 fn apply(disk: &mut Disk, writes: Vec<StorageWrite>) {
-    for put in writes {
-        match put.value {
-            Some(value) => drop(disk.insert(put.key, value)),
-            None => drop(disk.remove(&put.key)),
+    for write in writes {
+        match write.value {
+            Some(value) => drop(disk.insert(write.key, value)),
+            None => drop(disk.remove(&write.key)),
         }
     }
 }
@@ -88,21 +90,21 @@
 
 impl Simulation {
     pub fn new(seed: u64, nodes: usize, with_disks: bool) -> Simulation {
-        Simulation::of_branches(seed, nodes, with_disks, 1)
+        Simulation::with_branches(seed, nodes, with_disks, 1)
     }
 
-    pub fn of_branches(seed: u64, nodes: usize, with_disks: bool, branches: usize) -> Simulation {
+    pub fn with_branches(seed: u64, nodes: usize, with_disks: bool, branches: usize) -> Simulation {
         let node = |_| Node {
-            fleet: None,
+            cluster_node: None,
             process: 0,
             boot: 1,
-            up_since: UNIX - 3_600_000 * MS,
+            booted_at: UNIX - 3_600_000 * MS,
             disk: Disk::new(),
-            under_way: VecDeque::new(),
-            broken: false,
-            stalled: false,
-            reads_at: None,
-            wake_at: 0,
+            pending_batches: VecDeque::new(),
+            disk_failed: false,
+            disk_stalled: false,
+            load_at: None,
+            next_tick_at: 0,
             notices: Vec::new(),
         };
         let mut simulation = Simulation {
@@ -110,26 +112,26 @@
             now: UNIX,
             nodes: (0..nodes).map(node).collect(),
             with_disks,
-            net: BTreeMap::new(),
+            network: BTreeMap::new(),
             sent: 0,
             loss: 0.02,
             isolated: false,
             customers_waiting: BTreeSet::new(),
             writes: BTreeMap::new(),
-            maybe_repeated: BTreeSet::new(),
+            may_be_repeated: BTreeSet::new(),
             branches,
-            partitioned: false,
+            branches_partitioned: false,
         };
         (0..nodes).for_each(|node| simulation.start(node));
-        simulation.pass(12_000);
+        simulation.advance_ms(12_000);
         simulation
     }
 
     pub fn start(&mut self, node: usize) {
-        let (seats, random) = (self.nodes.len(), self.rng.random::<u64>());
-        let name = |n: usize| format!("g{n}");
-        let n = &self.nodes[node];
-        let machine = MachineId { boot: n.boot, uptime: Micros(self.now - n.up_since) };
+        let (node_count, random) = (self.nodes.len(), self.rng.random::<u64>());
+        let name = |index: usize| format!("g{index}");
+        let node_state = &self.nodes[node];
+        let machine = MachineId { boot: node_state.boot, uptime: Micros(self.now - node_state.booted_at) };
         let settings = Settings {
             cluster: "virtual".into(),
             name: name(node),
@@ -139,9 +141,12 @@
                 capabilities: CAPABILITY_LEDGER,
                 advertise: Some(address(node)),
             },
-            peers: (0..seats).filter(|n| *n != node).map(|n| (name(n), address(n))).collect(),
+            peers: (0..node_count)
+                .filter(|index| *index != node)
+                .map(|index| (name(index), address(index)))
+                .collect(),
             probe_period: Duration::from_secs(1),
-            seats: (0..seats).map(name).collect(),
+            seats: (0..node_count).map(name).collect(),
             ledger: Some(LedgerSettings {
                 replicas: 3,
                 lease: Micros(600 * MS),
@@ -149,7 +154,7 @@
             }),
             rules: None,
             branch: Some(WriteQueueSettings {
-                seats: (0..seats as u16).skip(node % self.branches).step_by(self.branches).collect(),
+                seats: (0..node_count as u16).skip(node % self.branches).step_by(self.branches).collect(),
                 max_pending: 5000,
                 max_pending_per_customer: 500,
                 max_age: Micros(600_000 * MS),
@@ -161,60 +166,64 @@
             }),
             disk: self.with_disks.then_some(machine),
         };
-        let reads_after = self.rng.random_range(MS..300 * MS);
+        let load_delay = self.rng.random_range(MS..300 * MS);
         let now = self.now;
-        let n = &mut self.nodes[node];
-        n.fleet = Some(ClusterNode::new(settings, Micros(now), Micros(now), random).expect("sound settings"));
-        (n.process, n.wake_at) = (n.process + 1, now);
-        n.reads_at = self.with_disks.then_some(now + reads_after);
+        let node_state = &mut self.nodes[node];
+        node_state.cluster_node =
+            Some(ClusterNode::new(settings, Micros(now), Micros(now), random).expect("valid settings"));
+        (node_state.process, node_state.next_tick_at) = (node_state.process + 1, now);
+        node_state.load_at = self.with_disks.then_some(now + load_delay);
     }
 
-    /// A process ends; of what was under way to its disk any beginning is held. With `machine` it is started anew, too.
+    /// Ends a process. A random prefix of its pending batches is durable. With `machine`, the machine reboots too.
     pub fn kill(&mut self, node: usize, machine: bool) {
-        let held = self.rng.random_range(0..=self.nodes[node].under_way.len());
+        let durable = self.rng.random_range(0..=self.nodes[node].pending_batches.len());
         let (boot, now) = (self.rng.random(), self.now);
-        let n = &mut self.nodes[node];
-        n.fleet = None;
-        let under_way: Vec<_> = n.under_way.drain(..).take(held).collect();
-        if !n.broken {
-            under_way.into_iter().for_each(|(_, _, writes)| apply(&mut n.disk, writes));
+        let node_state = &mut self.nodes[node];
+        node_state.cluster_node = None;
+        let pending_batches: Vec<_> = node_state.pending_batches.drain(..).take(durable).collect();
+        if !node_state.disk_failed {
+            pending_batches.into_iter().for_each(|(_, _, writes)| apply(&mut node_state.disk, writes));
         }
         if machine {
-            (n.boot, n.up_since) = (boot, now);
+            (node_state.boot, node_state.booted_at) = (boot, now);
         }
     }
 
-    pub fn later(&mut self, after: u64, post: InFlight) {
+    pub fn schedule(&mut self, after: u64, item: InFlight) {
         self.sent += 1;
-        self.net.insert((self.now + after, self.sent), post);
+        self.network.insert((self.now + after, self.sent), item);
     }
 
     pub fn perform(&mut self, node: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send { to, bytes } => {
-                    let Some(to) = (0..self.nodes.len()).find(|n| address(*n) == to) else { continue };
-                    if self.partitioned && to % self.branches != node % self.branches {
+                    let Some(to) = (0..self.nodes.len()).find(|index| address(*index) == to) else {
+                        continue;
+                    };
+                    if self.branches_partitioned && to % self.branches != node % self.branches {
                         continue;
                     }
                     for _ in 0..1 + usize::from(self.rng.random_bool(0.02)) {
                         if !self.rng.random_bool(self.loss) {
                             let after = self.rng.random_range(200..8 * MS);
-                            self.later(after, InFlight::Datagram(to, node, bytes.clone()));
+                            self.schedule(after, InFlight::Datagram(to, node, bytes.clone()));
                         }
                     }
                 }
                 Effect::PersistBatch { batch, writes } => {
-                    let due = self.now + self.rng.random_range(MS..12 * MS);
-                    let way = &mut self.nodes[node].under_way;
-                    let due = due.max(way.back().map_or(0, |(_, due, _)| *due));
-                    way.push_back((batch, due, writes));
+                    let synced_at = self.now + self.rng.random_range(MS..12 * MS);
+                    let pending_batches = &mut self.nodes[node].pending_batches;
+                    let synced_at =
+                        synced_at.max(pending_batches.back().map_or(0, |(_, synced_at, _)| *synced_at));
+                    pending_batches.push_back((batch, synced_at, writes));
                 }
                 Effect::WriteQueue(effect) => self.run(node, effect),
                 Effect::Notify(notice) => {
-                    let of_disk =
+                    let is_about_storage =
                         matches!(notice, ClusterNotice::StorageLoaded { .. } | ClusterNotice::StorageLost);
-                    self.nodes[node].notices.extend(of_disk.then_some(notice));
+                    self.nodes[node].notices.extend(is_about_storage.then_some(notice));
                 }
                 _ => {}
             }
@@ -223,29 +232,29 @@
 
     pub fn run(&mut self, node: usize, effect: WriteQueueEffect) {
         match effect {
-            WriteQueueEffect::Decided { dot, accepted: yes } => {
+            WriteQueueEffect::Decided { dot, accepted: is_accepted } => {
                 if let Some(observed) = self.writes.get_mut(&dot) {
-                    (observed.accepted, observed.rejected) = (yes.then_some(self.now), !yes);
+                    (observed.accepted, observed.rejected) = (is_accepted.then_some(self.now), !is_accepted);
                     self.customers_waiting.remove(&observed.customer);
                 }
             }
-            WriteQueueEffect::Forward { write, attempt: tries, may_have_run: before } => {
+            WriteQueueEffect::Forward { write, attempt, may_have_run } => {
                 let after = self.rng.random_range(5 * MS..60 * MS);
-                let (outcome, ran) = match (before, self.isolated) {
-                    // It may have run, and is not sent again.
+                let (outcome, executions) = match (may_have_run, self.isolated) {
+                    // The write may have run, so it isn't sent again.
                     (true, _) => (ForwardOutcome::Unknown, None),
                     (false, true) => (ForwardOutcome::NotExecuted, None),
                     (false, false) => (ForwardOutcome::Answered(200), Some(self.now + after / 2)),
                 };
                 if let Some(observed) = self.writes.get_mut(&write.dot) {
-                    observed.ran.extend(ran);
-                    if before {
-                        self.maybe_repeated.insert(write.dot);
+                    observed.executions.extend(executions);
+                    if may_have_run {
+                        self.may_be_repeated.insert(write.dot);
                     }
                 }
-                self.later(
+                self.schedule(
                     after,
-                    InFlight::Forward(node, self.nodes[node].process, write.dot, tries, outcome),
+                    InFlight::Forward(node, self.nodes[node].process, write.dot, attempt, outcome),
                 );
             }
             WriteQueueEffect::NotCompleted { .. } | WriteQueueEffect::IsolationChanged { .. } => {}
@@ -255,66 +264,70 @@
     pub fn handle_event(&mut self, node: usize, event: Event<'_>) {
         let mut effects = Vec::new();
         let now = Micros(self.now);
-        if let Some(fleet) = self.nodes[node].fleet.as_mut() {
-            fleet.handle(now, event, &mut effects);
+        if let Some(cluster_node) = self.nodes[node].cluster_node.as_mut() {
+            cluster_node.handle(now, event, &mut effects);
         }
         self.perform(node, effects);
     }
 
-    pub fn disks(&mut self) {
+    pub fn advance_disks(&mut self) {
         for node in 0..self.nodes.len() {
-            if self.nodes[node].fleet.is_none() {
+            if self.nodes[node].cluster_node.is_none() {
                 continue;
             }
-            if self.nodes[node].reads_at.is_some_and(|at| at <= self.now) {
-                let n = &mut self.nodes[node];
-                n.reads_at = None;
-                let held = n
+            if self.nodes[node].load_at.is_some_and(|at| at <= self.now) {
+                let node_state = &mut self.nodes[node];
+                node_state.load_at = None;
+                let durable = node_state
                     .disk
                     .iter()
-                    .map(|(k, v)| StorageWrite { key: k.clone(), value: Some(v.clone()) })
+                    .map(|(key, value)| StorageWrite { key: key.clone(), value: Some(value.clone()) })
                     .collect();
-                self.handle_event(node, Event::StorageLoaded { writes: held });
+                self.handle_event(node, Event::StorageLoaded { writes: durable });
             }
-            while !self.nodes[node].stalled
-                && self.nodes[node].under_way.front().is_some_and(|(_, due, _)| *due <= self.now)
+            while !self.nodes[node].disk_stalled
+                && self.nodes[node]
+                    .pending_batches
+                    .front()
+                    .is_some_and(|(_, synced_at, _)| *synced_at <= self.now)
             {
-                let n = &mut self.nodes[node];
-                let Some((batch, _, writes)) = n.under_way.pop_front() else { break };
-                if n.broken {
-                    n.under_way.clear();
+                let node_state = &mut self.nodes[node];
+                let Some((batch, _, writes)) = node_state.pending_batches.pop_front() else { break };
+                if node_state.disk_failed {
+                    node_state.pending_batches.clear();
                     self.handle_event(node, Event::StorageFailed);
                 } else {
-                    apply(&mut n.disk, writes);
+                    apply(&mut node_state.disk, writes);
                     self.handle_event(node, Event::StorageSynced { batch });
                 }
             }
         }
     }
 
-    /// Messages and disks alone, up to then.
+    /// Runs the network and the disks until the given time, without ticks.
     pub fn run_until(&mut self, until: u64) {
         while self.now < until {
-            // Disks are looked at every millisecond or at each message, whatever comes first.
+            // Disks are polled every millisecond and before each message.
             let next = (self.now + MS).min(until);
-            let next = self.net.first_key_value().map_or(next, |((at, _), _)| (*at).clamp(self.now, next));
+            let next =
+                self.network.first_key_value().map_or(next, |((at, _), _)| (*at).clamp(self.now, next));
             self.now = next;
-            self.disks();
-            while let Some(entry) = self.net.first_entry().filter(|e| e.key().0 <= next) {
+            self.advance_disks();
+            while let Some(entry) = self.network.first_entry().filter(|entry| entry.key().0 <= next) {
                 match entry.remove() {
                     InFlight::Datagram(to, from, bytes) => {
                         self.handle_event(to, Event::Datagram { from: address(from), bytes: &bytes })
                     }
-                    InFlight::Forward(node, process, dot, tries, outcome) => {
+                    InFlight::Forward(node, process, dot, attempt, outcome) => {
                         let (now, mut effects) = (Micros(self.now), Vec::new());
-                        let n = &mut self.nodes[node];
-                        if n.process == process && n.fleet.is_some() {
-                            n.fleet
-                                .iter_mut()
-                                .for_each(|f| f.on_write_forwarded(now, dot, tries, outcome, &mut effects));
+                        let node_state = &mut self.nodes[node];
+                        if node_state.process == process && node_state.cluster_node.is_some() {
+                            node_state.cluster_node.iter_mut().for_each(|cluster_node| {
+                                cluster_node.on_write_forwarded(now, dot, attempt, outcome, &mut effects)
+                            });
                             self.perform(node, effects);
                         } else {
-                            self.maybe_repeated.insert(dot);
+                            self.may_be_repeated.insert(dot);
                         }
                     }
                 }
@@ -325,73 +338,79 @@
     pub fn tick_all(&mut self) {
         self.run_until(self.now + TICK);
         for node in 0..self.nodes.len() {
-            let (now, answered) = (Micros(self.now), !self.isolated);
-            self.nodes[node].fleet.iter_mut().for_each(|fleet| fleet.record_backend_attempt(now, answered));
+            let (now, is_uplink_up) = (Micros(self.now), !self.isolated);
+            self.nodes[node]
+                .cluster_node
+                .iter_mut()
+                .for_each(|cluster_node| cluster_node.record_backend_attempt(now, is_uplink_up));
             self.handle_event(node, Event::LedgerTick);
-            if self.now >= self.nodes[node].wake_at {
-                self.nodes[node].wake_at = self.now + 200 * MS;
+            if self.now >= self.nodes[node].next_tick_at {
+                self.nodes[node].next_tick_at = self.now + 200 * MS;
                 self.handle_event(node, Event::Tick);
             }
         }
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance_ms(&mut self, ms: u64) {
         (0..ms * MS / TICK).for_each(|_| self.tick_all());
     }
 
     pub fn votes(&self) -> Vec<(bool, bool)> {
         let now = Micros(self.now);
-        let of = |fleet: &ClusterNode| {
-            let branch = fleet.write_queue().is_some_and(|queue| queue.replica().has_vote());
-            (branch, fleet.ledger().is_some_and(|ledger| ledger.replica().has_vote(now)))
+        let votes_of = |cluster_node: &ClusterNode| {
+            let branch = cluster_node.write_queue().is_some_and(|queue| queue.replica().has_vote());
+            (branch, cluster_node.ledger().is_some_and(|ledger| ledger.replica().has_vote(now)))
         };
-        self.nodes.iter().map(|n| n.fleet.as_ref().map_or((false, false), of)).collect()
+        self.nodes.iter().map(|node| node.cluster_node.as_ref().map_or((false, false), votes_of)).collect()
     }
 
-    /// A client writes through a gateway, if its last write is accepted or rejected.
+    /// Sends a client's write through a gateway, unless an earlier write of the customer is undecided.
+    /// Returns whether the branch queued it.
     pub fn write(&mut self, node: usize, customer: u64, object: u64) -> bool {
         let now = Micros(self.now);
-        let Some(fleet) = self.nodes[node].fleet.as_mut() else { return false };
-        let takes = fleet.write_queue().is_some_and(|queue| queue.replica().should_queue(customer, object));
-        if self.customers_waiting.contains(&customer) || !takes {
+        let Some(cluster_node) = self.nodes[node].cluster_node.as_mut() else { return false };
+        let is_queued =
+            cluster_node.write_queue().is_some_and(|queue| queue.replica().should_queue(customer, object));
+        if self.customers_waiting.contains(&customer) || !is_queued {
             return false;
         }
         let mut effects = Vec::new();
         let request = WriteRequest { customer, object, class: 0, key: 0, payload: vec![7; 40] };
-        let dot = fleet.accept_write(now, request, &mut effects);
+        let dot = cluster_node.accept_write(now, request, &mut effects);
         if let Some(dot) = dot {
             self.customers_waiting.insert(customer);
-            self.writes
-                .insert(dot, ObservedWrite { customer, object, asked: self.now, ..ObservedWrite::default() });
+            self.writes.insert(
+                dot,
+                ObservedWrite { customer, object, requested_at: self.now, ..ObservedWrite::default() },
+            );
         }
         self.perform(node, effects);
         dot.is_some()
     }
 
-    /// Clients whose gateway died with their write stop waiting for it.
-    pub fn give_up(&mut self, node: usize) {
-        let here = self
-            .writes
-            .iter()
-            .filter(|(dot, s)| usize::from(dot.seat) == node && s.accepted.is_none() && !s.rejected);
-        let customers: Vec<u64> = here.map(|(_, observed)| observed.customer).collect();
+    /// Clients of an ended gateway stop waiting for their undecided writes.
+    pub fn abandon_client_writes(&mut self, node: usize) {
+        let undecided = self.writes.iter().filter(|(dot, write)| {
+            usize::from(dot.seat) == node && write.accepted.is_none() && !write.rejected
+        });
+        let customers: Vec<u64> = undecided.map(|(_, observed)| observed.customer).collect();
         self.customers_waiting.retain(|customer| !customers.contains(customer));
     }
 
-    pub fn settle(&mut self) {
+    pub fn recover_and_drain(&mut self) {
         (self.isolated, self.loss) = (false, 0.0);
         let until = self.now + 90_000 * MS;
-        let waits = |simulation: &Simulation| {
-            let open = |f: &ClusterNode| {
-                f.write_queue().is_some_and(|queue| queue.replica().log().pending_count() > 0)
+        let has_pending_writes = |simulation: &Simulation| {
+            let has_pending = |cluster_node: &ClusterNode| {
+                cluster_node.write_queue().is_some_and(|queue| queue.replica().log().pending_count() > 0)
             };
-            simulation.nodes.iter().filter_map(|n| n.fleet.as_ref()).any(open)
+            simulation.nodes.iter().filter_map(|node| node.cluster_node.as_ref()).any(has_pending)
         };
-        // All have their votes again, and nothing waits.
-        self.pass(2_000);
-        while waits(self) && self.now < until {
-            self.pass(100);
+        // Waits until the nodes vote again and no write is pending.
+        self.advance_ms(2_000);
+        while has_pending_writes(self) && self.now < until {
+            self.advance_ms(100);
         }
-        self.pass(3_000);
+        self.advance_ms(3_000);
     }
 }
