--- a/lab/tests/members/cases.rs
+++ b/lab/tests/members/cases.rs
@@ -1,4 +1,4 @@
-//! The hard cases, each with its story.
+//! Tests of single fault sequences that are hard for the membership protocol or for quota leases.
 
 use crate::support::{
     assert_converges, assert_shares_in_force, describe, run_checked, started, started_with_seats,
@@ -11,16 +11,17 @@
     cluster.node(i)?.report().view.map(|view| view.agreement)
 }
 
-/// Three of ten gateways die. Their shares are unused until the others can be certain that they are gone; then the
-/// others use them, until the three return. When three are cut off instead, they lose what is lent, as a minority.
+/// Three of ten gateways are killed. Their shares must stay unused until the others can be certain that they
+/// are down, and must return to them after a restart. Three that are partitioned instead lose their shares as
+/// a minority.
 #[test]
-fn shares_of_dead_gateways_are_used_by_the_others_until_they_return() {
+fn shares_of_killed_gateways_are_used_by_the_others_until_they_return() {
     let mut cluster = started_with_seats(10, 21);
     cluster.run_for(seconds(30.0));
     assert_shares_in_force(&cluster, 10, 1.0);
     (0..3).for_each(|i| cluster.kill(i));
     cluster.run_for(seconds(1.0));
-    // Nobody has the shares of the dead yet.
+    // No other gateway uses the shares of the killed ones yet.
     assert_shares_in_force(&cluster, 10, 0.7);
     run_checked(&mut cluster, 10, seconds(24.0));
     assert_shares_in_force(&cluster, 10, 1.0);
@@ -37,31 +38,31 @@
     assert!((0..10).all(|i| agreement(&cluster, i) == Some(Agreement::Agreed)));
 }
 
-/// Which members were declared down, and by whom.
-fn downs(cluster: &VirtualCluster) -> Vec<String> {
-    let down = |observed: &ObservedNotice| match &observed.notice {
+/// Members that were declared down, each with the node that declared it.
+fn members_declared_down(cluster: &VirtualCluster) -> Vec<String> {
+    let declared_down = |observed: &ObservedNotice| match &observed.notice {
         ClusterNotice::MemberStateChanged { name, state: MemberState::Down, .. } => {
             Some(format!("{name} by g{}", observed.node))
         }
         _ => None,
     };
-    cluster.notices.iter().filter_map(down).collect()
+    cluster.notices.iter().filter_map(declared_down).collect()
 }
 
-/// Invariant 4. A path between two members is cut, in one direction or in both. Indirect probes by other members show that
-/// both live, so nobody is declared down.
+/// Invariant 4: a path between two members fails in one or both directions. Indirect probes through other
+/// members still reach both, so no member may be declared down.
 #[test]
-fn a_path_cut_between_two_members_or_in_one_direction_removes_nobody() {
+fn a_failed_path_between_two_members_gets_no_member_declared_down() {
     let mut cluster = started(8, 3);
     cluster.cut(0, 1);
     cluster.cut(2, 3);
     cluster.cut(3, 2);
     cluster.run_for(seconds(120.0));
-    assert_eq!(downs(&cluster), Vec::<String>::new());
+    assert_eq!(members_declared_down(&cluster), Vec::<String>::new());
     assert!(cluster.is_converged());
 }
 
-/// A member leaves on purpose, as in a restart. All know it for one that left, and no death is reported.
+/// A member leaves gracefully, as in a restart. All others must record it as having left and not declare it down.
 #[test]
 fn a_member_that_leaves_on_purpose_is_not_declared_down() {
     let mut cluster = started(6, 4);
@@ -69,19 +70,20 @@
     cluster.run_for(seconds(1.0));
     cluster.kill(2);
     cluster.run_for(seconds(20.0));
-    assert_eq!(downs(&cluster), Vec::<String>::new());
-    let left = |i: usize| {
+    assert_eq!(members_declared_down(&cluster), Vec::<String>::new());
+    let is_recorded_as_left = |i: usize| {
         let record =
             cluster.node(i).and_then(|node| node.records().find(|r| &*r.identity.name == "g2").cloned());
         record.map(|r| r.state) == Some(MemberState::Left)
     };
-    assert!(cluster.awake().into_iter().all(left), "{}", describe(&cluster));
+    assert!(cluster.awake().into_iter().all(is_recorded_as_left), "{}", describe(&cluster));
 }
 
-/// A process stands still for 30 s, as a virtual machine that is moved. When it wakes, all its probes are overdue at once.
-/// They must not count against the others: its protocol time stood still too.
+/// A process is paused for 30 s, as in the migration of a virtual machine. When it resumes, all its probes
+/// are overdue at once. They must not count against the other members, because its protocol time was paused
+/// too.
 #[test]
-fn a_member_paused_for_half_a_minute_accuses_nobody_and_converges_again() {
+fn a_member_paused_for_30_s_declares_no_member_down_and_converges_again() {
     let mut cluster = started(10, 5);
     cluster.pause(3);
     cluster.run_for(seconds(30.0));
@@ -89,12 +91,13 @@
     cluster.resume(3);
     assert_converges(&mut cluster, 10.0);
     cluster.run_for(seconds(10.0));
-    assert_eq!(downs(&cluster), Vec::<String>::new());
+    assert_eq!(members_declared_down(&cluster), Vec::<String>::new());
 }
 
-/// Most of the cluster dies and starts again before the others have noticed. The new incarnations replace the old ones.
+/// Most of the cluster is killed and restarts before the others have noticed. The new incarnations must replace the
+/// former ones.
 #[test]
-fn seven_in_ten_killed_at_once_rejoin_under_their_names() {
+fn fourteen_of_twenty_members_killed_at_once_rejoin_under_their_names() {
     let mut cluster = started(20, 6);
     (0..14).for_each(|i| cluster.kill(i));
     cluster.run_for(seconds(3.0));
@@ -104,8 +107,8 @@
     assert!(cluster.is_converged(), "{}", describe(&cluster));
 }
 
-/// The cluster is cut in three, and on each side a member restarts. After the heal all learn of incarnations that only one
-/// side had seen.
+/// The cluster is split into three partitions, and a member restarts in each. After the heal all members must
+/// learn the incarnations that only one partition had seen.
 #[test]
 fn partitions_with_restarts_on_all_sides_converge_after_the_heal() {
     let mut cluster = started(12, 7);
@@ -119,10 +122,10 @@
     assert_converges(&mut cluster, 10.0);
 }
 
-/// All members restart, two at a time, over a network with delay, loss and duplicates. No former incarnation is taken for
-/// present in the end.
+/// All members restart in pairs, one shortly after the other, over a network with delay, loss and
+/// duplication. Late datagrams must not make a former incarnation count as present in the end.
 #[test]
-fn a_rolling_restart_leaves_no_former_incarnation_behind() {
+fn a_rolling_restart_leaves_no_former_incarnation_present() {
     let mut cluster = started(20, 8);
     cluster.conditions =
         NetworkConditions { delay: (Micros(200), Micros(400_000)), loss: 0.05, duplication: 0.1 };
@@ -141,10 +144,11 @@
     assert!(cluster.is_converged(), "{}", describe(&cluster));
 }
 
-/// A member restarts with a wall clock that is 400 days behind, so its incarnation is lower than the former one: it learns
-/// that and takes a higher one. Another restarts at an address that only some configurations have.
+/// A member restarts with a wall clock that is 400 days behind, so that its incarnation is lower than the
+/// former one: it must learn the former one and take a higher one. Another member restarts at an address that
+/// only some configurations contain.
 #[test]
-fn a_wall_clock_set_back_and_a_new_address_keep_nobody_out() {
+fn members_rejoin_with_a_wall_clock_set_back_or_a_new_address() {
     let mut cluster = started(6, 9);
     cluster.kill(1);
     cluster.set_wall_clock_back(1, seconds(400.0 * 86_400.0));
@@ -155,52 +159,54 @@
     cluster.run_for(seconds(8.0));
     cluster.move_address(2, &[0, 1, 3]);
     cluster.start(2);
-    // Those that were not told find it by what it advertises, once word of it comes round.
+    // Members whose configuration lacks the new address learn the advertised address by gossip.
     cluster.run_for(seconds(20.0));
-    let knows = |i: usize| cluster.node(i).is_some_and(|node| node.present() == 6);
-    assert!([0, 1, 2].into_iter().all(knows), "{}", describe(&cluster));
+    let sees_all = |i: usize| cluster.node(i).is_some_and(|node| node.present() == 6);
+    assert!([0, 1, 2].into_iter().all(sees_all), "{}", describe(&cluster));
 }
 
-/// A member's datagrams are lost, while it receives all others'. The others declare it down; after the heal it returns.
+/// All datagrams from one member are lost, while it receives those of the others. The others must declare it
+/// down, and it must rejoin after the heal.
 #[test]
-fn a_member_that_receives_but_cannot_send_is_down_for_the_others_and_comes_back() {
+fn a_member_that_receives_but_cannot_send_is_declared_down_and_rejoins_after_the_heal() {
     let mut cluster = started(8, 10);
     (1..8).for_each(|i| cluster.cut(0, i));
     cluster.run_for(seconds(20.0));
-    let others_agree =
+    let others_see_seven =
         |cluster: &VirtualCluster| (1..8).all(|i| cluster.node(i).is_some_and(|node| node.present() == 7));
-    assert!(others_agree(&cluster), "{}", describe(&cluster));
+    assert!(others_see_seven(&cluster), "{}", describe(&cluster));
     cluster.heal();
     assert_converges(&mut cluster, 10.0);
 }
 
-/// Somebody starts a second process under a name that is in use. Without a rule each would declare the other down and take
-/// a higher incarnation, for ever. The older yields its seat, and says so.
+/// An operator starts a second process under a name that is in use. Without a rule the two would declare each
+/// other down and take ever higher incarnations. The older process must yield its seat and report that.
 #[test]
-fn of_two_processes_under_one_name_the_older_yields_and_people_are_told() {
+fn of_two_processes_under_one_name_the_older_yields_its_seat_and_reports_it() {
     let mut cluster = started(5, 11);
-    let double = cluster.add_duplicate(2);
-    cluster.start(double);
+    let duplicate = cluster.add_duplicate(2);
+    cluster.start(duplicate);
     cluster.run_for(seconds(20.0));
-    let older = cluster.node(2).expect("it runs on");
-    let newer = cluster.node(double).expect("it runs").own().incarnation;
+    let older = cluster.node(2).expect("the older process is running");
+    let newer = cluster.node(duplicate).expect("the newer process is running").own().incarnation;
     assert!(
         older.yielded_to().is_some_and(|to| to >= newer - 64 && to <= newer + 64),
         "{:?}",
         older.yielded_to()
     );
-    assert!(cluster.node(double).is_some_and(|node| node.yielded_to().is_none()));
-    let is_told = |observed: &ObservedNotice| {
+    assert!(cluster.node(duplicate).is_some_and(|node| node.yielded_to().is_none()));
+    let reports_yielded_seat = |observed: &ObservedNotice| {
         observed.node == 2 && matches!(observed.notice, ClusterNotice::SeatYielded { .. })
     };
-    assert!(cluster.notices.iter().any(is_told));
+    assert!(cluster.notices.iter().any(reports_yielded_seat));
 }
 
-/// Invariant 2. Anything may arrive at the port: random bytes of every length up to above the longest datagram.
+/// Invariant 2: random bytes of every length from 0 to 1999, beyond the longest datagram, arrive at the port.
+/// They must be dropped and counted and change no state.
 #[test]
-fn random_datagrams_are_dropped_and_counted_and_change_nothing() {
+fn random_datagrams_are_dropped_and_counted_and_change_no_state() {
     let mut cluster = started(4, 12);
-    let before = cluster.node(0).expect("it runs").report();
+    let before = cluster.node(0).expect("the node is running").report();
     let mut seed = 1u64;
     for length in 0..2000usize {
         let bytes: Vec<u8> = (0..length)
@@ -211,7 +217,7 @@
             .collect();
         cluster.inject(0, &bytes);
     }
-    let after = cluster.node(0).expect("it runs").report();
+    let after = cluster.node(0).expect("the node is running").report();
     assert_eq!(after.dropped.values().sum::<u64>() - before.dropped.values().sum::<u64>(), 2000);
     assert_eq!(after.present, before.present);
     assert_eq!(after.sent, before.sent);
--- a/lab/tests/members/faults.rs
+++ b/lab/tests/members/faults.rs
@@ -1,20 +1,20 @@
-//! Faults that are drawn at random.
+//! Strategies for random faults, and their injection into a virtual cluster.
 
 use proptest::prelude::{any, prop, prop_oneof, Just, Strategy};
 use quota_gateway::cluster::Micros;
 use quota_gateway_lab::members::network::NetworkConditions;
 use quota_gateway_lab::members::virtual_cluster::{seconds, VirtualCluster};
 
-/// A fault.
+/// A fault of a member or of the network; members are given by index.
 #[derive(Debug, Clone)]
 pub enum Fault {
     Kill(usize),
     Start(usize),
     Leave(usize),
     Pause(usize, bool),
-    /// Nothing crosses from the first to the second.
+    /// All datagrams from the first member to the second are lost.
     CutPath(usize, usize),
-    /// Nothing crosses between the two sides.
+    /// All datagrams between the two sides are lost.
     Partition(Vec<bool>),
     Heal,
     /// Loss and duplication in percent, and the longest delay in milliseconds.
@@ -28,22 +28,22 @@
 }
 
 pub fn fault(members: usize) -> impl Strategy<Value = Fault> {
-    let one = 0..members;
+    let member = 0..members;
     prop_oneof![
-        4 => one.clone().prop_map(Fault::Kill),
-        4 => one.clone().prop_map(Fault::Start),
-        1 => one.clone().prop_map(Fault::Leave),
-        3 => (one.clone(), any::<bool>()).prop_map(|(i, on)| Fault::Pause(i, on)),
-        2 => (one.clone(), one.clone()).prop_map(|(i, j)| Fault::CutPath(i, j)),
+        4 => member.clone().prop_map(Fault::Kill),
+        4 => member.clone().prop_map(Fault::Start),
+        1 => member.clone().prop_map(Fault::Leave),
+        3 => (member.clone(), any::<bool>()).prop_map(|(i, paused)| Fault::Pause(i, paused)),
+        2 => (member.clone(), member.clone()).prop_map(|(i, j)| Fault::CutPath(i, j)),
         2 => prop::collection::vec(any::<bool>(), members).prop_map(Fault::Partition),
         2 => Just(Fault::Heal),
         2 => (0..30u8, 0..20u8, 0..200u8).prop_map(|(loss, duplication, delay_ms)| Fault::Conditions { loss, duplication, delay_ms }),
-        1 => one.clone().prop_map(Fault::SetWallClockBack),
-        1 => one.prop_map(Fault::MoveAddress),
+        1 => member.clone().prop_map(Fault::SetWallClockBack),
+        1 => member.prop_map(Fault::MoveAddress),
     ]
 }
 
-/// Members, a seed, and faults with the time before each, in tenths of a second.
+/// Number of members, a seed, and faults, each with the time before it in tenths of a second.
 pub fn plan() -> impl Strategy<Value = (usize, u64, Vec<(u8, Fault)>)> {
     (3..9usize).prop_flat_map(|members| {
         let faults = prop::collection::vec((0..80u8, fault(members)), 1..14);
@@ -85,7 +85,7 @@
     }
 }
 
-/// Ends all faults but dead processes.
+/// Ends all faults, but starts no killed processes.
 pub fn end_faults(cluster: &mut VirtualCluster, members: usize) {
     cluster.heal();
     cluster.conditions = NetworkConditions::default();
--- a/lab/tests/members/invariants.rs
+++ b/lab/tests/members/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariants, over random faults.
+//! Property tests of the invariants under random faults.
 
 use crate::faults::{end_faults, inject_fault, plan};
 use crate::support::{
@@ -8,7 +8,7 @@
 use quota_gateway::cluster::Micros;
 use quota_gateway_lab::members::virtual_cluster::{seconds, VirtualCluster};
 
-/// The longest time from the last fault to convergence, in seconds.
+/// Limit on the time from the last fault to convergence, in seconds.
 const MAX_CONVERGENCE_S: f64 = 40.0;
 
 proptest! {
@@ -16,7 +16,8 @@
         proptest::test_runner::FileFailurePersistence::WithSource("regressions"),
     )), ..ProptestConfig::default() })]
 
-    /// Invariant 1: after the last fault all that run take exactly each other for present, whatever came before.
+    /// Invariant 1: after the last fault all running members converge: each counts exactly the running
+    /// members as present, whatever faults came before.
     #[test]
     fn all_members_converge_after_the_last_fault((members, seed, faults) in plan()) {
         let mut cluster = VirtualCluster::new(members, seed);
@@ -38,8 +39,8 @@
         proptest::test_runner::FileFailurePersistence::WithSource("regressions"),
     )), ..ProptestConfig::default() })]
 
-    /// Invariants 7 to 9: whatever happens, the shares in force never sum to more than one; afterwards they sum to one
-    /// again.
+    /// Invariants 7 to 9: under any faults the shares in force never sum to more than one; after the faults
+    /// they sum to one again.
     #[test]
     fn shares_in_force_never_sum_to_more_than_one((members, seed, faults) in plan()) {
         let mut cluster = started_with_seats(members, seed);
--- a/lab/tests/members/main.rs
+++ b/lab/tests/members/main.rs
@@ -1,6 +1,8 @@
-//! Membership and quota leases under virtual time: invariants over random faults, and the hard cases by themselves.
+//! Tests of membership and quota leases under virtual time: property tests under random faults, and single
+//! hard cases.
 //!
-//! `docs/decisions/0001-membership.md` numbers the invariants. `invariants.regressions` keeps seeds that once failed.
+//! The invariants are numbered in `docs/decisions/0001-membership.md`. `invariants.regressions` keeps the
+//! seeds of former failures.
 
 mod cases;
 mod faults;
--- a/lab/tests/members/support.rs
+++ b/lab/tests/members/support.rs
@@ -1,23 +1,23 @@
-//! Clusters to begin with, and what is checked of them.
+//! Helpers that start virtual clusters and check invariants of them.
 
 use quota_gateway::cluster::{Agreement, Micros};
 use quota_gateway_lab::members::virtual_cluster::{seconds, VirtualCluster};
 use std::collections::BTreeMap;
 
-/// Two sums of shares that differ by less than this are the same.
+/// Sums of shares that differ by less than this count as equal.
 const SHARE_TOLERANCE: f64 = 1e-9;
 
-/// Runs until all have converged; fails the test where they have not in time.
+/// Runs until all members have converged; fails the test if they have not within the time limit.
 pub fn assert_converges(cluster: &mut VirtualCluster, within_s: f64) {
-    let begin = cluster.now;
+    let started_at = cluster.now;
     while !cluster.is_converged() {
-        let is_in_time = cluster.now - begin < seconds(within_s);
+        let is_in_time = cluster.now - started_at < seconds(within_s);
         assert!(is_in_time, "not converged after {within_s} s:\n{}", describe(cluster));
         cluster.run_for(Micros(100_000));
     }
 }
 
-/// What each node knows, a line for each.
+/// State of each node, one line per node, for failure messages.
 pub fn describe(cluster: &VirtualCluster) -> String {
     (0..cluster.count()).map(|i| describe_node(cluster, i)).collect()
 }
@@ -28,11 +28,11 @@
     let members: Vec<String> =
         node.records().map(|record| format!("{} {:?}", record.identity.name, record.state)).collect();
     let report = node.report();
-    let own = format!("health {} late {:?} sent {:?}", report.health, report.late_calls, report.sent);
-    format!("{name} ({own}): {}\n", members.join(", "))
+    let status = format!("health {} late {:?} sent {:?}", report.health, report.late_calls, report.sent);
+    format!("{name} ({status}): {}\n", members.join(", "))
 }
 
-/// A cluster that has converged and is established.
+/// Starts a cluster and runs it until it has converged and been stable for 12 s.
 pub fn started(members: usize, seed: u64) -> VirtualCluster {
     let mut cluster = VirtualCluster::new(members, seed);
     (0..members).for_each(|i| cluster.start(i));
@@ -42,16 +42,16 @@
     cluster
 }
 
-/// Checks the invariants that hold at every moment: shares in force sum to one at most for every set of neighbouring
-/// seats (7), and nobody stands on two agreed views by one number (8).
+/// Checks the invariants that hold at every moment: the shares in force sum to at most one for every set of adjacent
+/// seats (invariant 7), and no two agreed views have the same number (invariant 8).
 pub fn assert_lease_invariants(cluster: &VirtualCluster, members: usize) {
-    for spread in 2..=members {
+    for seat_count in 2..=members {
         for first in 0..members {
-            let seats: Vec<usize> = (0..spread).map(|i| (first + i) % members).collect();
+            let seats: Vec<usize> = (0..seat_count).map(|i| (first + i) % members).collect();
             let sum = cluster.shares_in_force(&seats);
             assert!(
                 sum <= 1.0 + SHARE_TOLERANCE,
-                "{sum} in force at {} s through {seats:?}",
+                "shares in force sum to {sum} at {} s through {seats:?}",
                 cluster.now.secs()
             );
         }
@@ -60,19 +60,19 @@
     for view in cluster.awake().into_iter().filter_map(|i| cluster.node(i)?.report().view) {
         if view.agreement == Agreement::Agreed {
             let digest = agreed.entry(view.number).or_insert_with(|| view.digest.clone());
-            assert_eq!(*digest, view.digest, "two agreed views by number {}", view.number);
+            assert_eq!(*digest, view.digest, "two agreed views have the number {}", view.number);
         }
     }
 }
 
-/// Checks that the shares in force sum to this fraction.
+/// Checks that the shares in force sum to the expected fraction.
 pub fn assert_shares_in_force(cluster: &VirtualCluster, members: usize, expected: f64) {
     let seats: Vec<usize> = (0..members).collect();
     let sum = cluster.shares_in_force(&seats);
-    assert!((sum - expected).abs() < SHARE_TOLERANCE, "{sum} in force, expected {expected}");
+    assert!((sum - expected).abs() < SHARE_TOLERANCE, "shares in force sum to {sum}, expected {expected}");
 }
 
-/// Lets time pass, with the lease invariants checked ten times a second.
+/// Runs the cluster for a time span and checks the lease invariants ten times a second.
 pub fn run_checked(cluster: &mut VirtualCluster, members: usize, span: Micros) {
     let end = cluster.now + span;
     while cluster.now < end {
@@ -82,7 +82,7 @@
     }
 }
 
-/// A cluster with seats, whose members have just started.
+/// Starts a cluster with seats, without waiting for convergence.
 pub fn started_with_seats(members: usize, seed: u64) -> VirtualCluster {
     let mut cluster = VirtualCluster::new(members, seed);
     cluster.seats = (0..members).map(|i| format!("g{i}")).collect();
--- a/lab/tests/seat_lease_model/dated.rs
+++ b/lab/tests/seat_lease_model/dated.rs
@@ -1,8 +1,8 @@
-//! What members know of each other's statements, with their ages, as it spreads in replies.
+//! Statements of members with their ages, and the replies that spread them.
 
 use crate::VALIDITY_TICKS;
 
-/// A statement, and its age in ticks.
+/// A statement with its age in ticks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Dated<T> {
     pub value: T,
@@ -10,28 +10,28 @@
 }
 
 impl<T> Dated<T> {
-    /// A statement that is made now.
+    /// A statement made in the current tick.
     pub fn new(value: T) -> Dated<T> {
         Dated { value, age: 0 }
     }
 
-    /// The statement a tick later; none where it counts no more.
+    /// Returns the statement one tick later, or `None` once it is no longer valid.
     fn aged(self) -> Option<Dated<T>> {
         (self.age < VALIDITY_TICKS).then_some(Dated { age: self.age + 1, ..self })
     }
 }
 
-/// The statements that a member knows, by member.
+/// Statements known to a member, indexed by the member that made them.
 pub type Known<T> = Vec<Option<Dated<T>>>;
 
-/// A tick passes for all of them.
+/// Ages all known statements by one tick and drops the invalid ones.
 pub fn age_all<T: Copy>(known: &mut Known<T>) {
-    for dated in known {
-        *dated = dated.and_then(Dated::aged);
+    for statement in known {
+        *statement = statement.and_then(Dated::aged);
     }
 }
 
-/// A reply under way.
+/// A reply in transit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Reply<T> {
     pub to: usize,
@@ -39,14 +39,15 @@
 }
 
 impl<T: Copy> Reply<T> {
-    /// The receiver takes the statements that are younger than those that it knows, but for its own.
+    /// Merges the reply into the receiver's known statements: the more recent statement of each other member
+    /// wins. The receiver's own statement is never replaced.
     pub fn merge_into(self, known: &mut Known<T>) {
         for (seat, received) in self.known.into_iter().enumerate() {
             if seat == self.to {
                 continue;
             }
-            let is_younger = |known: Dated<T>| received.is_some_and(|received| received.age < known.age);
-            if known[seat].is_none_or(is_younger) {
+            let is_more_recent = |known: Dated<T>| received.is_some_and(|received| received.age < known.age);
+            if known[seat].is_none_or(is_more_recent) {
                 known[seat] = received;
             }
         }
--- a/lab/tests/seat_lease_model/main.rs
+++ b/lab/tests/seat_lease_model/main.rs
@@ -1,15 +1,16 @@
-//! The lease of a seat, and the agreement on views, as two small models that are checked in every state.
+//! Exhaustive model checks of the seat lease and of the agreement on views.
 //!
-//! Time passes in ticks for all members alike. What membership believes, which messages arrive, when, and who dies or
-//! returns without a memory is up to the checker, so that cuts, heals, suspicions, refutations, pauses, losses and late
-//! messages are all in it. A statement counts for `VALIDITY_TICKS`; a member waits `OPPOSITE_WAIT_TICKS` before it states
-//! the opposite.
+//! All members share one clock, which advances in ticks. The checker chooses the membership state that each
+//! member observes, which replies arrive and when, and which members crash or restart without their state.
+//! The models thereby cover partitions, heals, suspicions, refutations, pauses, loss and late messages. A
+//! statement is valid for `VALIDITY_TICKS`; a member waits `OPPOSITE_WAIT_TICKS` before it states the
+//! opposite.
 
 mod dated;
 mod seat_lease;
 mod view_agreement;
 
-/// How long a statement counts.
+/// Validity of a statement, in ticks.
 const VALIDITY_TICKS: u8 = 1;
-/// The wait before the opposite statement, and after a start.
+/// Wait before the opposite statement and after a start, in ticks.
 const OPPOSITE_WAIT_TICKS: u8 = 2;
--- a/lab/tests/seat_lease_model/seat_lease.rs
+++ b/lab/tests/seat_lease_model/seat_lease.rs
@@ -1,13 +1,13 @@
-//! Invariant 7: a seat's share is never both its own gateway's and the others'.
+//! Invariant 7: the share of a seat is never used by its own gateway and by the others at the same time.
 
 use crate::dated::{age_all, Dated, Known, Reply};
 use crate::{OPPOSITE_WAIT_TICKS, VALIDITY_TICKS};
 use stateright::{Checker, Model, Property};
 
-const ONE_USER: &str = "a seat is never both its own gateway's and the others'";
-const OWN_GATEWAY_HAS_IT: &str = "its own gateway has it";
-const OTHERS_HAVE_IT: &str = "the others have it";
-/// The seat that the model is about, and the member whose seat it is.
+const NEVER_SHARED: &str = "its own gateway and the others never use a seat at the same time";
+const USED_BY_OWN_GATEWAY: &str = "its own gateway uses the seat";
+const USED_BY_OTHERS: &str = "the others use the seat";
+/// Index of the modelled seat and of the member that it belongs to.
 const SEAT: usize = 0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -19,18 +19,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Member {
     is_up: bool,
-    /// Membership makes it take the seat's gateway for present.
-    takes_for_present: bool,
-    /// Its last statement, and ticks since, up to `OPPOSITE_WAIT_TICKS`.
+    /// Whether the member's membership state has the seat's gateway as present.
+    sees_gateway_present: bool,
+    /// Last statement, with the ticks since then, up to `OPPOSITE_WAIT_TICKS`.
     last: Option<Dated<Statement>>,
-    /// Ticks since its start, up to `OPPOSITE_WAIT_TICKS`.
+    /// Ticks since the member's start, up to `OPPOSITE_WAIT_TICKS`.
     age: u8,
     known: Known<Statement>,
 }
 
 impl Member {
     fn new(members: usize, is_up: bool) -> Member {
-        Member { is_up, takes_for_present: true, last: None, age: 0, known: vec![None; members] }
+        Member { is_up, sees_gateway_present: true, last: None, age: 0, known: vec![None; members] }
     }
 }
 
@@ -43,53 +43,53 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum SeatAction {
     Tick,
-    /// Membership changes what it makes a member believe.
-    ToggleBelief(usize),
+    /// Changes whether a member's membership state has the seat's gateway as present.
+    ToggleGatewayPresence(usize),
     Reply {
         to: usize,
         from: usize,
     },
     Deliver,
     Lose,
-    Die(usize),
+    Kill(usize),
     Start(usize),
 }
 
-/// One seat of a cluster.
+/// Model of one seat of a cluster.
 struct SeatLeaseModel {
     members: usize,
-    /// The wait before the opposite statement, and after a start.
+    /// Wait before the opposite statement and after a start, in ticks.
     wait: u8,
-    /// How many members have to state the same for it to hold.
+    /// Number of members that have to make the same statement for it to take effect.
     majority: usize,
 }
 
 impl SeatLeaseModel {
     fn has_majority(&self, member: &Member, statement: Statement) -> bool {
-        let same = member.known.iter().flatten().filter(|dated| dated.value == statement);
+        let same = member.known.iter().flatten().filter(|known| known.value == statement);
         member.is_up && same.count() >= self.majority
     }
 
-    fn own_gateway_has_it(&self, state: &SeatState) -> bool {
+    fn is_used_by_own_gateway(&self, state: &SeatState) -> bool {
         self.has_majority(&state.members[SEAT], Statement::Held)
     }
 
-    fn others_have_it(&self, state: &SeatState) -> bool {
+    fn is_used_by_others(&self, state: &SeatState) -> bool {
         state.members.iter().skip(1).any(|member| self.has_majority(member, Statement::Free))
     }
 
-    /// The member brings its statement to what it believes, as far as it may.
-    fn update_statement(&self, member: &mut Member, own: usize) {
+    /// Updates a member's statement from its membership state, if the waits permit a statement.
+    fn update_statement(&self, member: &mut Member, own_index: usize) {
         if !member.is_up || member.age < self.wait {
             return;
         }
-        let is_present = member.takes_for_present || own == SEAT;
+        let is_present = member.sees_gateway_present || own_index == SEAT;
         let wanted = if is_present { Statement::Held } else { Statement::Free };
         if member.last.is_none_or(|last| last.value == wanted || last.age >= self.wait) {
             member.last = Some(Dated::new(wanted));
-            member.known[own] = member.last;
+            member.known[own_index] = member.last;
         } else {
-            member.known[own] = None;
+            member.known[own_index] = None;
         }
     }
 
@@ -108,7 +108,7 @@
     }
 }
 
-/// A reply arrives; at a member that is not up it is lost.
+/// Delivers a reply; a member that isn't up loses it.
 fn deliver(reply: Reply<Statement>, members: &mut [Member]) {
     let member = &mut members[reply.to];
     if member.is_up {
@@ -131,9 +131,9 @@
                 actions.push(SeatAction::Start(i));
                 continue;
             }
-            actions.push(SeatAction::Die(i));
+            actions.push(SeatAction::Kill(i));
             if i != SEAT {
-                actions.push(SeatAction::ToggleBelief(i));
+                actions.push(SeatAction::ToggleGatewayPresence(i));
             }
             if state.reply.is_none() {
                 let others = (0..self.members).filter(|j| *j != i && state.members[*j].is_up);
@@ -149,19 +149,19 @@
         let mut next = state.clone();
         match action {
             SeatAction::Tick => self.tick(&mut next),
-            SeatAction::ToggleBelief(i) => {
+            SeatAction::ToggleGatewayPresence(i) => {
                 let member = &mut next.members[i];
-                member.takes_for_present = !member.takes_for_present;
+                member.sees_gateway_present = !member.sees_gateway_present;
                 self.update_statement(member, i);
             }
-            // The request and the making of the reply fall together: what counts is that no statement seems younger
-            // than it is.
+            // The request and the creation of the reply are one step: it suffices that no statement appears
+            // more recent than it is.
             SeatAction::Reply { to, from } => {
                 next.reply = Some(Reply { to, known: state.members[from].known.clone() });
             }
             SeatAction::Deliver => deliver(next.reply.take()?, &mut next.members),
             SeatAction::Lose => next.reply = None,
-            SeatAction::Die(i) => next.members[i] = Member::new(self.members, false),
+            SeatAction::Kill(i) => next.members[i] = Member::new(self.members, false),
             SeatAction::Start(i) => next.members[i].is_up = true,
         }
         Some(next)
@@ -169,44 +169,51 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(ONE_USER, |model: &SeatLeaseModel, state: &SeatState| {
-                !(model.own_gateway_has_it(state) && model.others_have_it(state))
+            Property::always(NEVER_SHARED, |model: &SeatLeaseModel, state: &SeatState| {
+                !(model.is_used_by_own_gateway(state) && model.is_used_by_others(state))
             }),
-            Property::sometimes(OWN_GATEWAY_HAS_IT, SeatLeaseModel::own_gateway_has_it),
-            Property::sometimes(OTHERS_HAVE_IT, SeatLeaseModel::others_have_it),
+            Property::sometimes(USED_BY_OWN_GATEWAY, SeatLeaseModel::is_used_by_own_gateway),
+            Property::sometimes(USED_BY_OTHERS, SeatLeaseModel::is_used_by_others),
         ]
     }
 }
 
-/// What a check of all states found.
-struct Verdict {
+/// Result of checking all states.
+struct CheckResult {
     states: usize,
     is_violated: bool,
-    both_can_have_it: bool,
+    is_usable_by_both: bool,
 }
 
-fn check(model: SeatLeaseModel) -> Verdict {
+fn check(model: SeatLeaseModel) -> CheckResult {
     let checker = model.checker().threads(4).spawn_bfs().join();
-    Verdict {
+    CheckResult {
         states: checker.unique_state_count(),
-        is_violated: checker.discovery(ONE_USER).is_some(),
-        both_can_have_it: checker.discovery(OWN_GATEWAY_HAS_IT).is_some()
-            && checker.discovery(OTHERS_HAVE_IT).is_some(),
+        is_violated: checker.discovery(NEVER_SHARED).is_some(),
+        is_usable_by_both: checker.discovery(USED_BY_OWN_GATEWAY).is_some()
+            && checker.discovery(USED_BY_OTHERS).is_some(),
     }
 }
 
+/// A seat that its own gateway and the others use at the same time would count its quota share twice;
+/// each of them must be able to use it at some time.
 #[test]
-fn a_seat_has_one_user_whatever_happens_and_each_can_have_it() {
-    let verdict = check(SeatLeaseModel { members: 3, wait: OPPOSITE_WAIT_TICKS, majority: 2 });
-    println!("{} states", verdict.states);
-    assert!(!verdict.is_violated, "two users at once");
-    assert!(verdict.both_can_have_it && verdict.states > 10_000, "{} states", verdict.states);
+fn a_seat_is_never_used_by_its_gateway_and_the_others_at_the_same_time() {
+    let result = check(SeatLeaseModel { members: 3, wait: OPPOSITE_WAIT_TICKS, majority: 2 });
+    println!("{} states", result.states);
+    assert!(!result.is_violated, "the gateway and the others use the seat at the same time");
+    assert!(result.is_usable_by_both && result.states > 10_000, "{} states", result.states);
 }
 
+/// The model must find a violation without the wait before an opposite statement, or without the majority;
+/// otherwise the check above proves nothing.
 #[test]
-fn without_the_wait_or_the_majority_a_seat_has_two_users() {
+fn seat_model_is_violated_without_the_wait_or_the_majority() {
     let without_wait = check(SeatLeaseModel { members: 3, wait: VALIDITY_TICKS, majority: 2 });
-    assert!(without_wait.is_violated, "statements that are out of date by then still count");
+    assert!(
+        without_wait.is_violated,
+        "without the wait, an outdated statement is still valid beside its opposite"
+    );
     let without_majority = check(SeatLeaseModel { members: 3, wait: OPPOSITE_WAIT_TICKS, majority: 1 });
-    assert!(without_majority.is_violated, "one statement is no majority");
+    assert!(without_majority.is_violated, "without a majority, members can act on opposite statements");
 }
--- a/lab/tests/seat_lease_model/view_agreement.rs
+++ b/lab/tests/seat_lease_model/view_agreement.rs
@@ -1,15 +1,15 @@
-//! Invariant 8: two agreed views never have one number.
+//! Invariant 8: two different agreed views never have the same number.
 
 use crate::dated::{age_all, Dated, Known, Reply};
 use crate::OPPOSITE_WAIT_TICKS;
 use stateright::{Checker, Model, Property};
 
-const ONE_VIEW_BY_NUMBER: &str = "one view by one number";
-const ALL_AGREE: &str = "all agree on the second content";
+const UNIQUE_NUMBERS: &str = "no two agreed views with the same number";
+const ALL_AGREE: &str = "all members agree on the second content";
 const MEMBERS: usize = 3;
 const MAJORITY: usize = 2;
 
-/// A numbered view. Two contents are enough: membership sees one thing or another.
+/// A numbered view. Two different contents suffice for the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct View {
     number: u8,
@@ -19,23 +19,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Member {
     is_up: bool,
-    /// Ticks since its start, up to the wait.
+    /// Ticks since the member's start, up to the wait.
     age: u8,
-    /// What it states, once it states anything.
-    own: Option<View>,
+    /// Stated view, once the member makes statements.
+    stated: Option<View>,
     known: Known<View>,
 }
 
 impl Member {
     fn new(is_up: bool) -> Member {
-        Member { is_up, age: 0, own: None, known: vec![None; MEMBERS] }
+        Member { is_up, age: 0, stated: None, known: vec![None; MEMBERS] }
     }
 
-    /// The view that it takes for agreed.
+    /// Returns the view that the member considers agreed.
     fn agreed(&self) -> Option<View> {
-        let own = self.own.filter(|_| self.is_up)?;
-        let same = self.known.iter().flatten().filter(|dated| dated.value == own);
-        (same.count() >= MAJORITY).then_some(own)
+        let stated = self.stated.filter(|_| self.is_up)?;
+        let same = self.known.iter().flatten().filter(|known| known.value == stated);
+        (same.count() >= MAJORITY).then_some(stated)
     }
 }
 
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum ViewAction {
     Tick,
-    /// Membership makes it see other things.
+    /// Changes the content of a member's view.
     Change(usize),
     Reply {
         to: usize,
@@ -56,31 +56,31 @@
     },
     Deliver,
     Lose,
-    Die(usize),
+    Kill(usize),
     Start(usize),
 }
 
-/// Three members that number their views.
+/// Model of three members that number their views.
 struct ViewModel {
     wait: u8,
-    /// Where the numbers end, so that there are finitely many states.
+    /// Highest view number, which keeps the number of states finite.
     highest_number: u8,
-    /// Whether a change takes a new number, as it must.
+    /// Whether a changed view takes a new number; `false` models a defect.
     renumbers: bool,
 }
 
 impl ViewModel {
-    /// The member states its view, by the highest number under which that content is known.
-    fn update_statement(&self, member: &mut Member, own: usize) {
+    /// Makes a member state its view, with the highest number known for that content.
+    fn update_statement(&self, member: &mut Member, own_index: usize) {
         if !member.is_up || member.age < self.wait {
             return;
         }
-        let mut view = member.own.unwrap_or(View { number: 1, content: false });
-        let known = member.known.iter().flatten().map(|dated| dated.value);
+        let mut view = member.stated.unwrap_or(View { number: 1, content: false });
+        let known = member.known.iter().flatten().map(|known| known.value);
         let same = known.filter(|known| known.content == view.content).map(|known| known.number);
         view.number = same.max().unwrap_or(0).max(view.number);
-        member.own = Some(view);
-        member.known[own] = Some(Dated::new(view));
+        member.stated = Some(view);
+        member.known[own_index] = Some(Dated::new(view));
     }
 
     fn tick(&self, state: &mut ViewState) {
@@ -94,22 +94,22 @@
         }
     }
 
-    /// A member's content changes; none where its number would leave the model.
-    fn change(&self, member: &mut Member, own: usize) -> Option<()> {
-        let View { number, content } = member.own?;
-        let highest_known = member.known.iter().flatten().map(|dated| dated.value.number).max().unwrap_or(0);
+    /// Changes the content of a member's view. Returns `None` if its number would exceed the model's limit.
+    fn change(&self, member: &mut Member, own_index: usize) -> Option<()> {
+        let View { number, content } = member.stated?;
+        let highest_known = member.known.iter().flatten().map(|known| known.value.number).max().unwrap_or(0);
         let number = if self.renumbers { number.max(highest_known) + 1 } else { number };
         if number > self.highest_number {
             return None;
         }
         let view = View { number, content: !content };
-        member.own = Some(view);
-        member.known[own] = Some(Dated::new(view));
+        member.stated = Some(view);
+        member.known[own_index] = Some(Dated::new(view));
         Some(())
     }
 }
 
-/// A reply arrives; at a member that is not up it is lost.
+/// Delivers a reply; a member that isn't up loses it.
 fn deliver(reply: Reply<View>, members: &mut [Member]) {
     let member = &mut members[reply.to];
     if member.is_up {
@@ -132,8 +132,8 @@
                 actions.push(ViewAction::Start(i));
                 continue;
             }
-            actions.push(ViewAction::Die(i));
-            if member.own.is_some() {
+            actions.push(ViewAction::Kill(i));
+            if member.stated.is_some() {
                 actions.push(ViewAction::Change(i));
             }
             if state.reply.is_none() {
@@ -156,7 +156,7 @@
             }
             ViewAction::Deliver => deliver(next.reply.take()?, &mut next.members),
             ViewAction::Lose => next.reply = None,
-            ViewAction::Die(i) => next.members[i] = Member::new(false),
+            ViewAction::Kill(i) => next.members[i] = Member::new(false),
             ViewAction::Start(i) => next.members[i].is_up = true,
         }
         Some(next)
@@ -164,7 +164,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(ONE_VIEW_BY_NUMBER, |_: &ViewModel, state: &ViewState| {
+            Property::always(UNIQUE_NUMBERS, |_: &ViewModel, state: &ViewState| {
                 let agreed: Vec<View> = state.members.iter().filter_map(Member::agreed).collect();
                 agreed.iter().all(|a| agreed.iter().all(|b| a.number != b.number || a == b))
             }),
@@ -175,28 +175,30 @@
     }
 }
 
-/// What a check of all states found.
-struct Verdict {
+/// Result of checking all states.
+struct CheckResult {
     states: usize,
     is_violated: bool,
     all_can_agree: bool,
 }
 
-fn check(model: ViewModel) -> Verdict {
+fn check(model: ViewModel) -> CheckResult {
     let checker = model.checker().threads(4).spawn_bfs().join();
-    Verdict {
+    CheckResult {
         states: checker.unique_state_count(),
-        is_violated: checker.discovery(ONE_VIEW_BY_NUMBER).is_some(),
+        is_violated: checker.discovery(UNIQUE_NUMBERS).is_some(),
         all_can_agree: checker.discovery(ALL_AGREE).is_some(),
     }
 }
 
+/// If two agreed views had the same number, members could act on different views that they take for the same.
+/// The model must also find a violation when a changed view keeps its number.
 #[test]
-fn two_agreed_views_never_have_one_number() {
-    let verdict = check(ViewModel { wait: OPPOSITE_WAIT_TICKS, highest_number: 2, renumbers: true });
-    println!("{} states", verdict.states);
-    assert!(!verdict.is_violated, "two agreed views by one number");
-    assert!(verdict.all_can_agree && verdict.states > 10_000, "{} states", verdict.states);
+fn two_agreed_views_never_have_the_same_number() {
+    let result = check(ViewModel { wait: OPPOSITE_WAIT_TICKS, highest_number: 2, renumbers: true });
+    println!("{} states", result.states);
+    assert!(!result.is_violated, "two agreed views have the same number");
+    assert!(result.all_can_agree && result.states > 10_000, "{} states", result.states);
     let without_new_number =
         check(ViewModel { wait: OPPOSITE_WAIT_TICKS, highest_number: 2, renumbers: false });
     assert!(without_new_number.is_violated, "a change without a new number");
