--- a/src/decision/gateway/counter.rs
+++ b/src/decision/gateway/counter.rs
@@ -24,7 +24,7 @@
             // A call to the counter could only confirm that the quota is exhausted.
             return self.reject(id, RejectionReason::QuotaKnownExhausted);
         }
-        if self.counter.draws_call(&mut self.rng, is_retry) && self.try_start_call(customer_id) {
+        if self.counter.sample_call(&mut self.rng, is_retry) && self.try_start_call(customer_id) {
             self.call_counter(CounterPurpose::QuotaWindow, customer_id, Some(id), units);
         } else {
             self.decide_quota(id, None);
@@ -39,7 +39,7 @@
         if request.plan(&self.context.settings).concurrency_quota <= 0.0 {
             self.admit(id);
             // While calls fail, concurrency checks call the counter as rarely as retries do.
-        } else if self.counter.draws_call(&mut self.rng, true) && self.try_start_call(customer_id) {
+        } else if self.counter.sample_call(&mut self.rng, true) && self.try_start_call(customer_id) {
             self.call_counter(CounterPurpose::Concurrency, customer_id, Some(id), 1.0);
         } else {
             self.decide_concurrency(id, None);
@@ -71,18 +71,18 @@
             CounterPurpose::QuotaWindow => &mut customer.window,
             CounterPurpose::Concurrency => &mut customer.epoch,
         };
-        let amount = own_amount + count.owed;
+        let amount = own_amount + count.unreported;
         if amount == 0.0 && request.is_none() {
             return;
         }
-        let (period, owed_amount) = (count.period, count.carry_owed());
+        let (period, unreported_amount) = (count.period, count.take_unreported());
         let plan = &self.context.settings.plans[customer.plan.0];
         let key = purpose.key(customer_id, period);
         let lifetime = purpose.lifetime(plan);
         let is_probe = request.is_some() && (self.counter.breaker.probing || customer.breaker.probing);
         let customer = customer_id;
-        let call = CounterCall { purpose, customer, period, request, amount, owed_amount, is_probe };
-        self.counter.sent(key, call);
+        let call = CounterCall { purpose, customer, period, request, amount, unreported_amount, is_probe };
+        self.counter.record_call(key, call);
         if let Some(request) = request.and_then(|id| self.requests.get_mut(&id)) {
             request.pending_counter_calls += 1;
         }
@@ -90,7 +90,7 @@
     }
 
     pub(super) fn on_counter_replied(&mut self, key: CounterKey, outcome: Outcome, total: f64) {
-        let Some(call) = self.counter.replied(key) else { return };
+        let Some(call) = self.counter.take_answered_call(key) else { return };
         if let Some(request) = call.request.and_then(|id| self.requests.get_mut(&id)) {
             request.pending_counter_calls -= 1;
         }
@@ -113,7 +113,7 @@
             }
         }
         if total.is_some() && call.purpose == CounterPurpose::QuotaWindow {
-            self.report_owed_units(call.customer);
+            self.report_unreported_units(call.customer);
         }
         if let Some(id) = call.request {
             self.release_if_finished(id);
@@ -131,20 +131,21 @@
         };
         let mut total_with_own = total;
         if count.period == call.period {
-            count.in_transit -= call.owed_amount;
+            count.in_flight -= call.unreported_amount;
             count.own_counted += call.amount;
             // A total below this gateway's own additions proves that the counter lost its state. The lost
             // spending is reported again with a later call, and is added to the total here until then.
-            let lost_units = count.lost_by(total).filter(|_| call.purpose == CounterPurpose::QuotaWindow);
+            let lost_units =
+                count.lost_increments(total).filter(|_| call.purpose == CounterPurpose::QuotaWindow);
             if let Some(lost_units) = lost_units {
-                count.owe_again(lost_units, total);
+                count.mark_unreported(lost_units, total);
                 // Other gateways may admit the lost units once more, so they are charged to the hard limit.
-                customer.ceiling_bucket.level -= lost_units;
+                customer.hard_limit_bucket.level -= lost_units;
             }
             count.last_total = total;
-            total_with_own = total + count.not_yet_counted();
+            total_with_own = total + count.uncounted();
         }
-        let share_fits_largest_request = customer.spread * settings.max_request_units <= burst;
+        let share_fits_largest_request = customer.gateway_count * settings.max_request_units <= burst;
         if share_fits_largest_request {
             customer.local_bucket = None;
         }
@@ -159,12 +160,12 @@
             CounterPurpose::Concurrency => &mut customer.epoch,
         };
         if count.period == call.period {
-            count.in_transit -= call.owed_amount;
+            count.in_flight -= call.unreported_amount;
             if outcome.never_ran() {
-                count.owed += call.owed_amount;
+                count.unreported += call.unreported_amount;
             }
             if outcome == Outcome::ServerError {
-                count.added_without_total(call.amount);
+                count.record_increment_without_total(call.amount);
             }
         }
         self.counter.call_failed(call.customer, customer, self.context.now, call.is_probe);
@@ -182,9 +183,9 @@
         }
     }
 
-    fn report_owed_units(&mut self, customer_id: CustomerId) {
-        let owed = self.customers.get(&customer_id).map_or(0.0, |customer| customer.window.owed);
-        if owed > MAX_UNREPORTED_UNITS {
+    fn report_unreported_units(&mut self, customer_id: CustomerId) {
+        let unreported = self.customers.get(&customer_id).map_or(0.0, |customer| customer.window.unreported);
+        if unreported > MAX_UNREPORTED_UNITS {
             self.call_counter(CounterPurpose::QuotaWindow, customer_id, None, 0.0);
         }
     }
@@ -199,13 +200,13 @@
         }
         let plan = &self.context.settings.plans[customer.plan.0];
         let total = customer.window.last_total - units;
-        let usable = customer.quota_left_elsewhere(customer_id, plan, now, total);
+        let usable = customer.quota_left_at_other_gateways(customer_id, plan, now, total);
         if !self.counter.breaker.is_open() && usable >= MIN_USABLE_UNITS {
             customer.window.last_total = total;
             self.call_counter(CounterPurpose::QuotaWindow, customer_id, None, -units);
         } else {
             // No gateway could use so few units now, or the breaker is open: they are refunded with the next call.
-            customer.window.owed -= units;
+            customer.window.unreported -= units;
         }
     }
 
@@ -236,10 +237,10 @@
         let plan = request.plan(&self.context.settings);
         // Within the plain window a request is not charged to the hard limit, but it is rejected while that
         // bucket is still negative because a counter lost its state.
-        let is_in_plain_window = total <= QuotaWindow::of(plan).units;
+        let is_in_plain_window = total <= QuotaWindow::for_plan(plan).units;
         let units = if is_in_plain_window { 0.0 } else { request.arrival.units };
         let Some(customer) = self.customers.get_mut(&customer_id) else { return true };
-        customer.take_above_quota(&self.context, plan, units)
+        customer.try_take_above_quota(&self.context, plan, units)
     }
 
     fn is_within_local_quota(&mut self, id: RequestId) -> bool {
@@ -249,17 +250,24 @@
         let (plan, units) = (request.plan(settings), request.arrival.units);
         let customer_plan = &settings.plans[customer.plan.0];
         let id = request.arrival.customer;
-        let is_within = customer.take_above_quota(&self.context, plan, units)
-            && customer.take_local(&self.context, &self.lease, id, customer_plan, plan, units);
+        let is_within = customer.try_take_above_quota(&self.context, plan, units)
+            && customer.try_take_from_local_bucket(
+                &self.context,
+                &self.lease,
+                id,
+                customer_plan,
+                plan,
+                units,
+            );
         if is_within && request.counted_in_window.is_none() {
-            customer.window.owed += units;
+            customer.window.unreported += units;
         }
         is_within
     }
 
     fn counter_is_unavailable(&self, customer_id: CustomerId) -> bool {
         let customer = self.customers.get(&customer_id);
-        self.counter.is_silent(self.context.settings.counter_enabled, customer)
+        self.counter.is_unavailable(self.context.settings.counter_enabled, customer)
     }
 
     /// Decides whether one more attempt is within the concurrency quota: by the counter's total, or by this gateway's
@@ -285,7 +293,7 @@
         let is_open = self.counter.breaker.is_open();
         let Some(customer) = self.customers.get_mut(&customer_id).filter(|_| !is_open) else { return };
         if let Some(surplus) = customer.concurrency_surplus() {
-            customer.epoch.owed -= surplus;
+            customer.epoch.unreported -= surplus;
             self.call_counter(CounterPurpose::Concurrency, customer_id, None, 0.0);
         }
     }
--- a/src/decision/gateway/handover.rs
+++ b/src/decision/gateway/handover.rs
@@ -20,8 +20,8 @@
         let now = self.context.now;
         self.admitting_since = Some(now);
         for customer in self.customers.values_mut() {
-            customer.ceiling_bucket.level = 0.0;
-            customer.ceiling_bucket.filled_at = now;
+            customer.hard_limit_bucket.level = 0.0;
+            customer.hard_limit_bucket.filled_at = now;
             customer.local_bucket = None;
         }
     }
@@ -77,16 +77,16 @@
 fn split_off_customer_state(customer: &mut Customer) -> Customer {
     let successor_customer = Customer {
         window: SharedCount {
-            last_total: customer.window.last_total + customer.window.in_transit,
+            last_total: customer.window.last_total + customer.window.in_flight,
             own_counted: 0.0,
-            in_transit: 0.0,
+            in_flight: 0.0,
             ..customer.window.clone()
         },
         epoch: SharedCount::default(),
         in_flight: 0.0,
         ..customer.clone()
     };
-    customer.window.last_total += customer.window.owed;
-    customer.window.owed = 0.0;
+    customer.window.last_total += customer.window.unreported;
+    customer.window.unreported = 0.0;
     successor_customer
 }
--- a/src/proxy/control_plane/config/tests.rs
+++ b/src/proxy/control_plane/config/tests.rs
@@ -62,9 +62,9 @@
     out.add(&key("price"), plan.weight_factor);
     out.add(&key("extra_worth"), plan.overage_weight_fraction);
     out.add(&key("excess_cost"), plan.overage_cost_fraction);
-    out.add(&key("ceiling_rate"), plan.ceiling_rate);
-    out.add(&key("cap_depth"), plan.ceiling_burst);
-    out.add(&key("tolerance"), plan.ceiling_overdraft);
+    out.add(&key("ceiling_rate"), plan.hard_limit_rate);
+    out.add(&key("cap_depth"), plan.hard_limit_burst);
+    out.add(&key("tolerance"), plan.hard_limit_overdraft);
 }
 
 fn name_by_number(names: &std::collections::HashMap<String, usize>, number: usize) -> &str {
@@ -168,7 +168,7 @@
     out.add("capabilities", settings.metadata.capabilities);
     out.add("period_ms", settings.probe_period.as_micros() as f64 / 1000.0);
     out.add("seats", &settings.seats);
-    out.add("lend", config.lendable_part);
+    out.add("lend", config.leasable_fraction);
     out.add("peers", &settings.peers);
     let ledger = settings.ledger.as_ref();
     out.add("ledger.holders", ledger.map(|ledger| ledger.replicas));
