--- a/src/proxy/startup.rs
+++ b/src/proxy/startup.rs
@@ -6,7 +6,8 @@
 use super::cluster_transport::outcome_recorder::OutcomeRecorder;
 use super::cluster_transport::write_queue_sender::{check_uplink, forward_writes};
 use super::cluster_transport::{
-    abandoned_requests, ClusterTransport, ClusterUpdate, RequestSenders, UpdateListener,
+    abandoned_requests::finish_abandoned_requests, ClusterTransport, ClusterUpdate, RequestSenders,
+    UpdateListener,
 };
 use super::control_plane::config::{ClusterConfig, Config, ConfigError, ServiceAddresses};
 use super::control_plane::discovery::PollTiming;
@@ -105,11 +106,7 @@
             spawn_local(check_uplink(parts.outcomes.clone()));
         }
         if plan.finishes_requests() {
-            spawn_local(abandoned_requests::finish_abandoned_requests(
-                context.clone(),
-                ledger,
-                requests_to_finish,
-            ));
+            spawn_local(finish_abandoned_requests(context.clone(), ledger, requests_to_finish));
         }
     }
     let serving = async {
