--- a/lab/tests/ledger_model.rs
+++ b/lab/tests/ledger_model.rs
@@ -288,8 +288,8 @@
     (checker.unique_state_count(), checker.discoveries().into_keys().collect())
 }
 
-/// The model that CI checks. `LEDGER_MODEL=replica_restarts,reordered,releases,contact_alls` (numbers) checks a larger
-/// one, which takes an hour and much memory.
+/// The model that CI checks. `LEDGER_MODEL=replica_restarts,reordered,releases,contact_alls` (numbers) checks
+/// a larger one, which takes an hour and much memory.
 const CI_MODEL: LedgerModel = LedgerModel {
     clients: 2,
     claims_made: 2,
--- a/lab/tests/ledger_plans/main.rs
+++ b/lab/tests/ledger_plans/main.rs
@@ -1,5 +1,5 @@
-//! Runs the ledger under virtual time through random plans of crashes, pauses, partitions, lost, duplicated and delayed
-//! datagrams and clock drift, and checks the safety invariants after each event.
+//! Runs the ledger under virtual time through random plans of crashes, pauses, partitions, lost, duplicated
+//! and delayed datagrams and clock drift, and checks the safety invariants after each event.
 
 mod plan;
 mod simulation;
@@ -28,13 +28,14 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: cases(), ..ProptestConfig::default() })]
-    /// A gateway that owns a record and is paused, partitioned or killed must neither act at the same time as the next
-    /// owner nor lose a confirmed response.
+    /// A gateway that owns a record and is paused, partitioned or killed must neither act at the same time as
+    /// the next owner nor lose a confirmed response.
     #[test]
     fn record_has_one_owner_and_a_rising_fence_and_keeps_its_response_under_faults((seed, steps) in plan()) {
         let mut simulation = run_plan(seed, &steps);
         prop_assert_eq!(simulation.violation, None);
-        // Once all faults have ended and all replicas vote again, each record can be claimed, also that of a killed owner.
+        // Once all faults have ended and all replicas vote again, each record can be claimed, also that of a
+        // killed owner.
         simulation.inject(&Fault::Heal);
         simulation.inject(&Fault::Network(0, 0, 2));
         for seat in 0..SEATS {
@@ -44,7 +45,9 @@
         simulation.run_until(simulation.now + SETTINGS.vote_delay().0 * 11 / 10);
         // One killed replica blocks no claim, whatever it had promised before.
         for record in 0..RECORDS {
-            simulation.request(&ClientRequest { after: 0, seat: 1, record, delay_ms: 0, work_ms: 900, sends_response: false });
+            simulation.request(&ClientRequest {
+                after: 0, seat: 1, record, delay_ms: 0, work_ms: 900, sends_response: false
+            });
         }
         simulation.run_until(simulation.now + 300 * MS);
         simulation.inject(&Fault::Kill(1));
@@ -83,8 +86,8 @@
     );
 }
 
-/// An owner that is slow but alive keeps its request: if the request were offered to another gateway as abandoned, both
-/// would send its write.
+/// An owner that is slow but alive keeps its request: if the request were offered to another gateway as
+/// abandoned, both would send its write.
 #[test]
 fn request_of_a_live_owner_is_not_reported_as_abandoned() {
     for seed in 0..20 {
@@ -104,7 +107,7 @@
         assert_eq!(
             (simulation.counts.abandoned, simulation.violation),
             (0, None),
-            "seed {seed}: nobody died"
+            "seed {seed}: no owner was killed"
         );
     }
 }
--- a/lab/tests/ledger_plans/plan.rs
+++ b/lab/tests/ledger_plans/plan.rs
@@ -24,9 +24,11 @@
         3 => seat.clone().prop_map(Fault::Start),
         3 => (seat.clone(), any::<bool>()).prop_map(|(seat, paused)| Fault::Pause(seat, paused)),
         2 => (seat.clone(), seat.clone()).prop_map(|(seat, other)| Fault::Cut(seat, other)),
-        5 => (seat, any::<bool>(), any::<bool>()).prop_map(|(seat, outbound, inbound)| Fault::Isolate(seat, outbound, inbound)),
+        5 => (seat, any::<bool>(), any::<bool>())
+            .prop_map(|(seat, outbound, inbound)| Fault::Isolate(seat, outbound, inbound)),
         2 => Just(Fault::Heal),
-        2 => (0..40u8, 0..30u8, 0..400u16).prop_map(|(loss, duplication, delay_ms)| Fault::Network(loss, duplication, delay_ms)),
+        2 => (0..40u8, 0..30u8, 0..400u16)
+            .prop_map(|(loss, duplication, delay_ms)| Fault::Network(loss, duplication, delay_ms)),
     ]
 }
 
--- a/lab/tests/ledger_plans/simulation.rs
+++ b/lab/tests/ledger_plans/simulation.rs
@@ -380,8 +380,8 @@
         }
     }
 
-    /// Defers an event of a paused process until the process resumes and drops that of an ended process. Returns whether
-    /// the event must not run now.
+    /// Defers an event of a paused process until the process resumes and drops that of an ended process.
+    /// Returns whether the event must not run now.
     pub fn defer_or_drop(&mut self, seat: usize, process: u64, event: Scheduled) -> bool {
         let node = &self.nodes[seat];
         if node.ledger.is_none() || node.process != process {
--- a/lab/tests/write_queue/main.rs
+++ b/lab/tests/write_queue/main.rs
@@ -11,8 +11,9 @@
 use rand::RngExt;
 use simulation::{Simulation, MS, TICK};
 
-/// A branch loses its uplink for some seconds while its customers keep writing. Once the uplink is back, each accepted
-/// write must run once, after all writes that it depends on, and new writes must queue behind pending ones.
+/// A branch loses its uplink for some seconds while its customers keep writing. Once the uplink is back, each
+/// accepted write must run once, after all writes that it depends on, and new writes must queue behind
+/// pending ones.
 #[test]
 fn isolated_branch_forwards_each_write_once_in_causal_order_after_recovery() {
     let mut simulation = Simulation::new(1, 5);
@@ -50,8 +51,8 @@
     assert!(!simulation.write(3, 2, 2), "with no pending writes a write bypasses the queue");
 }
 
-/// After a long outage the backends are busy with live traffic. A branch that forwards its backlog at the full rate is
-/// rejected repeatedly and takes capacity from others, so it must adapt its rate.
+/// After a long outage the backends are busy with live traffic. A branch that forwards its backlog at the
+/// full rate is rejected repeatedly and takes capacity from others, so it must adapt its rate.
 #[test]
 fn forwarding_rate_adapts_to_the_available_capacity() {
     let mut simulation = Simulation::new(5, 3);
@@ -162,8 +163,8 @@
     assert!(simulation.nodes.iter().flatten().all(QueueReplica::has_vote));
 }
 
-/// A gateway restarts without its state. If it voted at once, two of three replicas that had lost a write could outvote
-/// the one that still has it.
+/// A gateway restarts without its state. If it voted at once, two of three replicas that had lost a write
+/// could outvote the one that still has it.
 #[test]
 fn restarted_replica_votes_only_after_it_has_caught_up() {
     for seed in 0..20 {
@@ -196,12 +197,12 @@
             }
         }
         assert!(replica(&simulation).0, "seed {seed}: the restarted replica regains its vote");
-        let holds =
+        let has_write =
             |dot: &Dot| simulation.nodes[1].as_ref().is_some_and(|replica| replica.log().get(*dot).is_some());
         let missing = simulation
             .writes
             .iter()
-            .filter(|(dot, observed)| observed.accepted.is_some() && !holds(dot))
+            .filter(|(dot, observed)| observed.accepted.is_some() && !has_write(dot))
             .count();
         assert_eq!(missing, 0, "seed {seed}: the replica votes but lacks accepted writes");
     }
@@ -261,8 +262,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 12, rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Under crashes, loss, duplication and isolation, while a quorum keeps the log: no accepted write is lost or runs
-    /// out of order, no rejected write runs, and none runs twice unless its sender crashed with it in flight.
+    /// Under crashes, loss, duplication and isolation, while a quorum keeps the log: no accepted write is
+    /// lost or runs out of order, no rejected write runs, and none runs twice unless its sender crashed with
+    /// it in flight.
     #[test]
     fn no_accepted_write_is_lost_or_runs_out_of_order_under_faults(
         seed in 0u64..1_000_000,
--- a/lab/tests/write_queue/simulation.rs
+++ b/lab/tests/write_queue/simulation.rs
@@ -1,6 +1,7 @@
-//! Simulation of a branch under virtual time: the production replicas, a network that loses, duplicates and delays
-//! messages, an uplink that can fail, and gateways that restart without their state. Each customer sends its next write
-//! once the last one was accepted or rejected; the time of each execution at the backends is recorded.
+//! Simulation of a branch under virtual time: the production replicas, a network that loses, duplicates and
+//! delays messages, an uplink that can fail, and gateways that restart without their state. Each customer
+//! sends its next write once the last one was accepted or rejected; the time of each execution at the
+//! backends is recorded.
 
 use quota_gateway::cluster::write_queue::{
     Dot, ForwardOutcome, QueueEffect, QueueMessage, QueueReplica, WriteOutcome, WriteQueueSettings,
@@ -213,8 +214,8 @@
         (0..ms * MS / TICK).for_each(|_| self.tick_all());
     }
 
-    /// Sends a client's write through a gateway, unless an earlier write of the customer is undecided. Returns whether the
-    /// branch queued it.
+    /// Sends a client's write through a gateway, unless an earlier write of the customer is undecided.
+    /// Returns whether the branch queued it.
     pub fn write(&mut self, node: usize, customer: u64, object: u64) -> bool {
         if self.customers_waiting.contains(&customer) {
             return false;
