--- a/src/cluster/event.rs
+++ b/src/cluster/event.rs
@@ -93,7 +93,7 @@
 /// Action of the write queue, to be performed by the proxy.
 #[derive(Debug)]
 pub enum WriteQueueEffect {
-    /// Acceptance of a write was decided.
+    /// The write queue has decided whether it accepts a write.
     AcceptanceDecided {
         /// Dot of the write.
         dot: Dot,
@@ -128,7 +128,7 @@
 /// Routing rules in force.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ActiveRouting {
-    /// Key of the latest rollout; none if there was none yet.
+    /// Key of the latest rollout, or `None` if there has not been a rollout.
     pub key: Option<RolloutKey>,
     /// Whether outcomes of requests are counted.
     pub is_counting_outcomes: bool,
@@ -168,8 +168,8 @@
         /// Reason of the change, in words for operators.
         reason: &'static str,
     },
-    /// The storage was read. If it held everything that this gateway ever confirmed in the write queue, or at the
-    /// ledger, the gateway has its vote there at once.
+    /// The storage was read. The gateway votes at once in the write queue if the storage held everything that
+    /// the gateway ever confirmed there; the same applies separately to the ledger.
     StorageLoaded {
         /// Number of stored writes of the write queue.
         writes: usize,
--- a/src/cluster/ledger/client.rs
+++ b/src/cluster/ledger/client.rs
@@ -9,8 +9,8 @@
 use crate::decision::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Divisor of the lease that gives the guard time before its end in which an owner starts nothing, as each
-/// action takes time.
+/// Divisor of the lease that gives the guard time. An owner starts no action within the guard time before the
+/// end of its lease, because each action takes time.
 const LEASE_GUARD_DIVISOR: u64 = 10;
 
 /// A message and the seat of the replica that it is addressed to.
@@ -32,7 +32,8 @@
         /// Attempts of earlier owners that may have been executed.
         attempts: Vec<RecordedAttempt>,
     },
-    /// Another claim owns the record; its lease ends after at most this time unless it is renewed.
+    /// Another claim owns the record. The claim's lease ends within the given time unless that claim renews
+    /// the lease.
     InProgress(Micros),
     /// The request is completed, with this response.
     Completed(Vec<u8>),
@@ -93,7 +94,8 @@
     /// Number of prepare rounds before the current one.
     earlier_rounds: u32,
     replies: BTreeMap<u16, Reply>,
-    /// Record as last written, or as the first write will have it.
+    /// Record as last written, without the attempts removed since then. Before the first write: the record
+    /// that the first write will contain.
     record: Record,
     record_created_at: Micros,
     /// Sequence number of the last write; 0 before the first.
@@ -168,7 +170,8 @@
         self.ballot
     }
 
-    /// Returns the record as last written, or as the first write will have it.
+    /// Returns the record as last written, without the attempts removed since then; before the first write,
+    /// the record that this write will contain.
     pub fn record(&self) -> &Record {
         &self.record
     }
@@ -198,9 +201,9 @@
         self.confirmed > 0 && self.may_act(now)
     }
 
-    /// Returns whether the owner may perform an externally visible action now: under its lease or, before the
-    /// first write is confirmed, for the duration of a lease after it. Must be checked immediately before each
-    /// such action.
+    /// Returns whether the owner may perform an externally visible action now. It may until the guard time
+    /// before the end of its lease; before the first write is confirmed, the lease is counted from that
+    /// write. Must be checked immediately before each such action.
     pub fn may_act(&self, now: Micros) -> bool {
         let until = match self.confirmed {
             // If a quorum accepted the first write, no other claim can take the record over during this time.
--- a/src/cluster/ledger/message.rs
+++ b/src/cluster/ledger/message.rs
@@ -44,7 +44,7 @@
     Locked {
         /// Record that is claimed.
         id: RecordId,
-        /// Ballot of the request.
+        /// Ballot of the prepare message that this replies to.
         ballot: Ballot,
         /// Record held by the replica.
         held: RecordSnapshot,
@@ -53,7 +53,7 @@
     Preempted {
         /// Record that is claimed.
         id: RecordId,
-        /// Ballot of the request.
+        /// Ballot of the prepare message or the write that this replies to.
         ballot: Ballot,
         /// Higher ballot to which the replica promised.
         promised: Ballot,
@@ -62,7 +62,7 @@
     Abstained {
         /// Record that is claimed.
         id: RecordId,
-        /// Ballot of the request.
+        /// Ballot of the prepare message or the write that this replies to.
         ballot: Ballot,
     },
     /// Asks a replica to accept a write (Paxos phase 2).
--- a/src/cluster/ledger/replica.rs
+++ b/src/cluster/ledger/replica.rs
@@ -41,7 +41,8 @@
     promised: Ballot,
     promised_at: Micros,
     accepted: Option<AcceptedWrite>,
-    /// Request of the record, if its owner wants it finished even if that owner fails.
+    /// Request that the record protects, if the record's owner had the request stored so that another gateway
+    /// can finish it.
     request: Option<Vec<u8>>,
     /// Time at which the request was last reported as abandoned.
     reported_at: Option<Micros>,
@@ -75,7 +76,7 @@
     pub at_capacity: u64,
     /// The first write of a ballot came too late after the promise.
     pub late: u64,
-    /// The write had no promise, or its record was too large or expired.
+    /// The replica had made no promise to the write's ballot, or the record was too large or expired.
     pub invalid: u64,
 }
 
--- a/src/cluster/ledger/replica/vote.rs
+++ b/src/cluster/ledger/replica/vote.rs
@@ -23,7 +23,8 @@
             age: now - write.record_created_at,
             since_write: now - write.accepted_at,
         });
-        // A promise to another claim here would make this replica reject the writes of a live owner.
+        // A completed record does not change. For a record whose owner's lease may still run, a promise to
+        // another claim would make this replica reject the owner's writes.
         if let Some(held) = held.as_ref().filter(|held| held.record.is_locked(held.since_write)) {
             return LedgerMessage::Locked { id, ballot, held: held.clone() };
         }
@@ -141,10 +142,11 @@
 
 /// Order of a write relative to the last one that this replica accepted for the same ballot.
 enum WriteOrder {
+    /// The write is the first of its ballot, or has a higher sequence number than the last accepted write.
     Next,
     Duplicate,
     Outdated,
-    /// First write of its ballot, too long after the promise.
+    /// The write is the first of its ballot and arrived too long after the promise.
     Late,
 }
 
--- a/src/cluster/ledger/settings.rs
+++ b/src/cluster/ledger/settings.rs
@@ -2,20 +2,21 @@
 
 use crate::decision::{Micros, SettingsError};
 
-/// Longest round trip of a prepare message and its promise that a client counts, and longest total transit time of a
-/// promise and the first write after it that a replica accepts. It bounds the error in the age of a record that is
-/// passed on.
+/// A client ignores a promise that arrives later than this after its prepare message was sent. A replica
+/// rejects the first write after a promise if the promise and the write together were in transit for longer
+/// than this. The limit bounds the error in the age of a record that is passed on.
 pub const ROUND_TRIP_LIMIT: Micros = Micros(100_000);
 /// Time for which a replica remembers a promise that no write followed.
 pub const PROMISE_LIFETIME: Micros = Micros(2_000_000);
-/// Maximum number of owners of one record: each takeover adds up to one `ROUND_TRIP_LIMIT` to the error of its age.
+/// Maximum number of owners of one record. It is limited because each takeover adds up to one
+/// `ROUND_TRIP_LIMIT` to the error of the record's age.
 pub const MAX_OWNERS: u32 = 8;
 /// Maximum encoded size of a record, in bytes, so that a message with it fits into one datagram.
 pub const MAX_RECORD_BYTES: usize = 900;
 /// Maximum size of a request stored with its record, in bytes, so that a message with it fits into one datagram.
 pub const MAX_REQUEST_BYTES: usize = 1000;
 
-/// Divisor of a time span that gives the maximum drift between the clocks of two gateways over that span.
+/// Over any time span, the clocks of two gateways drift apart by at most the span divided by this divisor.
 const CLOCK_DRIFT_DIVISOR: u64 = 20;
 /// Accepted range of `ledger.lease_ms`.
 const LEASE_MS: std::ops::RangeInclusive<u64> = 200..=10_000;
@@ -64,9 +65,9 @@
         self.replicas / 2 + 1
     }
 
-    /// Returns how long a replica remembers the ballots of a record after the record expired, until no other
-    /// replica can still regard it as current: the error of its age at two replicas plus the drift of their
-    /// clocks.
+    /// Returns how long a replica remembers the ballots of a record after the record expired. After this time
+    /// no other replica can still regard the record as current: the time is the sum of the errors of the
+    /// record's age at two replicas and the drift between the clocks of these replicas.
     pub fn ballot_retention(&self) -> Micros {
         let age_errors = 2 * u64::from(MAX_OWNERS) * ROUND_TRIP_LIMIT.0;
         Micros(age_errors + self.record_lifetime.0 / CLOCK_DRIFT_DIVISOR)
--- a/src/cluster/ledger_node.rs
+++ b/src/cluster/ledger_node.rs
@@ -40,11 +40,13 @@
 /// Status of a lease whose record is in the ledger.
 #[derive(Default)]
 pub(super) struct RecordLeaseStatus {
-    /// Whether the lease runs.
+    /// Whether the lease runs and its end is further away than the guard time.
     pub(super) is_held: bool,
-    /// Whether the lease still runs after the lease margin, when others have learned of an action started now.
+    /// Whether the lease will still be held after the lease margin, that is, when the other members have
+    /// learned of an action started now.
     pub(super) is_held_with_margin: bool,
-    /// Claim that was the owner and whose lease has ended; it is to be released.
+    /// Claim that is the owner but may no longer act, as its lease has ended or ends within the guard time.
+    /// The claim is to be released.
     pub(super) lapsed_claim: Option<ClaimId>,
     /// Whether the ledger no longer has the claim.
     pub(super) is_claim_missing: bool,
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Removes an attempt from a claim's record that is known not to have been executed.
+    /// Removes an attempt that is known not to have been executed from the record of its claim.
     pub fn remove_attempt(&mut self, claim: ClaimId, endpoint: u64) {
         if let Some(ledger) = self.ledger.as_mut() {
             ledger.remove_attempt(claim, endpoint);
@@ -132,7 +134,8 @@
         self.ledger.as_ref().is_some_and(|ledger| ledger.may_act(now, claim))
     }
 
-    /// Releases a claim whose request has ended at this gateway, with its response or without.
+    /// Releases a claim. `response` is the response if the claim's request was completed at this gateway,
+    /// otherwise `None`.
     pub fn release_claim(
         &mut self,
         now: Micros,
--- a/src/cluster/membership/join.rs
+++ b/src/cluster/membership/join.rs
@@ -5,9 +5,10 @@
 
 use crate::decision::Micros;
 
-/// A gateway that knows no other member announces itself first within this time; then the pause doubles each time.
+/// A gateway that knows no other member announces itself for the first time within this time. It is also the
+/// mean pause before the second announcement; the mean pause doubles with each further announcement.
 const INITIAL_BACKOFF: Micros = Micros(500_000);
-/// Longest pause between two announcements of a gateway that knows no other member.
+/// Longest mean pause between two announcements of a gateway that knows no other member.
 const MAX_BACKOFF: Micros = Micros(8_000_000);
 /// Mean pause between two announcements of a gateway that knows other members.
 const CONNECTED_INTERVAL: Micros = Micros(2_000_000);
--- a/src/cluster/membership/members.rs
+++ b/src/cluster/membership/members.rs
@@ -10,14 +10,15 @@
 pub const MAX_MEMBERS: usize = 2048;
 /// Maximum time between two refreshes of the records.
 const MAX_REFRESH_INTERVAL: Micros = Micros(1_000_000);
-/// Members first seen within this time after this one joined count as having joined before it.
+/// Another member that this member first sees within this time after joining counts as having joined before
+/// this member.
 const JOIN_DURATION: Micros = Micros(2_000_000);
 
 /// State of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// The member answers, as far as is known.
+    /// No member is known to suspect this member.
     Alive,
     /// Some member received no reply from the suspect.
     Suspect,
@@ -85,8 +86,8 @@
         self.is_stale || now - self.refreshed_at >= MAX_REFRESH_INTERVAL
     }
 
-    /// Updates the records from the protocol's member list. `connected_at` is the time since which this member has
-    /// known others.
+    /// Updates the records from the protocol's member list. `connected_at` is the time at which this member
+    /// came to know other members, or `None` if it knows none.
     pub fn refresh<'a>(
         &mut self,
         members: impl Iterator<Item = &'a Member<Identity>>,
--- a/src/cluster/membership/swim.rs
+++ b/src/cluster/membership/swim.rs
@@ -19,7 +19,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The gossip parameters are adapted once the number of members has changed by more than one part in this many.
+/// The gossip parameters are adapted once the number of members differs from `configured_size` by more than
+/// `configured_size` divided by this divisor.
 const RESIZE_DIVISOR: usize = 4;
 
 /// A message to be sent.
@@ -58,7 +59,8 @@
     unacknowledged_probes: u32,
     /// Number of members that the gossip parameters are set for.
     configured_size: usize,
-    /// Time since which other members have been known.
+    /// Time at which this member last came to know another one after it knew none; `None` while it knows
+    /// none.
     connected_at: Option<Micros>,
     has_left: bool,
 }
@@ -110,7 +112,8 @@
         self.protocol_time
     }
 
-    /// Time since which this member has known others, if it knows any.
+    /// Time at which this member last came to know another one after it knew none, or `None` if it knows none
+    /// now.
     pub fn connected_at(&self) -> Option<Micros> {
         self.connected_at
     }
@@ -128,7 +131,8 @@
         })
     }
 
-    /// Takes out the highest later incarnation that messages named under this member's own name.
+    /// Takes out the highest incarnation that messages named under this member's name, if it is later than
+    /// this member's own.
     pub fn take_later_own_incarnation(&mut self) -> Option<KnownIncarnation> {
         self.observations.borrow_mut().later_own_incarnation.take()
     }
@@ -193,7 +197,7 @@
         }
     }
 
-    /// Queries the members that this one suspects.
+    /// Queries the suspected members that are due for a query.
     fn query_suspects(&mut self, out: &mut Vec<OutgoingMessage>) {
         for suspicion in self.suspicions.take_due(self.protocol_time, self.members.records()) {
             let first_new = out.len();
@@ -219,7 +223,8 @@
         self.query_suspects(out);
     }
 
-    /// Called when another member suspects this one and queries it. The reply carries the refutation.
+    /// Called when another member suspects this member and queries it. Makes the protocol refute the
+    /// suspicion before it replies to the query, so that the reply contains the refutation.
     pub fn on_suspected(&mut self, number: u16, out: &mut Vec<OutgoingMessage>) {
         if !self.suspicions.is_new_suspicion_of_us(number) {
             return;
@@ -253,7 +258,7 @@
         self.drain_runtime(out);
     }
 
-    /// Takes an incarnation above `other`.
+    /// Changes this member's incarnation to one above both its own and `other`.
     pub fn raise_incarnation_above(&mut self, other: u64, out: &mut Vec<OutgoingMessage>) {
         self.change_identity(self.own_identity().with_incarnation_above(other), out);
     }
--- a/src/cluster/membership_node.rs
+++ b/src/cluster/membership_node.rs
@@ -12,10 +12,10 @@
 use crate::decision::Micros;
 use std::net::SocketAddr;
 
-/// Time of knowing others after which a process counts as established under its name: it then yields to a newer
-/// process instead of taking a higher incarnation itself.
+/// A process that has known other members for this time is established under its name: it then yields to a
+/// newer process instead of taking a higher incarnation itself.
 const ESTABLISHED_AFTER: Micros = Micros(10_000_000);
-/// Number of ticks in which a leaving gateway repeats its departure.
+/// Number of ticks in which a leaving gateway gossips again that it leaves.
 const LEAVE_REPEATS: u32 = 4;
 
 impl ClusterNode {
@@ -45,7 +45,8 @@
         self.swim.leave(messages);
     }
 
-    /// Probes the next member in the ring of names.
+    /// Advances the ring prober: probes the next member in the ring of names, or suspects one that did not
+    /// reply.
     fn tick_ring_probe(&mut self, messages: &mut Vec<OutgoingMessage>, out: &mut Vec<Effect>) {
         let token = self.rng.u64(..);
         let context = RingContext {
@@ -169,8 +170,8 @@
         self.yielded_to.is_none() && (!self.is_leaving || is_hand_over)
     }
 
-    /// Processes a message of the membership protocol. `known` is the incarnation that the sender knows under this
-    /// name.
+    /// Processes a message of the membership protocol. `known` is the incarnation that the sender knows under
+    /// this gateway's name.
     fn receive_swim(
         &mut self,
         known: KnownIncarnation,
@@ -201,11 +202,12 @@
         }
     }
 
-    /// Called when other members know a later incarnation under this name.
+    /// Called when other members know a later incarnation under this gateway's name.
     ///
-    /// If that one is present and this process is established, two processes run, and the older one yields; otherwise
-    /// they would declare each other down forever. In all other cases the later one has crashed, or this process
-    /// started after it with a clock that was set back; this process then takes a higher incarnation.
+    /// If the later incarnation is present and this process is established, two processes run under the name.
+    /// This process, the older one, then yields; otherwise the two would declare each other down forever. In
+    /// all other cases the process of the later incarnation has crashed, or this process started after it
+    /// with a clock that was set back; this process then takes a higher incarnation.
     fn yield_or_raise_incarnation(
         &mut self,
         other: KnownIncarnation,
--- a/src/cluster/quota_lease/agreement.rs
+++ b/src/cluster/quota_lease/agreement.rs
@@ -3,11 +3,12 @@
 
 use serde::Serialize;
 
-/// If at least one expected seat in this many is down, down members count as missing, not as restarting.
+/// If the number of down seats is at least the number of expected seats divided by this divisor, down members
+/// count as missing, not as restarting.
 const DOWN_SEATS_DIVISOR: usize = 5;
 
-/// Agreement of the cluster on the seats, as seen by one member. Expected seats are all but those whose gateways left
-/// on purpose.
+/// Agreement of the cluster on the seats, as seen by one member. The expected seats are all seats except
+/// those whose gateways left on purpose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Agreement {
@@ -28,15 +29,15 @@
 pub struct SeatCounts {
     /// Number of all seats.
     pub total: usize,
-    /// Seats whose gateways left on purpose; they are not expected to report.
+    /// Number of seats whose gateways left on purpose; these gateways are not expected to report.
     pub left: usize,
-    /// Seats whose gateways are down.
+    /// Number of seats whose gateways are down.
     pub down: usize,
-    /// Seats whose statements still count.
+    /// Number of seats whose latest statements are still valid.
     pub reporting: usize,
-    /// Seats that state exactly this member's view.
+    /// Number of seats that state exactly this member's view.
     pub stating_own_view: usize,
-    /// Seats that this member's view states to be held.
+    /// Number of seats that this member's view states to be held.
     pub held: usize,
 }
 
--- a/src/cluster/quota_lease/seat_lease.rs
+++ b/src/cluster/quota_lease/seat_lease.rs
@@ -35,8 +35,8 @@
 /// Quota shares that a gateway may use.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct QuotaShares {
-    /// Time until which the gateway may use its complete share and its part of the shares of `free_seats`; 0: only the
-    /// part of its own share that is never leased.
+    /// Time until which the gateway may use its complete share and its part of the shares of `free_seats`. If
+    /// 0, the gateway may use only the part of its own share that is never leased.
     pub until: Micros,
     /// Seats whose shares are divided among the other gateways.
     pub free_seats: Vec<u32>,
@@ -48,8 +48,8 @@
     own_seat: usize,
     last_statements: Vec<Option<LastStatement>>,
     view: View,
-    /// Time before which this member makes no statements, because an earlier process in this seat may have stated the
-    /// opposite, and this one has no record of that.
+    /// Time before which this member makes no statements, because an earlier process in this seat may have
+    /// made opposite statements of which this process has no record.
     abstains_until: Micros,
 }
 
@@ -79,8 +79,8 @@
         now < self.abstains_until
     }
 
-    /// Updates the statements to the seats' occupants, as far as they are allowed already. A changed view gets a number
-    /// above `highest_number`.
+    /// Updates the statements according to the seats' occupants. A statement that is not allowed yet is left
+    /// out. A changed view gets a number above `highest_number`.
     pub fn update(&mut self, now: Micros, occupants: &[SeatOccupant], highest_number: u64) {
         if self.is_abstaining(now) {
             return;
@@ -116,8 +116,8 @@
     }
 }
 
-/// Returns the statement that is allowed on a seat now. The last statement may be repeated at once, its opposite only
-/// when no member counts the last one any more.
+/// Returns the statement that is allowed on a seat now. The last statement may be repeated at once. A
+/// different statement is allowed only when no member counts the last statement any more.
 fn next_statement(last: Option<LastStatement>, occupant: SeatOccupant, now: Micros) -> SeatStatement {
     let wanted = match occupant {
         SeatOccupant::Present(tag) => SeatStatement::Held(tag),
--- a/src/cluster/quota_lease_node.rs
+++ b/src/cluster/quota_lease_node.rs
@@ -40,7 +40,7 @@
         self.send_payload(to, &Payload::ViewReply { seat_list, token, table }, out);
     }
 
-    /// Processes the table of another member, if this one requested it.
+    /// Processes a reply with another member's table. A table that this gateway did not request is rejected.
     pub(super) fn on_view_reply(
         &mut self,
         seat_list: u64,
--- a/src/cluster/rollout/controller/report.rs
+++ b/src/cluster/rollout/controller/report.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(into = "(u8, usize)")]
 pub struct StagePosition {
-    /// The stage; 0 precedes the first.
+    /// Number of the stage; 0 before the first stage.
     pub stage: u8,
     /// Number of stages.
     pub stages: usize,
@@ -39,13 +39,15 @@
     }
 }
 
-/// Seats that reported recently, and how many of them follow the same stage and end.
+/// Number of seats that reported recently, and how many of them agree with this gateway on the stage and on
+/// whether the rollout has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(into = "(usize, usize)")]
 pub struct ReportingSeats {
     /// Number of seats that reported within 2 s.
     pub reporting: usize,
-    /// Number of reporting seats that follow this stage and end.
+    /// Number of reporting seats that agree with this gateway on the stage and on whether the rollout has
+    /// ended.
     pub following: usize,
 }
 
--- a/src/cluster/rollout/count_rows.rs
+++ b/src/cluster/rollout/count_rows.rs
@@ -1,5 +1,5 @@
-//! Counts received from all gateways. Only the newest of each process is kept, so that lost, duplicated, reordered and
-//! late messages do no harm.
+//! Counts received from all gateways. For each process and class only the newest counts are kept, so that
+//! lost, duplicated, reordered and late messages do no harm.
 
 use super::outcome_counts::{ClassCounts, MAX_CLASSES};
 use super::state::RolloutKey;
@@ -9,11 +9,11 @@
 
 /// Maximum age of counts on which a stage may pass. Older counts can still halt a rollout.
 pub const MAX_COUNTS_AGE: Micros = Micros(2_000_000);
-/// Limit of the processes remembered for one gateway in one rollout.
+/// Maximum number of processes remembered for one gateway in one rollout.
 const MAX_PROCESSES: usize = 16;
-/// Limit of the classes in one message.
+/// Maximum number of classes in one message.
 pub const MAX_CLASSES_PER_ROW: usize = 5;
-/// Length limit of a zone's name, in bytes.
+/// Maximum length of a zone's name, in bytes.
 const MAX_ZONE_BYTES: usize = 32;
 
 /// Outcome counts of one class.
@@ -25,8 +25,8 @@
     pub counts: ClassCounts,
 }
 
-/// One gateway's message: the state that it follows, and a part of its counts. A postcard wire form: the order of
-/// fields counts.
+/// Message of one gateway with the stage that the gateway follows and a part of its counts. Encoded with
+/// postcard, so fields must keep their order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CountRow {
     /// Identity of the rollout.
@@ -68,7 +68,8 @@
     /// Zone of the process.
     pub zone: String,
     sequence: u64,
-    /// Arrival time of the newest message that cannot have been delayed, if there was one.
+    /// Arrival time of the newest message that cannot have been delayed for long, or `None` if no such
+    /// message has arrived.
     pub last_received_at: Option<Micros>,
     /// Stage that the process follows, by its newest message.
     pub stage: u8,
@@ -138,7 +139,8 @@
         self.processes.iter().map(|(key, counts)| (*key, counts))
     }
 
-    /// The seats whose newest message is recent enough, each with the process that reported last.
+    /// The seats with a message of the last `MAX_COUNTS_AGE` that cannot have been delayed for long, each
+    /// with the process that sent the newest such message.
     pub fn fresh(&self, now: Micros) -> BTreeMap<u16, &ProcessCounts> {
         let mut fresh: BTreeMap<u16, &ProcessCounts> = BTreeMap::new();
         for (key, counts) in &self.processes {
--- a/src/cluster/rollout/mod.rs
+++ b/src/cluster/rollout/mod.rs
@@ -1,10 +1,12 @@
-//! Staged (canary) rollouts of routing rules, which are halted by the combined outcome counts of all gateways.
+//! Staged (canary) rollouts of routing rules. A rollout is halted if the combined outcome counts of all
+//! gateways show that the canary is worse, or if a stage does not pass in time.
 //!
 //! Nothing here does I/O, reads a clock or uses global randomness. `docs/decisions/0007-rules-rollout.md` gives the
 //! reasons.
 //!
 //! * [`RolloutRequest`] is an operator's request; [`RolloutState`] is the replicated state of the rollout.
-//! * [`RolloutController`] runs at each gateway: it gossips, counts, halts and, under the lease, leads.
+//! * [`RolloutController`] runs at each gateway: it gossips the rollout's state, counts outcomes, may halt
+//!   the rollout, and leads it while it holds the lease.
 //! * [`OutcomeCounts`] are the counts of one gateway, [`CollectedCounts`] those of all gateways.
 //! * [`sequential_test`] decides whether to halt the rollout and whether to enter the next stage.
 
--- a/src/cluster/rollout/plan.rs
+++ b/src/cluster/rollout/plan.rs
@@ -1,7 +1,7 @@
 //! Operators' definition of a rollout: routing rules within their bounds, stages and statistical bounds.
 //!
-//! Keys in TOML are part of the operators' interface (`rename`). On the wire and on disk (postcard) the order of fields
-//! counts.
+//! Keys in TOML are part of the operators' interface (`rename`). The types are sent and stored in postcard,
+//! so fields must keep their order.
 
 use crate::decision::SettingsError;
 use serde::{Deserialize, Serialize};
@@ -64,13 +64,15 @@
 /// Stages, durations and statistical bounds of a rollout.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RolloutSettings {
-    /// Number of customers, of 10,000, that have the new rules in each stage; rising, with all customers at the end.
+    /// Number of customers, of 10,000, that have the new rules in each stage. The numbers increase, and the
+    /// last stage has all customers.
     pub stage_shares: Vec<u16>,
     /// Minimum duration of a stage, in seconds.
     pub bake_s: u32,
     /// Maximum duration of a stage, in seconds: a rollout whose stage has not passed by then is halted.
     pub max_stage_s: u32,
-    /// Highest fraction of sound rollouts that may be halted by mistake, over all stages together.
+    /// Maximum probability, over all stages together, that a rollout is halted although the canary is not
+    /// worse.
     pub false_halt_rate: f64,
     /// Highest excess of the canary's failure rate over the baseline's with which a stage may still pass.
     pub margin: f64,
@@ -189,7 +191,8 @@
         check_bounds("least", self.min_canary_requests, MIN_REQUESTS)
     }
 
-    /// Number of customers, of 10,000, that have the new rules in this stage; stage 0 precedes the first.
+    /// Number of customers, of 10,000, that have the new rules in this stage; none in stage 0, which precedes
+    /// the first stage.
     pub fn share(&self, stage: u8) -> u16 {
         let index = usize::from(stage).checked_sub(1);
         index.and_then(|index| self.stage_shares.get(index)).copied().unwrap_or(0)
--- a/src/cluster/rollout_node.rs
+++ b/src/cluster/rollout_node.rs
@@ -102,7 +102,8 @@
         .ok_or(DatagramError::Rejected)
     }
 
-    /// Handles the outcome of a claim at the ledger. Returns whether the claim was the rollout's.
+    /// Handles the outcome of a claim at the ledger. Returns whether the claim belongs to the rollout's
+    /// record.
     pub(super) fn on_rollout_claim_resolved(
         &mut self,
         claim: ClaimId,
@@ -158,7 +159,8 @@
             return;
         }
         let lease = self.lease_status(claim);
-        // A record has a limited lifetime: after that its owner, or another gateway, claims it again.
+        // A record has a limited lifetime, after which the lease ends or the ledger drops the claim. This
+        // gateway or another gateway then claims the record again.
         if lease.lapsed_claim.is_some() || lease.is_claim_missing {
             self.on_rollout_claim_failed(out);
             if let Some(claim) = lease.lapsed_claim {
@@ -221,7 +223,8 @@
                 }
                 ControllerEffect::Claim => {
                     let claim = self.open_claim(now, ROLLOUT_RECORD, 0, out);
-                    // The claim may already have been resolved by this gateway's own reply.
+                    // The reply of this gateway's own replica may already have resolved the claim. The next
+                    // tick then finds that the ledger no longer has the claim.
                     if let Some(controller) = self.rollout.as_mut() {
                         controller.set_claim(claim);
                     }
--- a/src/cluster/settings.rs
+++ b/src/cluster/settings.rs
@@ -19,7 +19,7 @@
 const PROBE_PERIODS: RangeInclusive<Duration> = Duration::from_millis(100)..=Duration::from_secs(60);
 /// Maximum safety margin of a lease, in microseconds.
 const MAX_LEASE_MARGIN: u64 = 200_000;
-/// The safety margin is at most the lease time divided by this.
+/// The safety margin of a lease is at most the duration of the lease divided by this divisor.
 const LEASE_MARGIN_DIVISOR: u64 = 4;
 
 /// Settings of a cluster node.
@@ -38,14 +38,14 @@
     /// Names of all gateways in the order of their seats, identical at every gateway. If empty, quota shares are not
     /// leased and there is no ledger.
     pub seats: Vec<String>,
-    /// Settings of the ledger; without them this gateway is no ledger node.
+    /// Settings of the ledger, or `None` if this gateway is not a ledger node.
     pub ledger: Option<LedgerSettings>,
-    /// Routing rules in force before any rollout; without them this gateway takes no part in rollouts.
+    /// Routing rules in force before any rollout, or `None` if this gateway takes no part in rollouts.
     pub baseline_rules: Option<RuleSet>,
     /// Settings of the write queue, if this gateway accepts writes while it is isolated from the backends.
     pub write_queue: Option<WriteQueueSettings>,
-    /// Machine of this gateway, if the gateway has storage there; without storage its state is lost when the process
-    /// ends.
+    /// Identifies the clock of this gateway's machine, or `None` if the gateway has no storage. Without
+    /// storage the gateway's state is lost when the process ends.
     pub storage_machine: Option<MachineId>,
 }
 
--- a/src/cluster/storage/durability_gate.rs
+++ b/src/cluster/storage/durability_gate.rs
@@ -7,17 +7,17 @@
 use crate::decision::Micros;
 use std::collections::VecDeque;
 
-/// Maximum number of effects waiting for the storage, each of about 1 kB. Storage that falls further behind has
-/// failed.
+/// Maximum number of effects waiting for the storage, each of about 1 kB. Storage that falls further behind
+/// is treated as failed.
 pub const MAX_WAITING: usize = 8000;
 /// Maximum number of waiting effects with which the gateway still begins to accept writes of clients.
 pub const MAX_WAITING_FOR_NEW_WRITES: usize = 2000;
 
-/// Identifies the machine's clock. Stored times are on this clock, as later processes on the machine read the
-/// same one.
+/// Identifies the clock of the machine. Stored times are times of this clock, because later processes on the
+/// machine read the same clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MachineId {
-    /// Identifier of this machine start.
+    /// Identifier of the current start of the machine.
     pub boot: u64,
     /// Uptime of the machine when this process created its cluster node.
     pub uptime: Micros,
@@ -74,7 +74,7 @@
         self.waiting.len()
     }
 
-    /// Returns the identifier of this machine start.
+    /// Returns the identifier of the current start of the machine.
     pub fn boot(&self) -> u64 {
         self.machine.boot
     }
--- a/src/cluster/write_queue/replica/accept.rs
+++ b/src/cluster/write_queue/replica/accept.rs
@@ -12,7 +12,8 @@
 use crate::decision::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time after which a write without the votes of a quorum is rejected, as it would be without a branch.
+/// Time after which a write that a quorum has not voted for is rejected, as a gateway without a branch
+/// rejects it.
 const ACCEPT_TIMEOUT: Micros = Micros(400_000);
 /// Maximum number of writes that wait for votes at once.
 const MAX_PENDING_ACCEPTS: usize = 500;
@@ -23,7 +24,8 @@
     /// Submits a write. The result follows as `QueueEffect::AcceptanceDecided`. Returns the dot of the write, or `None`
     /// if it cannot be accepted.
     pub fn accept(&mut self, now: Micros, request: WriteRequest, out: &mut Vec<QueueEffect>) -> Option<Dot> {
-        // A retry with the same idempotency key refers to the existing write, once a quorum holds that.
+        // A retry with the same idempotency key refers to the existing write and is accepted once a quorum
+        // holds that write.
         let existing = self.log.find_by_key(request.customer, request.key).filter(|_| self.has_vote);
         if let Some(write) = existing.map(|entry| entry.write.clone()) {
             return Some(self.accept_again(now, write, out));
@@ -220,7 +222,8 @@
         }
     }
 
-    /// Returns the message for a pending write that a peer has not answered, or `None` if it has answered all.
+    /// Returns the message for a pending write that a peer has not answered, or `None` if the peer has
+    /// answered it.
     fn accept_message(
         &self,
         now: Micros,
--- a/src/decision/token_bucket.rs
+++ b/src/decision/token_bucket.rs
@@ -1,4 +1,4 @@
-//! The token bucket behind quotas and allowances (the committed bucket of RFC 2697).
+//! Token bucket used for quotas and allowances (the committed bucket of RFC 2697).
 
 use super::time::Micros;
 
@@ -22,7 +22,7 @@
         self.filled_at = now.max(self.filled_at);
     }
 
-    /// Takes units if the bucket holds that many, and returns whether it did.
+    /// Takes `units` if the bucket holds at least that many. Returns whether the units were taken.
     pub(crate) fn try_take(&mut self, now: Micros, units: f64) -> bool {
         self.fill(now);
         let has_enough = self.level >= units;
--- a/src/proxy/downstream/request_body.rs
+++ b/src/proxy/downstream/request_body.rs
@@ -133,7 +133,7 @@
     /// More bytes are expected.
     #[default]
     InProgress,
-    /// The last byte has arrived.
+    /// The last byte was passed on to the connection, or the body is buffered as a whole.
     Complete,
     /// The client did not send the body to its end.
     Broken,
--- a/src/proxy/lifecycle/drain.rs
+++ b/src/proxy/lifecycle/drain.rs
@@ -6,8 +6,8 @@
 
 /// Idle time-out of a client connection: clients are promised 2 s.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
-/// Idle time-out of a client connection while an operator drains the gateway, which must be over within 4 s: longer
-/// than a busy client pauses between two requests, and less than half of those 4 s.
+/// Idle time-out of a client connection while an operator drains the gateway. It is longer than a busy
+/// client's pause between two requests, and shorter than half of the 4 s within which the drain must be over.
 const DRAINING_IDLE_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Phase of the shutdown. A process never returns to an earlier phase.
@@ -60,9 +60,9 @@
     }
 
     /// Returns the idle time-out of client connections. During shutdown it is zero: new connections are still
-    /// accepted, so a request that crosses the close is retried on a new connection. A replaced process keeps the
-    /// ordinary time-out, because the other process accepts the new connections and there is no hurry to close the
-    /// old ones.
+    /// accepted, so a request sent while its connection is being closed is retried on a new one. A replaced
+    /// process keeps the ordinary time-out: the other process accepts the new connections, so the old ones
+    /// may stay open.
     fn idle_timeout(&self) -> Duration {
         match self {
             LifecycleState { replaced: true, .. } => IDLE_TIMEOUT,
--- a/src/proxy/upstream/connection.rs
+++ b/src/proxy/upstream/connection.rs
@@ -29,11 +29,12 @@
     /// The call was not written to its end, so the peer never received all of it and did not run it.
     #[error("connection ended before the call was written completely")]
     NotSent,
-    /// The call was not written to its end through no fault of the peer: the client did not send its body to the end.
+    /// The call was not written to its end because the client did not send its body to the end; the peer did
+    /// not cause this.
     #[error("client did not send the body of the call completely")]
     RequestBodyAborted,
     /// The connection broke after the call was written, or may have been written, so the call may have run.
-    #[error("connection broke after the call was written, or may have been")]
+    #[error("connection broke after the call was or may have been written completely")]
     Broken,
 }
 
@@ -199,7 +200,7 @@
     fn call_error(&self) -> CallError {
         match (self.written.get(), self.progress.borrow().get()) {
             (WriteState::Nothing | WriteState::Part, BodyProgress::Broken) => CallError::RequestBodyAborted,
-            // No server runs a request of which it has only part of the body.
+            // No server runs a request before it has received the complete body.
             (WriteState::Nothing, _) | (WriteState::Part, BodyProgress::InProgress) => CallError::NotSent,
             _ => CallError::Broken,
         }
@@ -209,8 +210,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the errors of [`Connection::begin`], and `Broken` if the response is longer than
-    /// `MAX_BUFFERED_BODY_BYTES`.
+    /// Returns the errors of [`Connection::send`], and `Broken` if the response is longer than
+    /// `MAX_BUFFERED_BODY_BYTES` or its body could not be read to the end.
     pub async fn call(&mut self, request: Request<OutboundBody>) -> Result<Response<Bytes>, CallError> {
         let (head, body) = self.send(request, || {}).await?.into_parts();
         let body = self.drive(Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect()).await;
