--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -247,7 +247,7 @@
     let gateway = Gateway::start(&discovery, &counter);
     let mut client = gateway.client();
     (0..20).for_each(|_| drop(client.round_trip(&request("look", 3000))));
-    assert!(!old.requests().is_empty() && !new.requests().is_empty(), "both are used");
+    assert!(!old.requests().is_empty() && !new.requests().is_empty(), "both backends get requests");
     discovery.publish_and_wait(42, false, &backend_entry("s-1", old.address, "draining"));
     let requests_before = old.requests().len();
     for _ in 0..20 {
@@ -296,7 +296,7 @@
     unresponsive_discovery.wait_for("a request for the endpoint list", |log| !log.requests.is_empty());
     let health = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n";
     assert_eq!(gateway_without_list.client().round_trip(health).status(), 503);
-    // When discovery does not respond, the gateway becomes ready with the list of its configuration.
+    // When discovery does not respond, the gateway becomes ready with the endpoint list in its configuration.
     let backend = Stub::start(|_| http("200 OK", "known"));
     let known_list = endpoint_list(7, true, &backend_entry("s-1", backend.address, "ready"));
     let config = config(unresponsive_discovery.address, counter.address);
--- a/tests/sockets/message_sizes.rs
+++ b/tests/sockets/message_sizes.rs
@@ -21,7 +21,7 @@
 
 pub fn accept_attempt(listener: &TcpListener) -> Client {
     let (stream, _) = listener.accept().expect("an attempt");
-    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a socket");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read time-out is set");
     client_over(stream)
 }
 
@@ -58,7 +58,7 @@
         assert!(framed, "{framing} in {head:?}");
         // The beginning of the response arrives before the backend has sent the rest.
         let chunk_size =
-            |client: &mut Client| usize::from_str_radix(&client.read_line(), 16).expect("a size");
+            |client: &mut Client| usize::from_str_radix(&client.read_line(), 16).expect("a chunk size");
         let mut read_body = |length: usize| {
             let mut received = Vec::new();
             while received.len() < length {
@@ -129,7 +129,7 @@
             while received.len() < length {
                 let next_length = match chunked {
                     false => length - received.len(),
-                    true => usize::from_str_radix(&backend.read_line(), 16).expect("a size"),
+                    true => usize::from_str_radix(&backend.read_line(), 16).expect("a chunk size"),
                 };
                 received.extend(backend.read_bytes(next_length));
                 if chunked {
@@ -138,7 +138,8 @@
             }
         };
         read_body(&mut backend, &mut received, first.len());
-        // An attempt counts only after its last byte, and the request is not yet in flight.
+        // An attempt is counted only once the last byte of its request has been sent; until then the request
+        // is not in flight either.
         assert_eq!((gateway.metric("attempts"), gateway.metric("in_flight")), (u64::from(chunked), 0));
         let end = if chunked { "0\r\nX-Trailer: t\r\n\r\n" } else { "" };
         let all = format!("{}{end}", piece(&rest));
@@ -207,13 +208,13 @@
         "{attempt_head:?}"
     );
     assert_eq!(backend.read_bytes(5), b"hello");
-    // A chunked response after interim responses.
+    // The backend sends interim responses and then a chunked response.
     backend.send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: <x>\r\n\r\n");
     backend.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n0\r\n\r\n");
     assert_eq!(client.read_response().expect("a response").body, "ok");
     let attempt_head = backend.read_head();
     assert!(attempt_head[0].starts_with("GET /api?customer="), "{attempt_head:?}");
-    // A response that ends with its connection.
+    // The backend sends a response whose body ends when the connection is closed.
     backend.send("HTTP/1.0 200 OK\r\n\r\nto the end");
     drop(backend);
     assert_eq!(client.read_response().expect("a response").body, "to the end");
@@ -243,7 +244,7 @@
 
 #[test]
 fn many_connections_without_requests_leave_permits_for_clients() {
-    // Permits for about 24 clients.
+    // 64 descriptors leave permits for 22 clients.
     let (listener, _discovery, _counter, gateway) = gateway_with_manual_backend(64);
     let clients_without_request: Vec<Client> = (0..120)
         .map(|index| {
@@ -268,7 +269,7 @@
 
 #[test]
 fn idle_connections_do_not_exclude_other_clients() {
-    // Permits for 22 clients.
+    // 64 descriptors leave permits for 22 clients.
     let (listener, _discovery, _counter, gateway) = gateway_with_manual_backend(64);
     let mut idle_clients = Vec::new();
     let start = Instant::now();
@@ -304,7 +305,7 @@
     client.read_head();
     assert!(client.read_bytes(half.len()) == half.as_bytes());
     gateway.terminate();
-    // Longer than the gateway waits for a request without a response.
+    // This is longer than the gateway waits after SIGTERM for requests that are still unanswered.
     std::thread::sleep(Duration::from_millis(4000));
     backend.send(&half);
     assert!(client.read_bytes(half.len()) == half.as_bytes());
--- a/tests/sockets/takeover.rs
+++ b/tests/sockets/takeover.rs
@@ -16,12 +16,14 @@
     cluster_files_with("")
 }
 
-/// Writes the same files with further lines and tables, in which `{name}` is replaced by the name of the gateway.
+/// Writes the cluster files of three gateways with a ledger and with these further lines and tables, in which
+/// `{name}` is replaced by the name of the gateway.
 pub fn cluster_files_with(extra_sections: &str) -> Vec<PathBuf> {
     cluster_files_with_lifetime(2000, extra_sections)
 }
 
-/// Writes the same files with this lifetime of the ledger's records.
+/// Writes the cluster files of three gateways with this lifetime of the ledger's records and with these
+/// further lines and tables.
 fn cluster_files_with_lifetime(lifetime_ms: u64, extra_sections: &str) -> Vec<PathBuf> {
     let reserved: Vec<UdpSocket> =
         GATEWAY_NAMES.iter().map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
@@ -133,9 +135,9 @@
     assert_eq!(metrics, [1, 1, 1], "a safe request makes no claim");
 }
 
-/// Kills a gateway while this request is in flight; the client repeats it only after the other gateways had time to finish
-/// it. Returns how often the request was sent before and after the repetition, the numbers of finished requests and of
-/// those that could not be finished, and the status that the client got.
+/// Kills a gateway while this request is in flight. The client repeats the request only after the other
+/// gateways had time to finish it. Returns how often the backend received the request before the repetition
+/// and in total, the numbers of finished and not finished requests, and the status that the repetition got.
 fn abandon_request(extra_sections: &str, text: &str) -> (usize, usize, [u64; 2], u16) {
     let requests_received = AtomicUsize::new(0);
     let backend = Stub::start(move |_| match requests_received.fetch_add(1, Ordering::SeqCst) {
@@ -167,8 +169,8 @@
             gateways[1..].iter().map(|gateway| gateway.metric(&format!("fleet.ledger.{name}"))).sum::<u64>()
         })
     };
-    // Longer than the lease, the time for the client to repeat the request and the turns of two holders, and shorter than
-    // the lifetime of the record.
+    // This is longer than the lease, the time for the client to repeat the request and the waiting times of
+    // two replicas together, and shorter than the lifetime of the record.
     let deadline = Instant::now() + Duration::from_millis(2_500);
     while Instant::now() < deadline && outcome_counts() == [0, 0] {
         thread::sleep(Duration::from_millis(10));
@@ -189,7 +191,7 @@
 #[test]
 fn an_abandoned_request_of_a_class_not_listed_in_finish_waits_for_its_client() {
     let abandoned = abandon_request("", &request("buy", 8000));
-    assert_eq!(abandoned, (1, 2, [0, 0], 200), "taken over by the gateway that the client repeats it at");
+    assert_eq!(abandoned, (1, 2, [0, 0], 200), "the gateway that gets the repeated request takes it over");
 }
 
 #[test]
