--- a/lab/src/checker/accepted_writes.rs
+++ b/lab/src/checker/accepted_writes.rs
@@ -9,7 +9,8 @@
 pub(super) struct AcceptedWrites {
     /// Number of requests that were answered 202.
     pub count: usize,
-    /// Writes that no backend had served by the end of the run and whose clients read no other final status.
+    /// Writes that no backend had served by the end of the run and whose clients read no known status
+    /// or only that the write is lost.
     pub lost: Vec<usize>,
     /// Number of writes that did not run and whose status said that another write replaced them.
     pub superseded: usize,
@@ -85,7 +86,7 @@
     measure(plan, record).lost
 }
 
-/// Returns the status that a client read of a write; of several receipts, the most definite status.
+/// Returns the most definite status of a write among all statuses that its clients read.
 fn reported_status(record: &Record, arrival: usize) -> WriteStatus {
     let certainty = |fate: &WriteStatus| match fate {
         WriteStatus::Done(_) => 3,
--- a/lab/src/checker/cluster.rs
+++ b/lab/src/checker/cluster.rs
@@ -14,11 +14,12 @@
     pub exact_views: f64,
     /// Seconds from the last fault's end or process start to the last poll that saw a wrong view.
     pub wrong_view_s: f64,
-    /// Fraction of the gateways running at the end that reported agreement of all.
+    /// Fraction of the gateways running at the end that reported their membership view as agreed.
     pub agreed: f64,
-    /// Number of reports that a gateway was down which had run for 20 s, outside faults and the 15 s after them.
+    /// Number of reports that a gateway was down although it had run for 20 s, outside faults and the 15 s
+    /// after them.
     pub false_downs: usize,
-    /// Pairs of overlapping polls that saw two different agreed views under one number.
+    /// Pairs of overlapping polls that saw two different agreed views with the same view number.
     pub conflicting_views: usize,
 }
 
--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -1,5 +1,5 @@
-//! Command line of the lab. Exit codes: 0 all checks passed; 1 a rule was violated, an expectation was missed or the run
-//! is not valid; 2 usage error.
+//! Command line of the lab. Exit codes: 0 all checks passed; 1 a rule was violated, an expectation was
+//! missed, the run is not valid or an error occurred; 2 usage error or invalid scenario; 130 interrupted run.
 
 use crate::checker::VerdictKind;
 use crate::run::RunResources;
@@ -15,8 +15,8 @@
 /// Begin with `quota-gateway-lab up`, which starts a small cluster for manual requests, or with
 /// `quota-gateway-lab run lab/scenarios/calm.toml`.
 ///
-/// Exit codes: 0 all checks passed; 1 a rule was violated, an expectation was missed, or the run is not valid; 2 usage
-/// error.
+/// Exit codes: 0 all checks passed; 1 a rule was violated, an expectation was missed, the run is not valid or
+/// an error occurred; 2 usage error or invalid scenario; 130 interrupted run.
 #[derive(Debug, Parser)]
 #[command(name = "quota-gateway-lab", version, max_term_width = 100)]
 pub struct Cli {
@@ -67,8 +67,8 @@
     /// Override a value of the scenario, for example `gateways.count=40`; can be repeated.
     #[arg(long, value_name = "KEY=VALUE", value_parser = setting)]
     set: Vec<Setting>,
-    /// Check the rules alone: neither missed expectations nor a late load generator change the exit code. For machines
-    /// that do other work as well.
+    /// Check the rules alone: neither a missed expectation nor a run that is not valid, for example because
+    /// of a late load generator, changes the exit code. For machines that do other work as well.
     #[arg(long)]
     rules_only: bool,
     /// Write the result as JSON to this file.
@@ -295,7 +295,7 @@
     if let Some(path) = missing {
         return Err(Failure::of_use(format!("{}: program not found", path.display())));
     }
-    // Absolute paths, because the processes may be started from another folder.
+    // Absolute paths, so that a program given by a bare file name is not looked up in PATH.
     let absolute = |path: &Path| std::fs::canonicalize(path).unwrap_or_else(|_| path.to_path_buf());
     let folder = common.logs.clone().unwrap_or_else(|| {
         let name = format!("quota-gateway-lab-{}", std::process::id());
--- a/lab/src/counter.rs
+++ b/lab/src/counter.rs
@@ -22,15 +22,17 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum time to live of a name, in milliseconds.
 const MAX_TTL_MS: u64 = 60_000;
-/// Number of names at which expired ones are first removed.
+/// Number of names at which expired ones are first removed. The next removal is due at twice the number of
+/// remaining names plus this.
 const CLEANUP_THRESHOLD: usize = 10_000;
 
 struct State {
     /// Totals by name, with their expiry times.
     totals: HashMap<String, (f64, Microseconds)>,
-    /// Time at which the queued calls are completed.
+    /// Time at which the queued calls are completed, in microseconds.
     busy_until: f64,
     extra_delay_us: u64,
+    /// Fraction of the calls that is answered without a number, in millionths.
     garble: u32,
     /// Active limits, in millionths of the capacity.
     limits: Vec<u32>,
@@ -46,6 +48,7 @@
     state: Mutex<State>,
     /// Whether the counter accepts connections.
     pub alive: watch::Sender<bool>,
+    /// Number of active outages.
     down: Mutex<u32>,
 }
 
--- a/lab/src/discovery.rs
+++ b/lab/src/discovery.rs
@@ -43,11 +43,12 @@
 #[derive(Clone)]
 struct EndpointEntry {
     phase: Phase,
-    /// Revision of this list at which the entry last changed.
+    /// Revision of the agent's list at which the entry last changed.
     revision: u64,
     /// Number of the change that the entry shows. A change that arrives late and has a lower number is ignored.
     change: u64,
     started: Microseconds,
+    /// Whether the gateway's current process was notified of the entry or counts as notified.
     notified: bool,
 }
 
--- a/lab/src/fault_targets.rs
+++ b/lab/src/fault_targets.rs
@@ -7,7 +7,7 @@
 /// Participant of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Party {
-    /// All clients and the front end.
+    /// All clients, and the front end that distributes their requests over the gateways.
     Clients,
     /// Gateway with a number.
     Gateway(usize),
@@ -63,7 +63,7 @@
 }
 
 impl Target {
-    /// Parses a target. The error names the expected forms.
+    /// Parses a target. The error describes the problem.
     pub fn read(text: &str, scenario: &Scenario) -> Result<Target, String> {
         let zone = |name: &str| {
             let index = scenario.net.zones.iter().position(|z| z == name);
--- a/lab/src/http.rs
+++ b/lab/src/http.rs
@@ -74,7 +74,7 @@
         self.stream.write_all(request).await
     }
 
-    /// Reads one answer. Returns `Ok(None)` if the connection ended before its first byte.
+    /// Reads one answer. Returns `Ok(None)` if the connection ended before the first byte of the answer.
     pub async fn read(&mut self) -> io::Result<Option<Answer>> {
         let mut started = false;
         loop {
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -5,7 +5,8 @@
 use quota_gateway_lab::cli::{main as run, Cli};
 use std::process::ExitCode;
 
-/// Number of worker threads beside the main thread, which sends the requests. The other cores are left to the gateways.
+/// Number of worker threads besides the main thread, which sends the requests. The other cores are left to
+/// the gateways.
 const THREADS: usize = 3;
 
 fn main() -> ExitCode {
--- a/lab/src/members/measure.rs
+++ b/lab/src/members/measure.rs
@@ -259,7 +259,7 @@
 /// Returns a Markdown table with a row for each size: medians over the runs, or the worst run where the column says so.
 pub fn table(sizes: &[usize], runs: u64, crashes: usize, has_stress_phase: bool) -> String {
     let head =
-        "| members | formed s | first miss s, median / p99 | missed p99 s | known down s, median / p99 \
+        "| members | formed s | first suspicion s, median / p99 | suspected p99 s | down s, median / p99 \
         | healed s, median / worst | datagrams/s | bytes/s | false downs | core % |\n\
         | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
     let mut text = head.to_string();
--- a/lab/src/scenario/fault.rs
+++ b/lab/src/scenario/fault.rs
@@ -32,11 +32,11 @@
     pub duplicate: Option<f64>,
     /// Fraction of datagrams that are overtaken by later ones.
     pub reorder: Option<f64>,
-    /// Factor by which something is slower or more.
+    /// Factor by which backend work time, counter capacity or load is multiplied.
     pub factor: Option<f64>,
     /// Fraction of the requests, calls, answers, load or time that is affected.
     pub rate: Option<f64>,
-    /// Range of the seconds until a stopped process is started again; without it, never.
+    /// Range of the seconds until a stopped process is started again; if absent, the process stays stopped.
     pub back_s: Option<[f64; 2]>,
     /// Fraction of `who` in one batch.
     pub batch: Option<f64>,
@@ -65,7 +65,8 @@
     Reset,
     /// Applies `delay_ms`, `jitter_ms`, `loss`, `duplicate` and `reorder` between `who` and `with`.
     Impair,
-    /// Kills gateways or backends; after `back_s` they start again, gateways with an outdated endpoint list.
+    /// Kills gateways or backends. After `back_s` they start again; gateways then have an outdated endpoint
+    /// list.
     Kill,
     /// Stops gateway processes and continues them after `for_s`.
     Pause,
